--- a/crates/cottonhill/src/check.rs
+++ b/crates/cottonhill/src/check.rs
@@ -13,9 +13,16 @@
     Ledger::read(&own, &settings::SCHEMA).map_err(Failure::configuration)?;
     Front::read(&own, &settings::SCHEMA).map_err(Failure::configuration)?;
     let mut table = Table::new();
-    table.load_preset(comfy_table::presets::NOTHING).set_header(["SETTING", "VALUE", "FROM", "CHANGES"]);
+    table
+        .load_preset(comfy_table::presets::NOTHING)
+        .set_header(["SETTING", "VALUE", "FROM", "CHANGES"]);
     let mut row = |name: &str, value: &str, from: &str, live: bool| {
-        table.add_row([name, value, from, if live { "on SIGHUP" } else { "at a start" }]);
+        table.add_row([
+            name,
+            value,
+            from,
+            if live { "on SIGHUP" } else { "at a start" },
+        ]);
     };
     if let Some(path) = &files.config {
         let config = program::read(path)?;
@@ -24,23 +31,72 @@
         row("listen", &config.listen.to_string(), &from, false);
         row("discovery", &addresses.discovery.to_string(), &from, true);
         row("peers", &addresses.peers.len().to_string(), &from, true);
-        row("limits.sockets", &config.descriptors.to_string(), &from, false);
-        row("known", &format!("{} endpoints", config.known.endpoints.len()), &from, false);
-        row("settings.classes", &config.site.classes.join(" "), &from, false);
-        row("settings.orgs", &config.site.tenants.join(" "), &from, false);
-        row("settings.localities", &config.site.zones.join(" "), &from, false);
-        row("settings.extra.ranges", &config.site.shards.to_string(), &from, false);
-        row("settings.limits.open_cap", &config.site.open_cap.to_string(), &from, false);
+        row(
+            "limits.sockets",
+            &config.descriptors.to_string(),
+            &from,
+            false,
+        );
+        row(
+            "known",
+            &format!("{} endpoints", config.known.endpoints.len()),
+            &from,
+            false,
+        );
+        row(
+            "settings.classes",
+            &config.site.classes.join(" "),
+            &from,
+            false,
+        );
+        row(
+            "settings.orgs",
+            &config.site.tenants.join(" "),
+            &from,
+            false,
+        );
+        row(
+            "settings.localities",
+            &config.site.zones.join(" "),
+            &from,
+            false,
+        );
+        row(
+            "settings.extra.ranges",
+            &config.site.shards.to_string(),
+            &from,
+            false,
+        );
+        row(
+            "settings.limits.open_cap",
+            &config.site.open_cap.to_string(),
+            &from,
+            false,
+        );
     } else {
-        row("(configuration)", "(none)", "neither --config nor BALANCER_CONFIG", false);
+        row(
+            "(configuration)",
+            "(none)",
+            "neither --config nor BALANCER_CONFIG",
+            false,
+        );
     }
-    let file = files.settings.as_ref().map(|path| path.display().to_string()).unwrap_or_default();
+    let file = files
+        .settings
+        .as_ref()
+        .map(|path| path.display().to_string())
+        .unwrap_or_default();
     for shown in own.shown(&settings::SCHEMA) {
         let from = match shown.origin {
             Origin::Line(line) => format!("{file}:{line}"),
             Origin::Default => "default".into(),
         };
-        row(&format!("[{}] {}", shown.section, shown.key), &shown.value, &from, shown.live);
+        row(
+            &format!("[{}] {}", shown.section, shown.key),
+            &shown.value,
+            &from,
+            shown.live,
+        );
     }
     output::print(format!("{table}\n").as_bytes())
 }
--- a/crates/cottonhill/src/commands.rs
+++ b/crates/cottonhill/src/commands.rs
@@ -111,7 +111,10 @@
         shape: Shape,
     },
     /// The key under which the uses of an Idempotency-Key stand in the ledger
-    Key { class: String, idempotency_key: String },
+    Key {
+        class: String,
+        idempotency_key: String,
+    },
 }
 
 /// Rows to print in whatever form is asked for.
@@ -130,7 +133,10 @@
 
 impl Rows {
     fn new(head: &[&'static str]) -> Rows {
-        Rows { head: head.to_vec(), rows: Vec::new() }
+        Rows {
+            head: head.to_vec(),
+            rows: Vec::new(),
+        }
     }
 
     fn print(self, shape: &Shape) -> Done {
@@ -139,22 +145,28 @@
             Format::Table => {
                 let mut table = Table::new();
                 let caps = head.iter().map(|name| name.to_uppercase());
-                table.load_preset(comfy_table::presets::NOTHING).set_header(caps);
+                table
+                    .load_preset(comfy_table::presets::NOTHING)
+                    .set_header(caps);
                 rows.iter().for_each(|row| {
                     table.add_row(row.iter().map(plain));
                 });
                 format!("{table}\n").into_bytes()
             }
             Format::Json => {
-                let object =
-                    |row: Vec<Value>| Value::Object(head.iter().map(|h| h.to_string()).zip(row).collect());
+                let object = |row: Vec<Value>| {
+                    Value::Object(head.iter().map(|h| h.to_string()).zip(row).collect())
+                };
                 let all: Vec<Value> = rows.into_iter().map(object).collect();
                 format!("{:#}\n", Value::Array(all)).into_bytes()
             }
             Format::Csv => {
                 let mut csv = csv::Writer::from_writer(Vec::new());
                 let lines = std::iter::once(head.iter().map(|h| h.to_string()).collect());
-                for line in lines.chain(rows.iter().map(|row| row.iter().map(plain).collect::<Vec<_>>())) {
+                for line in lines.chain(
+                    rows.iter()
+                        .map(|row| row.iter().map(plain).collect::<Vec<_>>()),
+                ) {
                     csv.write_record(line).map_err(Failure::running)?;
                 }
                 csv.into_inner().map_err(Failure::running)?
@@ -183,7 +195,8 @@
 
 impl Opened {
     fn store(&self) -> Result<Store, Failure> {
-        Store::open(&self.path).map_err(|e| Failure::running(format!("{}: {e}", self.path.display())))
+        Store::open(&self.path)
+            .map_err(|e| Failure::running(format!("{}: {e}", self.path.display())))
     }
 
     /// A store that is there already: what only reads must not make one.
@@ -198,16 +211,26 @@
     }
 
     fn bounds(&self) -> Bounds {
-        Bounds { horizon: self.settings.horizon, skew: self.settings.skew }
+        Bounds {
+            horizon: self.settings.horizon,
+            skew: self.settings.skew,
+        }
     }
 
     /// The closed or open period that begins at a time as `periods` shows it.
     fn period(&self, store: &Store, text: &str) -> Result<Period, Failure> {
-        let at: Option<i64> = text.parse().ok().map(|at: jiff::Timestamp| at.as_millisecond());
-        let at =
-            at.ok_or_else(|| Failure::usage(format!("'{text}' is no time, as in 2026-12-01T00:00:00Z")))?;
+        let at: Option<i64> = text
+            .parse()
+            .ok()
+            .map(|at: jiff::Timestamp| at.as_millisecond());
+        let at = at.ok_or_else(|| {
+            Failure::usage(format!("'{text}' is no time, as in 2026-12-01T00:00:00Z"))
+        })?;
         let known = store.periods().map_err(Failure::running)?;
-        let known = known.into_iter().map(|(period, _)| period).find(|period| period.start == at);
+        let known = known
+            .into_iter()
+            .map(|(period, _)| period)
+            .find(|period| period.start == at);
         let period = known.unwrap_or_else(|| self.settings.calendar.at(at));
         if period.start != at {
             let start = period.name();
@@ -229,11 +252,19 @@
 }
 
 pub fn run(files: &Files, command: Ledger) -> Done {
-    if let Ledger::Key { class, idempotency_key } = &command {
+    if let Ledger::Key {
+        class,
+        idempotency_key,
+    } = &command
+    {
         let key = usage::key_of_client(class, idempotency_key);
         return output::print(format!("{key:016x}\n").as_bytes());
     }
-    if let Ledger::Dump { log: Some(directory), shape } = &command {
+    if let Ledger::Dump {
+        log: Some(directory),
+        shape,
+    } = &command
+    {
         return dump_log(directory, shape);
     }
     if let Ledger::Verify { log } = &command {
@@ -244,26 +275,63 @@
         Ledger::Serve => serve(files, opened),
         Ledger::Status(shape) => status(&opened, &shape),
         Ledger::Periods(shape) => periods(&opened, &shape),
-        Ledger::Statement { period, tenant, shape } => statement(&opened, period, tenant, &shape),
-        Ledger::Correct { tenant, period, amount, reason, author, id } => {
+        Ledger::Statement {
+            period,
+            tenant,
+            shape,
+        } => statement(&opened, period, tenant, &shape),
+        Ledger::Correct {
+            tenant,
+            period,
+            amount,
+            reason,
+            author,
+            id,
+        } => {
             let mut store = opened.existing()?;
             let period = opened.period(&store, &period)?;
             let now = settlement::now();
-            let made =
-                || digest(format!("{tenant} {} {amount} {reason} {author} {now}", period.start).as_bytes());
+            let made = || {
+                digest(
+                    format!("{tenant} {} {amount} {reason} {author} {now}", period.start)
+                        .as_bytes(),
+                )
+            };
             let id = id.unwrap_or_else(|| made()[..16].to_string());
-            let correction = CorrectionLine { id: id.clone(), tenant, amount, reason, author };
-            let document = store.correct(&correction, period, now).map_err(Failure::running)?;
+            let correction = CorrectionLine {
+                id: id.clone(),
+                tenant,
+                amount,
+                reason,
+                author,
+            };
+            let document = store
+                .correct(&correction, period, now)
+                .map_err(Failure::running)?;
             let text = match document {
                 Some(document) => {
-                    format!("correction {id}: document {} of {amount} micro-units\n", document.id)
+                    format!(
+                        "correction {id}: document {} of {amount} micro-units\n",
+                        document.id
+                    )
                 }
-                None => format!("correction {id}: it will stand in the statement of {}\n", period.name()),
+                None => format!(
+                    "correction {id}: it will stand in the statement of {}\n",
+                    period.name()
+                ),
             };
             output::print(text.as_bytes())
         }
-        Ledger::Export { list, within, shape } => send(&opened, list, &within, &shape),
-        Ledger::Reconcile { clients, counters, shape } => reconcile(&opened, clients, &counters, &shape),
+        Ledger::Export {
+            list,
+            within,
+            shape,
+        } => send(&opened, list, &within, &shape),
+        Ledger::Reconcile {
+            clients,
+            counters,
+            shape,
+        } => reconcile(&opened, clients, &counters, &shape),
         Ledger::Dump { shape, .. } => dump_store(&opened, &shape),
         Ledger::Verify { .. } | Ledger::Key { .. } => Ok(()),
     }
@@ -272,7 +340,10 @@
 fn serve(files: &Files, opened: Opened) -> Done {
     let own = settings::read(files)?;
     let logs = Logs::start(&own)?;
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(Failure::running)?;
     runtime.block_on(async move {
         let (sender, controls) = mpsc::channel(1);
@@ -348,26 +419,55 @@
     rows.print(shape)?;
     if matches!(shape.format, Format::Table) {
         let (waiting, next) = (
-            store.outbox(opened.settings.export.folder.is_some(), opened.settings.export.url.is_some()),
+            store.outbox(
+                opened.settings.export.folder.is_some(),
+                opened.settings.export.url.is_some(),
+            ),
             store.next_period(&opened.settings.calendar),
         );
-        let next = next.map_err(Failure::running)?.map_or("none".into(), |period| period.name());
+        let next = next
+            .map_err(Failure::running)?
+            .map_or("none".into(), |period| period.name());
         let any = opened.settings.export.folder.is_some() || opened.settings.export.url.is_some();
-        let waiting = if any { waiting.map_err(Failure::running)?.len() } else { 0 };
-        output::print(format!("\nnext period to close: {next}\ndocuments to send: {waiting}\n").as_bytes())?;
+        let waiting = if any {
+            waiting.map_err(Failure::running)?.len()
+        } else {
+            0
+        };
+        output::print(
+            format!("\nnext period to close: {next}\ndocuments to send: {waiting}\n").as_bytes(),
+        )?;
     }
     Ok(())
 }
 
 fn periods(opened: &Opened, shape: &Shape) -> Done {
     let store = opened.existing()?;
-    let mut rows =
-        Rows::new(&["period", "end", "closed", "uses", "adjusted", "ambiguous", "missing", "total", "hash"]);
+    let mut rows = Rows::new(&[
+        "period",
+        "end",
+        "closed",
+        "uses",
+        "adjusted",
+        "ambiguous",
+        "missing",
+        "total",
+        "hash",
+    ]);
     for (it, hash, _) in store.statements().map_err(Failure::running)? {
         let count = |adjusts: bool, of: fn(&Counts) -> i64| -> i64 {
-            it.lines.iter().filter(|line| line.adjusts == adjusts).map(|line| of(&line.counts)).sum()
+            it.lines
+                .iter()
+                .filter(|line| line.adjusts == adjusts)
+                .map(|line| of(&line.counts))
+                .sum()
         };
-        let missing: Vec<&str> = it.members.iter().filter(|m| m.missing).map(|m| m.member.as_str()).collect();
+        let missing: Vec<&str> = it
+            .members
+            .iter()
+            .filter(|m| m.missing)
+            .map(|m| m.member.as_str())
+            .collect();
         rows.rows.push(vec![
             json!(it.period),
             json!(it.end),
@@ -383,7 +483,12 @@
     rows.print(shape)
 }
 
-fn statement(opened: &Opened, period: Option<String>, tenant: Option<String>, shape: &Shape) -> Done {
+fn statement(
+    opened: &Opened,
+    period: Option<String>,
+    tenant: Option<String>,
+    shape: &Shape,
+) -> Done {
     let store = opened.existing()?;
     let statements = store.statements().map_err(Failure::running)?;
     let found = match &period {
@@ -394,7 +499,9 @@
         None => statements.into_iter().last(),
     };
     let Some((it, ..)) = found else {
-        return Err(Failure::running("there is no such statement: see 'cottonhill ledger periods'"));
+        return Err(Failure::running(
+            "there is no such statement: see 'cottonhill ledger periods'",
+        ));
     };
     if matches!(shape.format, Format::Json) {
         let text = serde_json::to_string_pretty(&it).map_err(Failure::running)?;
@@ -407,13 +514,22 @@
     let wanted = |name: &str| tenant.as_deref().is_none_or(|tenant| tenant == name);
     for line in it.lines.iter().filter(|line| wanted(&line.tenant)) {
         let kind = if line.adjusts { "adjustment" } else { "use" };
-        let mut row =
-            vec![json!(it.period), json!(line.tenant), json!(line.class), json!(line.period), json!(kind)];
+        let mut row = vec![
+            json!(it.period),
+            json!(line.tenant),
+            json!(line.class),
+            json!(line.period),
+            json!(kind),
+        ];
         row.extend(line.counts.values().map(|value| json!(value)));
         row.push(json!(line.amount));
         rows.rows.push(row);
     }
-    for correction in it.corrections.iter().filter(|correction| wanted(&correction.tenant)) {
+    for correction in it
+        .corrections
+        .iter()
+        .filter(|correction| wanted(&correction.tenant))
+    {
         let mut row = vec![
             json!(it.period),
             json!(correction.tenant),
@@ -427,9 +543,15 @@
     }
     rows.print(shape)?;
     if matches!(shape.format, Format::Table) {
-        let mut text =
-            format!("\nperiod {} to {}, closed {}; rounded {}\n", it.period, it.end, it.closed, it.rounding);
-        for member in it.members.iter().filter(|m| m.missing || m.lost + m.died + m.damaged > 0) {
+        let mut text = format!(
+            "\nperiod {} to {}, closed {}; rounded {}\n",
+            it.period, it.end, it.closed, it.rounding
+        );
+        for member in it
+            .members
+            .iter()
+            .filter(|m| m.missing || m.lost + m.died + m.damaged > 0)
+        {
             let complete = member.complete.as_deref().unwrap_or("never");
             text += &format!(
                 "member {}: {}complete up to {complete}, {} records lost, {} runs died, {} damaged stretches\n",
@@ -441,7 +563,9 @@
             );
         }
         for total in it.tenants.iter().filter(|total| wanted(&total.tenant)) {
-            let allowance = total.allowance.map_or("none".to_string(), |allowance| allowance.to_string());
+            let allowance = total
+                .allowance
+                .map_or("none".to_string(), |allowance| allowance.to_string());
             text += &format!(
                 "tenant {}: {} answered, allowance {allowance}, {} over it, {} micro-units\n",
                 total.tenant, total.answered, total.over, total.amount
@@ -461,7 +585,9 @@
         let within = cottonhill_ini::time(within)
             .map_err(|why| Failure::usage(format!("--within {within}: {why}")))?;
         if !folder && !url {
-            return Err(Failure::configuration("[export] names neither a folder nor a url"));
+            return Err(Failure::configuration(
+                "[export] names neither a folder nor a url",
+            ));
         }
         let until = Instant::now() + within;
         let waiting = store.outbox(folder, url).map_err(Failure::running)?;
@@ -469,7 +595,13 @@
         for mut document in waiting {
             loop {
                 let (in_folder, posted, error) = export::send(to, &document);
-                let noted = store.sent(&document.id, in_folder, posted, error.as_deref(), settlement::now());
+                let noted = store.sent(
+                    &document.id,
+                    in_folder,
+                    posted,
+                    error.as_deref(),
+                    settlement::now(),
+                );
                 noted.map_err(Failure::running)?;
                 document.in_folder |= in_folder;
                 document.posted |= posted;
@@ -481,7 +613,9 @@
                         document.id
                     )));
                 }
-                std::thread::sleep(export::wait(to.again, document.attempts).min(Duration::from_secs(5)));
+                std::thread::sleep(
+                    export::wait(to.again, document.attempts).min(Duration::from_secs(5)),
+                );
             }
             bar.inc(1);
         }
@@ -489,14 +623,24 @@
     }
     let mut rows = Rows::new(&["document", "in_folder", "posted", "attempts", "error"]);
     for it in store.outbox(false, false).map_err(Failure::running)? {
-        let row =
-            vec![json!(it.id), json!(it.in_folder), json!(it.posted), json!(it.attempts), json!(it.error)];
+        let row = vec![
+            json!(it.id),
+            json!(it.in_folder),
+            json!(it.posted),
+            json!(it.attempts),
+            json!(it.error),
+        ];
         rows.rows.push(row);
     }
     rows.print(shape)
 }
 
-fn reconcile(opened: &Opened, clients: Option<PathBuf>, counters: &[String], shape: &Shape) -> Done {
+fn reconcile(
+    opened: &Opened,
+    clients: Option<PathBuf>,
+    counters: &[String],
+    shape: &Shape,
+) -> Done {
     let store = opened.existing()?;
     if clients.is_none() && counters.is_empty() {
         return Err(Failure::usage(
@@ -506,7 +650,9 @@
     let mut wrong = 0;
     if let Some(path) = clients {
         let at = |e: csv::Error| Failure::running(format!("{}: {e}", path.display()));
-        let rows = csv::Reader::from_path(&path).map_err(at)?.into_deserialize::<ClientUse>();
+        let rows = csv::Reader::from_path(&path)
+            .map_err(at)?
+            .into_deserialize::<ClientUse>();
         let uses: Vec<ClientUse> = rows.collect::<Result<_, _>>().map_err(at)?;
         let all = (i64::MIN, i64::MAX);
         let calendar = &opened.settings.calendar;
@@ -539,7 +685,9 @@
         if !found.differences.is_empty() {
             let mut rows = Rows::new(&["what", "tenant", "class", "at", "key", "ledger", "client"]);
             for it in &found.differences {
-                let texts = [it.what, &it.tenant, &it.class, &it.at, &it.key, &it.ledger, &it.client];
+                let texts = [
+                    it.what, &it.tenant, &it.class, &it.at, &it.key, &it.ledger, &it.client,
+                ];
                 rows.rows.push(texts.map(|text| json!(text)).to_vec());
             }
             rows.print(shape)?;
@@ -548,20 +696,28 @@
     }
     let standings = store.standings().map_err(Failure::running)?;
     for counter in counters {
-        let (name, file) =
-            counter.split_once('=').ok_or_else(|| Failure::usage(format!("'{counter}' is not NAME=FILE")))?;
-        let text = std::fs::read_to_string(file).map_err(|e| Failure::running(format!("{file}: {e}")))?;
+        let (name, file) = counter
+            .split_once('=')
+            .ok_or_else(|| Failure::usage(format!("'{counter}' is not NAME=FILE")))?;
+        let text =
+            std::fs::read_to_string(file).map_err(|e| Failure::running(format!("{file}: {e}")))?;
         let stats: Value =
             serde_json::from_str(&text).map_err(|e| Failure::running(format!("{file}: {e}")))?;
         let standing = standings.iter().find(|standing| standing.member == name);
         let incarnation = standing.map_or(0, |standing| standing.position.incarnation);
-        let ours = store.recorded(name, incarnation).map_err(Failure::running)?;
+        let ours = store
+            .recorded(name, incarnation)
+            .map_err(Failure::running)?;
         let theirs: BTreeMap<String, u64> =
             serde_json::from_value(stats["recorded_of"].clone()).unwrap_or_default();
         let both: BTreeSet<&String> = ours.keys().chain(theirs.keys()).collect();
-        for of in both.into_iter().filter(|of| ours.get(*of) != theirs.get(*of)) {
+        for of in both
+            .into_iter()
+            .filter(|of| ours.get(*of) != theirs.get(*of))
+        {
             wrong += 1;
-            let [theirs, ours] = [&theirs, &ours].map(|side| side.get(of).copied().unwrap_or_default());
+            let [theirs, ours] =
+                [&theirs, &ours].map(|side| side.get(of).copied().unwrap_or_default());
             let text = format!(
                 "mixer {name}, {of}: it has recorded {theirs} in this run, the ledger holds {ours}\n"
             );
@@ -602,7 +758,10 @@
             }
             // The last one may be in the middle of a write.
             if read.end < bytes.len() && i + 1 < all.len() {
-                wrong.push(format!("{name}: half a record at its end, from offset {}", read.end));
+                wrong.push(format!(
+                    "{name}: half a record at its end, from offset {}",
+                    read.end
+                ));
             }
             segments += 1;
             bar.inc(1);
@@ -611,10 +770,16 @@
     }
     // Without a store named, logs are checked alone.
     let own = settings::read(files)?;
-    let named = Settings::read(&own, &settings::SCHEMA).map_err(Failure::configuration)?.store.is_some();
+    let named = Settings::read(&own, &settings::SCHEMA)
+        .map_err(Failure::configuration)?
+        .store
+        .is_some();
     if named || logs.is_empty() {
         let opened = open(files)?;
-        let (count, found) = opened.existing()?.verify(opened.bounds()).map_err(Failure::running)?;
+        let (count, found) = opened
+            .existing()?
+            .verify(opened.bounds())
+            .map_err(Failure::running)?;
         checked = count;
         wrong.extend(found);
     }
@@ -650,7 +815,11 @@
 
 /// One record in the order of [`RECORD`], wherever it stands: the share is that of a partial answer.
 fn record_row(
-    at: i64, whose: [Value; 5], outcome: &str, counts: [u32; 4], (repeat, keyed, key): (bool, bool, u64),
+    at: i64,
+    whose: [Value; 5],
+    outcome: &str,
+    counts: [u32; 4],
+    (repeat, keyed, key): (bool, bool, u64),
 ) -> Vec<Value> {
     let mut row = vec![json!(stamp(at))];
     row.extend(whose);
@@ -666,10 +835,26 @@
     let name = |id: u32| json!(names.get(&id));
     let mut rows = Rows::new(&RECORD);
     for it in store.tries(i64::MIN, i64::MAX).map_err(Failure::running)? {
-        let whose =
-            [name(it.member), json!(it.incarnation), json!(it.sequence), name(it.tenant), name(it.class)];
-        let counts = [it.outcome.partial_share(), it.parts, it.attempts, it.crossed];
-        rows.rows.push(record_row(it.at, whose, it.outcome.name(), counts, (it.repeat, it.keyed, it.key)));
+        let whose = [
+            name(it.member),
+            json!(it.incarnation),
+            json!(it.sequence),
+            name(it.tenant),
+            name(it.class),
+        ];
+        let counts = [
+            it.outcome.partial_share(),
+            it.parts,
+            it.attempts,
+            it.crossed,
+        ];
+        rows.rows.push(record_row(
+            it.at,
+            whose,
+            it.outcome.name(),
+            counts,
+            (it.repeat, it.keyed, it.key),
+        ));
     }
     rows.print(shape)
 }
@@ -680,19 +865,37 @@
     let mut rows = Rows::new(&RECORD);
     while let Some(batch) = follower.next(4096).map_err(at)? {
         for damage in &batch.damage {
-            eprintln!("cottonhill: {}: damaged from offset {} to {}", damage.segment, damage.from, damage.to);
+            eprintln!(
+                "cottonhill: {}: damaged from offset {} to {}",
+                damage.segment, damage.from, damage.to
+            );
         }
         let header = batch.header.unwrap_or_default();
         for entry in batch.entries {
-            let Some(wire::entry::What::Record(it)) = entry.what else { continue };
+            let Some(wire::entry::What::Record(it)) = entry.what else {
+                continue;
+            };
             let outcome = it.outcome().as_str_name().to_lowercase();
-            let class = header.classes.get(it.class as usize).map(|class| class.name.as_str());
+            let class = header
+                .classes
+                .get(it.class as usize)
+                .map(|class| class.name.as_str());
             let tenant = json!(header.tenants.get(it.tenant as usize));
-            let whose =
-                [json!(header.mixer), json!(header.incarnation), json!(it.sequence), tenant, json!(class)];
+            let whose = [
+                json!(header.mixer),
+                json!(header.incarnation),
+                json!(it.sequence),
+                tenant,
+                json!(class),
+            ];
             let counts = [it.share, it.parts, it.attempts, it.crossed];
-            let row =
-                record_row(it.arrived_ms as i64, whose, &outcome, counts, (it.repeat, it.keyed, it.key));
+            let row = record_row(
+                it.arrived_ms as i64,
+                whose,
+                &outcome,
+                counts,
+                (it.repeat, it.keyed, it.key),
+            );
             rows.rows.push(row);
         }
     }
--- a/crates/cottonhill/src/fronts.rs
+++ b/crates/cottonhill/src/fronts.rs
@@ -19,7 +19,8 @@
 
 /// Opens the listeners of all fronts that are on.
 pub async fn open(own: &Settings) -> Result<Fronts, Failure> {
-    let Some(opensearch) = Front::read(own, &settings::SCHEMA).map_err(Failure::configuration)? else {
+    let Some(opensearch) = Front::read(own, &settings::SCHEMA).map_err(Failure::configuration)?
+    else {
         return Ok(Fronts::default());
     };
     let tls = match opensearch.tls.clone() {
@@ -32,7 +33,9 @@
     tracing::info!(address = %at, indices = opensearch.indices.len(), tls = tls.is_some(), "OpenSearch-style front");
     let with = tls.clone();
     Ok(Fronts {
-        start: vec![Box::new(move |queries| front::start(opensearch, with, listener, queries))],
+        start: vec![Box::new(move |queries| {
+            front::start(opensearch, with, listener, queries)
+        })],
         tls,
     })
 }
--- a/crates/cottonhill/src/logs.rs
+++ b/crates/cottonhill/src/logs.rs
@@ -45,10 +45,15 @@
 fn targets(settings: &Settings) -> Result<Targets, Failure> {
     let values = settings.of(&crate::settings::SCHEMA, SECTION.name, "");
     let environment = std::env::var("COTTONHILL_LOG").ok();
-    let level = environment.as_deref().filter(|text| !text.is_empty()).or(values.text("level"));
+    let level = environment
+        .as_deref()
+        .filter(|text| !text.is_empty())
+        .or(values.text("level"));
     let level = level.unwrap_or("info").to_string();
     // An empty directive would stand for everything.
-    let all = values.text("targets").map_or(level.clone(), |targets| format!("{level},{targets}"));
+    let all = values
+        .text("targets")
+        .map_or(level.clone(), |targets| format!("{level},{targets}"));
     all.parse().map_err(|e| {
         let why = format!("'{all}' does not do: {e}");
         Failure::configuration(settings.problem(SECTION.name, "", "targets", &why))
@@ -59,10 +64,21 @@
     /// Starts logging; once in a process.
     pub fn start(settings: &Settings) -> Result<Logs, Failure> {
         let (filter, handle) = reload::Layer::new(targets(settings)?);
-        let json = settings.of(&crate::settings::SCHEMA, SECTION.name, "").text("format") == Some("json");
-        let plain = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(std::io::stderr);
-        let layer = if json { plain.json().flatten_event(true).boxed() } else { plain.boxed() };
-        let started = tracing_subscriber::registry().with(layer.with_filter(filter)).try_init();
+        let json = settings
+            .of(&crate::settings::SCHEMA, SECTION.name, "")
+            .text("format")
+            == Some("json");
+        let plain = tracing_subscriber::fmt::layer()
+            .with_ansi(false)
+            .with_writer(std::io::stderr);
+        let layer = if json {
+            plain.json().flatten_event(true).boxed()
+        } else {
+            plain.boxed()
+        };
+        let started = tracing_subscriber::registry()
+            .with(layer.with_filter(filter))
+            .try_init();
         started.map_err(Failure::running)?;
         Ok(Logs(handle))
     }
--- a/crates/cottonhill/src/output.rs
+++ b/crates/cottonhill/src/output.rs
@@ -12,17 +12,26 @@
 impl Failure {
     /// Something went wrong while running.
     pub fn running(message: impl ToString) -> Failure {
-        Failure { code: 1, message: message.to_string() }
+        Failure {
+            code: 1,
+            message: message.to_string(),
+        }
     }
 
     /// The command line asks for what makes no sense.
     pub fn usage(message: impl ToString) -> Failure {
-        Failure { code: 2, message: message.to_string() }
+        Failure {
+            code: 2,
+            message: message.to_string(),
+        }
     }
 
     /// A file of configuration or settings does not do.
     pub fn configuration(message: impl ToString) -> Failure {
-        Failure { code: 3, message: message.to_string() }
+        Failure {
+            code: 3,
+            message: message.to_string(),
+        }
     }
 }
 
@@ -32,7 +41,9 @@
 pub fn print(bytes: &[u8]) -> Done {
     let mut out = io::stdout().lock();
     match out.write_all(bytes).and_then(|()| out.flush()) {
-        Err(e) if e.kind() != ErrorKind::BrokenPipe => Err(Failure::running(format!("standard output: {e}"))),
+        Err(e) if e.kind() != ErrorKind::BrokenPipe => {
+            Err(Failure::running(format!("standard output: {e}")))
+        }
         _ => Ok(()),
     }
 }
--- a/crates/cottonhill/src/program.rs
+++ b/crates/cottonhill/src/program.rs
@@ -27,17 +27,26 @@
     let own = settings::read(files)?;
     let usage = UsageLog::read(&own, &settings::SCHEMA).map_err(Failure::configuration)?;
     let logs = Logs::start(&own)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     let runtime = runtime.map_err(|e| Failure::running(format!("no runtime: {e}")))?;
-    let running = Running { files: files.clone(), config, own, logs, tls: None };
+    let running = Running {
+        files: files.clone(),
+        config,
+        own,
+        logs,
+        tls: None,
+    };
     tokio::task::LocalSet::new().block_on(&runtime, serve(running, usage))
 }
 
 /// Reads the platform's configuration of a mixer.
 pub fn read(path: &Path) -> Result<Config, Failure> {
     let shown = path.display();
-    let text = std::fs::read_to_string(path)
-        .map_err(|e| Failure::configuration(format!("cannot read the configuration {shown}: {e}")))?;
+    let text = std::fs::read_to_string(path).map_err(|e| {
+        Failure::configuration(format!("cannot read the configuration {shown}: {e}"))
+    })?;
     Config::read(&text).map_err(|e| Failure::configuration(format!("{shown}: {e}")))
 }
 
@@ -57,10 +66,15 @@
             Ok(own) => {
                 let restart = self.own.needs_restart(&own, &settings::SCHEMA).join(", ");
                 if !restart.is_empty() {
-                    tracing::warn!(restart, "changed in the settings, but only a restart takes it up");
+                    tracing::warn!(
+                        restart,
+                        "changed in the settings, but only a restart takes it up"
+                    );
                 }
             }
-            Err(Failure { message, .. }) => tracing::error!("the settings stay as they were: {message}"),
+            Err(Failure { message, .. }) => {
+                tracing::error!("the settings stay as they were: {message}")
+            }
         }
         if let Some(tls) = &self.tls {
             match tls.reload() {
@@ -73,7 +87,10 @@
             Ok(next) => {
                 let restart = self.config.needs_restart(&next).join(", ");
                 if !restart.is_empty() {
-                    tracing::warn!(restart, "changed in the configuration, but only a restart takes it up");
+                    tracing::warn!(
+                        restart,
+                        "changed in the configuration, but only a restart takes it up"
+                    );
                 }
                 tracing::info!(discovery = %next.addresses.discovery, "configuration read again");
                 Some(next.addresses)
@@ -90,13 +107,27 @@
     let (sender, controls) = mpsc::channel(1);
     // A list may be large, and only the start needs this one.
     let known = std::mem::take(&mut running.config.known);
-    let Config { name, listen, site, settings, seed, descriptors, memory, addresses, names, .. } =
-        running.config.clone();
+    let Config {
+        name,
+        listen,
+        site,
+        settings,
+        seed,
+        descriptors,
+        memory,
+        addresses,
+        names,
+        ..
+    } = running.config.clone();
     let fronts = fronts::open(&running.own).await?;
     running.tls = fronts.tls;
     let running = Rc::new(running);
     // A planned end, by the platform or by whoever has it in a terminal; and a new configuration.
-    for kind in [SignalKind::terminate(), SignalKind::interrupt(), SignalKind::hangup()] {
+    for kind in [
+        SignalKind::terminate(),
+        SignalKind::interrupt(),
+        SignalKind::hangup(),
+    ] {
         let mut signals = signal(kind).map_err(|e| Failure::running(format!("no signals: {e}")))?;
         let (sender, running) = (sender.clone(), running.clone());
         tokio::task::spawn_local(async move {
@@ -116,9 +147,17 @@
     let clock = Clock::start();
     let recorder = match &usage {
         Some(usage) => {
-            let (classes, give_up, tenants) =
-                (site.classes.clone(), site.deadlines.clone(), site.tenants.clone());
-            let names = writer::Names { mixer: name.clone(), classes, give_up, tenants };
+            let (classes, give_up, tenants) = (
+                site.classes.clone(),
+                site.deadlines.clone(),
+                site.tenants.clone(),
+            );
+            let names = writer::Names {
+                mixer: name.clone(),
+                classes,
+                give_up,
+                tenants,
+            };
             let writer = writer::start(usage, names, clock.now());
             Some(writer.map_err(|e| Failure::running(format!("usage log: {e}")))?)
         }
@@ -133,9 +172,10 @@
         state.record_usage(usage.mark.as_nanos() as u64);
     }
     let listener = TcpListener::bind(listen).await;
-    let listener = listener.map_err(|e| Failure::running(format!("cannot listen on {listen}: {e}")))?;
-    let recorder =
-        recorder.map(|recorder| Box::new(UsageLogRecorder(recorder)) as Box<dyn transport::Recorder>);
+    let listener =
+        listener.map_err(|e| Failure::running(format!("cannot listen on {listen}: {e}")))?;
+    let recorder = recorder
+        .map(|recorder| Box::new(UsageLogRecorder(recorder)) as Box<dyn transport::Recorder>);
     let served = transport::serve(
         state,
         clock,
@@ -143,7 +183,10 @@
         listener,
         addresses,
         controls,
-        transport::Beside { recorder, fronts: fronts.start },
+        transport::Beside {
+            recorder,
+            fronts: fronts.start,
+        },
     )
     .await;
     served.map_err(|e| Failure::running(format!("cannot listen for other mixers: {e}")))
--- a/crates/cottonhill/src/recorder.rs
+++ b/crates/cottonhill/src/recorder.rs
@@ -43,7 +43,8 @@
 
     /// A mark that is lost is made good by the next one.
     fn mark(&mut self, mark: Mark) {
-        self.0.offer(writer::mark(mark.sequence, mark.complete / MS, mark.end));
+        self.0
+            .offer(writer::mark(mark.sequence, mark.complete / MS, mark.end));
     }
 
     fn written(&self) -> watch::Receiver<u64> {
--- a/crates/cottonhill/src/settings.rs
+++ b/crates/cottonhill/src/settings.rs
@@ -23,7 +23,9 @@
 
 /// Reads the settings that the command line or the environment names; the defaults where neither does.
 pub fn read(files: &Files) -> Result<Settings, Failure> {
-    let Some(path) = &files.settings else { return Ok(Settings::defaults()) };
+    let Some(path) = &files.settings else {
+        return Ok(Settings::defaults());
+    };
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|e| Failure::configuration(format!("cannot read the settings {shown}: {e}")))?;
--- a/crates/decisions/src/coordinator/admission.rs
+++ b/crates/decisions/src/coordinator/admission.rs
@@ -21,7 +21,9 @@
 impl Coordinator {
     /// Refuses a query, or sends the parts that came for it.
     pub(super) fn admit(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(mut query) = self.queries.take(id) else { return };
+        let Some(mut query) = self.queries.take(id) else {
+            return;
+        };
         if query.step == 1 {
             self.mean_parts.add(query.parts.len() as f64, SMOOTHING_ALL);
             if self.cannot_meet_target(&mut query) || self.sheds_load() {
@@ -55,13 +57,18 @@
         let limit = share * left / self.steps_of(query) as f64;
         let class = &self.settings.classes[query.class];
         // Work for a client who leaves too soon is lost. By the target, or a slow spell would never end.
-        let usual = self.all_latencies.mean().unwrap_or(0.0).min(REFUSE_AT * class.aim as f64);
+        let usual = self
+            .all_latencies
+            .mean()
+            .unwrap_or(0.0)
+            .min(REFUSE_AT * class.aim as f64);
         if query.past_target && class.late_worth <= 0.0 || query.gives_up_early || left < usual {
             return true;
         }
         let least = class.floor.min(class.need);
-        let slow: Vec<usize> =
-            (0..query.parts.len()).filter(|i| self.best_latency(&query.parts[*i]) > limit).collect();
+        let slow: Vec<usize> = (0..query.parts.len())
+            .filter(|i| self.best_latency(&query.parts[*i]) > limit)
+            .collect();
         let left = 1.0 - slow.iter().map(|i| query.parts[*i].weight).sum::<f64>();
         if left + 1e-4 >= least && least < class.need {
             slow.into_iter().for_each(|i| query.parts[i].dropped = true);
@@ -92,7 +99,12 @@
     /// The least of that over the holders of the part.
     fn best_latency(&self, part: &Part) -> f64 {
         let holders = self.replicas.holders(part.shard);
-        let ready = holders.iter().map(|slot| self.replicas.at(*slot)).filter(|r| r.is_ready());
-        ready.map(|r| self.expected(r)).fold(f64::INFINITY, f64::min)
+        let ready = holders
+            .iter()
+            .map(|slot| self.replicas.at(*slot))
+            .filter(|r| r.is_ready());
+        ready
+            .map(|r| self.expected(r))
+            .fold(f64::INFINITY, f64::min)
     }
 }
--- a/crates/decisions/src/coordinator/answering.rs
+++ b/crates/decisions/src/coordinator/answering.rs
@@ -15,7 +15,9 @@
 impl Coordinator {
     /// Answers the query, gives it up, or retries its parts, as its time and its parts ask for.
     pub(super) fn advance(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(mut query) = self.queries.take(id) else { return };
+        let Some(mut query) = self.queries.take(id) else {
+            return;
+        };
         self.advanced += 1;
         let class = &self.settings.classes[query.class];
         let landed = query.landed();
@@ -24,9 +26,16 @@
         let open: Vec<f64> = query.in_step().filter(open).map(|p| p.weight).collect();
         let waiting = !open.is_empty();
         let (need, floor) = (class.need, class.floor.min(class.need));
-        let least = if floor < need || query.step == 1 { floor } else { 1.0 };
-        let whole =
-            if query.step == 1 { all_in || landed + 1e-6 >= need } else { all_in && query.first_whole };
+        let least = if floor < need || query.step == 1 {
+            floor
+        } else {
+            1.0
+        };
+        let whole = if query.step == 1 {
+            all_in || landed + 1e-6 >= need
+        } else {
+            all_in && query.first_whole
+        };
         let enough = whole || landed > 0.0 && landed + 1e-6 >= least;
         let begun = query.in_step().next().is_some();
         let end = self.answer_time(&query);
@@ -42,7 +51,9 @@
             }
             return self.give_up(query, actions);
         }
-        if !crashes || (self.now - query.step_began) as f64 > self.copy_delay(self.timing.shortest_target) {
+        if !crashes
+            || (self.now - query.step_began) as f64 > self.copy_delay(self.timing.shortest_target)
+        {
             self.retry_parts(&mut query, actions);
         }
         self.keep(query);
@@ -55,7 +66,10 @@
     }
 
     fn answer(&mut self, mut query: Query, whole: bool, actions: &mut Vec<Action>) {
-        actions.push(Action::Answer { query: query.id, whole });
+        actions.push(Action::Answer {
+            query: query.id,
+            whole,
+        });
         if query.step < self.steps_of(&query) as u8 {
             self.withdraw(&mut query, actions);
             query.step = 2;
@@ -70,12 +84,19 @@
     /// Ends a query without an answer, at once. Safe to try again unless an unsafe part may have run.
     pub(super) fn give_up(&mut self, query: Query, actions: &mut Vec<Action>) {
         let class = &self.settings.classes[query.class];
-        let may_have_run = query.parts.iter().flat_map(|p| &p.attempts).any(|a| !a.never_ran);
+        let may_have_run = query
+            .parts
+            .iter()
+            .flat_map(|p| &p.attempts)
+            .any(|a| !a.never_ran);
         if class.effect == Effect::Unsafe && may_have_run {
             actions.push(Action::Fail { query: query.id });
         } else {
             let advice = Some(self.settings.longest_retry_advice).filter(|longest| *longest > 0);
-            actions.push(Action::Refuse { query: query.id, come_back: advice });
+            actions.push(Action::Refuse {
+                query: query.id,
+                come_back: advice,
+            });
         }
         self.close(query, actions);
     }
@@ -95,22 +116,32 @@
     /// A query may bring down each replica that begins a part: none is in, and attempts broke at several. No
     /// more of it goes out for a while, in which one that met dying replicas by chance has parts land.
     fn crashes_replicas(query: &Query) -> bool {
-        let broke = query.parts.iter().flat_map(|p| &p.attempts).filter(|a| a.broke);
+        let broke = query
+            .parts
+            .iter()
+            .flat_map(|p| &p.attempts)
+            .filter(|a| a.broke);
         let replicas: BTreeSet<ReplicaId> = broke.map(|a| a.replica).collect();
         replicas.len() >= CRASHED_REPLICAS && !query.parts.iter().any(|p| p.landed)
     }
 
     /// Whether a part may still land: one that can't go out again (rules, holders, budget) is given up.
     fn may_be_answered(&self, part: &Part, query: &Query) -> bool {
-        let ready =
-            || self.replicas.holders(part.shard).iter().any(|slot| self.replicas.at(*slot).is_ready());
+        let ready = || {
+            self.replicas
+                .holders(part.shard)
+                .iter()
+                .any(|slot| self.replicas.at(*slot).is_ready())
+        };
         let paid = || part.attempts.is_empty() || self.budget_left(query.class, query.target);
         part.is_out() || self.may_repeat(part, query.class) && paid() && ready()
     }
 
     /// When the running step has to be over: just before the target, earlier where a second step follows.
     fn step_end(&self, query: &Query) -> Nanos {
-        let end = query.target.saturating_sub(SPARE_INTERVALS * self.timing.timer_interval);
+        let end = query
+            .target
+            .saturating_sub(SPARE_INTERVALS * self.timing.timer_interval);
         if query.step < self.steps_of(query) as u8 {
             return query.arrived + end.saturating_sub(query.arrived) / 2;
         }
@@ -119,7 +150,9 @@
 
     /// The last moment for an answer.
     fn last_moment(&self, query: &Query) -> Nanos {
-        query.deadline.saturating_sub(SPARE_INTERVALS * self.timing.timer_interval)
+        query
+            .deadline
+            .saturating_sub(SPARE_INTERVALS * self.timing.timer_interval)
     }
 
     /// When the query is answered from what is in, if that is enough.
@@ -137,7 +170,8 @@
     fn give_up_time(&self, query: &Query) -> Nanos {
         let late_worth = self.settings.classes[query.class].late_worth;
         let target = query.target.saturating_sub(self.timing.timer_interval);
-        self.last_moment(query).min(if late_worth > 0.0 { Nanos::MAX } else { target })
+        self.last_moment(query)
+            .min(if late_worth > 0.0 { Nanos::MAX } else { target })
     }
 
     /// The first time at which advancing the query may change anything, unless something of its own happens
@@ -148,12 +182,16 @@
         let open = query.in_step().filter(|p| !p.landed && !p.dropped);
         let parts = open.map(|part| self.part_due(part, query, time)).min();
         let end = Some(self.answer_time(query)).filter(|end| *end > self.now);
-        self.give_up_time(query).min(parts.unwrap_or(Nanos::MAX)).min(end.unwrap_or(Nanos::MAX))
+        self.give_up_time(query)
+            .min(parts.unwrap_or(Nanos::MAX))
+            .min(end.unwrap_or(Nanos::MAX))
     }
 
     /// Where nothing is out, budgets, lists and what other queries do may let a part go in any batch.
     fn part_due(&self, part: &Part, query: &Query, time: f64) -> Nanos {
-        let Some(last) = part.attempts.last().filter(|_| part.is_out()) else { return self.now };
+        let Some(last) = part.attempts.last().filter(|_| part.is_out()) else {
+            return self.now;
+        };
         let copy = last.sent.saturating_add((COPY_DELAY_LEAST * time) as Nanos);
         let late = query.step_began.saturating_add((LATE_AT * time) as Nanos);
         copy.min(if part.counted { Nanos::MAX } else { late })
--- a/crates/decisions/src/coordinator/cutoff.rs
+++ b/crates/decisions/src/coordinator/cutoff.rs
@@ -23,7 +23,12 @@
         if self.cutoff <= 0.0 || floor >= 1.0 {
             return;
         }
-        let sent: f64 = query.parts.iter().filter(|p| !p.dropped).map(|p| p.weight).sum();
+        let sent: f64 = query
+            .parts
+            .iter()
+            .filter(|p| !p.dropped)
+            .map(|p| p.weight)
+            .sum();
         let mut spare = (sent - floor) * self.cutoff / CUTOFF_TOP;
         for i in query.by_weight() {
             let part = &mut query.parts[i];
@@ -51,7 +56,8 @@
         if self.cutoff != before {
             self.cutoff_moved = self.now;
             if before == 0.0 {
-                self.log.push("cutoff off zero: light parts are left out".into());
+                self.log
+                    .push("cutoff off zero: light parts are left out".into());
             } else if self.cutoff == 0.0 {
                 self.log.push("cutoff back at zero".into());
             }
--- a/crates/decisions/src/coordinator/events.rs
+++ b/crates/decisions/src/coordinator/events.rs
@@ -20,17 +20,34 @@
 
 impl Coordinator {
     pub(super) fn take(
-        &mut self, event: &Event, with_new_parts: &mut BTreeSet<RequestId>, actions: &mut Vec<Action>,
+        &mut self,
+        event: &Event,
+        with_new_parts: &mut BTreeSet<RequestId>,
+        actions: &mut Vec<Action>,
     ) {
         match event {
             Event::List { kind, members } => self.take_list(*kind, members),
             Event::Query { .. } => self.take_query(event),
-            Event::Part { id, group, shard, weight } => {
+            Event::Part {
+                id,
+                group,
+                shard,
+                weight,
+            } => {
                 self.arrivals.push(self.now);
-                let weight = if weight.is_finite() { weight.max(0.0) } else { 0.0 };
+                let weight = if weight.is_finite() {
+                    weight.max(0.0)
+                } else {
+                    0.0
+                };
                 with_new_parts.extend(self.queries.add_part(*id, *group, *shard, weight));
             }
-            Event::Ended { part, attempt, outcome, .. } => self.take_outcome(*part, *attempt, *outcome),
+            Event::Ended {
+                part,
+                attempt,
+                outcome,
+                ..
+            } => self.take_outcome(*part, *attempt, *outcome),
             Event::ClientGone { id } => {
                 if let Some(query) = self.queries.take(*id) {
                     self.close(query, actions);
@@ -38,17 +55,29 @@
                 }
             }
             Event::Began { replica, .. } => self.take_probe(*replica, Outcome::Ok, 0),
-            Event::Probed { replica, outcome, latency, .. } => self.take_probe(*replica, *outcome, *latency),
+            Event::Probed {
+                replica,
+                outcome,
+                latency,
+                ..
+            } => self.take_probe(*replica, *outcome, *latency),
             Event::Timer { .. } | Event::Message { .. } => {}
         }
     }
 
     /// The outcome of a probe; an answer that has begun is as good a sign.
     fn take_probe(&mut self, replica: ReplicaId, outcome: Outcome, latency: Nanos) {
-        let Some(slot) = self.replicas.slot(replica) else { return };
+        let Some(slot) = self.replicas.slot(replica) else {
+            return;
+        };
         match outcome {
             Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken => {
-                self.note_outcome(slot, self.now.saturating_sub(latency), Connection::InUse, outcome);
+                self.note_outcome(
+                    slot,
+                    self.now.saturating_sub(latency),
+                    Connection::InUse,
+                    outcome,
+                );
             }
             Outcome::Ok => self.note_alive(slot),
             _ => {}
@@ -59,7 +88,11 @@
         if kind == ListKind::Failed {
             return self.schedule_list_request();
         }
-        self.list_requests_failed = if kind == ListKind::Remembered { self.list_requests_failed } else { 0 };
+        self.list_requests_failed = if kind == ListKind::Remembered {
+            self.list_requests_failed
+        } else {
+            0
+        };
         self.replicas.list(members, kind != ListKind::Changes);
         let faded = (FADE_TARGETS * self.timing.shortest_target) as Nanos;
         self.replicas.forget_gone(self.now.saturating_sub(faded));
@@ -71,21 +104,35 @@
         if self.list_request_at.is_some() || !self.settings.list_on_request {
             return;
         }
-        let within = (self.settings.list_within as f64).max(FADE_TARGETS * self.timing.shortest_target);
-        let most =
-            (LIST_RETRY_FIRST * f64::from(1u32 << self.list_requests_failed.min(16))).min(LIST_RETRY_MOST);
-        self.list_request_at = Some(self.now + (within * most * (0.5 + self.random_draw())) as Nanos);
+        let within =
+            (self.settings.list_within as f64).max(FADE_TARGETS * self.timing.shortest_target);
+        let most = (LIST_RETRY_FIRST * f64::from(1u32 << self.list_requests_failed.min(16)))
+            .min(LIST_RETRY_MOST);
+        self.list_request_at =
+            Some(self.now + (within * most * (0.5 + self.random_draw())) as Nanos);
         self.list_requests_failed += 1;
     }
 
     fn take_query(&mut self, event: &Event) {
-        let Event::Query { id, group, class, tenant, patience: timeout, lag, work, repeat } = *event else {
+        let Event::Query {
+            id,
+            group,
+            class,
+            tenant,
+            patience: timeout,
+            lag,
+            work,
+            repeat,
+        } = *event
+        else {
             return;
         };
         self.arrivals.push(self.now);
         let class = class as usize;
         let spent = self.spent((class, tenant as usize), timeout, repeat);
-        let Some(kind) = self.settings.classes.get(class) else { return };
+        let Some(kind) = self.settings.classes.get(class) else {
+            return;
+        };
         let stretch = kind.aim_stretch.unwrap_or(0.0) * work.unwrap_or(0) as f64;
         let deadline = self.now + timeout;
         let target = (self.now + kind.aim + stretch as Nanos).saturating_sub(spent.max(lag));
@@ -94,7 +141,11 @@
             group,
             class,
             arrived: self.now,
-            target: if target > self.now { target.min(deadline) } else { deadline },
+            target: if target > self.now {
+                target.min(deadline)
+            } else {
+                deadline
+            },
             past_target: target <= self.now,
             gives_up_early: repeat && spent == 0 && timeout < kind.aim,
             deadline,
@@ -108,7 +159,9 @@
     /// How much of its target latency a repeat has spent: its timeout ends with the first try's deadline. First
     /// tries set by majority what is usual for a class and tenant, so that some clients do not mislead another's.
     fn spent(&mut self, (class, tenant): (usize, usize), timeout: Nanos, repeat: bool) -> Nanos {
-        let Some(kind) = self.settings.classes.get(class) else { return 0 };
+        let Some(kind) = self.settings.classes.get(class) else {
+            return 0;
+        };
         let tolerance = kind.aim / TIMEOUT_TOLERANCE;
         let usual = self.client_timeouts.entry((class, tenant)).or_default();
         if !repeat {
@@ -116,11 +169,14 @@
         }
         let first_try = self.settings.repeats_marked && !repeat;
         let unspent = first_try || usual.is_like(timeout, tolerance) || !usual.is_known();
-        kind.deadline.saturating_sub(if unspent { kind.deadline } else { timeout })
+        kind.deadline
+            .saturating_sub(if unspent { kind.deadline } else { timeout })
     }
 
     fn take_outcome(&mut self, part: RequestId, number: u8, outcome: Outcome) {
-        let Some(attempt) = self.in_flight.remove(&(part, number)) else { return };
+        let Some(attempt) = self.in_flight.remove(&(part, number)) else {
+            return;
+        };
         // A failed connection is lost capacity where the replica was heard lately or attempts are rationed;
         // elsewhere it may just be slow to connect, and light parts dropped for that help nobody.
         let slot = self.replicas.slot(attempt.replica);
@@ -130,8 +186,12 @@
         if let Some(slot) = slot {
             self.note_outcome(slot, attempt.sent, attempt.connection, outcome);
         }
-        let Some(query) = self.queries.of_part_mut(part) else { return };
-        let Some(part) = query.parts.iter_mut().find(|p| p.id == part) else { return };
+        let Some(query) = self.queries.of_part_mut(part) else {
+            return;
+        };
+        let Some(part) = query.parts.iter_mut().find(|p| p.id == part) else {
+            return;
+        };
         if let Some(attempt) = part.attempts.get_mut(number as usize) {
             attempt.end(outcome);
         }
@@ -154,8 +214,16 @@
 
     /// Forgets verdicts, arrivals and further attempts that are past their windows.
     pub(super) fn forget_expired(&mut self) {
-        let span = self.settings.budget.as_ref().map_or(0, |b| b.span).max(2 * SECOND);
-        let (window, span) = (self.now.saturating_sub(SECOND), self.now.saturating_sub(span));
+        let span = self
+            .settings
+            .budget
+            .as_ref()
+            .map_or(0, |b| b.span)
+            .max(2 * SECOND);
+        let (window, span) = (
+            self.now.saturating_sub(SECOND),
+            self.now.saturating_sub(span),
+        );
         self.judged.forget_before(window);
         self.arrivals.forget_before(span);
         self.further_attempts.forget_before(span);
--- a/crates/decisions/src/coordinator/health.rs
+++ b/crates/decisions/src/coordinator/health.rs
@@ -30,7 +30,13 @@
     }
 
     /// Learns from the end of an attempt or probe at a replica.
-    pub(super) fn note_outcome(&mut self, slot: Slot, sent: Nanos, connection: Connection, outcome: Outcome) {
+    pub(super) fn note_outcome(
+        &mut self,
+        slot: Slot,
+        sent: Nanos,
+        connection: Connection,
+        outcome: Outcome,
+    ) {
         let age = (self.now - sent) as f64;
         let replica = self.replicas.at(slot);
         let (known, faded) = (self.latency(replica), self.smoothed(replica));
@@ -40,14 +46,17 @@
             Outcome::Cancelled => age.max(known),
             _ => known.max(LATE_AT * self.timing.shortest_target),
         };
-        let overdue = age > self.copy_delay(self.timing.shortest_target) && replica.traffic().heard <= sent;
+        let overdue =
+            age > self.copy_delay(self.timing.shortest_target) && replica.traffic().heard <= sent;
         let full_until = self.now + (FULL_BACKOFF * self.timing.shortest_target) as Nanos;
         let traffic = self.replicas.traffic_mut(slot);
         if outcome == Outcome::Refused {
             traffic.full_until = full_until;
         }
         if outcome == Outcome::Ok {
-            let since = traffic.answered.max(traffic.open().oldest().unwrap_or(sent));
+            let since = traffic
+                .answered
+                .max(traffic.open().oldest().unwrap_or(sent));
             traffic.pace.add((self.now - since) as f64, SMOOTHING);
             traffic.answered = self.now;
         }
@@ -69,7 +78,9 @@
                 self.note_connection(connection, false);
             }
             Outcome::Error | Outcome::Refused => self.note_alive(slot),
-            Outcome::Unreachable | Outcome::Broken | Outcome::TimedOut => self.note_silence(slot, sent),
+            Outcome::Unreachable | Outcome::Broken | Outcome::TimedOut => {
+                self.note_silence(slot, sent)
+            }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
@@ -83,7 +94,8 @@
             return;
         }
         if !std::mem::replace(&mut self.newly_silent, true) {
-            self.log.push(format!("replica {:x} suspected: it is silent", id.0));
+            self.log
+                .push(format!("replica {:x} suspected: it is silent", id.0));
         }
         let backoff = BACKOFF_FIRST * target * f64::from(1u32 << traffic.silences.min(16));
         traffic.silences += 1;
@@ -98,10 +110,17 @@
         if !self.settings.may_probe || too_early || !std::mem::take(&mut self.newly_silent) {
             return;
         }
-        if self.replicas.suspected_and_ready() as f64 >= PROBE_SHARE * self.replicas.ready() as f64 {
-            let heard_lately = |t: &Traffic| self.now.saturating_sub(t.heard.max(t.learned)) as f64 <= target;
-            let ready = self.replicas.walk_ready().into_iter().map(|slot| self.replicas.at(slot));
-            let unheard = ready.filter(|r| r.traffic().open().is_empty() && !heard_lately(r.traffic()));
+        if self.replicas.suspected_and_ready() as f64 >= PROBE_SHARE * self.replicas.ready() as f64
+        {
+            let heard_lately =
+                |t: &Traffic| self.now.saturating_sub(t.heard.max(t.learned)) as f64 <= target;
+            let ready = self
+                .replicas
+                .walk_ready()
+                .into_iter()
+                .map(|slot| self.replicas.at(slot));
+            let unheard =
+                ready.filter(|r| r.traffic().open().is_empty() && !heard_lately(r.traffic()));
             actions.extend(unheard.map(|r| Action::Probe { replica: r.id() }));
             self.last_probed = self.now;
         }
@@ -109,7 +128,8 @@
 
     /// Whether others are asked first: it is silent, was silent and is left alone or on trial, or is full.
     pub(super) fn suspect(&self, replica: &Replica) -> bool {
-        let silent = replica.oldest_age(self.now) as f64 > self.copy_delay(self.timing.shortest_target);
+        let silent =
+            replica.oldest_age(self.now) as f64 > self.copy_delay(self.timing.shortest_target);
         let traffic = replica.traffic();
         let backing_off = self.now < traffic.backoff_until || !traffic.open().is_empty();
         silent || replica.suspected() && backing_off || self.now < traffic.full_until
--- a/crates/decisions/src/coordinator/mod.rs
+++ b/crates/decisions/src/coordinator/mod.rs
@@ -86,7 +86,11 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         Coordinator {
             list_request_at: settings.list_on_request.then_some(0),
-            replicas: ReplicaTable::new(settings.cells, settings.reach, settings.call_parts.unwrap_or(1)),
+            replicas: ReplicaTable::new(
+                settings.cells,
+                settings.reach,
+                settings.call_parts.unwrap_or(1),
+            ),
             timing: Timing::new(&settings),
             settings,
             seed,
@@ -120,7 +124,11 @@
     /// Takes what happened at `now`, in order, and appends what to do about it to `actions`.
     pub fn handle(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
-        self.first_batch = if self.first_batch == 0 { now } else { self.first_batch };
+        self.first_batch = if self.first_batch == 0 {
+            now
+        } else {
+            self.first_batch
+        };
         if self.list_request_at.is_some_and(|at| at <= now) {
             self.list_request_at = None;
             actions.push(Action::Subscribe { on: true });
@@ -134,17 +142,30 @@
         for id in with_new_parts {
             self.admit(id, actions);
         }
-        let due = if self.advances_all { self.queries.ids() } else { self.queries.take_due(now) };
+        let due = if self.advances_all {
+            self.queries.ids()
+        } else {
+            self.queries.take_due(now)
+        };
         for id in due {
             self.advance(id, actions);
         }
         self.probe_silent(actions);
         actions.extend(self.log.drain(..).map(Action::Log));
         let tick = Some(now + self.timing.timer_interval);
-        let next = if self.queries.is_empty() { self.list_request_at } else { tick };
-        if let Some(next) = next.filter(|next| self.wake_at.is_none_or(|at| at <= now || *next < at)) {
+        let next = if self.queries.is_empty() {
+            self.list_request_at
+        } else {
+            tick
+        };
+        if let Some(next) =
+            next.filter(|next| self.wake_at.is_none_or(|at| at <= now || *next < at))
+        {
             self.wake_at = Some(next);
-            actions.push(Action::Wake { token: 0, after: next.saturating_sub(now) });
+            actions.push(Action::Wake {
+                token: 0,
+                after: next.saturating_sub(now),
+            });
         }
     }
 
--- a/crates/decisions/src/coordinator/replica_choice.rs
+++ b/crates/decisions/src/coordinator/replica_choice.rs
@@ -31,8 +31,10 @@
             }
             let tried = part.attempts.iter().any(|a| a.replica == id) as u32;
             let rank = 2 * self.suspect(replica) as u32 + tried;
-            let price = self.settings.zone_price * f64::from(u8::from(replica.zone() != self.settings.zone));
-            let queue = self.latency(replica) * f64::from(self.replicas.open_calls(replica, self.now) + 1);
+            let price = self.settings.zone_price
+                * f64::from(u8::from(replica.zone() != self.settings.zone));
+            let queue =
+                self.latency(replica) * f64::from(self.replicas.open_calls(replica, self.now) + 1);
             let score = queue + CROSSING_DELAY * price * self.timing.shortest_target;
             let key = (rank, score, !replica.sent_to(self.now), random.u32(..));
             if best.is_none_or(|(least, _)| key < least) {
@@ -46,13 +48,19 @@
     /// Smoothed latency: the average while unheard, fading to it in silence, and never under the age of the
     /// oldest attempt still out: a silent replica is slow now, not when it returns.
     pub(super) fn latency(&self, replica: &Replica) -> f64 {
-        self.smoothed(replica).max(replica.oldest_age(self.now) as f64)
+        self.smoothed(replica)
+            .max(replica.oldest_age(self.now) as f64)
     }
 
     pub(super) fn smoothed(&self, replica: &Replica) -> f64 {
-        let mean = self.all_latencies.mean().unwrap_or(FIRST_LATENCY * self.timing.shortest_target);
+        let mean = self
+            .all_latencies
+            .mean()
+            .unwrap_or(FIRST_LATENCY * self.timing.shortest_target);
         let traffic = replica.traffic();
-        traffic.latency.map_or(mean, |own| mean + (own - mean) * (-self.news_age(traffic.learned)).exp())
+        traffic.latency.map_or(mean, |own| {
+            mean + (own - mean) * (-self.news_age(traffic.learned)).exp()
+        })
     }
 
     pub(super) fn news_age(&self, at: Nanos) -> f64 {
@@ -72,15 +80,25 @@
     /// Turns at cold holders come no closer than the time in which they fall, from when there is work for them: were
     /// they all to end at one moment, those of this one and of the next would meet in one such time.
     fn renew_turns(&mut self, shard: u32) {
-        let (span, now, cold_time) = (self.settings.fall_time.max(1), self.now, self.settings.cold_time);
+        let (span, now, cold_time) = (
+            self.settings.fall_time.max(1),
+            self.now,
+            self.settings.cold_time,
+        );
         let cold = |r: &Replica| r.started() > 0 && now.saturating_sub(r.started()) < cold_time;
         let due = |r: &Replica| cold(r) && now >= r.traffic().turn.since + span;
         let holders = self.replicas.holders(shard);
-        let due: Vec<Slot> = holders.iter().copied().filter(|slot| due(self.replicas.at(*slot))).collect();
+        let due: Vec<Slot> = holders
+            .iter()
+            .copied()
+            .filter(|slot| due(self.replicas.at(*slot)))
+            .collect();
         for slot in due {
             let seed = self.seed ^ self.replicas.at(slot).started() ^ now.rotate_left(32);
-            self.replicas.traffic_mut(slot).turn =
-                Turn { since: now, room: fastrand::Rng::with_seed(seed).f64() };
+            self.replicas.traffic_mut(slot).turn = Turn {
+                since: now,
+                room: fastrand::Rng::with_seed(seed).f64(),
+            };
         }
     }
 
@@ -88,7 +106,9 @@
     /// tenants' allowances say that all can bear: at no room the warm ones are left with all the work. Dozens
     /// with one part each push it over: of less than one, the seed decides when it goes.
     fn slow_start_room(&self, replica: &Replica) -> f64 {
-        let Some((from, multiple)) = self.slow_start_limits() else { return f64::INFINITY };
+        let Some((from, multiple)) = self.slow_start_limits() else {
+            return f64::INFINITY;
+        };
         let traffic = replica.traffic();
         let age = self.now.saturating_sub(replica.started());
         if replica.started() == 0 || age >= self.settings.cold_time {
@@ -96,18 +116,26 @@
         }
         let span = self.settings.fall_time.max(1);
         // The sends of a whole such time count, and it bore less at the beginning of that.
-        let warmth =
-            from + (1.0 - from) * age.saturating_sub(span / 2) as f64 / self.settings.cold_time as f64;
+        let warmth = from
+            + (1.0 - from) * age.saturating_sub(span / 2) as f64 / self.settings.cold_time as f64;
         let ready = self.replicas.ready().max(1);
-        let counted = self.memory().min((self.now - self.first_batch).max(self.settings.cold_time) as f64);
+        let counted = self
+            .memory()
+            .min((self.now - self.first_batch).max(self.settings.cold_time) as f64);
         let mixers = f64::from(self.settings.coordinators.max(1));
-        let announced =
-            self.settings.allowance * self.mean_parts.mean().unwrap_or(0.0) / mixers / SECOND as f64;
+        let announced = self.settings.allowance * self.mean_parts.mean().unwrap_or(0.0)
+            / mixers
+            / SECOND as f64;
         let answers = traffic.answered > 0 && self.now >= traffic.full_until;
         let quick = answers && self.latency(replica) < COLD_QUICK * self.timing.shortest_target;
         // More of what is announced only: what was answered is used up to the whole multiple already.
-        let announced = if quick { announced } else { COLD_ANNOUNCED * announced };
-        let usual = (self.answered_parts.count() / counted).max(announced) * span as f64 / ready as f64;
+        let announced = if quick {
+            announced
+        } else {
+            COLD_ANNOUNCED * announced
+        };
+        let usual =
+            (self.answered_parts.count() / counted).max(announced) * span as f64 / ready as f64;
         ((multiple * warmth * usual).max(1.0 / mixers) + traffic.turn.room).floor()
     }
 
--- a/crates/decisions/src/coordinator/retries.rs
+++ b/crates/decisions/src/coordinator/retries.rs
@@ -30,26 +30,48 @@
     /// Sends part `i` of the query to the best replica that may have it; false where there is none.
     pub(super) fn send(&mut self, query: &mut Query, i: usize, actions: &mut Vec<Action>) -> bool {
         let late_worth = self.settings.classes[query.class].late_worth;
-        let until = if late_worth > 0.0 { query.deadline } else { query.target };
+        let until = if late_worth > 0.0 {
+            query.deadline
+        } else {
+            query.target
+        };
         let part = &mut query.parts[i];
         if until <= self.now || !self.may_try(part, query.class) {
             return false;
         }
-        let Some(slot) = self.choose(part) else { return false };
+        let Some(slot) = self.choose(part) else {
+            return false;
+        };
         let id = self.replicas.at(slot).id();
         let number = part.attempts.len() as u8;
         if number > 0 {
             self.further_attempts.push(self.now);
         }
-        part.attempts.push(Attempt { replica: id, sent: self.now, out: true, ..Attempt::default() });
+        part.attempts.push(Attempt {
+            replica: id,
+            sent: self.now,
+            out: true,
+            ..Attempt::default()
+        });
         let connection = self.connection(slot, actions);
-        self.in_flight.insert((part.id, number), InFlight { replica: id, sent: self.now, connection });
+        self.in_flight.insert(
+            (part.id, number),
+            InFlight {
+                replica: id,
+                sent: self.now,
+                connection,
+            },
+        );
         self.replicas.open_part(slot, self.now);
         if self.slow_start_limits().is_some() {
             let window = self.now.saturating_sub(self.settings.fall_time);
             self.replicas.note_send(slot, self.now, window);
         }
-        actions.push(Action::Send { part: part.id, replica: id, until });
+        actions.push(Action::Send {
+            part: part.id,
+            replica: id,
+            until,
+        });
         true
     }
 
@@ -64,8 +86,13 @@
         let (id, sent_to_now) = (replica.id(), replica.sent_to(self.now));
         let traffic = self.replicas.traffic_mut(slot);
         if !sent_to_now {
-            let unused = traffic.open().is_empty() && traffic.heard > 0 && self.now - traffic.heard > long;
-            traffic.connection = if unused { Connection::Unused } else { Connection::InUse };
+            let unused =
+                traffic.open().is_empty() && traffic.heard > 0 && self.now - traffic.heard > long;
+            traffic.connection = if unused {
+                Connection::Unused
+            } else {
+                Connection::InUse
+            };
             if unused && self.now < self.renewing_until {
                 traffic.connection = Connection::Renewed;
                 actions.push(Action::CloseIdle { replica: id });
@@ -81,12 +108,17 @@
         let share = &mut self.lost_shares[connection as usize];
         *share += LOSS_SMOOTHING * (f64::from(u8::from(lost)) - *share);
         let [used, unused, renewed] = self.lost_shares;
-        let (now, span) = (self.now, (RENEW_TARGETS * self.timing.shortest_target) as Nanos);
-        let unused_fails = connection == Connection::Unused && unused > LOSS_TROUBLE.max(used / LOSS_ALIKE);
+        let (now, span) = (
+            self.now,
+            (RENEW_TARGETS * self.timing.shortest_target) as Nanos,
+        );
+        let unused_fails =
+            connection == Connection::Unused && unused > LOSS_TROUBLE.max(used / LOSS_ALIKE);
         if now < self.renewing_until && renewed > LOSS_TROUBLE.max(LOSS_ALIKE * unused) {
             (self.renew_after, self.renewing_until) = (now + span, 0);
         } else if unused_fails && now >= self.renew_after {
-            self.log.push("unused connections are lost: they are renewed".into());
+            self.log
+                .push("unused connections are lost: they are renewed".into());
             (self.renew_after, self.renewing_until) = (now + span, now + span);
             self.lost_shares[Connection::Renewed as usize] = 0.0;
         }
@@ -97,11 +129,15 @@
         let class = &self.settings.classes[class];
         let cap = self.settings.max_attempts.unwrap_or(u32::MAX) as usize;
         part.attempts.len() < cap
-            && part.attempts.iter().find(|a| !a.never_ran).is_none_or(|first| match class.effect {
-                Effect::Unsafe => false,
-                Effect::Keyed => self.now <= first.sent + class.repeat_window,
-                Effect::Safe => true,
-            })
+            && part
+                .attempts
+                .iter()
+                .find(|a| !a.never_ran)
+                .is_none_or(|first| match class.effect {
+                    Effect::Unsafe => false,
+                    Effect::Keyed => self.now <= first.sent + class.repeat_window,
+                    Effect::Safe => true,
+                })
     }
 
     fn may_try(&self, part: &Part, class: usize) -> bool {
@@ -112,12 +148,18 @@
 
     /// Within a tight budget, classes that need every part come first: others may leave half of it at most.
     pub(super) fn budget_left(&self, class: usize, at: Nanos) -> bool {
-        let Some(budget) = &self.settings.budget else { return true };
+        let Some(budget) = &self.settings.budget else {
+            return true;
+        };
         let since = at.saturating_sub(budget.span);
         let used = self.further_attempts.count_from(since) as f64;
         let arrived = self.arrivals.count_from(since.saturating_add(1)) as f64;
         let class = &self.settings.classes[class];
-        let part = if class.floor < class.need { BUDGET_PARTIAL } else { 1.0 };
+        let part = if class.floor < class.need {
+            BUDGET_PARTIAL
+        } else {
+            1.0
+        };
         used + 1.0 <= part * (budget.floor + budget.share * arrived)
     }
 
@@ -125,7 +167,8 @@
     fn copies_left(&self) -> bool {
         let parts = self.arrivals.len().max(self.queries.parts());
         (self.further_attempts.len() as f64)
-            < COPIES_FLOOR + COPIES_SHARE * parts as f64 * (1.5 - 2.0 * self.races_lost).clamp(0.0, 1.0)
+            < COPIES_FLOOR
+                + COPIES_SHARE * parts as f64 * (1.5 - 2.0 * self.races_lost).clamp(0.0, 1.0)
     }
 
     /// How long to wait before another replica is asked: what answers usually take, with time for the copy.
@@ -163,7 +206,10 @@
                 continue;
             };
             let age = (self.now - last.sent) as f64;
-            let unheard = self.replicas.get(last.replica).is_none_or(|r| r.traffic().heard <= last.sent);
+            let unheard = self
+                .replicas
+                .get(last.replica)
+                .is_none_or(|r| r.traffic().heard <= last.sent);
             if !part.is_out() {
                 if part.attempts.len() < 2 || age > COPY_DELAY_LEAST * time {
                     self.send(query, i, actions);
@@ -171,7 +217,8 @@
             } else if age > copy_delay && (2 * landed >= count || unheard) {
                 let better = self.choose(&query.parts[i]).is_some_and(|slot| {
                     let other = self.replicas.at(slot);
-                    self.smoothed(other) * f64::from(self.replicas.open_calls(other, self.now) + 1) < age
+                    self.smoothed(other) * f64::from(self.replicas.open_calls(other, self.now) + 1)
+                        < age
                 });
                 if better && self.copies_left() && self.send(query, i, actions) {
                     if let Some(slot) = self.replicas.slot(last.replica) {
--- a/crates/decisions/src/interface.rs
+++ b/crates/decisions/src/interface.rs
@@ -153,7 +153,10 @@
 impl Outcome {
     /// It is certain that the part has not run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Refused | Outcome::Unreachable | Outcome::NotSent)
+        matches!(
+            self,
+            Outcome::Refused | Outcome::Unreachable | Outcome::NotSent
+        )
     }
 }
 
--- a/crates/decisions/src/open_parts.rs
+++ b/crates/decisions/src/open_parts.rs
@@ -21,7 +21,11 @@
 }
 
 impl OpenParts {
-    pub const NONE: OpenParts = OpenParts { by_time: VecDeque::new(), parts: 0, calls: 0 };
+    pub const NONE: OpenParts = OpenParts {
+        by_time: VecDeque::new(),
+        parts: 0,
+        calls: 0,
+    };
 
     pub fn is_empty(&self) -> bool {
         self.by_time.is_empty()
@@ -57,7 +61,10 @@
     /// Adds a part that is sent now; times must not go back.
     pub fn send(&mut self, now: Nanos, call_parts: u32) {
         if self.newest() != Some(now) {
-            self.by_time.push_back(SentParts { sent: now, parts: 0 });
+            self.by_time.push_back(SentParts {
+                sent: now,
+                parts: 0,
+            });
         }
         if let Some(newest) = self.by_time.back_mut() {
             self.calls += u32::from(newest.parts.is_multiple_of(call_parts));
@@ -68,7 +75,9 @@
 
     /// Takes off a part that was sent at `sent`; false where none was or all are back.
     pub fn end(&mut self, sent: Nanos, call_parts: u32) -> bool {
-        let Ok(i) = self.by_time.binary_search_by_key(&sent, |parts| parts.sent) else { return false };
+        let Ok(i) = self.by_time.binary_search_by_key(&sent, |parts| parts.sent) else {
+            return false;
+        };
         self.parts -= 1;
         self.by_time[i].parts -= 1;
         self.calls -= u32::from(self.by_time[i].parts.is_multiple_of(call_parts));
--- a/crates/decisions/src/open_queries.rs
+++ b/crates/decisions/src/open_queries.rs
@@ -50,10 +50,22 @@
     }
 
     /// Adds a part to the query of that group, which is due at once; its id, if it is open.
-    pub fn add_part(&mut self, id: RequestId, group: u32, shard: u32, weight: f64) -> Option<RequestId> {
+    pub fn add_part(
+        &mut self,
+        id: RequestId,
+        group: u32,
+        shard: u32,
+        weight: f64,
+    ) -> Option<RequestId> {
         let owner = *self.by_group.get(&group)?;
         let query = self.queries.get_mut(&owner)?;
-        query.parts.push(Part { id, shard, weight, step: query.step, ..Part::default() });
+        query.parts.push(Part {
+            id,
+            shard,
+            weight,
+            step: query.step,
+            ..Part::default()
+        });
         self.by_part.insert(id, owner);
         self.due.set(owner, AT_ONCE);
         Some(owner)
--- a/crates/decisions/src/query.rs
+++ b/crates/decisions/src/query.rs
@@ -74,10 +74,18 @@
 
     /// Counts what is out as over; with `cancel`, replicas are asked to stop.
     pub fn withdraw(&mut self, cancel: bool, actions: &mut Vec<Action>) {
-        for (number, attempt) in self.attempts.iter_mut().enumerate().filter(|(_, attempt)| attempt.out) {
+        for (number, attempt) in self
+            .attempts
+            .iter_mut()
+            .enumerate()
+            .filter(|(_, attempt)| attempt.out)
+        {
             attempt.out = false;
             if cancel {
-                actions.push(Action::Cancel { part: self.id, attempt: number as u8 });
+                actions.push(Action::Cancel {
+                    part: self.id,
+                    attempt: number as u8,
+                });
             }
         }
     }
@@ -91,7 +99,10 @@
 
     /// Weight of the parts of its step that have landed.
     pub fn landed(&self) -> f64 {
-        self.in_step().filter(|part| part.landed).map(|part| part.weight).sum()
+        self.in_step()
+            .filter(|part| part.landed)
+            .map(|part| part.weight)
+            .sum()
     }
 
     /// The numbers of its parts, lightest first.
--- a/crates/decisions/src/replica_table.rs
+++ b/crates/decisions/src/replica_table.rs
@@ -74,7 +74,10 @@
     backoff_until: 0,
     full_until: 0,
     sends: TimeWindow::EMPTY,
-    turn: Turn { since: 0, room: 0.0 },
+    turn: Turn {
+        since: 0,
+        room: 0.0,
+    },
     open: OpenParts::NONE,
 };
 
@@ -131,7 +134,10 @@
     /// How long the oldest part of ours has been out there without a sign of life.
     pub fn oldest_age(&self, now: Nanos) -> Nanos {
         let traffic = self.traffic();
-        traffic.open.oldest().map_or(0, |sent| now - sent.max(traffic.heard))
+        traffic
+            .open
+            .oldest()
+            .map_or(0, |sent| now - sent.max(traffic.heard))
     }
 
     /// Whether a part that was sent to it at `now` is out.
@@ -236,13 +242,17 @@
 
     /// What was learned of a replica, to be changed.
     pub fn traffic_mut(&mut self, slot: Slot) -> &mut Traffic {
-        self.replicas[slot.0 as usize].traffic.get_or_insert_default()
+        self.replicas[slot.0 as usize]
+            .traffic
+            .get_or_insert_default()
     }
 
     /// The holders of a shard, whatever their standing, in the order of their ids.
     pub fn holders(&self, shard: u32) -> Cow<'_, [Slot]> {
         let mut cells = self.cells_of(shard).filter(|cell| !cell.is_empty());
-        let (Some(first), second) = (cells.next(), cells.next()) else { return Cow::Borrowed(&[]) };
+        let (Some(first), second) = (cells.next(), cells.next()) else {
+            return Cow::Borrowed(&[]);
+        };
         let Some(second) = second else {
             self.visit(first.len());
             return Cow::Borrowed(first);
@@ -257,11 +267,17 @@
     /// The cells that hold a shard, none twice, as far as any replica was listed in them.
     fn cells_of(&self, shard: u32) -> impl Iterator<Item = &Vec<Slot>> {
         let (cells, first) = (u64::from(self.cells), u64::from(shard % self.cells));
-        let (reach, listed) = (u64::from(self.reach.min(self.cells)), self.by_cell.len() as u64);
-        let by_reach = (0..if reach <= listed { reach } else { 0 }).map(move |k| (first + k) % cells);
+        let (reach, listed) = (
+            u64::from(self.reach.min(self.cells)),
+            self.by_cell.len() as u64,
+        );
+        let by_reach =
+            (0..if reach <= listed { reach } else { 0 }).map(move |k| (first + k) % cells);
         let by_cell = (0..if reach <= listed { 0 } else { listed })
             .filter(move |cell| (cell + cells - first) % cells < reach);
-        by_reach.chain(by_cell).filter_map(|cell| self.by_cell.get(cell as usize))
+        by_reach
+            .chain(by_cell)
+            .filter_map(|cell| self.by_cell.get(cell as usize))
     }
 
     /// The ready ones in the order of their ids: a walk over all, for rounds that concern all.
@@ -280,8 +296,10 @@
     /// Takes lines of the list, in order; of a whole list, those that it does not name have gone.
     pub fn list(&mut self, members: &[Member], whole: bool) {
         if whole {
-            self.replicas.reserve_exact(members.len().saturating_sub(self.replicas.len()));
-            self.slots.reserve(members.len().saturating_sub(self.slots.len()));
+            self.replicas
+                .reserve_exact(members.len().saturating_sub(self.replicas.len()));
+            self.slots
+                .reserve(members.len().saturating_sub(self.slots.len()));
         }
         let mut listed = Vec::new();
         for member in members {
@@ -296,13 +314,17 @@
             self.visit(self.replicas.len());
             listed.resize(self.replicas.len(), false);
             for (slot, _) in listed.iter().enumerate().filter(|(_, listed)| !**listed) {
-                self.change(Slot(slot as u32), |replica| replica.standing = Standing::Gone);
+                self.change(Slot(slot as u32), |replica| {
+                    replica.standing = Standing::Gone
+                });
             }
         }
     }
 
     fn take(&mut self, member: &Member) -> Slot {
-        let slot = self.slot(member.replica).unwrap_or_else(|| self.add(member));
+        let slot = self
+            .slot(member.replica)
+            .unwrap_or_else(|| self.add(member));
         if self.at(slot).cell != member.cell {
             self.leave_cell(slot);
             self.replicas[slot.0 as usize].cell = member.cell;
@@ -384,8 +406,14 @@
     /// Forgets those that are gone, have no part of ours, and of which nothing was learned after `faded`, or new
     /// names would add up for good.
     pub fn forget_gone(&mut self, faded: Nanos) {
-        while self.expiring.peek().is_some_and(|Reverse((learned, _))| *learned <= faded) {
-            let Some(Reverse((_, slot))) = self.expiring.pop() else { return };
+        while self
+            .expiring
+            .peek()
+            .is_some_and(|Reverse((learned, _))| *learned <= faded)
+        {
+            let Some(Reverse((_, slot))) = self.expiring.pop() else {
+                return;
+            };
             self.visit(1);
             let replica = &mut self.replicas[slot.0 as usize];
             replica.expiring = false;
@@ -404,7 +432,8 @@
     fn expire_later(&mut self, slot: Slot) {
         let replica = &mut self.replicas[slot.0 as usize];
         if replica.standing == Standing::Gone && !std::mem::replace(&mut replica.expiring, true) {
-            self.expiring.push(Reverse((replica.traffic().learned, slot)));
+            self.expiring
+                .push(Reverse((replica.traffic().learned, slot)));
         }
     }
 
@@ -444,6 +473,9 @@
             (traffic.latency, traffic.answered, traffic.silences) = (None, 0, 0);
             traffic.pace = SmoothedMean::NONE;
         }
-        self.traffic = self.traffic.take().filter(|traffic| **traffic != NO_TRAFFIC);
+        self.traffic = self
+            .traffic
+            .take()
+            .filter(|traffic| **traffic != NO_TRAFFIC);
     }
 }
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -11,7 +11,9 @@
 }
 
 impl TimeWindow {
-    pub const EMPTY: TimeWindow = TimeWindow { times: VecDeque::new() };
+    pub const EMPTY: TimeWindow = TimeWindow {
+        times: VecDeque::new(),
+    };
 
     /// Adds an event; times must not go back.
     pub fn push(&mut self, now: Nanos) {
--- a/crates/decisions/src/timing.rs
+++ b/crates/decisions/src/timing.rs
@@ -20,9 +20,17 @@
 
 impl Timing {
     pub fn new(settings: &Settings) -> Self {
-        let shortest = settings.classes.iter().map(|class| class.aim).min().unwrap_or(NO_CLASS);
+        let shortest = settings
+            .classes
+            .iter()
+            .map(|class| class.aim)
+            .min()
+            .unwrap_or(NO_CLASS);
         let timer_interval = (BATCHES * settings.tick).max(shortest / INTERVALS).max(1);
-        Timing { shortest_target: shortest as f64, timer_interval }
+        Timing {
+            shortest_target: shortest as f64,
+            timer_interval,
+        }
     }
 }
 
--- a/crates/ini/src/lib.rs
+++ b/crates/ini/src/lib.rs
@@ -109,9 +109,15 @@
         let mut section = String::new();
         for (number, line) in text.lines().enumerate() {
             let line = line.trim();
-            if let Some(name) = line.strip_prefix('[').and_then(|rest| rest.split(']').next()) {
+            if let Some(name) = line
+                .strip_prefix('[')
+                .and_then(|rest| rest.split(']').next())
+            {
                 section = name.trim().to_string();
-                sections.entry(section.clone()).or_insert_with(Vec::new).push(number + 1);
+                sections
+                    .entry(section.clone())
+                    .or_insert_with(Vec::new)
+                    .push(number + 1);
             } else if let Some((key, _)) = line.split_once(['=', ':']) {
                 if !line.starts_with([';', '#']) {
                     let at = (section.clone(), key.trim().to_string());
@@ -123,18 +129,25 @@
     }
 
     fn section(&self, name: &str) -> Option<usize> {
-        self.sections.get(name).and_then(|lines| lines.first()).copied()
+        self.sections
+            .get(name)
+            .and_then(|lines| lines.first())
+            .copied()
     }
 
     fn keys(&self, section: &str, key: &str) -> &[usize] {
-        self.keys.get(&(section.to_string(), key.to_string())).map_or(&[], Vec::as_slice)
+        self.keys
+            .get(&(section.to_string(), key.to_string()))
+            .map_or(&[], Vec::as_slice)
     }
 }
 
 /// The valid name that `name` is most like, if it is like any.
 fn nearest<'a>(name: &str, valid: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let near = valid.map(|valid| (strsim::jaro_winkler(name, valid), valid));
-    near.filter(|(like, _)| *like > 0.7).max_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, valid)| valid)
+    near.filter(|(like, _)| *like > 0.7)
+        .max_by(|a, b| a.0.total_cmp(&b.0))
+        .map(|(_, valid)| valid)
 }
 
 fn suggestion<'a>(name: &str, valid: impl Iterator<Item = &'a str> + Clone) -> String {
@@ -147,7 +160,11 @@
 impl Settings {
     /// No file: the defaults.
     pub fn defaults() -> Settings {
-        Settings { file: "no file".into(), given: BTreeMap::new(), names: BTreeMap::new() }
+        Settings {
+            file: "no file".into(),
+            given: BTreeMap::new(),
+            names: BTreeMap::new(),
+        }
     }
 
     /// Reads `text`, which stands in `file`, against `schema`.
@@ -155,12 +172,23 @@
     /// # Errors
     /// Everything in it that is not as the schema says.
     pub fn read(schema: &Schema, file: &str, text: &str) -> Result<Settings, Problems> {
-        let problem = |line: Option<usize>, what: String| Problem { file: file.into(), line, what };
-        let ini = ini::Ini::load_from_str(text)
-            .map_err(|e| Problems(vec![problem(Some(e.line), format!("cannot be read: {}", e.msg))]))?;
+        let problem = |line: Option<usize>, what: String| Problem {
+            file: file.into(),
+            line,
+            what,
+        };
+        let ini = ini::Ini::load_from_str(text).map_err(|e| {
+            Problems(vec![problem(
+                Some(e.line),
+                format!("cannot be read: {}", e.msg),
+            )])
+        })?;
         let lines = Lines::of(text);
         let mut problems = Vec::new();
-        let mut settings = Settings { file: file.into(), ..Settings::defaults() };
+        let mut settings = Settings {
+            file: file.into(),
+            ..Settings::defaults()
+        };
         let mut seen = BTreeSet::new();
         for (header, properties) in ini.iter() {
             let header = header.unwrap_or_default().trim();
@@ -177,7 +205,9 @@
                 continue;
             }
             let line = lines.section(header);
-            let (kind, name) = header.split_once(char::is_whitespace).unwrap_or((header, ""));
+            let (kind, name) = header
+                .split_once(char::is_whitespace)
+                .unwrap_or((header, ""));
             let name = name.trim().trim_matches('"');
             let Some(section) = schema.section(kind) else {
                 let near = suggestion(kind, schema.0.iter().map(|section| section.name));
@@ -185,8 +215,15 @@
                 continue;
             };
             if section.named == name.is_empty() {
-                let form = if section.named { format!("[{kind} NAME]") } else { format!("[{kind}]") };
-                problems.push(problem(line, format!("[{header}] has to be of the form {form}")));
+                let form = if section.named {
+                    format!("[{kind} NAME]")
+                } else {
+                    format!("[{kind}]")
+                };
+                problems.push(problem(
+                    line,
+                    format!("[{header}] has to be of the form {form}"),
+                ));
                 continue;
             }
             if section.named {
@@ -204,15 +241,23 @@
                 }
                 let Some(key) = section.keys.iter().find(|key| key.name == given) else {
                     let near = suggestion(given, section.keys.iter().map(|key| key.name));
-                    problems.push(problem(line, format!("[{header}] has no key '{given}'{near}")));
+                    problems.push(problem(
+                        line,
+                        format!("[{header}] has no key '{given}'{near}"),
+                    ));
                     continue;
                 };
                 if let Err(why) = key.kind.check(text) {
                     problems.push(problem(line, format!("[{header}] {given} = {text}: {why}")));
                     continue;
                 }
-                let value = Given { text: text.trim().to_string(), line: line.unwrap_or_default() };
-                settings.given.insert((section.name, name.to_string(), key.name), value);
+                let value = Given {
+                    text: text.trim().to_string(),
+                    line: line.unwrap_or_default(),
+                };
+                settings
+                    .given
+                    .insert((section.name, name.to_string(), key.name), value);
             }
         }
         if problems.is_empty() {
@@ -224,16 +269,35 @@
 
     /// A problem with one value that only what it is used for can see.
     pub fn problem(&self, section: &str, name: &str, key: &str, why: &str) -> Problems {
-        let given = self.given.iter().find(|((s, n, k), _)| *s == section && n == name && *k == key);
+        let given = self
+            .given
+            .iter()
+            .find(|((s, n, k), _)| *s == section && n == name && *k == key);
         let line = given.map(|(_, given)| given.line);
-        let line = line.or_else(|| self.names.get(section).and_then(|names| names.get(name).copied()));
-        let header = if name.is_empty() { section.to_string() } else { format!("{section} {name}") };
-        Problems(vec![Problem { file: self.file.clone(), line, what: format!("[{header}] {key}: {why}") }])
+        let line = line.or_else(|| {
+            self.names
+                .get(section)
+                .and_then(|names| names.get(name).copied())
+        });
+        let header = if name.is_empty() {
+            section.to_string()
+        } else {
+            format!("{section} {name}")
+        };
+        Problems(vec![Problem {
+            file: self.file.clone(),
+            line,
+            what: format!("[{header}] {key}: {why}"),
+        }])
     }
 
     /// The names under which a named section stands.
     pub fn names(&self, section: &str) -> Vec<&str> {
-        let names = self.names.get(section).into_iter().flat_map(|names| names.keys());
+        let names = self
+            .names
+            .get(section)
+            .into_iter()
+            .flat_map(|names| names.keys());
         names.map(String::as_str).collect()
     }
 
@@ -241,7 +305,11 @@
     pub fn shown(&self, schema: &Schema) -> Vec<Shown> {
         let mut shown = Vec::new();
         for section in schema.0 {
-            let names = if section.named { self.names(section.name) } else { vec![""] };
+            let names = if section.named {
+                self.names(section.name)
+            } else {
+                vec![""]
+            };
             for name in names {
                 for key in section.keys {
                     let given = self.given.get(&(section.name, name.to_string(), key.name));
@@ -253,7 +321,13 @@
                         format!("{} {name}", section.name)
                     };
                     let value = value.unwrap_or("(not set)").to_string();
-                    shown.push(Shown { section: header, key: key.name, value, origin, live: key.live });
+                    shown.push(Shown {
+                        section: header,
+                        key: key.name,
+                        value,
+                        origin,
+                        live: key.live,
+                    });
                 }
             }
         }
@@ -266,13 +340,21 @@
         let before: BTreeMap<_, _> = self.shown(schema).into_iter().map(plain).collect();
         let after: BTreeMap<_, _> = next.shown(schema).into_iter().map(plain).collect();
         let keys: BTreeSet<_> = before.keys().chain(after.keys()).collect();
-        let changed = keys.into_iter().filter(|key| !key.2 && before.get(*key) != after.get(*key));
-        changed.map(|(section, key, _)| format!("[{section}] {key}")).collect()
+        let changed = keys
+            .into_iter()
+            .filter(|key| !key.2 && before.get(*key) != after.get(*key));
+        changed
+            .map(|(section, key, _)| format!("[{section}] {key}"))
+            .collect()
     }
 
     /// The values under one section, with the defaults of `schema`.
     pub fn of<'a>(&'a self, schema: &Schema, section: &'static str, name: &'a str) -> Values<'a> {
-        Values { settings: self, section: schema.section(section), name }
+        Values {
+            settings: self,
+            section: schema.section(section),
+            name,
+        }
     }
 }
 
@@ -288,8 +370,14 @@
     pub fn text(&self, key: &str) -> Option<&'a str> {
         let section = self.section?;
         let key = section.keys.iter().find(|k| k.name == key)?;
-        let given = self.settings.given.get(&(section.name, self.name.to_string(), key.name));
-        given.map(|given| given.text.as_str()).or(key.default).filter(|text| !text.is_empty())
+        let given = self
+            .settings
+            .given
+            .get(&(section.name, self.name.to_string(), key.name));
+        given
+            .map(|given| given.text.as_str())
+            .or(key.default)
+            .filter(|text| !text.is_empty())
     }
 
     pub fn flag(&self, key: &str) -> bool {
--- a/crates/ini/src/value.rs
+++ b/crates/ini/src/value.rs
@@ -44,11 +44,13 @@
                 Err(_) => Err("has to be ADDRESS:PORT, in numbers".into()),
             },
             Kind::Choice(words) if words.contains(&text) => Ok(()),
-            Kind::Choice(words) => Err(crate::suggestion(text, words.iter().copied())[2..].to_string()),
-            Kind::TimeOr(words) if words.contains(&text) => Ok(()),
-            Kind::TimeOr(words) => {
-                time(text).map(drop).map_err(|why| format!("{why}, or {}", words.join(", ")))
+            Kind::Choice(words) => {
+                Err(crate::suggestion(text, words.iter().copied())[2..].to_string())
             }
+            Kind::TimeOr(words) if words.contains(&text) => Ok(()),
+            Kind::TimeOr(words) => time(text)
+                .map(drop)
+                .map_err(|why| format!("{why}, or {}", words.join(", "))),
         }
     }
 }
@@ -58,10 +60,20 @@
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit) = text.split_at(digits);
     let words: Vec<&str> = units.iter().map(|(unit, _)| *unit).collect();
-    let wrong = || format!("has to be a whole number and a unit ({}), as in {example}", words.join(", "));
-    let factor = units.iter().find(|(word, _)| *word == unit.trim()).map(|(_, factor)| *factor);
+    let wrong = || {
+        format!(
+            "has to be a whole number and a unit ({}), as in {example}",
+            words.join(", ")
+        )
+    };
+    let factor = units
+        .iter()
+        .find(|(word, _)| *word == unit.trim())
+        .map(|(_, factor)| *factor);
     let number: u64 = number.parse().map_err(|_| wrong())?;
-    number.checked_mul(factor.ok_or_else(wrong)?).ok_or_else(|| "is too large".to_string())
+    number
+        .checked_mul(factor.ok_or_else(wrong)?)
+        .ok_or_else(|| "is too large".to_string())
 }
 
 /// A length of time with its unit.
@@ -85,5 +97,14 @@
 /// # Errors
 /// Why it is none.
 pub fn bytes(text: &str) -> Result<u64, String> {
-    measure(text, &[("B", 1), ("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30)], "8MiB")
+    measure(
+        text,
+        &[
+            ("B", 1),
+            ("KiB", 1 << 10),
+            ("MiB", 1 << 20),
+            ("GiB", 1 << 30),
+        ],
+        "8MiB",
+    )
 }
