--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -33,7 +33,12 @@
     ///
     /// # Errors
     /// There is no port or thread, or the mixer refuses its configuration.
-    pub fn start(mixers: u64, threads: usize, way: Way, list: Vec<Value>) -> Result<Fleet, Failure> {
+    pub fn start(
+        mixers: u64,
+        threads: usize,
+        way: Way,
+        list: Vec<Value>,
+    ) -> Result<Fleet, Failure> {
         let started = RuntimeThread::start(|| Discovery::start(Ipv4Addr::LOCALHOST.into()))?;
         let (discovery_thread, discovery) = started;
         let discovery = Arc::new(discovery.map_err(Failure::running)?);
@@ -52,8 +57,17 @@
             })?;
             Ok(started.0)
         };
-        let threads = (0..threads).map(start_thread).collect::<Result<_, Failure>>()?;
-        Ok(Fleet { threads, discovery, discovery_thread, progress, mixers, changes: 0 })
+        let threads = (0..threads)
+            .map(start_thread)
+            .collect::<Result<_, Failure>>()?;
+        Ok(Fleet {
+            threads,
+            discovery,
+            discovery_thread,
+            progress,
+            mixers,
+            changes: 0,
+        })
     }
 
     /// Tells of changed entries as one change, from when on its delay is measured.
@@ -98,6 +112,8 @@
 /// # Errors
 /// There is no runtime.
 pub(super) fn block_on<F: Future>(future: F) -> Result<F::Output, Failure> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build();
     Ok(runtime.map_err(Failure::running)?.block_on(future))
 }
--- a/crates/lab/src/hollow/report.rs
+++ b/crates/lab/src/hollow/report.rs
@@ -20,7 +20,12 @@
     /// From delays in microseconds.
     pub fn of_us(delays: &Histogram<u64>) -> Spread {
         let at = |quantile| delays.value_at_quantile(quantile) as f64 / 1e3;
-        Spread { samples: delays.len(), median_ms: at(0.5), p99_ms: at(0.99), worst_ms: at(1.0) }
+        Spread {
+            samples: delays.len(),
+            median_ms: at(0.5),
+            p99_ms: at(0.99),
+            worst_ms: at(1.0),
+        }
     }
 }
 
@@ -112,7 +117,13 @@
 
 impl HollowPoint {
     /// A point at which nothing was measured.
-    pub fn ended(mixers: u64, entries: u64, way: Way, outcome: Outcome, note: String) -> HollowPoint {
+    pub fn ended(
+        mixers: u64,
+        entries: u64,
+        way: Way,
+        outcome: Outcome,
+        note: String,
+    ) -> HollowPoint {
         HollowPoint {
             mixers,
             entries,
@@ -150,7 +161,12 @@
 impl HollowReport {
     /// The last line of a run.
     pub fn summary(&self) -> String {
-        let ended = |outcome| self.points.iter().filter(|point| point.outcome == outcome).count();
+        let ended = |outcome| {
+            self.points
+                .iter()
+                .filter(|point| point.outcome == outcome)
+                .count()
+        };
         let mut line = format!("HOLLOW points {}", self.points.len());
         for (name, outcome) in [
             ("measured", Outcome::Measured),
--- a/crates/lab/src/hollow/thread.rs
+++ b/crates/lab/src/hollow/thread.rs
@@ -22,7 +22,9 @@
     ///
     /// # Errors
     /// The thread or its runtime can't be started.
-    pub fn start<T, F>(start: impl FnOnce() -> F + Send + 'static) -> Result<(RuntimeThread, T), Failure>
+    pub fn start<T, F>(
+        start: impl FnOnce() -> F + Send + 'static,
+    ) -> Result<(RuntimeThread, T), Failure>
     where
         T: Send + 'static,
         F: Future<Output = T>,
@@ -30,7 +32,10 @@
         let (stop, stopped) = oneshot::channel();
         let (started, result) = mpsc::channel();
         let thread = std::thread::Builder::new().spawn(move || {
-            let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
+            let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build()
+            else {
                 return;
             };
             LocalSet::new().block_on(&runtime, async move {
@@ -41,8 +46,17 @@
             });
         });
         let thread = thread.map_err(Failure::running)?;
-        let (schedule, result) = result.recv().map_err(|_| Failure::running("a thread did not start"))?;
-        Ok((RuntimeThread { stop: Some(stop), thread: Some(thread), schedule }, result))
+        let (schedule, result) = result
+            .recv()
+            .map_err(|_| Failure::running("a thread did not start"))?;
+        Ok((
+            RuntimeThread {
+                stop: Some(stop),
+                thread: Some(thread),
+                schedule,
+            },
+            result,
+        ))
     }
 
     /// Processor time of this thread; zero where the kernel does not tell it.
--- a/crates/lab/src/logs.rs
+++ b/crates/lab/src/logs.rs
@@ -38,8 +38,17 @@
     let values = settings.of(&SCHEMA, SECTION.name, "");
     let level = values.text("level").unwrap_or("info");
     let filter: Targets = level.parse().map_err(Failure::settings)?;
-    let plain = tracing_subscriber::fmt::layer().with_ansi(false).with_writer(std::io::stderr);
+    let plain = tracing_subscriber::fmt::layer()
+        .with_ansi(false)
+        .with_writer(std::io::stderr);
     let json = values.text("format") == Some("json");
-    let layer = if json { plain.json().flatten_event(true).boxed() } else { plain.boxed() };
-    tracing_subscriber::registry().with(layer.with_filter(filter)).try_init().map_err(Failure::running)
+    let layer = if json {
+        plain.json().flatten_event(true).boxed()
+    } else {
+        plain.boxed()
+    };
+    tracing_subscriber::registry()
+        .with(layer.with_filter(filter))
+        .try_init()
+        .map_err(Failure::running)
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -73,7 +73,8 @@
 
 /// One sample on standard output. No logger runs here: logging is not what is measured.
 fn point(spec: &str) -> Result<(), Failure> {
-    let spec: Spec = serde_json::from_str(spec).map_err(|e| Failure::Settings(format!("no point: {e}")))?;
+    let spec: Spec =
+        serde_json::from_str(spec).map_err(|e| Failure::Settings(format!("no point: {e}")))?;
     let sample = serde_json::to_string(&point::measure(&spec)).map_err(Failure::running)?;
     println!("{sample}");
     Ok(())
@@ -114,7 +115,10 @@
 }
 
 fn compare(before: &Path, after: &Path) -> Result<(), Failure> {
-    println!("{}", markdown::comparison(&output::read(before)?, &output::read(after)?));
+    println!(
+        "{}",
+        markdown::comparison(&output::read(before)?, &output::read(after)?)
+    );
     Ok(())
 }
 
--- a/crates/lab/src/output.rs
+++ b/crates/lab/src/output.rs
@@ -71,8 +71,8 @@
     let shown = path.display();
     let text = fs::read_to_string(path)
         .map_err(|e| Failure::Settings(format!("cannot read the report {shown}: {e}")))?;
-    let report: Report =
-        serde_json::from_str(&text).map_err(|e| Failure::Settings(format!("{shown} is no report: {e}")))?;
+    let report: Report = serde_json::from_str(&text)
+        .map_err(|e| Failure::Settings(format!("{shown} is no report: {e}")))?;
     if report.format != FORMAT {
         return Err(Failure::Settings(format!(
             "{shown} has form {}; this program reads {FORMAT}",
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -149,7 +149,8 @@
 impl Ratio {
     /// Whether the aim is reached; none without an aim. A value that is missing reaches none.
     pub fn reached(&self) -> Option<bool> {
-        self.aim.map(|aim| self.value.is_some_and(|value| value <= aim))
+        self.aim
+            .map(|aim| self.value.is_some_and(|value| value <= aim))
     }
 }
 
@@ -205,7 +206,15 @@
 
 impl std::fmt::Display for Summary {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Summary { series, points, cut, refused, failed, aims, reached } = self;
+        let Summary {
+            series,
+            points,
+            cut,
+            refused,
+            failed,
+            aims,
+            reached,
+        } = self;
         write!(f, "SCALE series {series}, points {points}, cut {cut}, refused {refused}, failed {failed}, ")?;
         write!(f, "aims {reached} of {aims} reached")
     }
--- a/crates/lab/src/scale/watch.rs
+++ b/crates/lab/src/scale/watch.rs
@@ -50,10 +50,15 @@
         bytes += piece.len();
         buffer.extend_from_slice(piece.as_bytes());
         let watch = Stopwatch::start();
-        let listing = next_listing(&mut codec, &mut buffer).map_err(|why| refusal(fleet, version, why))?;
+        let listing =
+            next_listing(&mut codec, &mut buffer).map_err(|why| refusal(fleet, version, why))?;
         processor_ns += watch.nanos();
         if let Some(listing) = listing {
-            return Ok(ReadList { listing, bytes, processor_ns });
+            return Ok(ReadList {
+                listing,
+                bytes,
+                processor_ns,
+            });
         }
     }
     Err(Unmeasured::Failed("the list ended within an object".into()))
@@ -71,5 +76,8 @@
 }
 
 fn refusal(fleet: Fleet, version: u64, why: String) -> Unmeasured {
-    Unmeasured::Refused { bytes: fleet.whole_list(version).map(|piece| piece.len()).sum(), why }
+    Unmeasured::Refused {
+        bytes: fleet.whole_list(version).map(|piece| piece.len()).sum(),
+        why,
+    }
 }
--- a/crates/lab/src/settings.rs
+++ b/crates/lab/src/settings.rs
@@ -14,7 +14,9 @@
 /// # Errors
 /// A file that cannot be read, or all that is wrong with it, each with its line and the nearest valid key.
 pub fn read(path: Option<&Path>) -> Result<Settings, Failure> {
-    let Some(path) = path else { return Ok(Settings::defaults()) };
+    let Some(path) = path else {
+        return Ok(Settings::defaults());
+    };
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|e| Failure::Settings(format!("cannot read the settings {shown}: {e}")))?;
--- a/crates/lab/src/units.rs
+++ b/crates/lab/src/units.rs
@@ -22,18 +22,24 @@
             | RetakeProcessorNs
             | ChangeProcessorNs
             | ChangedEntryProcessorNs => Unit::Nanoseconds,
-            ListBytes | ChangeBytes | ResidentBytes | FirstPeakResidentBytes | PeakResidentBytes => {
-                Unit::Bytes
-            }
-            QueriesMeasured | QueriesAsked | QueriesAnswered | QueriesRefused | QueriesUnanswered
-            | RepliesTwice | Attempts | Calls | Connections | Turns | ChangeMessages => Unit::Count,
+            ListBytes
+            | ChangeBytes
+            | ResidentBytes
+            | FirstPeakResidentBytes
+            | PeakResidentBytes => Unit::Bytes,
+            QueriesMeasured | QueriesAsked | QueriesAnswered | QueriesRefused
+            | QueriesUnanswered | RepliesTwice | Attempts | Calls | Connections | Turns
+            | ChangeMessages => Unit::Count,
         }
     }
 
     /// Whether it is processor time or memory; the rest is counted.
     pub fn is_cost(self) -> bool {
         use Measure::*;
-        let memory = matches!(self, ResidentBytes | FirstPeakResidentBytes | PeakResidentBytes);
+        let memory = matches!(
+            self,
+            ResidentBytes | FirstPeakResidentBytes | PeakResidentBytes
+        );
         memory || self.unit() == Unit::Nanoseconds
     }
 
@@ -78,7 +84,11 @@
 }
 
 fn scaled(value: f64, units: &[(&str, f64)]) -> String {
-    let fitting = units.iter().rev().find(|(_, factor)| value.abs() >= *factor).or(units.first());
+    let fitting = units
+        .iter()
+        .rev()
+        .find(|(_, factor)| value.abs() >= *factor)
+        .or(units.first());
     let (name, factor) = fitting.copied().unwrap_or(("", 1.0));
     format!("{} {name}", digits(value / factor))
 }
--- a/crates/ledger/src/collect.rs
+++ b/crates/ledger/src/collect.rs
@@ -31,9 +31,21 @@
 impl UsageLog for Service {
     type FollowStream = ReceiverStream<Result<Batch, Status>>;
 
-    async fn follow(&self, request: Request<FollowRequest>) -> Result<Response<Self::FollowStream>, Status> {
-        let FollowRequest { incarnation, sequence } = request.into_inner();
-        let mut follower = Follower::new(&self.directory, Position { incarnation, sequence });
+    async fn follow(
+        &self,
+        request: Request<FollowRequest>,
+    ) -> Result<Response<Self::FollowStream>, Status> {
+        let FollowRequest {
+            incarnation,
+            sequence,
+        } = request.into_inner();
+        let mut follower = Follower::new(
+            &self.directory,
+            Position {
+                incarnation,
+                sequence,
+            },
+        );
         let (send, receive) = mpsc::channel(MOST_WAITING);
         tokio::spawn(async move {
             let mut idle = 0;
@@ -68,18 +80,27 @@
     }
 
     async fn acknowledge(
-        &self, request: Request<AcknowledgeRequest>,
+        &self,
+        request: Request<AcknowledgeRequest>,
     ) -> Result<Response<AcknowledgeReply>, Status> {
-        let AcknowledgeRequest { incarnation, sequence } = request.into_inner();
+        let AcknowledgeRequest {
+            incarnation,
+            sequence,
+        } = request.into_inner();
         let directory = self.directory.clone();
-        let upto = Position { incarnation, sequence };
+        let upto = Position {
+            incarnation,
+            sequence,
+        };
         let done = tokio::task::spawn_blocking(move || writer::forget(&directory, upto)).await;
         match done {
             Ok(Ok(gone)) => {
                 tracing::debug!(gone, incarnation, sequence, "settled segments forgotten");
                 Ok(Response::new(AcknowledgeReply {}))
             }
-            Ok(Err(e)) => Err(Status::unavailable(format!("segments can't be removed: {e}"))),
+            Ok(Err(e)) => Err(Status::unavailable(format!(
+                "segments can't be removed: {e}"
+            ))),
             Err(e) => Err(Status::internal(e.to_string())),
         }
     }
@@ -93,17 +114,24 @@
     let listener = std::net::TcpListener::bind(address)
         .map_err(|e| io::Error::new(e.kind(), format!("cannot listen on {address}: {e}")))?;
     listener.set_nonblocking(true)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    thread::Builder::new().name("usage collection".into()).spawn(move || {
-        let served: Result<(), String> = runtime.block_on(async move {
-            let listener = TcpListener::from_std(listener).map_err(|e| e.to_string())?;
-            let service = UsageLogServer::new(Service { directory });
-            let server = tonic::transport::Server::builder().add_service(service);
-            server.serve_with_incoming(TcpListenerStream::new(listener)).await.map_err(|e| e.to_string())
-        });
-        if let Err(e) = served {
-            tracing::error!(error = e, "usage collection ended");
-        }
-    })?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    thread::Builder::new()
+        .name("usage collection".into())
+        .spawn(move || {
+            let served: Result<(), String> = runtime.block_on(async move {
+                let listener = TcpListener::from_std(listener).map_err(|e| e.to_string())?;
+                let service = UsageLogServer::new(Service { directory });
+                let server = tonic::transport::Server::builder().add_service(service);
+                server
+                    .serve_with_incoming(TcpListenerStream::new(listener))
+                    .await
+                    .map_err(|e| e.to_string())
+            });
+            if let Err(e) = served {
+                tracing::error!(error = e, "usage collection ended");
+            }
+        })?;
     Ok(())
 }
--- a/crates/ledger/src/export.rs
+++ b/crates/ledger/src/export.rs
@@ -51,7 +51,11 @@
 }
 
 fn statement_id(period: &str, tenant: &str) -> String {
-    format!("statement-{}-{}", file_name_part(&period.replace(':', "")), file_name_part(tenant))
+    format!(
+        "statement-{}-{}",
+        file_name_part(&period.replace(':', "")),
+        file_name_part(tenant)
+    )
 }
 
 impl Document {
@@ -65,10 +69,25 @@
                 tenant: tenant.clone(),
                 period: statement.period.clone(),
                 amount: totals.amount,
-                lines: statement.lines.iter().filter(|line| line.tenant == *tenant).cloned().collect(),
-                corrections: statement.corrections.iter().filter(|c| c.tenant == *tenant).cloned().collect(),
+                lines: statement
+                    .lines
+                    .iter()
+                    .filter(|line| line.tenant == *tenant)
+                    .cloned()
+                    .collect(),
+                corrections: statement
+                    .corrections
+                    .iter()
+                    .filter(|c| c.tenant == *tenant)
+                    .cloned()
+                    .collect(),
                 totals: Some(totals.clone()),
-                missing: statement.members.iter().filter(|m| m.missing).map(|m| m.member.clone()).collect(),
+                missing: statement
+                    .members
+                    .iter()
+                    .filter(|m| m.missing)
+                    .map(|m| m.member.clone())
+                    .collect(),
                 corrects: None,
             }
         };
@@ -77,7 +96,11 @@
 
     /// The credit or debit for a correction of a closed period.
     pub fn of_correction(correction: &CorrectionLine, period: Period, hash: &str) -> Document {
-        let kind = if correction.amount < 0 { "credit" } else { "debit" };
+        let kind = if correction.amount < 0 {
+            "credit"
+        } else {
+            "debit"
+        };
         Document {
             id: format!("{kind}-{}", file_name_part(&correction.id)),
             kind: kind.into(),
@@ -88,7 +111,10 @@
             corrections: vec![correction.clone()],
             totals: None,
             missing: Vec::new(),
-            corrects: Some((statement_id(&period.name(), &correction.tenant), hash.into())),
+            corrects: Some((
+                statement_id(&period.name(), &correction.tenant),
+                hash.into(),
+            )),
         }
     }
 }
@@ -99,8 +125,10 @@
 /// The folder can't be written.
 pub fn to_folder(folder: &Path, document: &Outgoing) -> io::Result<()> {
     fs::create_dir_all(folder)?;
-    let (half, whole) =
-        (folder.join(format!(".{}.half", document.id)), folder.join(format!("{}.json", document.id)));
+    let (half, whole) = (
+        folder.join(format!(".{}.half", document.id)),
+        folder.join(format!("{}.json", document.id)),
+    );
     let mut file = File::create(&half)?;
     file.write_all(document.body.as_bytes())?;
     file.sync_all()?;
@@ -113,7 +141,9 @@
 /// # Errors
 /// It did not say so; it may have it all the same.
 pub fn post(url: &str, timeout: Duration, document: &Outgoing) -> Result<(), String> {
-    let config = ureq::Agent::config_builder().timeout_global(Some(timeout)).http_status_as_error(false);
+    let config = ureq::Agent::config_builder()
+        .timeout_global(Some(timeout))
+        .http_status_as_error(false);
     let agent: ureq::Agent = config.build().into();
     let request = agent
         .post(url)
@@ -135,7 +165,9 @@
 /// Sends one document to wherever it has still to go; what succeeded and why the rest did not.
 pub fn send(to: &ExportTo, document: &Outgoing) -> (bool, bool, Option<String>) {
     let folder = match &to.folder {
-        Some(folder) if !document.in_folder => Some(to_folder(folder, document).map_err(|e| e.to_string())),
+        Some(folder) if !document.in_folder => {
+            Some(to_folder(folder, document).map_err(|e| e.to_string()))
+        }
         _ => None,
     };
     let posted = match &to.url {
@@ -144,6 +176,10 @@
     };
     let done = |sent: &Option<Result<(), String>>| matches!(sent, Some(Ok(())));
     let (in_folder, sent) = (done(&folder), done(&posted));
-    let error = [folder, posted].into_iter().flatten().filter_map(Result::err).next();
+    let error = [folder, posted]
+        .into_iter()
+        .flatten()
+        .filter_map(Result::err)
+        .next();
     (in_folder, sent, error)
 }
--- a/crates/ledger/src/join.rs
+++ b/crates/ledger/src/join.rs
@@ -108,8 +108,16 @@
 
 impl Use {
     fn new(first: Try, ambiguous: bool) -> Use {
-        let ambiguous = if ambiguous { vec![first.id()] } else { Vec::new() };
-        Use { tries: vec![first], outcome: first.outcome, ambiguous }
+        let ambiguous = if ambiguous {
+            vec![first.id()]
+        } else {
+            Vec::new()
+        };
+        Use {
+            tries: vec![first],
+            outcome: first.outcome,
+            ambiguous,
+        }
     }
 
     /// The first try, or the earliest known.
@@ -150,12 +158,22 @@
 impl Joiner {
     pub fn new(skew: i64, horizon: i64) -> Joiner {
         let (open, due, retries, hints) = Default::default();
-        Joiner { skew, horizon, open, due, retries, hints }
+        Joiner {
+            skew,
+            horizon,
+            open,
+            due,
+            retries,
+            hints,
+        }
     }
 
     /// As [`Joiner::new`], with retries already known to be ambiguous.
     pub fn with_hints(skew: i64, horizon: i64, hints: BTreeSet<Id>) -> Joiner {
-        Joiner { hints, ..Joiner::new(skew, horizon) }
+        Joiner {
+            hints,
+            ..Joiner::new(skew, horizon)
+        }
     }
 
     fn group(it: &Try) -> Group {
@@ -188,9 +206,15 @@
 
     fn begin(&mut self, first: Try, ambiguous: bool) {
         let group = Joiner::group(&first);
-        let due = first.at.saturating_add(self.window(&first)).saturating_add(2 * self.skew);
+        let due = first
+            .at
+            .saturating_add(self.window(&first))
+            .saturating_add(2 * self.skew);
         self.due.insert((due, first.id()), group);
-        self.open.entry(group).or_default().push(Use::new(first, ambiguous));
+        self.open
+            .entry(group)
+            .or_default()
+            .push(Use::new(first, ambiguous));
     }
 
     /// All tries that arrived before `now` are known.
@@ -215,7 +239,9 @@
             }
             let group = *group;
             self.due.remove(&(due, id));
-            let Some(uses) = self.open.get_mut(&group) else { continue };
+            let Some(uses) = self.open.get_mut(&group) else {
+                continue;
+            };
             if let Some(at) = uses.iter().position(|it| it.first().id() == id) {
                 done(uses.remove(at));
             }
@@ -231,7 +257,8 @@
         let uses = self.open.entry(group).or_default();
         let within = |it: &Use| {
             let first = it.first().at;
-            first >= retry.at.saturating_sub(window + skew) && it.last().at <= retry.at.saturating_add(skew)
+            first >= retry.at.saturating_sub(window + skew)
+                && it.last().at <= retry.at.saturating_add(skew)
         };
         if retry.keyed {
             // The key names the use: its tries all belong to it, in whatever order they ended.
@@ -240,8 +267,9 @@
             }
             return self.begin(retry, false);
         }
-        let open: Vec<usize> =
-            (0..uses.len()).filter(|i| within(&uses[*i]) && uses[*i].last().open()).collect();
+        let open: Vec<usize> = (0..uses.len())
+            .filter(|i| within(&uses[*i]) && uses[*i].last().open())
+            .collect();
         // Those not answered before those in doubt, those before it before those that only seem after it.
         let rank = |i: &usize| {
             let last = uses[*i].last();
--- a/crates/ledger/src/log/follow.rs
+++ b/crates/ledger/src/log/follow.rs
@@ -18,7 +18,9 @@
 
 fn head_of(segment: &Segment) -> io::Result<Option<(Header, usize)>> {
     let mut bytes = Vec::new();
-    File::open(&segment.path)?.take(super::MOST_HEADER as u64 + 64).read_to_end(&mut bytes)?;
+    File::open(&segment.path)?
+        .take(super::MOST_HEADER as u64 + 64)
+        .read_to_end(&mut bytes)?;
     Ok(header(&bytes))
 }
 
@@ -32,7 +34,11 @@
 
 impl Follower {
     pub fn new(directory: &Path, after: Position) -> Follower {
-        Follower { directory: directory.into(), after, open: None }
+        Follower {
+            directory: directory.into(),
+            after,
+            open: None,
+        }
     }
 
     /// What comes next, at most `most` entries of one run; none if there is nothing yet.
@@ -43,7 +49,9 @@
         // Each turn of the loop finishes a segment, and there are only so many.
         loop {
             let Some((segment, head, at)) = self.open.take() else {
-                let Some(next) = self.next_segment(None)? else { return Ok(None) };
+                let Some(next) = self.next_segment(None)? else {
+                    return Ok(None);
+                };
                 self.start(next)?;
                 continue;
             };
@@ -62,9 +70,17 @@
             match later {
                 Some(next) if left > 0 => {
                     // A tail that is no frame, and nothing will follow it.
-                    let damage = Damage { segment: segment.name(), from: end, to: end + left };
+                    let damage = Damage {
+                        segment: segment.name(),
+                        from: end,
+                        to: end + left,
+                    };
                     self.start(next)?;
-                    return Ok(Some(Batch { header: head, entries: Vec::new(), damage: vec![damage] }));
+                    return Ok(Some(Batch {
+                        header: head,
+                        entries: Vec::new(),
+                        damage: vec![damage],
+                    }));
                 }
                 Some(next) => self.start(next)?,
                 None => {
@@ -80,7 +96,9 @@
         let Some(after) = after else {
             // The one that holds the position: the last that does not begin after it.
             let from = (self.after.incarnation, self.after.sequence + 1);
-            let holds = all.iter().rposition(|s| (s.incarnation, s.first_sequence) <= from);
+            let holds = all
+                .iter()
+                .rposition(|s| (s.incarnation, s.first_sequence) <= from);
             return Ok(all.into_iter().nth(holds.unwrap_or_default()));
         };
         Ok(all.into_iter().find(|segment| segment > after))
@@ -91,9 +109,12 @@
             Some((head, at)) => (Some(head), at),
             // Names hold for a whole run: any other segment of it knows them.
             None => {
-                let same =
-                    segments(&self.directory)?.into_iter().filter(|s| s.incarnation == segment.incarnation);
-                let head = same.filter_map(|other| head_of(&other).ok().flatten()).next();
+                let same = segments(&self.directory)?
+                    .into_iter()
+                    .filter(|s| s.incarnation == segment.incarnation);
+                let head = same
+                    .filter_map(|other| head_of(&other).ok().flatten())
+                    .next();
                 (head.map(|(head, _)| head), MAGIC.len())
             }
         };
@@ -102,7 +123,11 @@
     }
 
     fn batch(
-        &mut self, segment: &Segment, head: Option<Header>, at: u64, most: usize,
+        &mut self,
+        segment: &Segment,
+        head: Option<Header>,
+        at: u64,
+        most: usize,
     ) -> io::Result<(Batch, u64, u64)> {
         let mut file = File::open(&segment.path)?;
         file.seek(SeekFrom::Start(at))?;
@@ -120,11 +145,18 @@
         };
         let left = bytes.len() as u64 - found.end as u64;
         let end = at + found.end as u64;
-        let mut batch = Batch { header: head, ..Batch::default() };
+        let mut batch = Batch {
+            header: head,
+            ..Batch::default()
+        };
         for item in found.items {
             match item {
                 Item::Damage(from, to) => {
-                    batch.damage.push(Damage { segment: segment.name(), from: at + from, to: at + to });
+                    batch.damage.push(Damage {
+                        segment: segment.name(),
+                        from: at + from,
+                        to: at + to,
+                    });
                 }
                 Item::Entry(entry) => {
                     let sequence = match &entry.what {
@@ -132,7 +164,9 @@
                         Some(What::Mark(mark)) => mark.sequence + 1,
                         None => 0,
                     };
-                    if (segment.incarnation, sequence) > (self.after.incarnation, self.after.sequence) {
+                    if (segment.incarnation, sequence)
+                        > (self.after.incarnation, self.after.sequence)
+                    {
                         batch.entries.push(entry);
                     }
                 }
--- a/crates/ledger/src/log/mod.rs
+++ b/crates/ledger/src/log/mod.rs
@@ -44,7 +44,9 @@
 }
 
 fn frame(bytes: &[u8], at: usize, most: usize) -> Frame<'_> {
-    let Some(head) = bytes.get(at..at + FRAME_HEAD) else { return Frame::Short };
+    let Some(head) = bytes.get(at..at + FRAME_HEAD) else {
+        return Frame::Short;
+    };
     let word = |i: usize| u32::from_le_bytes([head[i], head[i + 1], head[i + 2], head[i + 3]]);
     let (sum, length) = (word(0), word(4) as usize);
     if length == 0 || length > most {
@@ -85,7 +87,10 @@
 
 /// Reads entries from `at` on, at most `most` items. What can't be read is skipped to the next frame that can.
 pub fn read(bytes: &[u8], at: usize, most: usize) -> Read {
-    let mut read = Read { items: Vec::new(), end: at };
+    let mut read = Read {
+        items: Vec::new(),
+        end: at,
+    };
     while read.end < bytes.len() && read.items.len() < most {
         match entry(bytes, read.end) {
             Some((entry, end)) => {
@@ -94,7 +99,8 @@
             }
             None => {
                 // Where a length is damaged the next frame may begin anywhere.
-                let Some(next) = (read.end + 1..bytes.len()).find(|at| entry(bytes, *at).is_some()) else {
+                let Some(next) = (read.end + 1..bytes.len()).find(|at| entry(bytes, *at).is_some())
+                else {
                     break;
                 };
                 read.items.push(Item::Damage(read.end as u64, next as u64));
@@ -107,9 +113,10 @@
 
 fn entry(bytes: &[u8], at: usize) -> Option<(Entry, usize)> {
     match frame(bytes, at, MOST_ENTRY) {
-        Frame::Whole(body, end) => {
-            Entry::decode(body).ok().filter(|entry| entry.what.is_some()).map(|entry| (entry, end))
-        }
+        Frame::Whole(body, end) => Entry::decode(body)
+            .ok()
+            .filter(|entry| entry.what.is_some())
+            .map(|entry| (entry, end)),
         _ => None,
     }
 }
@@ -125,12 +132,20 @@
 impl Segment {
     pub fn new(directory: &Path, incarnation: u64, first_sequence: u64) -> Segment {
         let path = directory.join(format!("{incarnation:020}-{first_sequence:020}.log"));
-        Segment { incarnation, first_sequence, path }
+        Segment {
+            incarnation,
+            first_sequence,
+            path,
+        }
     }
 
     /// The file's name.
     pub fn name(&self) -> String {
-        self.path.file_name().unwrap_or_default().to_string_lossy().into_owned()
+        self.path
+            .file_name()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned()
     }
 }
 
@@ -142,11 +157,21 @@
     let mut segments = Vec::new();
     for file in fs::read_dir(directory)? {
         let path = file?.path();
-        let name = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
-        let numbers = name.strip_suffix(".log").and_then(|name| name.split_once('-'));
+        let name = path
+            .file_name()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
+        let numbers = name
+            .strip_suffix(".log")
+            .and_then(|name| name.split_once('-'));
         let numbers = numbers.and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
         if let Some((incarnation, first_sequence)) = numbers {
-            segments.push(Segment { incarnation, first_sequence, path });
+            segments.push(Segment {
+                incarnation,
+                first_sequence,
+                path,
+            });
         }
     }
     segments.sort_unstable();
@@ -161,7 +186,8 @@
     let bytes = fs::read(&segment.path)?;
     let Some((_, at)) = header(&bytes) else {
         // Not even the header is whole: there is nothing in it. A damaged one keeps its records.
-        if bytes.len() > MAGIC.len() + FRAME_HEAD && !read(&bytes, MAGIC.len(), 1).items.is_empty() {
+        if bytes.len() > MAGIC.len() + FRAME_HEAD && !read(&bytes, MAGIC.len(), 1).items.is_empty()
+        {
             return Ok(0);
         }
         fs::remove_file(&segment.path)?;
@@ -170,7 +196,10 @@
     let end = read(&bytes, at, usize::MAX).end;
     let torn = (bytes.len() - end) as u64;
     if torn > 0 {
-        fs::OpenOptions::new().write(true).open(&segment.path)?.set_len(end as u64)?;
+        fs::OpenOptions::new()
+            .write(true)
+            .open(&segment.path)?
+            .set_len(end as u64)?;
     }
     Ok(torn)
 }
--- a/crates/ledger/src/period.rs
+++ b/crates/ledger/src/period.rs
@@ -45,7 +45,10 @@
         match &self.0 {
             Every::Ms(length) => {
                 let start = ms.div_euclid(*length) * length;
-                Period { start, end: start + length }
+                Period {
+                    start,
+                    end: start + length,
+                }
             }
             Every::Day(zone) => self.civil(ms, zone, false).unwrap_or(FOREVER),
             Every::Month(zone) => self.civil(ms, zone, true).unwrap_or(FOREVER),
@@ -59,18 +62,36 @@
 
     fn civil(&self, ms: i64, zone: &TimeZone, month: bool) -> Option<Period> {
         let at = Timestamp::from_millisecond(ms).ok()?.to_zoned(zone.clone());
-        let day = at.round(ZonedRound::new().smallest(Unit::Day).mode(jiff::RoundMode::Floor)).ok()?;
+        let day = at
+            .round(
+                ZonedRound::new()
+                    .smallest(Unit::Day)
+                    .mode(jiff::RoundMode::Floor),
+            )
+            .ok()?;
         // Rounding takes the day's own first instant, also where midnight does not exist.
         let (start, end) = if month {
             let first = at.first_of_month().ok()?;
             let first = first.start_of_day().ok()?;
-            (first.clone(), first.checked_add(1.month()).ok()?.start_of_day().ok()?)
+            (
+                first.clone(),
+                first.checked_add(1.month()).ok()?.start_of_day().ok()?,
+            )
         } else {
-            (day.clone(), day.checked_add(1.day()).ok()?.start_of_day().ok()?)
+            (
+                day.clone(),
+                day.checked_add(1.day()).ok()?.start_of_day().ok()?,
+            )
         };
-        Some(Period { start: start.timestamp().as_millisecond(), end: end.timestamp().as_millisecond() })
+        Some(Period {
+            start: start.timestamp().as_millisecond(),
+            end: end.timestamp().as_millisecond(),
+        })
     }
 }
 
 /// Where time is past what a calendar knows.
-const FOREVER: Period = Period { start: i64::MIN, end: i64::MAX };
+const FOREVER: Period = Period {
+    start: i64::MIN,
+    end: i64::MAX,
+};
--- a/crates/ledger/src/rate.rs
+++ b/crates/ledger/src/rate.rs
@@ -102,7 +102,9 @@
 impl AddAssign for Counts {
     fn add_assign(&mut self, other: Counts) {
         let mut sum = self.values();
-        sum.iter_mut().zip(other.values()).for_each(|(a, b)| *a += b);
+        sum.iter_mut()
+            .zip(other.values())
+            .for_each(|(a, b)| *a += b);
         *self = Counts::from_values(sum);
     }
 }
@@ -112,7 +114,10 @@
 
     fn sub(self, other: Counts) -> Counts {
         let mut difference = self.values();
-        difference.iter_mut().zip(other.values()).for_each(|(a, b)| *a -= b);
+        difference
+            .iter_mut()
+            .zip(other.values())
+            .for_each(|(a, b)| *a -= b);
         Counts::from_values(difference)
     }
 }
@@ -129,5 +134,7 @@
 
 /// Answered uses past a tenant's allowance.
 pub fn over(answered: i64, allowance: Option<u64>) -> i64 {
-    allowance.map_or(0, |allowance| (answered - i64::try_from(allowance).unwrap_or(i64::MAX)).max(0))
+    allowance.map_or(0, |allowance| {
+        (answered - i64::try_from(allowance).unwrap_or(i64::MAX)).max(0)
+    })
 }
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -52,8 +52,9 @@
 impl Reconciled {
     /// Totals that differ.
     pub fn unequal(&self) -> usize {
-        let differ =
-            |pair: &&Pair| pair.ledger != pair.client || pair.ledger_answered != pair.client_answered;
+        let differ = |pair: &&Pair| {
+            pair.ledger != pair.client || pair.ledger_answered != pair.client_answered
+        };
         self.totals.values().filter(differ).count()
     }
 }
@@ -68,7 +69,11 @@
 /// # Errors
 /// The store can't be read.
 pub fn with_clients(
-    store: &Store, calendar: &Calendar, bounds: Bounds, (from, until): (i64, i64), clients: &[ClientUse],
+    store: &Store,
+    calendar: &Calendar,
+    bounds: Bounds,
+    (from, until): (i64, i64),
+    clients: &[ClientUse],
 ) -> Result<Reconciled, Error> {
     let names = store.names()?;
     let name = |id: u32| names.get(&id).cloned().unwrap_or_default();
@@ -79,23 +84,34 @@
         let first = it.first();
         let (tenant, class) = (name(first.tenant), name(first.class));
         let period = calendar.at(first.at).name();
-        let pair = reconciled.totals.entry((period, tenant.clone(), class.clone())).or_default();
+        let pair = reconciled
+            .totals
+            .entry((period, tenant.clone(), class.clone()))
+            .or_default();
         pair.ledger += 1;
         pair.ledger_answered += u64::from(it.outcome.answered());
-        ours.entry((tenant, class, format!("{:016x}", first.key))).or_default().push_back(it);
+        ours.entry((tenant, class, format!("{:016x}", first.key)))
+            .or_default()
+            .push_back(it);
     };
     for one in store.tries(from, until)? {
         joiner.take(one, &mut put);
     }
     joiner.finish(&mut put);
-    ours.values_mut().for_each(|uses| uses.make_contiguous().sort_by_key(|it| it.first().id()));
-    let mut clients: Vec<&ClientUse> =
-        clients.iter().filter(|it| (from..until).contains(&it.at_ms)).collect();
+    ours.values_mut()
+        .for_each(|uses| uses.make_contiguous().sort_by_key(|it| it.first().id()));
+    let mut clients: Vec<&ClientUse> = clients
+        .iter()
+        .filter(|it| (from..until).contains(&it.at_ms))
+        .collect();
     clients.sort_by_key(|it| it.at_ms);
     for client in clients {
         let period = calendar.at(client.at_ms).name();
         let (tenant, class) = (client.tenant.clone(), client.class.clone());
-        let pair = reconciled.totals.entry((period, tenant.clone(), class.clone())).or_default();
+        let pair = reconciled
+            .totals
+            .entry((period, tenant.clone(), class.clone()))
+            .or_default();
         pair.client += 1;
         pair.client_answered += u64::from(answered(&client.outcome));
         let key = (tenant, class, client.key.clone());
@@ -103,7 +119,9 @@
         let what = match &ledger {
             None => "only the client has it",
             Some(it) if it.outcome.answered() != answered(&client.outcome) => "ended otherwise",
-            Some(it) if answered(&client.outcome) && it.outcome.name() != client.outcome => "ended otherwise",
+            Some(it) if answered(&client.outcome) && it.outcome.name() != client.outcome => {
+                "ended otherwise"
+            }
             Some(_) => continue,
         };
         reconciled.differences.push(Difference {
@@ -112,7 +130,9 @@
             class: key.1,
             at: stamp(client.at_ms),
             key: key.2,
-            ledger: ledger.map(|it| it.outcome.name().to_string()).unwrap_or_default(),
+            ledger: ledger
+                .map(|it| it.outcome.name().to_string())
+                .unwrap_or_default(),
             client: client.outcome.clone(),
         });
     }
--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -9,12 +9,34 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const fn key(name: &'static str, kind: Kind, default: Option<&'static str>, doc: &'static str) -> Key {
-    Key { name, kind, default, live: false, doc }
+const fn key(
+    name: &'static str,
+    kind: Kind,
+    default: Option<&'static str>,
+    doc: &'static str,
+) -> Key {
+    Key {
+        name,
+        kind,
+        default,
+        live: false,
+        doc,
+    }
 }
 
-const fn live(name: &'static str, kind: Kind, default: Option<&'static str>, doc: &'static str) -> Key {
-    Key { name, kind, default, live: true, doc }
+const fn live(
+    name: &'static str,
+    kind: Kind,
+    default: Option<&'static str>,
+    doc: &'static str,
+) -> Key {
+    Key {
+        name,
+        kind,
+        default,
+        live: true,
+        doc,
+    }
 }
 
 const MOST: u64 = 1_000_000_000_000;
@@ -23,7 +45,12 @@
     name: "usage",
     named: false,
     keys: &[
-        key("directory", Kind::Text, None, "Folder of the mixer's usage log; no log is kept without it."),
+        key(
+            "directory",
+            Kind::Text,
+            None,
+            "Folder of the mixer's usage log; no log is kept without it.",
+        ),
         key(
             "segment",
             Kind::Bytes,
@@ -36,15 +63,30 @@
             Some("1GiB"),
             "Most that the log may take; past it records are dropped and counted.",
         ),
-        key("queue", Kind::Count(16, 1_000_000), Some("8192"), "Records that may wait for the writer."),
+        key(
+            "queue",
+            Kind::Count(16, 1_000_000),
+            Some("8192"),
+            "Records that may wait for the writer.",
+        ),
         key(
             "stall",
             Kind::Time,
             Some("5ms"),
             "How long an answer waits for its record; then it goes without.",
         ),
-        key("mark", Kind::Time, Some("500ms"), "How often the log says up to when it is complete."),
-        key("listen", Kind::Address, None, "Where the settlement collects the log; a listener of its own."),
+        key(
+            "mark",
+            Kind::Time,
+            Some("500ms"),
+            "How often the log says up to when it is complete.",
+        ),
+        key(
+            "listen",
+            Kind::Address,
+            None,
+            "Where the settlement collects the log; a listener of its own.",
+        ),
     ],
 };
 
@@ -52,14 +94,24 @@
     name: "settlement",
     named: false,
     keys: &[
-        key("store", Kind::Text, None, "The SQLite file of the settlement."),
+        key(
+            "store",
+            Kind::Text,
+            None,
+            "The SQLite file of the settlement.",
+        ),
         live(
             "again",
             Kind::Time,
             Some("200ms"),
             "Wait before a member that failed is asked again; it doubles up to 32 times.",
         ),
-        live("silent", Kind::Time, Some("5s"), "A member that says nothing for so long is asked anew."),
+        live(
+            "silent",
+            Kind::Time,
+            Some("5s"),
+            "A member that says nothing for so long is asked anew.",
+        ),
     ],
 };
 
@@ -84,9 +136,24 @@
     name: "member",
     named: true,
     keys: &[
-        live("address", Kind::Address, None, "Where this mixer's log is collected: its [usage] listen."),
-        live("from", Kind::Text, None, "When it joined, as in 2026-12-01T00:00:00Z; always if unset."),
-        live("until", Kind::Text, None, "When it left; it has not if unset."),
+        live(
+            "address",
+            Kind::Address,
+            None,
+            "Where this mixer's log is collected: its [usage] listen.",
+        ),
+        live(
+            "from",
+            Kind::Text,
+            None,
+            "When it joined, as in 2026-12-01T00:00:00Z; always if unset.",
+        ),
+        live(
+            "until",
+            Kind::Text,
+            None,
+            "When it left; it has not if unset.",
+        ),
     ],
 };
 
@@ -94,7 +161,12 @@
     name: "price",
     named: true,
     keys: &[
-        live("whole", Kind::Count(0, MOST), None, "Price of a whole answer of this class, in micro-units."),
+        live(
+            "whole",
+            Kind::Count(0, MOST),
+            None,
+            "Price of a whole answer of this class, in micro-units.",
+        ),
         live(
             "partial",
             Kind::Count(0, MOST),
@@ -119,9 +191,24 @@
     name: "export",
     named: false,
     keys: &[
-        live("folder", Kind::Text, None, "Folder that documents are put into, each by an atomic rename."),
-        live("url", Kind::Text, None, "Where documents are posted, as in http://127.0.0.1:9000/documents."),
-        live("timeout", Kind::Time, Some("5s"), "How long the receiver may take for one document."),
+        live(
+            "folder",
+            Kind::Text,
+            None,
+            "Folder that documents are put into, each by an atomic rename.",
+        ),
+        live(
+            "url",
+            Kind::Text,
+            None,
+            "Where documents are posted, as in http://127.0.0.1:9000/documents.",
+        ),
+        live(
+            "timeout",
+            Kind::Time,
+            Some("5s"),
+            "How long the receiver may take for one document.",
+        ),
         live(
             "again",
             Kind::Time,
@@ -152,12 +239,17 @@
         let wrong = |key: &str, why: &str| settings.problem(USAGE.name, "", key, why);
         let Some(directory) = values.text("directory").map(PathBuf::from) else {
             return match listen {
-                Some(_) => Err(wrong("listen", "there is no log to collect without 'directory'")),
+                Some(_) => Err(wrong(
+                    "listen",
+                    "there is no log to collect without 'directory'",
+                )),
                 None => Ok(None),
             };
         };
-        let (segment_bytes, keep_bytes) =
-            (values.bytes("segment").unwrap_or(8 << 20), values.bytes("keep").unwrap_or(1 << 30));
+        let (segment_bytes, keep_bytes) = (
+            values.bytes("segment").unwrap_or(8 << 20),
+            values.bytes("keep").unwrap_or(1 << 30),
+        );
         if segment_bytes < 4096 {
             return Err(wrong("segment", "has to be 4KiB at least"));
         }
@@ -252,18 +344,38 @@
             let values = settings.of(schema, MEMBER.name, name);
             let at = |key: &'static str, otherwise: i64| match values.text(key) {
                 None => Ok(otherwise),
-                Some(text) => text.parse::<Timestamp>().map(Timestamp::as_millisecond).map_err(|_| {
-                    settings.problem(MEMBER.name, name, key, "has to be a time as in 2026-12-01T00:00:00Z")
-                }),
+                Some(text) => text
+                    .parse::<Timestamp>()
+                    .map(Timestamp::as_millisecond)
+                    .map_err(|_| {
+                        settings.problem(
+                            MEMBER.name,
+                            name,
+                            key,
+                            "has to be a time as in 2026-12-01T00:00:00Z",
+                        )
+                    }),
             };
             let Some(address) = values.address("address") else {
                 return Err(settings.problem(MEMBER.name, name, "address", "is missing"));
             };
             let (from, until) = (at("from", i64::MIN)?, at("until", i64::MAX)?);
             if from >= until {
-                return Err(settings.problem(MEMBER.name, name, "until", "does not come after 'from'"));
+                return Err(settings.problem(
+                    MEMBER.name,
+                    name,
+                    "until",
+                    "does not come after 'from'",
+                ));
             }
-            members.insert(name.to_string(), Member { address, from, until });
+            members.insert(
+                name.to_string(),
+                Member {
+                    address,
+                    from,
+                    until,
+                },
+            );
         }
         let mut prices = BTreeMap::new();
         for name in settings.names(PRICE.name) {
@@ -271,13 +383,25 @@
             let Some(whole) = values.count("whole") else {
                 return Err(settings.problem(PRICE.name, name, "whole", "is missing"));
             };
-            prices
-                .insert(name.to_string(), Price { whole, partial: values.count("partial").unwrap_or(whole) });
+            prices.insert(
+                name.to_string(),
+                Price {
+                    whole,
+                    partial: values.count("partial").unwrap_or(whole),
+                },
+            );
         }
         let allowance = |name: &&str| {
-            Some((name.to_string(), settings.of(schema, TENANT.name, name).count("allowance")?))
+            Some((
+                name.to_string(),
+                settings.of(schema, TENANT.name, name).count("allowance")?,
+            ))
         };
-        let allowances = settings.names(TENANT.name).iter().filter_map(allowance).collect();
+        let allowances = settings
+            .names(TENANT.name)
+            .iter()
+            .filter_map(allowance)
+            .collect();
         let export = settings.of(schema, EXPORT.name, "");
         let url = export.text("url").map(str::to_string);
         if url.as_ref().is_some_and(|url| !url.starts_with("http://")) {
--- a/crates/ledger/src/settle.rs
+++ b/crates/ledger/src/settle.rs
@@ -17,7 +17,10 @@
 impl Bounds {
     /// The arrivals that settling a period has to see: from, and up to without.
     pub fn seen(&self, period: Period) -> (i64, i64) {
-        (period.start.saturating_sub(self.skew), period.end.saturating_add(self.after()))
+        (
+            period.start.saturating_sub(self.skew),
+            period.end.saturating_add(self.after()),
+        )
     }
 
     /// How far past its end settling a period sees, in milliseconds.
@@ -49,7 +52,11 @@
 pub fn closing(period: Period, bounds: Bounds, grace: i64, now: i64, members: &[Known]) -> Closing {
     let (_, until) = bounds.seen(period);
     let behind = |known: &&Known| known.complete.is_none_or(|complete| complete < until);
-    let missing: Vec<String> = members.iter().filter(behind).map(|known| known.member.clone()).collect();
+    let missing: Vec<String> = members
+        .iter()
+        .filter(behind)
+        .map(|known| known.member.clone())
+        .collect();
     if now < until {
         // A mixer whose clock is ahead must not close a period for those that have yet to serve in it.
         Closing::Waits(missing)
@@ -97,20 +104,41 @@
 impl Settling {
     pub fn new(period: Period, bounds: Bounds, before: Over) -> Settling {
         let near = period.end.saturating_sub(bounds.skew);
-        let far = period.end.saturating_add(bounds.horizon).saturating_add(bounds.skew);
+        let far = period
+            .end
+            .saturating_add(bounds.horizon)
+            .saturating_add(bounds.skew);
         let joiner = Joiner::with_hints(bounds.skew, bounds.horizon, before.hints);
-        Settling { period, edge: (near, far), carried: before.carried, joiner, settled: Settled::default() }
+        Settling {
+            period,
+            edge: (near, far),
+            carried: before.carried,
+            joiner,
+            settled: Settled::default(),
+        }
     }
 
     pub fn take(&mut self, one: Try) {
         if !self.carried.contains(&one.id()) {
-            let Settling { joiner, settled, period, edge, .. } = self;
+            let Settling {
+                joiner,
+                settled,
+                period,
+                edge,
+                ..
+            } = self;
             joiner.take(one, &mut |it| settled.count(*period, *edge, &it));
         }
     }
 
     pub fn finish(mut self) -> Settled {
-        let Settling { joiner, settled, period, edge, .. } = &mut self;
+        let Settling {
+            joiner,
+            settled,
+            period,
+            edge,
+            ..
+        } = &mut self;
         joiner.finish(&mut |it| settled.count(*period, *edge, &it));
         self.settled
     }
@@ -120,11 +148,18 @@
     fn count(&mut self, period: Period, (near, far): (i64, i64), it: &Use) {
         let first = it.first();
         if first.at >= period.end {
-            self.over.hints.extend(it.ambiguous.iter().filter(|id| id.0 <= far));
+            self.over
+                .hints
+                .extend(it.ambiguous.iter().filter(|id| id.0 <= far));
             return;
         }
-        self.lines.entry((first.tenant, first.class)).or_default().add(it);
-        self.over.carried.extend(it.tries.iter().filter(|one| one.at >= near).map(Try::id));
+        self.lines
+            .entry((first.tenant, first.class))
+            .or_default()
+            .add(it);
+        self.over
+            .carried
+            .extend(it.tries.iter().filter(|one| one.at >= near).map(Try::id));
         if !it.ambiguous.is_empty() {
             self.ambiguous.push(first.id());
         }
@@ -135,6 +170,10 @@
 pub fn adjustments(now: &Lines, said: &Lines) -> Lines {
     let keys: BTreeSet<_> = now.keys().chain(said.keys()).copied().collect();
     let line = |lines: &Lines, key| lines.get(&key).copied().unwrap_or_default();
-    let differences = keys.into_iter().map(|key| (key, line(now, key) - line(said, key)));
-    differences.filter(|(_, counts)| !counts.is_zero()).collect()
+    let differences = keys
+        .into_iter()
+        .map(|key| (key, line(now, key) - line(said, key)));
+    differences
+        .filter(|(_, counts)| !counts.is_zero())
+        .collect()
 }
--- a/crates/ledger/src/settlement.rs
+++ b/crates/ledger/src/settlement.rs
@@ -54,35 +54,52 @@
 
 /// Unix milliseconds.
 pub fn now() -> i64 {
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
     now.as_millis() as i64
 }
 
 impl Settlement {
     pub fn new(store: Store, settings: Ledger) -> Settlement {
-        Settlement { store, settings, waits: None }
+        Settlement {
+            store,
+            settings,
+            waits: None,
+        }
     }
 
     pub fn bounds(&self) -> Bounds {
-        Bounds { horizon: self.settings.horizon, skew: self.settings.skew }
+        Bounds {
+            horizon: self.settings.horizon,
+            skew: self.settings.skew,
+        }
     }
 
     /// Takes a batch into the store.
     pub fn take(&mut self, member: &str, batch: &Batch) -> Result<Position, Error> {
-        let took = self.store.ingest(member, batch, &self.settings.calendar, self.bounds())?;
+        let took = self
+            .store
+            .ingest(member, batch, &self.settings.calendar, self.bounds())?;
         for damage in &batch.damage {
             let (segment, from, to) = (&damage.segment, damage.from, damage.to);
             tracing::error!(member, segment, from, to, "damaged bytes in a usage log");
         }
         if took.late > 0 {
-            tracing::warn!(member, late = took.late, "late records: they will adjust the next statement");
+            tracing::warn!(
+                member,
+                late = took.late,
+                "late records: they will adjust the next statement"
+            );
         }
         self.store.position(member)
     }
 
     /// Closes the next period if it may close at `now`.
     pub fn close_next(&mut self, now: i64) -> Result<Option<Statement>, Error> {
-        let Some(period) = self.store.next_period(&self.settings.calendar)? else { return Ok(None) };
+        let Some(period) = self.store.next_period(&self.settings.calendar)? else {
+            return Ok(None);
+        };
         let bounds = self.bounds();
         if now < bounds.seen(period).1 {
             return Ok(None);
@@ -93,11 +110,19 @@
             .into_iter()
             .map(|standing| (standing.member, standing.complete))
             .collect();
-        let took_part =
-            |member: &&crate::settings::Member| member.from < period.end && member.until > period.start;
-        let members = self.settings.members.iter().filter(|(_, member)| took_part(member));
+        let took_part = |member: &&crate::settings::Member| {
+            member.from < period.end && member.until > period.start
+        };
+        let members = self
+            .settings
+            .members
+            .iter()
+            .filter(|(_, member)| took_part(member));
         let members: Vec<Known> = members
-            .map(|(name, _)| Known { member: name.clone(), complete: complete.get(name).copied() })
+            .map(|(name, _)| Known {
+                member: name.clone(),
+                complete: complete.get(name).copied(),
+            })
             .collect();
         let missing = match closing(period, bounds, self.settings.grace, now, &members) {
             Closing::Whole => Vec::new(),
@@ -128,22 +153,37 @@
         let statement = self.store.close(period, &terms)?;
         let (lines, total) = (statement.lines.len(), statement.total);
         let missing = missing.join(" ");
-        tracing::info!(period = statement.period, lines, total, missing, "period closed");
+        tracing::info!(
+            period = statement.period,
+            lines,
+            total,
+            missing,
+            "period closed"
+        );
         Ok(Some(statement))
     }
 }
 
 /// Follows one member until it is aborted.
 async fn follow(
-    member: String, address: SocketAddr, path: PathBuf, waits: Arc<Mutex<Waits>>,
+    member: String,
+    address: SocketAddr,
+    path: PathBuf,
+    waits: Arc<Mutex<Waits>>,
     arrived: mpsc::Sender<Arrived>,
 ) {
     let mut failures: u32 = 0;
     loop {
         let began = Instant::now();
         let end = watch(&member, address, &path, &waits, &arrived).await;
-        let waits = *waits.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-        failures = if began.elapsed() > waits.silent { 0 } else { failures + 1 };
+        let waits = *waits
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
+        failures = if began.elapsed() > waits.silent {
+            0
+        } else {
+            failures + 1
+        };
         let wait = waits.again * 2u32.pow(failures.saturating_sub(1).min(MOST_DOUBLED));
         if failures <= 1 {
             tracing::info!(member, %address, error = end.err(), "collection ended; it will be asked again");
@@ -159,38 +199,83 @@
 }
 
 async fn watch(
-    member: &str, address: SocketAddr, path: &Path, waits: &Arc<Mutex<Waits>>,
+    member: &str,
+    address: SocketAddr,
+    path: &Path,
+    waits: &Arc<Mutex<Waits>>,
     arrived: &mpsc::Sender<Arrived>,
 ) -> Result<(), String> {
-    let silent = waits.lock().unwrap_or_else(std::sync::PoisonError::into_inner).silent;
+    let silent = waits
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner)
+        .silent;
     let endpoint = Endpoint::from_shared(format!("http://{address}")).map_err(|e| e.to_string())?;
-    let channel = endpoint.connect_timeout(silent).connect().await.map_err(|e| e.to_string())?;
+    let channel = endpoint
+        .connect_timeout(silent)
+        .connect()
+        .await
+        .map_err(|e| e.to_string())?;
     let mut client = UsageLogClient::new(channel).max_decoding_message_size(MOST_MESSAGE);
     // The store alone knows how far it got, whatever became of this process before.
     let path = path.to_path_buf();
     let name = member.to_string();
-    let after =
-        tokio::task::spawn_blocking(move || Store::open(&path).and_then(|store| store.position(&name))).await;
-    let after = after.map_err(|e| e.to_string())?.map_err(|e| e.to_string())?;
-    let request = FollowRequest { incarnation: after.incarnation, sequence: after.sequence };
-    let mut batches = client.follow(request).await.map_err(|e| e.to_string())?.into_inner();
+    let after = tokio::task::spawn_blocking(move || {
+        Store::open(&path).and_then(|store| store.position(&name))
+    })
+    .await;
+    let after = after
+        .map_err(|e| e.to_string())?
+        .map_err(|e| e.to_string())?;
+    let request = FollowRequest {
+        incarnation: after.incarnation,
+        sequence: after.sequence,
+    };
+    let mut batches = client
+        .follow(request)
+        .await
+        .map_err(|e| e.to_string())?
+        .into_inner();
     let mut acknowledged = Instant::now();
     loop {
-        let next = timeout(silent, batches.message()).await.map_err(|_| "silent for too long".to_string())?;
-        let Some(batch) = next.map_err(|e| e.to_string())? else { return Err("the stream ended".into()) };
+        let next = timeout(silent, batches.message())
+            .await
+            .map_err(|_| "silent for too long".to_string())?;
+        let Some(batch) = next.map_err(|e| e.to_string())? else {
+            return Err("the stream ended".into());
+        };
         if batch.header.is_none() && batch.entries.is_empty() && batch.damage.is_empty() {
             continue;
         }
-        if let Some(header) = batch.header.as_ref().filter(|header| header.mixer != member) {
+        if let Some(header) = batch
+            .header
+            .as_ref()
+            .filter(|header| header.mixer != member)
+        {
             return Err(format!("the mixer there is {}, not {member}", header.mixer));
         }
         let (stored, position) = oneshot::channel();
-        let sent = arrived.send(Arrived { member: member.into(), batch, stored }).await;
+        let sent = arrived
+            .send(Arrived {
+                member: member.into(),
+                batch,
+                stored,
+            })
+            .await;
         sent.map_err(|_| "the settlement ends".to_string())?;
-        let position = position.await.map_err(|_| "the store did not take it".to_string())?;
+        let position = position
+            .await
+            .map_err(|_| "the store did not take it".to_string())?;
         if acknowledged.elapsed() >= ACKNOWLEDGE {
-            let Position { incarnation, sequence } = position;
-            let said = client.acknowledge(AcknowledgeRequest { incarnation, sequence }).await;
+            let Position {
+                incarnation,
+                sequence,
+            } = position;
+            let said = client
+                .acknowledge(AcknowledgeRequest {
+                    incarnation,
+                    sequence,
+                })
+                .await;
             said.map_err(|e| e.to_string())?;
             acknowledged = Instant::now();
         }
@@ -199,18 +284,27 @@
 
 /// Sends what stands in the outbox, each document until it is acknowledged.
 fn export(
-    path: &Path, settings: &Arc<Mutex<Ledger>>, over: &std::sync::atomic::AtomicBool,
+    path: &Path,
+    settings: &Arc<Mutex<Ledger>>,
+    over: &std::sync::atomic::AtomicBool,
 ) -> Result<(), Error> {
     let store = Store::open(path)?;
     let mut next: HashMap<String, Instant> = HashMap::new();
     while !over.load(std::sync::atomic::Ordering::Relaxed) {
-        let to = settings.lock().unwrap_or_else(std::sync::PoisonError::into_inner).export.clone();
+        let to = settings
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
+            .export
+            .clone();
         if to.folder.is_some() || to.url.is_some() {
             for document in store.outbox(to.folder.is_some(), to.url.is_some())? {
                 if over.load(std::sync::atomic::Ordering::Relaxed) {
                     return Ok(());
                 }
-                if next.get(&document.id).is_some_and(|at| *at > Instant::now()) {
+                if next
+                    .get(&document.id)
+                    .is_some_and(|at| *at > Instant::now())
+                {
                     continue;
                 }
                 let (in_folder, posted, error) = export::send(&to, &document);
@@ -221,8 +315,16 @@
                     }
                     Some(error) => {
                         let attempts = document.attempts + 1;
-                        tracing::warn!(document = document.id, attempts, error, "document not acknowledged");
-                        next.insert(document.id, Instant::now() + export::wait(to.again, attempts));
+                        tracing::warn!(
+                            document = document.id,
+                            attempts,
+                            error,
+                            "document not acknowledged"
+                        );
+                        next.insert(
+                            document.id,
+                            Instant::now() + export::wait(to.again, attempts),
+                        );
                     }
                 }
             }
@@ -237,7 +339,9 @@
 /// # Errors
 /// The store can't be used.
 pub async fn serve(
-    path: PathBuf, settings: Ledger, mut controls: mpsc::Receiver<Control>,
+    path: PathBuf,
+    settings: Ledger,
+    mut controls: mpsc::Receiver<Control>,
 ) -> Result<(), Error> {
     let mut settlement = Settlement::new(Store::open(&path)?, settings.clone());
     let shared = Arc::new(Mutex::new(settings));
@@ -250,14 +354,18 @@
             }
         })
     };
-    let waits =
-        Arc::new(Mutex::new(Waits { again: settlement.settings.again, silent: settlement.settings.silent }));
+    let waits = Arc::new(Mutex::new(Waits {
+        again: settlement.settings.again,
+        silent: settlement.settings.silent,
+    }));
     let (send, mut arrived) = mpsc::channel(MOST_WAITING);
     let mut followed: BTreeMap<String, (SocketAddr, AbortHandle)> = BTreeMap::new();
     loop {
         let members = &settlement.settings.members;
         followed.retain(|name, (address, task)| {
-            let stays = members.get(name).is_some_and(|member| member.address == *address);
+            let stays = members
+                .get(name)
+                .is_some_and(|member| member.address == *address);
             if !stays {
                 task.abort();
             }
@@ -265,7 +373,13 @@
         });
         for (name, member) in members {
             followed.entry(name.clone()).or_insert_with(|| {
-                let task = follow(name.clone(), member.address, path.clone(), waits.clone(), send.clone());
+                let task = follow(
+                    name.clone(),
+                    member.address,
+                    path.clone(),
+                    waits.clone(),
+                    send.clone(),
+                );
                 (member.address, tokio::spawn(task).abort_handle())
             });
         }
--- a/crates/ledger/src/store/carried.rs
+++ b/crates/ledger/src/store/carried.rs
@@ -15,25 +15,40 @@
 
 /// The ids that a table holds for a period.
 pub(super) fn ids(db: &Connection, table: &str, period: i64) -> Result<BTreeSet<Id>> {
-    let mut rows =
-        db.prepare(&format!("SELECT at, member, incarnation, sequence FROM {table} WHERE period = ?"))?;
-    let rows = rows.query_map([period], |row| Ok((row.get(0)?, row.get(1)?, row.get(2)?, row.get(3)?)))?;
+    let mut rows = db.prepare(&format!(
+        "SELECT at, member, incarnation, sequence FROM {table} WHERE period = ?"
+    ))?;
+    let rows = rows.query_map([period], |row| {
+        Ok((row.get(0)?, row.get(1)?, row.get(2)?, row.get(3)?))
+    })?;
     Ok(rows.collect::<rusqlite::Result<_>>()?)
 }
 
 /// What settling this period has left.
 pub(super) fn left_by(db: &Connection, period: i64) -> Result<Over> {
-    Ok(Over { carried: ids(db, "carried", period)?, hints: ids(db, "hint", period)? })
+    Ok(Over {
+        carried: ids(db, "carried", period)?,
+        hints: ids(db, "hint", period)?,
+    })
 }
 
 /// Replaces the ids that a table holds for a period.
 pub(super) fn put_ids<'a>(
-    db: &Connection, table: &str, period: i64, ids: impl Iterator<Item = &'a Id>,
+    db: &Connection,
+    table: &str,
+    period: i64,
+    ids: impl Iterator<Item = &'a Id>,
 ) -> Result<()> {
     db.execute(&format!("DELETE FROM {table} WHERE period = ?"), [period])?;
     let mut insert = db.prepare(&format!("INSERT INTO {table} VALUES (?, ?, ?, ?, ?)"))?;
     for (at, member, incarnation, sequence) in ids {
-        insert.execute(params![period, at, member, *incarnation as i64, *sequence as i64])?;
+        insert.execute(params![
+            period,
+            at,
+            member,
+            *incarnation as i64,
+            *sequence as i64
+        ])?;
     }
     Ok(())
 }
--- a/crates/ledger/src/store/closing.rs
+++ b/crates/ledger/src/store/closing.rs
@@ -52,9 +52,14 @@
         let last = "SELECT max(end) FROM period WHERE start IN (SELECT period FROM statement)";
         let last: Option<i64> = self.db.query_row(last, [], |row| row.get(0))?;
         if let Some(end) = last {
-            return Ok(Some(Period { start: end, end: calendar.at(end).end }));
+            return Ok(Some(Period {
+                start: end,
+                end: calendar.at(end).end,
+            }));
         }
-        let first: Option<i64> = self.db.query_row("SELECT min(at) FROM record", [], |row| row.get(0))?;
+        let first: Option<i64> = self
+            .db
+            .query_row("SELECT min(at) FROM record", [], |row| row.get(0))?;
         Ok(first.map(|at| calendar.at(at)))
     }
 
@@ -75,12 +80,18 @@
         let corrections = take_waiting(&transaction, period)?;
         let lines: Vec<StatementLine> = lines.into_iter().map(|line| line.named(&names)).collect();
         let last = "SELECT hash FROM statement ORDER BY period DESC LIMIT 1";
-        let previous: Option<String> = transaction.query_row(last, [], |row| row.get(0)).optional()?;
+        let previous: Option<String> = transaction
+            .query_row(last, [], |row| row.get(0))
+            .optional()?;
         let statement = Statement {
             period: period.name(),
             end: stamp(period.end),
             closed: stamp(terms.now),
-            members: terms.members.iter().map(|member| member_state(member, terms, &standings)).collect(),
+            members: terms
+                .members
+                .iter()
+                .map(|member| member_state(member, terms, &standings))
+                .collect(),
             total: lines.iter().map(|line| line.amount).sum::<i64>()
                 + corrections.iter().map(|c| c.amount).sum::<i64>(),
             tenants: totals(&lines, &corrections, terms.allowances),
@@ -96,8 +107,12 @@
 
     /// Statements, oldest first, with their hashes.
     pub fn statements(&self) -> Result<Vec<(Statement, String, String)>> {
-        let mut rows = self.db.prepare("SELECT body, hash FROM statement ORDER BY period")?;
-        let rows = rows.query_map([], |row| Ok((row.get::<_, String>(0)?, row.get::<_, String>(1)?)))?;
+        let mut rows = self
+            .db
+            .prepare("SELECT body, hash FROM statement ORDER BY period")?;
+        let rows = rows.query_map([], |row| {
+            Ok((row.get::<_, String>(0)?, row.get::<_, String>(1)?))
+        })?;
         rows.map(|row| {
             let (body, hash) = row?;
             Ok((serde_json::from_str(&body)?, hash, body))
@@ -107,9 +122,17 @@
 
     /// The closed periods, and whether late records wait to be settled.
     pub fn periods(&self) -> Result<Vec<(Period, bool)>> {
-        let mut rows = self.db.prepare("SELECT start, end, dirty FROM period ORDER BY start")?;
+        let mut rows = self
+            .db
+            .prepare("SELECT start, end, dirty FROM period ORDER BY start")?;
         let rows = rows.query_map([], |row| {
-            Ok((Period { start: row.get(0)?, end: row.get(1)? }, row.get::<_, bool>(2)?))
+            Ok((
+                Period {
+                    start: row.get(0)?,
+                    end: row.get(1)?,
+                },
+                row.get::<_, bool>(2)?,
+            ))
         })?;
         Ok(rows.collect::<rusqlite::Result<_>>()?)
     }
@@ -117,7 +140,14 @@
 
 impl NumberedLine {
     fn named(self, names: &Names) -> StatementLine {
-        let NumberedLine { of, adjusts, key: (tenant, class), counts, amount, unpriced } = self;
+        let NumberedLine {
+            of,
+            adjusts,
+            key: (tenant, class),
+            counts,
+            amount,
+            unpriced,
+        } = self;
         StatementLine {
             tenant: name(names, tenant),
             class: name(names, class),
@@ -134,7 +164,10 @@
     let closed = "SELECT count(*) FROM statement WHERE period = ?";
     let closed: i64 = db.query_row(closed, [period.start], |row| row.get(0))?;
     if closed > 0 {
-        return Err(Error::Asked(format!("the period {} is closed", period.name())));
+        return Err(Error::Asked(format!(
+            "the period {} is closed",
+            period.name()
+        )));
     }
     Ok(())
 }
@@ -150,14 +183,20 @@
 }
 
 fn note_settled(db: &Connection, period: Period) -> Result<()> {
-    db.execute("UPDATE period SET dirty = 0 WHERE start = ?", [period.start])?;
+    db.execute(
+        "UPDATE period SET dirty = 0 WHERE start = ?",
+        [period.start],
+    )?;
     Ok(())
 }
 
 /// Settles the earlier periods again that late records have changed: a line for each difference from what statements
 /// have said, at the prices that were in force.
 fn settle_earlier(
-    db: &Connection, closing: Period, bounds: Bounds, names: &Names,
+    db: &Connection,
+    closing: Period,
+    bounds: Bounds,
+    names: &Names,
 ) -> Result<Vec<NumberedLine>> {
     let mut lines = Vec::new();
     while let Some((earlier, prices)) = next_unsettled(db, closing.start)? {
@@ -175,7 +214,9 @@
         let (stated, amounts) = stated(db, earlier)?;
         for (key, counts) in adjustments(&now, &stated) {
             let price = prices.get(&name(names, key.1)).copied();
-            let due = now.get(&key).map_or(0, |counts| amount(counts, price.unwrap_or_default()));
+            let due = now
+                .get(&key)
+                .map_or(0, |counts| amount(counts, price.unwrap_or_default()));
             let difference = due - amounts.get(&key).copied().unwrap_or_default();
             let unpriced = price.is_none();
             lines.push(NumberedLine {
@@ -192,25 +233,52 @@
 }
 
 /// Settles the period that closes.
-fn settle_own(db: &Connection, period: Period, terms: &Terms, names: &Names) -> Result<Vec<NumberedLine>> {
+fn settle_own(
+    db: &Connection,
+    period: Period,
+    terms: &Terms,
+    names: &Names,
+) -> Result<Vec<NumberedLine>> {
     let (own, _) = settle(db, period, terms.bounds)?;
     note_settled(db, period)?;
     let line = |(key, counts): (&(u32, u32), &Counts)| {
         let price = terms.prices.get(&name(names, key.1)).copied();
         let amount = amount(counts, price.unwrap_or_default());
         let unpriced = price.is_none();
-        NumberedLine { of: period, adjusts: false, key: *key, counts: *counts, amount, unpriced }
+        NumberedLine {
+            of: period,
+            adjusts: false,
+            key: *key,
+            counts: *counts,
+            amount,
+            unpriced,
+        }
     };
     Ok(own.iter().map(line).collect())
 }
 
 fn put_lines(db: &Connection, period: Period, lines: &[NumberedLine]) -> Result<()> {
-    for NumberedLine { of, key: (tenant, class), counts, amount, .. } in lines {
-        let mut values: Vec<i64> = vec![period.start, of.start, i64::from(*tenant), i64::from(*class)];
+    for NumberedLine {
+        of,
+        key: (tenant, class),
+        counts,
+        amount,
+        ..
+    } in lines
+    {
+        let mut values: Vec<i64> = vec![
+            period.start,
+            of.start,
+            i64::from(*tenant),
+            i64::from(*class),
+        ];
         values.extend(counts.values());
         values.push(*amount);
         let marks = vec!["?"; values.len()].join(", ");
-        db.execute(&format!("INSERT INTO line VALUES ({marks})"), rusqlite::params_from_iter(values))?;
+        db.execute(
+            &format!("INSERT INTO line VALUES ({marks})"),
+            rusqlite::params_from_iter(values),
+        )?;
     }
     Ok(())
 }
--- a/crates/ledger/src/store/corrections.rs
+++ b/crates/ledger/src/store/corrections.rs
@@ -12,13 +12,26 @@
     /// # Errors
     /// [`Error::Asked`] if a correction of that id was entered before.
     pub fn correct(
-        &mut self, correction: &CorrectionLine, period: Period, now: i64,
+        &mut self,
+        correction: &CorrectionLine,
+        period: Period,
+        now: i64,
     ) -> Result<Option<Document>> {
         let transaction = self.begin()?;
         let closed: Option<String> = transaction
-            .query_row("SELECT hash FROM statement WHERE period = ?", [period.start], |row| row.get(0))
+            .query_row(
+                "SELECT hash FROM statement WHERE period = ?",
+                [period.start],
+                |row| row.get(0),
+            )
             .optional()?;
-        let CorrectionLine { id, tenant, amount, reason, author } = correction;
+        let CorrectionLine {
+            id,
+            tenant,
+            amount,
+            reason,
+            author,
+        } = correction;
         let added = transaction.execute(
             "INSERT OR IGNORE INTO correction VALUES (?, ?, ?, ?, ?, ?, ?, NULL)",
             params![id, now, tenant, period.start, amount, reason, author],
@@ -40,7 +53,9 @@
             "SELECT id, tenant, amount, reason, author, period, statement IS NOT NULL FROM correction
              ORDER BY made, id",
         )?;
-        let rows = rows.query_map([], |row| Ok((correction(row)?, stamp(row.get(5)?), row.get(6)?)))?;
+        let rows = rows.query_map([], |row| {
+            Ok((correction(row)?, stamp(row.get(5)?), row.get(6)?))
+        })?;
         Ok(rows.collect::<rusqlite::Result<_>>()?)
     }
 }
--- a/crates/ledger/src/store/ingest.rs
+++ b/crates/ledger/src/store/ingest.rs
@@ -53,12 +53,24 @@
                 lost: row.get(4)?,
             })
         });
-        let new = RunProgress { sequence: 0, complete: i64::MIN, marked: 0, ended: false, lost: 0 };
+        let new = RunProgress {
+            sequence: 0,
+            complete: i64::MIN,
+            marked: 0,
+            ended: false,
+            lost: 0,
+        };
         Ok(progress.optional()?.unwrap_or(new))
     }
 
     fn write(&self, db: &Connection, (member, incarnation): (u32, i64)) -> Result<()> {
-        let RunProgress { sequence, complete, marked, ended, lost } = self;
+        let RunProgress {
+            sequence,
+            complete,
+            marked,
+            ended,
+            lost,
+        } = self;
         db.execute(
             "INSERT OR REPLACE INTO position VALUES (?, ?, ?, ?, ?, ?, ?)",
             params![member, incarnation, sequence, complete, marked, ended, lost],
@@ -69,7 +81,11 @@
     /// A record that was not known before: it widens the gap of those that never came, or fills a part of it.
     fn note_record(&mut self, sequence: i64) {
         let expected = self.sequence + 1;
-        self.lost += if sequence >= expected { sequence - expected } else { -1 };
+        self.lost += if sequence >= expected {
+            sequence - expected
+        } else {
+            -1
+        };
         self.sequence = self.sequence.max(sequence);
     }
 
@@ -89,9 +105,15 @@
     /// # Errors
     /// What SQLite reports; then no record of the batch is in the store.
     pub fn ingest(
-        &mut self, member: &str, batch: &Batch, calendar: &Calendar, bounds: Bounds,
+        &mut self,
+        member: &str,
+        batch: &Batch,
+        calendar: &Calendar,
+        bounds: Bounds,
     ) -> Result<Ingested> {
-        let Some(header) = &batch.header else { return Ok(Ingested::default()) };
+        let Some(header) = &batch.header else {
+            return Ok(Ingested::default());
+        };
         let names = self.batch_names(member, header)?;
         let run = (names.member, header.incarnation as i64);
         let transaction = self.begin()?;
@@ -135,7 +157,10 @@
 
     fn batch_names(&mut self, member: &str, header: &Header) -> Result<BatchNames> {
         let member = self.number("member", member)?;
-        let tenants = header.tenants.iter().map(|tenant| self.number("tenant", tenant));
+        let tenants = header
+            .tenants
+            .iter()
+            .map(|tenant| self.number("tenant", tenant));
         let tenants = tenants.collect::<Result<_>>()?;
         let all = self.number("tenant", "all")?;
         let mut classes = Vec::new();
@@ -143,7 +168,13 @@
             classes.push((self.number("class", &class.name)?, class.give_up_ms as i64));
         }
         let unknown_class = self.number("class", "unknown")?;
-        Ok(BatchNames { member, tenants, all, classes, unknown_class })
+        Ok(BatchNames {
+            member,
+            tenants,
+            all,
+            classes,
+            unknown_class,
+        })
     }
 }
 
@@ -159,11 +190,18 @@
 
 /// Whether the record is new.
 fn insert_record(
-    insert: &mut Statement, names: &BatchNames, (member, incarnation): (u32, i64), record: &Record,
+    insert: &mut Statement,
+    names: &BatchNames,
+    (member, incarnation): (u32, i64),
+    record: &Record,
 ) -> Result<bool> {
     let class = names.classes.get(record.class as usize).copied();
     let (class, give_up) = class.unwrap_or((names.unknown_class, 0));
-    let tenant = names.tenants.get(record.tenant as usize).copied().unwrap_or(names.all);
+    let tenant = names
+        .tenants
+        .get(record.tenant as usize)
+        .copied()
+        .unwrap_or(names.all);
     let flags = i64::from(record.repeat) | i64::from(record.keyed) << 1;
     let inserted = insert.execute(params![
         record.arrived_ms as i64,
@@ -185,21 +223,28 @@
 }
 
 /// A record has come that closed periods should have seen, or for a time that no period was ever made for.
-fn note_late(db: &Connection, at: i64, closed: bool, calendar: &Calendar, bounds: Bounds) -> Result<()> {
-    db.prepare_cached("UPDATE period SET dirty = 1 WHERE start - ?2 <= ?1 AND end + ?3 > ?1")?.execute([
-        at,
-        bounds.skew,
-        bounds.after(),
-    ])?;
+fn note_late(
+    db: &Connection,
+    at: i64,
+    closed: bool,
+    calendar: &Calendar,
+    bounds: Bounds,
+) -> Result<()> {
+    db.prepare_cached("UPDATE period SET dirty = 1 WHERE start - ?2 <= ?1 AND end + ?3 > ?1")?
+        .execute([at, bounds.skew, bounds.after()])?;
     let covering = "SELECT count(*) FROM period WHERE start <= ? AND end > ?";
-    let covering: i64 = db.prepare_cached(covering)?.query_row([at, at], |row| row.get(0))?;
+    let covering: i64 = db
+        .prepare_cached(covering)?
+        .query_row([at, at], |row| row.get(0))?;
     if closed && covering == 0 {
         let period = calendar.at(at);
         // Not over its neighbours, should the calendar have been another then.
         let after = "SELECT min(start) FROM period WHERE start > ?";
         let after: Option<i64> = db.query_row(after, [at], |row| row.get(0))?;
         let before: Option<i64> =
-            db.query_row("SELECT max(end) FROM period WHERE end <= ?", [at], |row| row.get(0))?;
+            db.query_row("SELECT max(end) FROM period WHERE end <= ?", [at], |row| {
+                row.get(0)
+            })?;
         let start = period.start.max(before.unwrap_or(i64::MIN));
         let end = period.end.min(after.unwrap_or(i64::MAX));
         db.execute("INSERT INTO period VALUES (?, ?, '{}', 1)", [start, end])?;
@@ -209,14 +254,29 @@
 
 /// Has periods settled again that runs concern whose last answers have come into doubt, or out of it.
 fn note_changed_runs(
-    db: &Connection, before: &HashMap<RunId, Unconfirmed>, after: &HashMap<RunId, Unconfirmed>,
+    db: &Connection,
+    before: &HashMap<RunId, Unconfirmed>,
+    after: &HashMap<RunId, Unconfirmed>,
     bounds: Bounds,
 ) -> Result<()> {
     let runs: BTreeSet<_> = before.keys().chain(after.keys()).copied().collect();
-    for run in runs.into_iter().filter(|run| before.get(run) != after.get(run)) {
+    for run in runs
+        .into_iter()
+        .filter(|run| before.get(run) != after.get(run))
+    {
         let both = [before.get(&run), after.get(&run)];
-        let past = both.iter().flatten().map(|it| it.marked).min().unwrap_or_default();
-        let since = both.iter().flatten().map(|it| it.complete).min().unwrap_or_default();
+        let past = both
+            .iter()
+            .flatten()
+            .map(|it| it.marked)
+            .min()
+            .unwrap_or_default();
+        let since = both
+            .iter()
+            .flatten()
+            .map(|it| it.complete)
+            .min()
+            .unwrap_or_default();
         note_changed_run(db, run, past, since, bounds)?;
     }
     Ok(())
@@ -224,7 +284,13 @@
 
 /// A run's last answers have come into doubt, or out of it: whoever retried them may be joined otherwise now, and
 /// periods closed with the other reading are settled again.
-fn note_changed_run(db: &Connection, run: RunId, past: u64, since: i64, bounds: Bounds) -> Result<()> {
+fn note_changed_run(
+    db: &Connection,
+    run: RunId,
+    past: u64,
+    since: i64,
+    bounds: Bounds,
+) -> Result<()> {
     db.execute(
         "UPDATE period SET dirty = 1 WHERE end + ?6 > ?4 AND EXISTS (SELECT 1 FROM record
            WHERE at >= max(start - ?5, ?4) AND at < end + ?6 AND member = ?1 AND incarnation = ?2 AND sequence > ?3)",
--- a/crates/ledger/src/store/members.rs
+++ b/crates/ledger/src/store/members.rs
@@ -23,8 +23,17 @@
     pub fn position(&self, member: &str) -> Result<Position> {
         let last = "SELECT incarnation, sequence FROM position JOIN name ON name.id = member
             WHERE kind = 'member' AND text = ? ORDER BY incarnation DESC LIMIT 1";
-        let position = |row: &Row| Ok(Position { incarnation: row.get(0)?, sequence: row.get(1)? });
-        Ok(self.db.query_row(last, [member], position).optional()?.unwrap_or_default())
+        let position = |row: &Row| {
+            Ok(Position {
+                incarnation: row.get(0)?,
+                sequence: row.get(1)?,
+            })
+        };
+        Ok(self
+            .db
+            .query_row(last, [member], position)
+            .optional()?
+            .unwrap_or_default())
     }
 
     /// How the members stand that were ever heard of.
@@ -42,7 +51,10 @@
         let rows = rows.query_map([], |row| {
             Ok(Standing {
                 member: row.get(0)?,
-                position: Position { incarnation: row.get(1)?, sequence: row.get(2)? },
+                position: Position {
+                    incarnation: row.get(1)?,
+                    sequence: row.get(2)?,
+                },
                 complete: row.get(3)?,
                 ended: row.get(4)?,
                 records: row.get(5)?,
@@ -61,8 +73,9 @@
              JOIN name c ON c.id = r.class JOIN name m ON m.id = r.member
              WHERE m.kind = 'member' AND m.text = ? AND r.incarnation = ? GROUP BY 1",
         )?;
-        let rows =
-            rows.query_map(params![member, incarnation as i64], |row| Ok((row.get(0)?, row.get(1)?)))?;
+        let rows = rows.query_map(params![member, incarnation as i64], |row| {
+            Ok((row.get(0)?, row.get(1)?))
+        })?;
         Ok(rows.collect::<rusqlite::Result<_>>()?)
     }
 }
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -72,11 +72,16 @@
         db.pragma_update(None, "synchronous", "full")?;
         db.pragma_update(None, "cache_size", -8192)?;
         schema::migrate(&mut db)?;
-        Ok(Store { db, names: HashMap::new() })
+        Ok(Store {
+            db,
+            names: HashMap::new(),
+        })
     }
 
     fn begin(&mut self) -> Result<Transaction<'_>> {
-        Ok(self.db.transaction_with_behavior(TransactionBehavior::Immediate)?)
+        Ok(self
+            .db
+            .transaction_with_behavior(TransactionBehavior::Immediate)?)
     }
 
     /// The number of a name, made where it is new.
@@ -84,9 +89,14 @@
         if let Some(id) = self.names.get(&(kind, text.to_string())) {
             return Ok(*id);
         }
-        self.db.execute("INSERT OR IGNORE INTO name (kind, text) VALUES (?, ?)", params![kind, text])?;
+        self.db.execute(
+            "INSERT OR IGNORE INTO name (kind, text) VALUES (?, ?)",
+            params![kind, text],
+        )?;
         let id = "SELECT id FROM name WHERE kind = ? AND text = ?";
-        let id: u32 = self.db.query_row(id, params![kind, text], |row| row.get(0))?;
+        let id: u32 = self
+            .db
+            .query_row(id, params![kind, text], |row| row.get(0))?;
         self.names.insert((kind, text.to_string()), id);
         Ok(id)
     }
--- a/crates/ledger/src/store/outbox.rs
+++ b/crates/ledger/src/store/outbox.rs
@@ -36,7 +36,14 @@
     }
 
     /// Notes that a document is in the folder, was posted, or failed.
-    pub fn sent(&self, id: &str, folder: bool, posted: bool, error: Option<&str>, now: i64) -> Result<()> {
+    pub fn sent(
+        &self,
+        id: &str,
+        folder: bool,
+        posted: bool,
+        error: Option<&str>,
+        now: i64,
+    ) -> Result<()> {
         let done = |done: bool| done.then_some(now);
         self.db.execute(
             "UPDATE outbox SET folder = coalesce(folder, ?), posted = coalesce(posted, ?), error = ?,
--- a/crates/ledger/src/store/records.rs
+++ b/crates/ledger/src/store/records.rs
@@ -28,7 +28,12 @@
 }
 
 /// The records that arrived from `from` up to without `until`, in the order of their ids, one after another.
-pub(super) fn for_each_try(db: &Connection, from: i64, until: i64, mut with: impl FnMut(Try)) -> Result<()> {
+pub(super) fn for_each_try(
+    db: &Connection,
+    from: i64,
+    until: i64,
+    mut with: impl FnMut(Try),
+) -> Result<()> {
     let doubtful = unconfirmed_runs(db, None)?;
     let mut rows = db.prepare_cached(
         "SELECT at, member, incarnation, sequence, tenant, class, outcome, share, parts, attempts, crossed, flags,
@@ -37,21 +42,28 @@
     let mut rows = rows.query(params![from, until])?;
     while let Some(row) = rows.next()? {
         let mut one = read_try(row)?;
-        one.doubtful =
-            doubtful.get(&(one.member, one.incarnation)).is_some_and(|run| one.sequence > run.marked);
+        one.doubtful = doubtful
+            .get(&(one.member, one.incarnation))
+            .is_some_and(|run| one.sequence > run.marked);
         with(one);
     }
     Ok(())
 }
 
 /// The runs whose last answers are in doubt: a later run of their member began and they never said that they ended.
-pub(super) fn unconfirmed_runs(db: &Connection, member: Option<u32>) -> Result<HashMap<RunId, Unconfirmed>> {
+pub(super) fn unconfirmed_runs(
+    db: &Connection,
+    member: Option<u32>,
+) -> Result<HashMap<RunId, Unconfirmed>> {
     let mut runs = db.prepare_cached(
         "SELECT member, incarnation, marked, complete FROM position p WHERE NOT ended AND member = coalesce(?, member)
            AND EXISTS (SELECT 1 FROM position o WHERE o.member = p.member AND o.incarnation > p.incarnation)",
     )?;
     let runs = runs.query_map([member], |row| {
-        let unconfirmed = Unconfirmed { marked: row.get(2)?, complete: row.get(3)? };
+        let unconfirmed = Unconfirmed {
+            marked: row.get(2)?,
+            complete: row.get(3)?,
+        };
         Ok(((row.get(0)?, row.get(1)?), unconfirmed))
     })?;
     Ok(runs.collect::<rusqlite::Result<_>>()?)
--- a/crates/ledger/src/store/settling.rs
+++ b/crates/ledger/src/store/settling.rs
@@ -30,10 +30,20 @@
 /// The next closed period that has to be settled again, with its prices, one after another: settling one may call
 /// for the one after it.
 pub(super) fn next_unsettled(
-    db: &Connection, before: i64,
+    db: &Connection,
+    before: i64,
 ) -> Result<Option<(Period, BTreeMap<String, Price>)>> {
-    let next = "SELECT start, end, prices FROM period WHERE dirty AND start < ? ORDER BY start LIMIT 1";
-    let read = |row: &Row| Ok((Period { start: row.get(0)?, end: row.get(1)? }, row.get::<_, String>(2)?));
+    let next =
+        "SELECT start, end, prices FROM period WHERE dirty AND start < ? ORDER BY start LIMIT 1";
+    let read = |row: &Row| {
+        Ok((
+            Period {
+                start: row.get(0)?,
+                end: row.get(1)?,
+            },
+            row.get::<_, String>(2)?,
+        ))
+    };
     match db.query_row(next, [before], read).optional()? {
         Some((period, prices)) => Ok(Some((period, serde_json::from_str(&prices)?))),
         None => Ok(None),
--- a/crates/ledger/src/store/statement.rs
+++ b/crates/ledger/src/store/statement.rs
@@ -81,12 +81,18 @@
 
 /// The totals of each tenant that has a line or a correction, by name.
 pub(super) fn totals(
-    lines: &[StatementLine], corrections: &[CorrectionLine], allowances: &BTreeMap<String, u64>,
+    lines: &[StatementLine],
+    corrections: &[CorrectionLine],
+    allowances: &BTreeMap<String, u64>,
 ) -> Vec<TenantTotal> {
     let mut totals: BTreeMap<&str, (i64, i64)> = BTreeMap::new();
     for line in lines {
         let (answered, amount) = totals.entry(&line.tenant).or_default();
-        *answered += if line.adjusts { 0 } else { line.counts.answered() };
+        *answered += if line.adjusts {
+            0
+        } else {
+            line.counts.answered()
+        };
         *amount += line.amount;
     }
     for correction in corrections {
@@ -94,7 +100,13 @@
     }
     let total = |(tenant, (answered, amount)): (&str, (i64, i64))| {
         let allowance = allowances.get(tenant).copied();
-        TenantTotal { tenant: tenant.into(), answered, allowance, over: over(answered, allowance), amount }
+        TenantTotal {
+            tenant: tenant.into(),
+            answered,
+            allowance,
+            over: over(answered, allowance),
+            amount,
+        }
     };
     totals.into_iter().map(total).collect()
 }
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -82,7 +82,12 @@
 ///
 /// # Errors
 /// As [`start`].
-pub fn start_on(disk: impl Disk, settings: &UsageLog, names: Names, now: u64) -> io::Result<Writer> {
+pub fn start_on(
+    disk: impl Disk,
+    settings: &UsageLog,
+    names: Names,
+    now: u64,
+) -> io::Result<Writer> {
     let directory = &settings.directory;
     let at = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", directory.display()));
     fs::create_dir_all(directory).map_err(at)?;
@@ -93,7 +98,10 @@
         .open(directory.join("lock"))
         .map_err(at)?;
     if lock.try_lock().is_err() {
-        return Err(io::Error::other(format!("{}: another mixer writes this log", directory.display())));
+        return Err(io::Error::other(format!(
+            "{}: another mixer writes this log",
+            directory.display()
+        )));
     }
     let before = segments(directory).map_err(at)?;
     if let Some(last) = before.last() {
@@ -109,13 +117,21 @@
     // Later than any run before, also where the clock has stepped back.
     let last = before.last().map_or(0, |segment| segment.incarnation);
     let incarnation = (now / 1_000_000).max(last + 1);
-    let classes = names.classes.iter().zip(names.give_up.iter().chain(std::iter::repeat(&0)));
+    let classes = names
+        .classes
+        .iter()
+        .zip(names.give_up.iter().chain(std::iter::repeat(&0)));
     let header = Header {
         version: VERSION,
         mixer: names.mixer,
         incarnation,
         first_sequence: 1,
-        classes: classes.map(|(name, ns)| Class { name: name.clone(), give_up_ms: ns / 1_000_000 }).collect(),
+        classes: classes
+            .map(|(name, ns)| Class {
+                name: name.clone(),
+                give_up_ms: ns / 1_000_000,
+            })
+            .collect(),
         tenants: names.tenants,
     };
     let (queue, entries) = sync_channel(settings.queue);
@@ -133,16 +149,26 @@
         counts: counts.clone(),
         failed: None,
     };
-    let thread = thread::Builder::new().name("usage log".into()).spawn(move || job.run(&entries))?;
+    let thread = thread::Builder::new()
+        .name("usage log".into())
+        .spawn(move || job.run(&entries))?;
     tracing::info!(directory = %directory.display(), incarnation, "usage log opened");
-    Ok(Writer { queue: Some(queue), written, counts, stall: settings.stall, thread: Some(thread) })
+    Ok(Writer {
+        queue: Some(queue),
+        written,
+        counts,
+        stall: settings.stall,
+        thread: Some(thread),
+    })
 }
 
 impl Writer {
     /// Hands an entry on without waiting; false if there is no room.
     pub fn offer(&mut self, what: What) -> bool {
         let entry = Entry { what: Some(what) };
-        self.queue.as_ref().is_some_and(|queue| queue.try_send(entry).is_ok())
+        self.queue
+            .as_ref()
+            .is_some_and(|queue| queue.try_send(entry).is_ok())
     }
 
     pub fn counts(&self) -> &Counts {
@@ -168,14 +194,19 @@
     pub fn note_late(&self) {
         let late = self.counts.late.fetch_add(1, Ordering::Relaxed) + 1;
         if late.is_power_of_two() {
-            tracing::warn!(late, "answers that left before their usage record: the log has stalled");
+            tracing::warn!(
+                late,
+                "answers that left before their usage record: the log has stalled"
+            );
         }
     }
 
     /// Ends the writer once all that waits is written, or after a bounded time.
     pub fn finish(&mut self) {
         self.queue = None;
-        let Some(thread) = self.thread.take() else { return };
+        let Some(thread) = self.thread.take() else {
+            return;
+        };
         let until = Instant::now() + CLOSE;
         while !thread.is_finished() && Instant::now() < until {
             thread::sleep(Duration::from_millis(1));
@@ -186,7 +217,8 @@
             tracing::error!("the usage log did not take its last records in time");
         }
         let (written, lost, late) = (&self.counts.written, &self.counts.lost, &self.counts.late);
-        let [written, lost, late] = [written, lost, late].map(|count| count.load(Ordering::Relaxed));
+        let [written, lost, late] =
+            [written, lost, late].map(|count| count.load(Ordering::Relaxed));
         tracing::info!(written, lost, late, "usage log closed");
     }
 }
@@ -251,7 +283,11 @@
         if self.failed.is_some_and(|at| at.elapsed() < TRY_AGAIN) {
             return Err(io::Error::other("it could not be a moment ago"));
         }
-        if self.open.as_ref().is_some_and(|(_, length)| *length >= self.segment_bytes) {
+        if self
+            .open
+            .as_ref()
+            .is_some_and(|(_, length)| *length >= self.segment_bytes)
+        {
             self.open = None;
         }
         let (mut file, length) = match self.open.take() {
@@ -283,13 +319,18 @@
             log_bytes += fs::metadata(&segment.path).map_or(0, |file| file.len());
         }
         if log_bytes + self.segment_bytes > self.keep_bytes {
-            return Err(io::Error::other("it holds as much as it may; nothing of it has been settled"));
+            return Err(io::Error::other(
+                "it holds as much as it may; nothing of it has been settled",
+            ));
         }
         self.header.first_sequence = first;
         let mut bytes = MAGIC.to_vec();
         put_frame(&mut bytes, &self.header);
         let segment = Segment::new(&self.directory, self.header.incarnation, first);
-        let mut file = OpenOptions::new().append(true).create(true).open(&segment.path)?;
+        let mut file = OpenOptions::new()
+            .append(true)
+            .create(true)
+            .open(&segment.path)?;
         file.set_len(0)?;
         if let Err(e) = self.disk.append(&mut file, &bytes) {
             let _ = fs::remove_file(&segment.path);
@@ -310,9 +351,15 @@
     for pair in all.windows(2) {
         let [segment, next] = pair else { continue };
         let same = next.incarnation == segment.incarnation;
-        let settled =
-            Position { incarnation: segment.incarnation, sequence: next.first_sequence.saturating_sub(1) };
-        if if same { upto >= settled } else { upto.incarnation > segment.incarnation } {
+        let settled = Position {
+            incarnation: segment.incarnation,
+            sequence: next.first_sequence.saturating_sub(1),
+        };
+        if if same {
+            upto >= settled
+        } else {
+            upto.incarnation > segment.incarnation
+        } {
             fs::remove_file(&segment.path)?;
             gone += 1;
         }
@@ -322,10 +369,20 @@
 
 /// A record as it goes into the log.
 pub fn record(sequence: u64, arrived_ms: u64, outcome: Outcome, share: u32) -> Record {
-    Record { sequence, arrived_ms, outcome: outcome.into(), share, ..Record::default() }
+    Record {
+        sequence,
+        arrived_ms,
+        outcome: outcome.into(),
+        share,
+        ..Record::default()
+    }
 }
 
 /// A mark as it goes into the log.
 pub fn mark(sequence: u64, complete_ms: u64, end: bool) -> What {
-    What::Mark(Mark { sequence, complete_ms, end })
+    What::Mark(Mark {
+        sequence,
+        complete_ms,
+        end,
+    })
 }
