--- a/crates/mixer/src/config.rs
+++ b/crates/mixer/src/config.rs
@@ -75,7 +75,8 @@
         let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let text = flatten(&file.settings)?;
         let (settings, site) = (settings::parse(&text)?, settings::site(&text)?);
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| format!("bad seed '{}'", file.seed))?;
+        let seed =
+            u64::from_str_radix(&file.seed, 16).map_err(|_| format!("bad seed '{}'", file.seed))?;
         let names = Names {
             classes: site.classes.clone(),
             tenants: site.tenants.clone(),
@@ -89,10 +90,29 @@
             peers: file.peers,
             peers_all: file.peers_all,
         };
-        let descriptors = file.limits.as_ref().map_or(SOCKETS, |limits| limits.sockets.min(SOCKETS));
+        let descriptors = file
+            .limits
+            .as_ref()
+            .map_or(SOCKETS, |limits| limits.sockets.min(SOCKETS));
         let memory = file.limits.as_ref().and_then(Limits::memory);
-        let File { name, listen, known, .. } = file;
-        Ok(Config { name, listen, site, settings, seed, descriptors, memory, known, addresses, names })
+        let File {
+            name,
+            listen,
+            known,
+            ..
+        } = file;
+        Ok(Config {
+            name,
+            listen,
+            site,
+            settings,
+            seed,
+            descriptors,
+            memory,
+            known,
+            addresses,
+            names,
+        })
     }
 }
 
@@ -102,11 +122,24 @@
         let changed = [
             ("name", self.name != next.name),
             ("listen", self.listen != next.listen),
-            ("limits", (self.descriptors, self.memory) != (next.descriptors, next.memory)),
-            ("peer_listen", self.addresses.peer_listen != next.addresses.peer_listen),
-            ("settings", self.site != next.site || self.settings != next.settings),
+            (
+                "limits",
+                (self.descriptors, self.memory) != (next.descriptors, next.memory),
+            ),
+            (
+                "peer_listen",
+                self.addresses.peer_listen != next.addresses.peer_listen,
+            ),
+            (
+                "settings",
+                self.site != next.site || self.settings != next.settings,
+            ),
         ];
-        changed.into_iter().filter(|(_, changed)| *changed).map(|(what, _)| what).collect()
+        changed
+            .into_iter()
+            .filter(|(_, changed)| *changed)
+            .map(|(what, _)| what)
+            .collect()
     }
 }
 
@@ -121,12 +154,23 @@
 }
 
 fn put(out: &mut String, path: &str, value: &Value) {
-    let under = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let under = |name: &str| {
+        if path.is_empty() {
+            name.to_string()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, value)| put(out, &under(name), value)),
+        Value::Object(fields) => fields
+            .iter()
+            .for_each(|(name, value)| put(out, &under(name), value)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             put(out, &under("count"), &items.len().into());
-            items.iter().enumerate().for_each(|(i, item)| put(out, &under(&i.to_string()), item));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, item)| put(out, &under(&i.to_string()), item));
         }
         Value::Array(items) => {
             let items: Vec<String> = items.iter().map(plain).collect();
--- a/crates/mixer/src/protocol/discovery.rs
+++ b/crates/mixer/src/protocol/discovery.rs
@@ -103,7 +103,11 @@
     /// The list has so many entries, over [`MOST_ENTRIES`].
     TooManyEntries { index: u64, entries: usize },
     /// An entry of changes names nobody, so what it changes is not known.
-    Nameless { index: u64, entry: usize, why: String },
+    Nameless {
+        index: u64,
+        entry: usize,
+        why: String,
+    },
     /// Not the JSON of a list, in a message of so many bytes.
     Unreadable { bytes: usize, why: String },
 }
@@ -111,7 +115,10 @@
 impl Refused {
     /// The list is longer than the mixer takes.
     pub fn is_over_bound(&self) -> bool {
-        matches!(self, Refused::TooManyBytes { .. } | Refused::TooManyEntries { .. })
+        matches!(
+            self,
+            Refused::TooManyBytes { .. } | Refused::TooManyEntries { .. }
+        )
     }
 }
 
@@ -121,10 +128,16 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Refused::TooManyBytes { most } => {
-                write!(f, "a list of over {most} bytes, the most that is accepted in one message")
+                write!(
+                    f,
+                    "a list of over {most} bytes, the most that is accepted in one message"
+                )
             }
             Refused::TooManyEntries { index, entries } => {
-                write!(f, "{entries} entries in version {index}, {MOST_ENTRIES} at most are accepted")
+                write!(
+                    f,
+                    "{entries} entries in version {index}, {MOST_ENTRIES} at most are accepted"
+                )
             }
             Refused::Nameless { index, entry, why } => {
                 write!(f, "entry {entry} of version {index} names nobody: {why}")
@@ -226,24 +239,57 @@
         };
         let Ok(Named { name }) = serde_json::from_str(text) else {
             self.nameless.get_or_insert_with(|| (entry, why.clone()));
-            return self.note(Fault { entry, name: None, why });
+            return self.note(Fault {
+                entry,
+                name: None,
+                why,
+            });
         };
         let (name, zone): (Box<str>, _) = (name.into(), self.zone(""));
-        self.note(Fault { entry, name: Some(name.clone()), why });
+        self.note(Fault {
+            entry,
+            name: Some(name.clone()),
+            why,
+        });
         let status = Status::Draining;
-        self.endpoints.push(Endpoint { name, address: None, zone, group: 0, status, since_ms: 0 });
+        self.endpoints.push(Endpoint {
+            name,
+            address: None,
+            zone,
+            group: 0,
+            status,
+            since_ms: 0,
+        });
     }
 
     fn add_usable(&mut self, entry: usize, written: Entry) {
-        let Entry { name, address: stated, zone, group, status, since_ms } = written;
+        let Entry {
+            name,
+            address: stated,
+            zone,
+            group,
+            status,
+            since_ms,
+        } = written;
         let (name, zone): (Box<str>, _) = (name.into(), self.zone(&zone));
         let address = stated.parse::<SocketAddr>().ok().map(Address::from);
         if address.is_none() && status == Status::Up {
             // What is up can't be reached without one.
             let why = format!("listed as up without a usable address: \"{stated}\" is no IP:PORT");
-            self.note(Fault { entry, name: Some(name.clone()), why });
+            self.note(Fault {
+                entry,
+                name: Some(name.clone()),
+                why,
+            });
         }
-        self.endpoints.push(Endpoint { name, address, zone, group, status, since_ms });
+        self.endpoints.push(Endpoint {
+            name,
+            address,
+            zone,
+            group,
+            status,
+            since_ms,
+        });
     }
 
     fn zone(&mut self, name: &str) -> Arc<str> {
@@ -265,13 +311,19 @@
     fn log_faults(&self, index: u64) {
         for Fault { entry, name, why } in &self.faults {
             match name {
-                Some(name) => tracing::warn!(index, entry, name, "listed with what can't be used: {why}"),
+                Some(name) => {
+                    tracing::warn!(index, entry, name, "listed with what can't be used: {why}")
+                }
                 None => tracing::warn!(index, entry, "listed without a name: {why}"),
             }
         }
         let more = self.faulty - self.faults.len();
         if more > 0 {
-            tracing::warn!(index, more, "further entries were listed with what can't be used");
+            tracing::warn!(
+                index,
+                more,
+                "further entries were listed with what can't be used"
+            );
         }
     }
 }
@@ -281,14 +333,26 @@
 
     /// Where an entry names nobody, a whole list is still right without it; of changes nobody knows what they lack.
     fn try_from(message: Message) -> Result<Listing, Refused> {
-        let Message { index, snapshot, endpoints: entries } = message;
+        let Message {
+            index,
+            snapshot,
+            endpoints: entries,
+        } = message;
         if entries.count > MOST_ENTRIES {
-            return Err(Refused::TooManyEntries { index, entries: entries.count });
+            return Err(Refused::TooManyEntries {
+                index,
+                entries: entries.count,
+            });
         }
         entries.log_faults(index);
         match entries.nameless {
             Some((entry, why)) if !snapshot => Err(Refused::Nameless { index, entry, why }),
-            _ => Ok(Listing { index, snapshot, endpoints: entries.endpoints, unusable: entries.faulty }),
+            _ => Ok(Listing {
+                index,
+                snapshot,
+                endpoints: entries.endpoints,
+                unusable: entries.faulty,
+            }),
         }
     }
 }
@@ -301,8 +365,10 @@
     if object.is_empty() {
         return Ok(None);
     }
-    let unreadable =
-        |why: serde_json::Error| Refused::Unreadable { bytes: object.len(), why: why.to_string() };
+    let unreadable = |why: serde_json::Error| Refused::Unreadable {
+        bytes: object.len(),
+        why: why.to_string(),
+    };
     let message: Message = serde_json::from_slice(object).map_err(unreadable)?;
     message.try_into().map(Some)
 }
@@ -327,7 +393,11 @@
     /// The next one that is whole. What is none comes out at its first byte, for [`read`] to name.
     pub fn whole(&mut self) -> Option<Bytes> {
         if self.seen == 0 {
-            let blank = self.buffer.iter().take_while(|byte| byte.is_ascii_whitespace()).count();
+            let blank = self
+                .buffer
+                .iter()
+                .take_while(|byte| byte.is_ascii_whitespace())
+                .count();
             self.buffer.advance(blank);
         }
         while let Some(byte) = self.buffer.get(self.seen) {
--- a/crates/mixer/src/protocol/http.rs
+++ b/crates/mixer/src/protocol/http.rs
@@ -46,7 +46,10 @@
 impl Request {
     /// The value of the first header field of this name, which has to be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(n, _)| n == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, value)| value.as_str())
     }
 }
 
@@ -85,7 +88,12 @@
 impl Body {
     /// Moves what has arrived of the body from `src` to `out`, which may grow to `most` bytes; true once the body is
     /// whole.
-    fn read(&mut self, src: &mut BytesMut, out: &mut BytesMut, most: usize) -> Result<bool, Broken> {
+    fn read(
+        &mut self,
+        src: &mut BytesMut,
+        out: &mut BytesMut,
+        most: usize,
+    ) -> Result<bool, Broken> {
         loop {
             match self {
                 Body::Length(left) | Body::ChunkData(left) => {
@@ -99,15 +107,25 @@
                     if *left > 0 {
                         return Ok(false);
                     }
-                    *self = if matches!(self, Body::Length(_)) { Body::Done } else { Body::ChunkEnd };
+                    *self = if matches!(self, Body::Length(_)) {
+                        Body::Done
+                    } else {
+                        Body::ChunkEnd
+                    };
                 }
                 Body::ChunkLine => match httparse::parse_chunk_size(src) {
                     Ok(httparse::Status::Complete((line, size))) => {
                         src.advance(line);
                         let size = usize::try_from(size).map_err(|_| Broken::TooLarge)?;
-                        *self = if size == 0 { Body::Trailer } else { Body::ChunkData(size) };
+                        *self = if size == 0 {
+                            Body::Trailer
+                        } else {
+                            Body::ChunkData(size)
+                        };
+                    }
+                    Ok(httparse::Status::Partial) if src.len() <= MOST_CHUNK_LINE => {
+                        return Ok(false)
                     }
-                    Ok(httparse::Status::Partial) if src.len() <= MOST_CHUNK_LINE => return Ok(false),
                     _ => return Err(Broken::Chunk),
                 },
                 Body::ChunkEnd => {
@@ -143,7 +161,10 @@
         let found = if header.name.eq_ignore_ascii_case("content-length") {
             // Digits only: a sign or a list here is how requests are smuggled past a front.
             let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
-            let text = std::str::from_utf8(value).ok().filter(|_| digits).ok_or("bad length")?;
+            let text = std::str::from_utf8(value)
+                .ok()
+                .filter(|_| digits)
+                .ok_or("bad length")?;
             // A length that overflows is too large, not malformed.
             Body::Length(text.parse().unwrap_or(usize::MAX))
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
@@ -194,13 +215,21 @@
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) if src.len() < MOST_HEAD => return Ok(None),
             Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
-                return Err(Rejection { status: 431, why: "head too large" });
+                return Err(Rejection {
+                    status: 431,
+                    why: "head too large",
+                });
             }
             Err(_) => return Err(bad("not an HTTP/1.1 request")),
         };
-        let body = framing(parsed.headers).map_err(bad)?.unwrap_or(Body::Length(0));
+        let body = framing(parsed.headers)
+            .map_err(bad)?
+            .unwrap_or(Body::Length(0));
         if matches!(body, Body::Length(n) if n > MOST_BODY) {
-            return Err(Rejection { status: 413, why: "body too large" });
+            return Err(Rejection {
+                status: 413,
+                why: "body too large",
+            });
         }
         let headers: Vec<(String, String)> = parsed
             .headers
@@ -210,27 +239,49 @@
                 Ok((h.name.to_ascii_lowercase(), value.trim().to_string()))
             })
             .collect::<Result<_, Rejection>>()?;
-        let connection = headers.iter().find(|(n, _)| n == "connection").map(|(_, v)| v.to_ascii_lowercase());
+        let connection = headers
+            .iter()
+            .find(|(n, _)| n == "connection")
+            .map(|(_, v)| v.to_ascii_lowercase());
         let keep_alive = match connection.as_deref() {
             Some(words) if words.contains("close") => false,
             Some(words) if words.contains("keep-alive") => true,
             _ => parsed.version == Some(1),
         };
-        let (method, path) = (parsed.method.unwrap_or_default(), parsed.path.unwrap_or_default());
+        let (method, path) = (
+            parsed.method.unwrap_or_default(),
+            parsed.path.unwrap_or_default(),
+        );
         let (method, path) = (method.to_string(), path.to_string());
         src.advance(length);
-        Ok(Some((Request { method, path, headers, body: Bytes::new(), keep_alive }, body)))
+        Ok(Some((
+            Request {
+                method,
+                path,
+                headers,
+                body: Bytes::new(),
+                keep_alive,
+            },
+            body,
+        )))
     }
 
     fn read(&mut self, src: &mut BytesMut) -> Result<Option<Request>, Rejection> {
         if self.head.is_none() {
             self.head = Self::read_head(src)?;
         }
-        let Some((_, body)) = &mut self.head else { return Ok(None) };
-        let whole = body.read(src, &mut self.body, MOST_BODY).map_err(|broken| match broken {
-            Broken::Chunk => bad("bad chunk"),
-            Broken::TooLarge => Rejection { status: 413, why: "body too large" },
-        })?;
+        let Some((_, body)) = &mut self.head else {
+            return Ok(None);
+        };
+        let whole = body
+            .read(src, &mut self.body, MOST_BODY)
+            .map_err(|broken| match broken {
+                Broken::Chunk => bad("bad chunk"),
+                Broken::TooLarge => Rejection {
+                    status: 413,
+                    why: "body too large",
+                },
+            })?;
         if !whole {
             return Ok(None);
         }
@@ -291,7 +342,10 @@
         );
         if let Some(after) = response.retry_after {
             // Milliseconds, rounded up: a client must not come back early.
-            head += &format!("Retry-After: {:.3}\r\n", after.div_ceil(1_000_000) as f64 / 1000.0);
+            head += &format!(
+                "Retry-After: {:.3}\r\n",
+                after.div_ceil(1_000_000) as f64 / 1000.0
+            );
         }
         if let Some(allow) = response.allow {
             head += &format!("Allow: {allow}\r\n");
@@ -333,7 +387,9 @@
 
     fn encode(&mut self, watch: WatchRequest, dst: &mut BytesMut) -> io::Result<()> {
         let WatchRequest { host, from } = watch;
-        let watch = from.map(|from| format!("?watch=1&from={from}")).unwrap_or_default();
+        let watch = from
+            .map(|from| format!("?watch=1&from={from}"))
+            .unwrap_or_default();
         let text = format!("GET /api/targets{watch} HTTP/1.1\r\nHost: {host}\r\n\r\n");
         dst.extend_from_slice(text.as_bytes());
         Ok(())
@@ -354,14 +410,22 @@
 impl std::fmt::Display for TurnedAway {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "discovery answered {}", self.status)?;
-        self.retry_after.map_or(Ok(()), |after| write!(f, ", to come back in {} ms", after.as_millis()))
+        self.retry_after.map_or(Ok(()), |after| {
+            write!(f, ", to come back in {} ms", after.as_millis())
+        })
     }
 }
 
 /// `Retry-After` in seconds, whole or decimal; a date or a malformed value counts as none.
 fn retry_after(headers: &[httparse::Header]) -> Option<Duration> {
-    let header = headers.iter().find(|header| header.name.eq_ignore_ascii_case("retry-after"))?;
-    let seconds: f64 = std::str::from_utf8(header.value).ok()?.trim().parse().ok()?;
+    let header = headers
+        .iter()
+        .find(|header| header.name.eq_ignore_ascii_case("retry-after"))?;
+    let seconds: f64 = std::str::from_utf8(header.value)
+        .ok()?
+        .trim()
+        .parse()
+        .ok()?;
     Duration::try_from_secs_f64(seconds).ok()
 }
 
@@ -372,7 +436,11 @@
 impl WatchCodec {
     /// One that reads objects of at most so many bytes.
     pub fn new(most: usize) -> WatchCodec {
-        WatchCodec { body: None, objects: Objects::default(), most }
+        WatchCodec {
+            body: None,
+            objects: Objects::default(),
+            most,
+        }
     }
 
     fn read_head(src: &mut BytesMut) -> io::Result<Option<Body>> {
@@ -383,7 +451,10 @@
                 let status = parsed.code.unwrap_or_default();
                 if status != 200 {
                     let retry_after = retry_after(parsed.headers);
-                    let why = TurnedAway { status, retry_after };
+                    let why = TurnedAway {
+                        status,
+                        retry_after,
+                    };
                     return Err(io::Error::new(ErrorKind::InvalidData, why));
                 }
                 let body = framing(parsed.headers).map_err(invalid)?;
@@ -406,14 +477,23 @@
         if self.body.is_none() {
             self.body = Self::read_head(src)?;
         }
-        let Some(body) = &mut self.body else { return Ok(None) };
+        let Some(body) = &mut self.body else {
+            return Ok(None);
+        };
         let before = src.len();
         let most = self.most;
-        let whole = body.read(src, self.objects.buffer(), most).map_err(|broken| match broken {
-            Broken::Chunk => invalid("bad chunk"),
-            Broken::TooLarge => io::Error::new(ErrorKind::InvalidData, Refused::TooManyBytes { most }),
-        })?;
-        let object = self.objects.whole().or((src.len() < before).then(Bytes::new));
+        let whole = body
+            .read(src, self.objects.buffer(), most)
+            .map_err(|broken| match broken {
+                Broken::Chunk => invalid("bad chunk"),
+                Broken::TooLarge => {
+                    io::Error::new(ErrorKind::InvalidData, Refused::TooManyBytes { most })
+                }
+            })?;
+        let object = self
+            .objects
+            .whole()
+            .or((src.len() < before).then(Bytes::new));
         if object.is_none() && whole {
             return Err(ErrorKind::UnexpectedEof.into());
         }
--- a/crates/mixer/src/protocol/leaf.rs
+++ b/crates/mixer/src/protocol/leaf.rs
@@ -91,7 +91,12 @@
             ToLeaf::Call(parts) => {
                 dst.put_u8(b'Q');
                 for part in parts {
-                    let CallPart { id, shard, wait_ms, text } = part;
+                    let CallPart {
+                        id,
+                        shard,
+                        wait_ms,
+                        text,
+                    } = part;
                     dst.put_slice(format!("{id} {shard} d={wait_ms} {}\n", text.len()).as_bytes());
                     dst.put_slice(&text);
                 }
@@ -118,7 +123,9 @@
             src.clear();
             return Ok(None);
         }
-        let Some(head) = src.first_chunk::<4>() else { return Ok(None) };
+        let Some(head) = src.first_chunk::<4>() else {
+            return Ok(None);
+        };
         let length = u32::from_be_bytes(*head) as usize;
         // Kind and length are checked before the rest has come: the rest of a frame of an impossible length never
         // comes.
@@ -151,7 +158,10 @@
         b'E' => FromLeaf::Complaint(text(&body[1..])),
         _ => {
             let report = text(&body[1..]);
-            FromLeaf::Probed { ok: report != "err", report }
+            FromLeaf::Probed {
+                ok: report != "err",
+                report,
+            }
         }
     }
 }
@@ -160,7 +170,10 @@
 fn spoilt(body: &[u8]) -> FromLeaf {
     let line = body.strip_prefix(b"A").unwrap_or_default();
     let id = line.iter().position(|b| *b == b' ').map(|end| &line[..end]);
-    FromLeaf::Spoilt(id.and_then(|id| std::str::from_utf8(id).ok()).map(str::to_string))
+    FromLeaf::Spoilt(
+        id.and_then(|id| std::str::from_utf8(id).ok())
+            .map(str::to_string),
+    )
 }
 
 /// An answer, if its line is well formed. A report that can't be parsed counts as none.
@@ -168,7 +181,12 @@
     let end = rest.iter().position(|b| *b == b'\n')?;
     let line = std::str::from_utf8(&rest[..end]).ok()?;
     let mut fields = line.splitn(4, ' ');
-    let (id, status, score, report) = (fields.next()?, fields.next()?, fields.next()?, fields.next()?);
+    let (id, status, score, report) = (
+        fields.next()?,
+        fields.next()?,
+        fields.next()?,
+        fields.next()?,
+    );
     let value = rest.slice(end + 1..);
     if score != "-" && score.parse::<f64>().is_err() {
         return None;
@@ -180,5 +198,10 @@
         "busy" => End::Busy,
         _ => return None,
     };
-    Some(FromLeaf::Answer { id: id.to_string(), end, report: report.to_string(), value })
+    Some(FromLeaf::Answer {
+        id: id.to_string(),
+        end,
+        report: report.to_string(),
+        value,
+    })
 }
--- a/crates/mixer/src/protocol/query.rs
+++ b/crates/mixer/src/protocol/query.rs
@@ -115,20 +115,36 @@
     let path = request.path.split(['?', '#']).next().unwrap_or_default();
     let wanted = |method: &'static str, asked: Asked| {
         let fits = request.method == method;
-        fits.then_some(asked).ok_or(Rejection { status: 405, why: "GET" })
+        fits.then_some(asked).ok_or(Rejection {
+            status: 405,
+            why: "GET",
+        })
     };
     match path {
         "/-/ready" => return wanted("GET", Asked::Ready),
         "/-/stats" => return wanted("GET", Asked::Stats),
         _ => {}
     }
-    let first = path.strip_prefix('/').unwrap_or_default().split('/').next().unwrap_or_default();
+    let first = path
+        .strip_prefix('/')
+        .unwrap_or_default()
+        .split('/')
+        .next()
+        .unwrap_or_default();
     let class = names.classes.iter().position(|name| name == first);
-    let class = class.ok_or(Rejection { status: 404, why: "no such class" })?;
+    let class = class.ok_or(Rejection {
+        status: 404,
+        why: "no such class",
+    })?;
     if request.method != "POST" {
-        return Err(Rejection { status: 405, why: "POST" });
+        return Err(Rejection {
+            status: 405,
+            why: "POST",
+        });
     }
-    let name = request.header("x-request-id").ok_or(bad("X-Request-ID is missing"))?;
+    let name = request
+        .header("x-request-id")
+        .ok_or(bad("X-Request-ID is missing"))?;
     // It becomes a part of lines between mixer and leaf server: a blank or a control character could forge another.
     if name.is_empty() || name.len() > 128 || !name.bytes().all(|b| b.is_ascii_graphic()) {
         return Err(bad("X-Request-ID is not a plain word"));
@@ -140,7 +156,11 @@
     let tenant = match request.header("x-tenant-id") {
         Some(tenant) if !names.tenants.is_empty() => {
             let tenant = tenant.replace([' ', ','], "_");
-            names.tenants.iter().position(|name| *name == tenant).ok_or(bad("unknown tenant"))?
+            names
+                .tenants
+                .iter()
+                .position(|name| *name == tenant)
+                .ok_or(bad("unknown tenant"))?
         }
         None if !names.tenants.is_empty() => return Err(bad("X-Tenant-Id is missing")),
         _ => 0,
@@ -151,7 +171,8 @@
         }
         key => key.map(str::to_string),
     };
-    let body: Body = serde_json::from_slice(&request.body).map_err(|_| bad("body is not a query"))?;
+    let body: Body =
+        serde_json::from_slice(&request.body).map_err(|_| bad("body is not a query"))?;
     Ok(Asked::Query(Query {
         name: name.to_string(),
         class: class as u16,
@@ -183,13 +204,21 @@
         if !(0.0..=1.0 + ROUNDING).contains(&s.weight) {
             return Err(bad("a weight that is no share"));
         }
-        let work = s.cost.filter(|c| *c >= 0.0).map(|c| (c * 1e3).min(LONGEST) as Nanos);
-        Ok(AskedPart { shard: s.shard, weight: s.weight, work })
+        let work = s
+            .cost
+            .filter(|c| *c >= 0.0)
+            .map(|c| (c * 1e3).min(LONGEST) as Nanos);
+        Ok(AskedPart {
+            shard: s.shard,
+            weight: s.weight,
+            work,
+        })
     };
     let parts: Vec<AskedPart> = shards.into_iter().map(part).collect::<Result<_, _>>()?;
     let sum: f64 = parts.iter().map(|part| part.weight).sum();
     let fits = (sum - 1.0).abs() <= ROUNDING;
-    fits.then_some(parts).ok_or(bad("weights that do not add up to 1"))
+    fits.then_some(parts)
+        .ok_or(bad("weights that do not add up to 1"))
 }
 
 /// The longest time that is kept, in nanoseconds: an hour exceeds any deadline or work, and sums of it don't overflow.
@@ -222,22 +251,32 @@
 
 /// Renders a reply; with `close`, the connection ends after it.
 pub fn render(reply: &Reply, close: bool) -> Response {
-    let plain = |status: u16, body: Vec<u8>| Response { status, body, close, ..Response::default() };
+    let plain = |status: u16, body: Vec<u8>| Response {
+        status,
+        body,
+        close,
+        ..Response::default()
+    };
     match reply {
         Reply::Answer { whole, hits } => {
-            let body = serde_json::to_vec(&AnswerBody { complete: *whole, hits });
+            let body = serde_json::to_vec(&AnswerBody {
+                complete: *whole,
+                hits,
+            });
             plain(200, body.unwrap_or_default())
         }
-        Reply::Refused { come_back } => {
-            Response { retry_after: *come_back, ..plain(503, note("refused, try again")) }
-        }
+        Reply::Refused { come_back } => Response {
+            retry_after: *come_back,
+            ..plain(503, note("refused, try again"))
+        },
         Reply::Failed => plain(504, note("failed")),
         Reply::Ready(true) => plain(200, b"{\"ready\":true}".to_vec()),
         Reply::Ready(false) => plain(503, b"{\"ready\":false}".to_vec()),
         Reply::Stats(text) => plain(200, text.clone()),
-        Reply::Rejected(Rejection { status: 405, why }) => {
-            Response { allow: Some(why), ..plain(405, note("method not allowed")) }
-        }
+        Reply::Rejected(Rejection { status: 405, why }) => Response {
+            allow: Some(why),
+            ..plain(405, note("method not allowed"))
+        },
         Reply::Rejected(Rejection { status, why }) => plain(*status, note(why)),
     }
 }
--- a/crates/mixer/src/routing/backoff.rs
+++ b/crates/mixer/src/routing/backoff.rs
@@ -28,7 +28,13 @@
     /// would wait alike.
     pub fn new(seed: u64, mixers: u32, most: Duration) -> Backoff {
         let first = TIME_PER_MIXER.saturating_mul(mixers.max(1)).min(most);
-        Backoff { first, longest: first, most, again: false, random: Rng::with_seed(seed) }
+        Backoff {
+            first,
+            longest: first,
+            most,
+            again: false,
+            random: Rng::with_seed(seed),
+        }
     }
 
     /// How long to wait after a try that has ended, `room` at the most. `succeeded` says that it brought what was asked
@@ -37,13 +43,22 @@
     /// The first wait begins at zero, so that mixers which failed at one moment don't retry at another all together;
     /// later ones are at least half of their upper bound, so that retries become fewer. Mixers that were refused
     /// together got the same `retry_after`: half of `room` is left to spread their retries in, however long that is.
-    pub fn after(&mut self, succeeded: bool, retry_after: Option<Duration>, room: Duration) -> Duration {
+    pub fn after(
+        &mut self,
+        succeeded: bool,
+        retry_after: Option<Duration>,
+        room: Duration,
+    ) -> Duration {
         if succeeded {
             (self.longest, self.again) = (self.first, false);
         }
         let asked = retry_after.unwrap_or_default().min(room / 2);
         let longest = (asked + self.longest).min(room);
-        let least = asked.max(if self.again { longest / 2 } else { Duration::ZERO });
+        let least = asked.max(if self.again {
+            longest / 2
+        } else {
+            Duration::ZERO
+        });
         self.again = true;
         self.longest = (self.longest * 2).min(self.most);
         least + longest.saturating_sub(least).mul_f64(self.random.f64())
--- a/crates/mixer/src/routing/link.rs
+++ b/crates/mixer/src/routing/link.rs
@@ -111,7 +111,11 @@
 
     /// Attempts and probes that are open.
     fn load(&self) -> usize {
-        let probes = self.waiting.iter().chain(&self.writing).filter(|job| matches!(job, Job::Probe(_)));
+        let probes = self
+            .waiting
+            .iter()
+            .chain(&self.writing)
+            .filter(|job| matches!(job, Job::Probe(_)));
         self.attempts.len() + self.probes.len() + probes.count()
     }
 
@@ -133,7 +137,14 @@
 
     /// Queues an attempt. With `join` it is added to the last waiting call, if that has fewer than `call_parts` parts.
     pub fn queue(&mut self, attempt: AttemptId, wire: Rc<str>, join: bool, call_parts: usize) {
-        self.attempts.insert(wire.clone(), OpenAttempt { attempt, handed_over: None, written: false });
+        self.attempts.insert(
+            wire.clone(),
+            OpenAttempt {
+                attempt,
+                handed_over: None,
+                written: false,
+            },
+        );
         match self.waiting.back_mut() {
             Some(Job::Call(call)) if join && call.len() < call_parts => call.push((attempt, wire)),
             _ => self.waiting.push_back(Job::Call(vec![(attempt, wire)])),
@@ -164,9 +175,15 @@
 
     /// Applies a change to the attempts of the frame that the socket has.
     fn mark(&mut self, mark: impl Fn(&mut OpenAttempt)) {
-        let Some(Job::Call(call)) = &self.writing else { return };
+        let Some(Job::Call(call)) = &self.writing else {
+            return;
+        };
         for (attempt, wire) in call {
-            if let Some(open) = self.attempts.get_mut(wire).filter(|open| open.attempt == *attempt) {
+            if let Some(open) = self
+                .attempts
+                .get_mut(wire)
+                .filter(|open| open.attempt == *attempt)
+            {
                 mark(open);
             }
         }
@@ -188,7 +205,11 @@
     /// Ends the attempt that an answer is for. An attempt that has not been written yet can't have been answered: such
     /// an answer is for an earlier attempt of the same id.
     pub fn answered(&mut self, wire: &str) -> Answered {
-        match self.attempts.get_key_value(wire).filter(|(_, open)| open.written) {
+        match self
+            .attempts
+            .get_key_value(wire)
+            .filter(|(_, open)| open.written)
+        {
             Some((wire, open)) => {
                 let (wire, attempt) = (wire.clone(), open.attempt);
                 self.attempts.remove(&wire);
@@ -210,15 +231,25 @@
     /// The attempt that a corrupt answer is attributed to: the one it names, else the one longest in flight.
     pub fn spoilt(&mut self, wire: Option<&str>) -> Option<AttemptId> {
         let written = |open: &&OpenAttempt| open.written;
-        let named = wire.and_then(|wire| self.attempts.get(wire)).filter(written);
-        let oldest =
-            || self.attempts.values().filter(written).min_by_key(|open| (open.handed_over, open.attempt));
+        let named = wire
+            .and_then(|wire| self.attempts.get(wire))
+            .filter(written);
+        let oldest = || {
+            self.attempts
+                .values()
+                .filter(written)
+                .min_by_key(|open| (open.handed_over, open.attempt))
+        };
         named.or_else(oldest).map(|open| open.attempt)
     }
 
     /// The attempts whose last byte the socket has taken.
     pub fn written(&self) -> Vec<AttemptId> {
-        self.attempts.values().filter(|open| open.written).map(|open| open.attempt).collect()
+        self.attempts
+            .values()
+            .filter(|open| open.written)
+            .map(|open| open.attempt)
+            .collect()
     }
 
     /// The probe that an answer is for; `None` where it was given up, or none was sent.
@@ -238,8 +269,12 @@
     /// socket has is followed by a frame that cancels it. If nothing was received for `silence_timeout` nanoseconds
     /// since it was handed to the socket, the connection is silent.
     pub fn drop_attempt(&mut self, attempt: AttemptId, now: Nanos, silence_timeout: Nanos) -> bool {
-        let Some(wire) = self.wire_of(attempt) else { return false };
-        let Some(open) = self.attempts.remove(&wire) else { return false };
+        let Some(wire) = self.wire_of(attempt) else {
+            return false;
+        };
+        let Some(open) = self.attempts.remove(&wire) else {
+            return false;
+        };
         let mut was_waiting = false;
         for job in &mut self.waiting {
             if let Job::Call(call) = job {
@@ -248,21 +283,25 @@
                 was_waiting |= call.len() < before;
             }
         }
-        self.waiting.retain(|job| !matches!(job, Job::Call(call) if call.is_empty()));
+        self.waiting
+            .retain(|job| !matches!(job, Job::Call(call) if call.is_empty()));
         if was_waiting {
             return false;
         }
         self.note_finished(wire.clone());
         self.waiting.push_back(Job::GiveUp(wire));
         if let Some(handed_over) = open.handed_over {
-            self.silent |=
-                self.last_received <= handed_over && now.saturating_sub(handed_over) >= silence_timeout;
+            self.silent |= self.last_received <= handed_over
+                && now.saturating_sub(handed_over) >= silence_timeout;
         }
         true
     }
 
     fn wire_of(&self, attempt: AttemptId) -> Option<Rc<str>> {
-        self.attempts.iter().find(|(_, open)| open.attempt == attempt).map(|(wire, _)| wire.clone())
+        self.attempts
+            .iter()
+            .find(|(_, open)| open.attempt == attempt)
+            .map(|(wire, _)| wire.clone())
     }
 
     /// The attempts that have not gone to the socket yet.
@@ -287,12 +326,26 @@
 
     /// The connection has ended: all attempts on it, each with whether it may have run, and all probes.
     pub fn end(self) -> (Vec<(AttemptId, bool)>, Vec<u64>) {
-        let attempts = self.attempts.values().map(|open| (open.attempt, open.written)).collect();
-        let queued = self.waiting.iter().chain(&self.writing).filter_map(|job| match job {
-            Job::Probe(probe) => Some(*probe),
-            _ => None,
-        });
-        let probes = self.probes.iter().flatten().copied().chain(queued).collect();
+        let attempts = self
+            .attempts
+            .values()
+            .map(|open| (open.attempt, open.written))
+            .collect();
+        let queued = self
+            .waiting
+            .iter()
+            .chain(&self.writing)
+            .filter_map(|job| match job {
+                Job::Probe(probe) => Some(*probe),
+                _ => None,
+            });
+        let probes = self
+            .probes
+            .iter()
+            .flatten()
+            .copied()
+            .chain(queued)
+            .collect();
         (attempts, probes)
     }
 }
--- a/crates/mixer/src/routing/replica_table.rs
+++ b/crates/mixer/src/routing/replica_table.rs
@@ -62,8 +62,10 @@
     pub fn reserve(&mut self, additional: usize) {
         let (records, hasher) = (&mut self.records, &self.hasher);
         records.reserve_exact(additional.saturating_sub(self.free.len()));
-        self.by_id.reserve(additional, |slot| hash_id(hasher, records, *slot));
-        self.by_name.reserve(additional, |slot| hash_name(hasher, records, *slot));
+        self.by_id
+            .reserve(additional, |slot| hash_id(hasher, records, *slot));
+        self.by_name
+            .reserve(additional, |slot| hash_name(hasher, records, *slot));
     }
 
     /// The slot of the replica with this number.
@@ -75,7 +77,9 @@
     /// The slot of the replica of this name.
     pub fn slot_of_name(&self, name: &str) -> Option<Slot> {
         let is_it = |slot: &Slot| self.at(*slot).is_some_and(|replica| *replica.name == *name);
-        self.by_name.find(self.hasher.hash_one(name), is_it).copied()
+        self.by_name
+            .find(self.hasher.hash_one(name), is_it)
+            .copied()
     }
 
     /// The replica with this number.
@@ -95,7 +99,10 @@
 
     /// Adds a replica whose number and name are not in the table.
     pub fn insert(&mut self, replica: Replica) -> Slot {
-        let (id, name) = (self.hasher.hash_one(replica.id), self.hasher.hash_one(&*replica.name));
+        let (id, name) = (
+            self.hasher.hash_one(replica.id),
+            self.hasher.hash_one(&*replica.name),
+        );
         let slot = match self.free.pop() {
             Some(slot) => slot,
             None => {
@@ -105,8 +112,10 @@
         };
         self.records[slot as usize] = Some(replica);
         let (records, hasher) = (&self.records, &self.hasher);
-        self.by_id.insert_unique(id, slot, |slot| hash_id(hasher, records, *slot));
-        self.by_name.insert_unique(name, slot, |slot| hash_name(hasher, records, *slot));
+        self.by_id
+            .insert_unique(id, slot, |slot| hash_id(hasher, records, *slot));
+        self.by_name
+            .insert_unique(name, slot, |slot| hash_name(hasher, records, *slot));
         slot
     }
 
@@ -114,7 +123,10 @@
     pub fn remove(&mut self, id: ReplicaId) -> Option<Replica> {
         let slot = self.slot(id)?;
         let replica = self.records.get_mut(slot as usize)?.take()?;
-        let (id, name) = (self.hasher.hash_one(id), self.hasher.hash_one(&*replica.name));
+        let (id, name) = (
+            self.hasher.hash_one(id),
+            self.hasher.hash_one(&*replica.name),
+        );
         for (index, hash) in [(&mut self.by_id, id), (&mut self.by_name, name)] {
             if let Ok(entry) = index.find_entry(hash, |other| *other == slot) {
                 entry.remove();
@@ -126,14 +138,21 @@
 
     /// All records with their slots.
     pub fn iter(&self) -> impl Iterator<Item = (Slot, &Replica)> {
-        self.records.iter().enumerate().filter_map(|(slot, record)| Some((slot as Slot, record.as_ref()?)))
+        self.records
+            .iter()
+            .enumerate()
+            .filter_map(|(slot, record)| Some((slot as Slot, record.as_ref()?)))
     }
 }
 
 fn hash_id(hasher: &RandomState, records: &[Option<Replica>], slot: Slot) -> u64 {
-    records[slot as usize].as_ref().map_or(0, |replica| hasher.hash_one(replica.id))
+    records[slot as usize]
+        .as_ref()
+        .map_or(0, |replica| hasher.hash_one(replica.id))
 }
 
 fn hash_name(hasher: &RandomState, records: &[Option<Replica>], slot: Slot) -> u64 {
-    records[slot as usize].as_ref().map_or(0, |replica| hasher.hash_one(&*replica.name))
+    records[slot as usize]
+        .as_ref()
+        .map_or(0, |replica| hasher.hash_one(&*replica.name))
 }
--- a/crates/mixer/src/routing/replicas.rs
+++ b/crates/mixer/src/routing/replicas.rs
@@ -79,7 +79,10 @@
 impl Replicas {
     /// None yet; `zones` are the names of the zones in the order of the settings.
     pub fn new(zones: Vec<String>) -> Replicas {
-        Replicas { zones, ..Replicas::default() }
+        Replicas {
+            zones,
+            ..Replicas::default()
+        }
     }
 
     /// A replica by its number.
@@ -89,7 +92,9 @@
 
     /// The number of a name.
     pub fn id(&self, name: &str) -> Option<ReplicaId> {
-        self.table.at(self.table.slot_of_name(name)?).map(|replica| replica.id)
+        self.table
+            .at(self.table.slot_of_name(name)?)
+            .map(|replica| replica.id)
     }
 
     /// How many are known, those gone included.
@@ -121,7 +126,9 @@
 
     /// Notes that a connection has ended.
     pub fn disconnect(&mut self, id: ReplicaId, link: LinkId) {
-        let Some(links) = self.links.get_mut(&id) else { return };
+        let Some(links) = self.links.get_mut(&id) else {
+            return;
+        };
         links.retain(|other| *other != link);
         if links.is_empty() {
             self.take_links(id);
@@ -145,17 +152,31 @@
 
     /// Applies a list, whole or changed.
     pub fn take(&mut self, now: Nanos, listing: Listing) -> Change {
-        let Listing { index, snapshot, endpoints, .. } = listing;
+        let Listing {
+            index,
+            snapshot,
+            endpoints,
+            ..
+        } = listing;
         self.apply(now, index, snapshot, endpoints.into_iter())
     }
 
     /// The same with a list that is kept elsewhere.
     pub fn take_copy(&mut self, now: Nanos, listing: &Listing) -> Change {
-        self.apply(now, listing.index, listing.snapshot, listing.endpoints.iter().cloned())
+        self.apply(
+            now,
+            listing.index,
+            listing.snapshot,
+            listing.endpoints.iter().cloned(),
+        )
     }
 
     fn apply(
-        &mut self, now: Nanos, index: u64, whole: bool, entries: impl ExactSizeIterator<Item = Endpoint>,
+        &mut self,
+        now: Nanos,
+        index: u64,
+        whole: bool,
+        entries: impl ExactSizeIterator<Item = Endpoint>,
     ) -> Change {
         self.forget(now);
         if self.table.is_empty() {
@@ -181,15 +202,31 @@
                     );
                 }
             }
-            let Some(stated) = self.stated(now, entry, known) else { continue };
+            let Some(stated) = self.stated(now, entry, known) else {
+                continue;
+            };
             let put = self.put(now, stated, known, &mut change.left);
-            let Some(Put { slot, member, differs }) = put else { continue };
+            let Some(Put {
+                slot,
+                member,
+                differs,
+            }) = put
+            else {
+                continue;
+            };
             if !listed.insert(slot) {
                 change.repeated += 1;
                 if change.repeated <= MOST_LOGGED {
-                    let (name, standing) =
-                        (self.table.at(slot).map(|replica| &*replica.name), member.standing);
-                    tracing::warn!(index, name, ?standing, "listed twice in one list: the last entry holds");
+                    let (name, standing) = (
+                        self.table.at(slot).map(|replica| &*replica.name),
+                        member.standing,
+                    );
+                    tracing::warn!(
+                        index,
+                        name,
+                        ?standing,
+                        "listed twice in one list: the last entry holds"
+                    );
                 }
             }
             if differs || !whole {
@@ -200,9 +237,16 @@
             self.remove_unlisted(now, &listed, &mut change.members);
         }
         self.index = index;
-        let leaves =
-            |member: &&Member| self.get(member.replica).is_some_and(|r| r.standing != Standing::Ready);
-        change.leaving = change.members.iter().filter(leaves).map(|member| member.replica).collect();
+        let leaves = |member: &&Member| {
+            self.get(member.replica)
+                .is_some_and(|r| r.standing != Standing::Ready)
+        };
+        change.leaving = change
+            .members
+            .iter()
+            .filter(leaves)
+            .map(|member| member.replica)
+            .collect();
         change
     }
 
@@ -223,28 +267,55 @@
         let known = known.and_then(|slot| self.table.at(slot));
         let started = entry.since_ms.saturating_mul(1_000_000);
         let behind = now < self.behind_until;
-        let leaving = known.filter(|r| behind && r.standing != Standing::Ready && started <= r.started);
+        let leaving =
+            known.filter(|r| behind && r.standing != Standing::Ready && started <= r.started);
         let standing = match entry.status {
             // What is up can't be reached without an address; it may have left where it was.
-            Status::Up if entry.address.is_some() => leaving.map_or(Standing::Ready, |r| r.standing),
+            Status::Up if entry.address.is_some() => {
+                leaving.map_or(Standing::Ready, |r| r.standing)
+            }
             Status::Up | Status::Draining => Standing::Draining,
             Status::Removed => Standing::Gone,
         };
         let address = entry.address.or_else(|| known.map(|r| r.address.clone()))?;
         let zone = self.zones.iter().position(|zone| **zone == *entry.zone);
         let zone = zone.map_or(NO_ZONE, |zone| zone as u16);
-        Some(Stated { name: entry.name, address, cell: entry.group, zone, started, standing })
+        Some(Stated {
+            name: entry.name,
+            address,
+            cell: entry.group,
+            zone,
+            started,
+            standing,
+        })
     }
 
     /// Puts what is stated of a name into its record, which is a new one where there is none.
     fn put(
-        &mut self, now: Nanos, stated: Stated, known: Option<Slot>, left: &mut Vec<LinkId>,
+        &mut self,
+        now: Nanos,
+        stated: Stated,
+        known: Option<Slot>,
+        left: &mut Vec<LinkId>,
     ) -> Option<Put> {
-        let Stated { name, address, cell, zone, started, standing } = stated;
+        let Stated {
+            name,
+            address,
+            cell,
+            zone,
+            started,
+            standing,
+        } = stated;
         let slot = known.unwrap_or_else(|| self.add(name, address.clone(), started));
         let replica = self.table.at_mut(slot)?;
         let id = replica.id;
-        let member = Member { replica: id, cell, zone, started, standing };
+        let member = Member {
+            replica: id,
+            cell,
+            zone,
+            started,
+            standing,
+        };
         let same = (replica.cell, replica.zone, replica.standing) == (cell, zone, standing)
             && replica.started == started
             && !replica.started_earlier;
@@ -256,7 +327,11 @@
         if moved {
             left.extend(self.take_links(id));
         }
-        Some(Put { slot, member, differs: known.is_none() || !same })
+        Some(Put {
+            slot,
+            member,
+            differs: known.is_none() || !same,
+        })
     }
 
     /// Adds a record under the next number, for what is stated of it to be put in.
@@ -280,8 +355,13 @@
 
     /// Sets how a replica stands, with all that is counted by it.
     fn stand(&mut self, now: Nanos, slot: Slot, standing: Standing) {
-        let Some(replica) = self.table.at_mut(slot) else { return };
-        let (id, before) = (replica.id, std::mem::replace(&mut replica.standing, standing));
+        let Some(replica) = self.table.at_mut(slot) else {
+            return;
+        };
+        let (id, before) = (
+            replica.id,
+            std::mem::replace(&mut replica.standing, standing),
+        );
         self.ready -= usize::from(before == Standing::Ready);
         self.ready += usize::from(standing == Standing::Ready);
         if standing != Standing::Gone {
@@ -297,14 +377,34 @@
     /// Whom a whole list leaves out is gone.
     fn remove_unlisted(&mut self, now: Nanos, listed: &HashSet<Slot>, members: &mut Vec<Member>) {
         self.visited += self.table.len() as u64;
-        let unlisted = |(slot, r): &(Slot, &Replica)| r.standing != Standing::Gone && !listed.contains(slot);
-        let mut unlisted: Vec<(ReplicaId, Slot)> =
-            self.table.iter().filter(unlisted).map(|(slot, r)| (r.id, slot)).collect();
+        let unlisted =
+            |(slot, r): &(Slot, &Replica)| r.standing != Standing::Gone && !listed.contains(slot);
+        let mut unlisted: Vec<(ReplicaId, Slot)> = self
+            .table
+            .iter()
+            .filter(unlisted)
+            .map(|(slot, r)| (r.id, slot))
+            .collect();
         unlisted.sort_unstable();
         for (replica, slot) in unlisted {
             self.stand(now, slot, Standing::Gone);
-            let Some(&Replica { cell, zone, started, standing, .. }) = self.table.at(slot) else { continue };
-            members.push(Member { replica, cell, zone, started, standing });
+            let Some(&Replica {
+                cell,
+                zone,
+                started,
+                standing,
+                ..
+            }) = self.table.at(slot)
+            else {
+                continue;
+            };
+            members.push(Member {
+                replica,
+                cell,
+                zone,
+                started,
+                standing,
+            });
         }
     }
 }
--- a/crates/mixer/src/routing/state/attempts.rs
+++ b/crates/mixer/src/routing/state/attempts.rs
@@ -16,14 +16,27 @@
         };
         let attempt = (id, part.attempts);
         part.attempts = part.attempts.saturating_add(1);
-        let elsewhere = self.replicas.get(replica).is_some_and(|r| r.zone != self.site.zone);
+        let elsewhere = self
+            .replicas
+            .get(replica)
+            .is_some_and(|r| r.zone != self.site.zone);
         part.crossed = part.crossed.saturating_add(u8::from(elsewhere));
         let (wire, shard, text) = (part.wire.clone(), part.shard, part.text.clone());
-        let deadline = self.queries.get(&part.query).map_or(now, |query| query.deadline);
-        let until = if until == 0 { deadline } else { until.min(deadline) };
+        let deadline = self
+            .queries
+            .get(&part.query)
+            .map_or(now, |query| query.deadline);
+        let until = if until == 0 {
+            deadline
+        } else {
+            until.min(deadline)
+        };
         self.counters.sent.attempts += 1;
         self.counters.sent.further_attempts += u64::from(attempt.1 > 0);
-        let ready = self.replicas.get(replica).is_some_and(|r| r.standing == Standing::Ready);
+        let ready = self
+            .replicas
+            .get(replica)
+            .is_some_and(|r| r.standing == Standing::Ready);
         let allowed = usize::from(attempt.1) < self.site.max_attempts && until > now;
         if !ready || !allowed {
             return self.not_placed(attempt, replica, Outcome::NotSent);
@@ -32,30 +45,69 @@
             return self.not_placed(attempt, replica, Outcome::Unreachable);
         };
         if let Some((_, it)) = self.links.get_mut(&link) {
-            it.queue(attempt, wire, !self.joining.insert(link), self.site.call_parts);
+            it.queue(
+                attempt,
+                wire,
+                !self.joining.insert(link),
+                self.site.call_parts,
+            );
         }
         self.pending.insert(link);
         self.alarms.insert((until, Alarm::Attempt(attempt)));
-        self.attempts.insert(attempt, Attempt { replica, link, until, shard, text });
+        self.attempts.insert(
+            attempt,
+            Attempt {
+                replica,
+                link,
+                until,
+                shard,
+                text,
+            },
+        );
     }
 
     /// An attempt that found no connection; it ends like any other, or the module would wait for it.
-    pub(super) fn not_placed(&mut self, (part, attempt): AttemptId, replica: ReplicaId, outcome: Outcome) {
+    pub(super) fn not_placed(
+        &mut self,
+        (part, attempt): AttemptId,
+        replica: ReplicaId,
+        outcome: Outcome,
+    ) {
         self.count(outcome);
-        self.events.push(Event::Ended { part, attempt, replica, outcome, report: LoadReport::new() });
+        self.events.push(Event::Ended {
+            part,
+            attempt,
+            replica,
+            outcome,
+            report: LoadReport::new(),
+        });
     }
 
     /// The one end of an attempt that was placed.
     pub(super) fn ended(&mut self, id: AttemptId, outcome: Outcome, report: LoadReport) {
-        let Some(attempt) = self.attempts.remove(&id) else { return };
+        let Some(attempt) = self.attempts.remove(&id) else {
+            return;
+        };
         self.alarms.remove(&(attempt.until, Alarm::Attempt(id)));
         if let Some(part) = self.parts.get_mut(&id.0).filter(|_| outcome.never_ran()) {
             part.begun.retain(|(number, _)| *number != id.1);
         }
         self.count(outcome);
         let (replica, (part, attempt)) = (attempt.replica, id);
-        tracing::debug!(part, attempt, replica = replica.0, ?outcome, "attempt ended");
-        self.events.push(Event::Ended { part, attempt, replica, outcome, report });
+        tracing::debug!(
+            part,
+            attempt,
+            replica = replica.0,
+            ?outcome,
+            "attempt ended"
+        );
+        self.events.push(Event::Ended {
+            part,
+            attempt,
+            replica,
+            outcome,
+            report,
+        });
     }
 
     pub(super) fn count(&mut self, outcome: Outcome) {
@@ -74,7 +126,9 @@
 
     /// Ends an attempt from our side. One that never went out is known not to have run.
     pub(super) fn end_attempt(&mut self, now: Nanos, id: AttemptId, outcome: Outcome) {
-        let Some(attempt) = self.attempts.get(&id) else { return };
+        let Some(attempt) = self.attempts.get(&id) else {
+            return;
+        };
         let link = attempt.link;
         let mut outcome = outcome;
         if let Some((_, it)) = self.links.get_mut(&link) {
@@ -93,9 +147,17 @@
     /// free for it a moment before the turn. Nor may a repeat that has waited past the time in which repeats are
     /// dropped where it goes.
     pub(super) fn drop_expired(&mut self, now: Nanos, link: LinkId) {
-        let unsent = self.links.get(&link).map(|(_, it)| it.unsent()).unwrap_or_default();
+        let unsent = self
+            .links
+            .get(&link)
+            .map(|(_, it)| it.unsent())
+            .unwrap_or_default();
         for id in unsent {
-            if self.attempts.get(&id).is_some_and(|attempt| attempt.until <= now) {
+            if self
+                .attempts
+                .get(&id)
+                .is_some_and(|attempt| attempt.until <= now)
+            {
                 self.end_attempt(now, id, Outcome::TimedOut);
             } else if self.repeat_until(id.0).is_some_and(|until| until < now) {
                 self.end_attempt(now, id, Outcome::NotSent);
@@ -111,7 +173,10 @@
     }
 
     fn repeat_window(&self, part: &Part) -> Option<Nanos> {
-        self.repeat_windows.get(self.queries.get(&part.query)?.class).copied().flatten()
+        self.repeat_windows
+            .get(self.queries.get(&part.query)?.class)
+            .copied()
+            .flatten()
     }
 
     /// Notes that a call goes to its socket now. One that may not begin later than some time has to be taken by then.
@@ -119,9 +184,14 @@
         let Job::Call(call) = job else { return };
         for ((id, number), _) in call {
             if let Some(until) = self.repeat_until(*id) {
-                self.alarms.insert((until.max(now), Alarm::Stuck(link, now)));
+                self.alarms
+                    .insert((until.max(now), Alarm::Stuck(link, now)));
             }
-            let bounded = self.parts.get(id).and_then(|part| self.repeat_window(part)).is_some();
+            let bounded = self
+                .parts
+                .get(id)
+                .and_then(|part| self.repeat_window(part))
+                .is_some();
             if let Some(part) = self.parts.get_mut(id).filter(|_| bounded) {
                 part.begun.push((*number, now));
             }
@@ -132,7 +202,9 @@
     pub(super) fn pump(&mut self, now: Nanos) {
         while let Some(link) = self.pending.pop_first() {
             self.drop_expired(now, link);
-            let Some((id, it)) = self.links.get_mut(&link) else { continue };
+            let Some((id, it)) = self.links.get_mut(&link) else {
+                continue;
+            };
             let id = *id;
             if it.is_spent() {
                 self.close_link(now, link);
@@ -151,7 +223,10 @@
             } else if it.is_idle() {
                 it.idle_since = now;
                 // One that leads to where its replica no longer is has no future either.
-                let wanted = self.replicas.get(id).filter(|r| r.standing == Standing::Ready);
+                let wanted = self
+                    .replicas
+                    .get(id)
+                    .filter(|r| r.standing == Standing::Ready);
                 if wanted.is_none() || !self.replicas.links(id).contains(&link) {
                     self.close_link(now, link);
                 } else {
@@ -169,9 +244,16 @@
         match job {
             Job::Call(call) => {
                 let part = |(id, wire): (AttemptId, Rc<str>)| {
-                    let Attempt { until, shard, text, .. } = self.attempts.get(&id)?;
+                    let Attempt {
+                        until, shard, text, ..
+                    } = self.attempts.get(&id)?;
                     let wait_ms = until.saturating_sub(now).div_ceil(MS);
-                    Some(CallPart { id: wire, shard: *shard, wait_ms, text: text.clone() })
+                    Some(CallPart {
+                        id: wire,
+                        shard: *shard,
+                        wait_ms,
+                        text: text.clone(),
+                    })
                 };
                 let parts: Vec<CallPart> = call.into_iter().filter_map(part).collect();
                 self.counters.sent.calls += u64::from(!parts.is_empty());
@@ -190,34 +272,71 @@
             }
             Job::Probe(_) => {
                 self.counters.sent.probes += 1;
-                Some(if self.site.report.is_empty() { ToLeaf::Probe } else { ToLeaf::ProbeLoad })
+                Some(if self.site.report.is_empty() {
+                    ToLeaf::Probe
+                } else {
+                    ToLeaf::ProbeLoad
+                })
             }
         }
     }
 
     pub(super) fn probe(&mut self, now: Nanos, replica: ReplicaId) {
-        let listed = self.replicas.get(replica).is_some_and(|r| r.standing != Standing::Gone);
-        let link = if listed && self.site.may_probe { self.link_for(now, replica, "") } else { None };
+        let listed = self
+            .replicas
+            .get(replica)
+            .is_some_and(|r| r.standing != Standing::Gone);
+        let link = if listed && self.site.may_probe {
+            self.link_for(now, replica, "")
+        } else {
+            None
+        };
         let Some(link) = link else {
             let (outcome, report) = (Outcome::NotSent, LoadReport::new());
-            return self.events.push(Event::Probed { replica, outcome, latency: 0, report });
+            return self.events.push(Event::Probed {
+                replica,
+                outcome,
+                latency: 0,
+                report,
+            });
         };
         let probe = self.id();
         if let Some((_, it)) = self.links.get_mut(&link) {
             it.queue_probe(probe);
         }
         self.pending.insert(link);
-        self.alarms.insert((now + self.site.connect_timeout, Alarm::Probe(probe)));
-        self.probes.insert(probe, Probe { replica, link, asked: now });
+        self.alarms
+            .insert((now + self.site.connect_timeout, Alarm::Probe(probe)));
+        self.probes.insert(
+            probe,
+            Probe {
+                replica,
+                link,
+                asked: now,
+            },
+        );
     }
 
     pub(super) fn probe_ended(&mut self, now: Nanos, probe: u64, outcome: Outcome, report: &str) {
-        let Some(Probe { replica, link, asked }) = self.probes.remove(&probe) else { return };
-        self.alarms.remove(&(asked + self.site.connect_timeout, Alarm::Probe(probe)));
+        let Some(Probe {
+            replica,
+            link,
+            asked,
+        }) = self.probes.remove(&probe)
+        else {
+            return;
+        };
+        self.alarms
+            .remove(&(asked + self.site.connect_timeout, Alarm::Probe(probe)));
         if let Some((_, it)) = self.links.get_mut(&link) {
             it.drop_probe(probe);
         }
         let report = self.report(report);
-        self.events.push(Event::Probed { replica, outcome, latency: now.saturating_sub(asked), report });
+        self.events.push(Event::Probed {
+            replica,
+            outcome,
+            latency: now.saturating_sub(asked),
+            report,
+        });
     }
 }
--- a/crates/mixer/src/routing/state/clients.rs
+++ b/crates/mixer/src/routing/state/clients.rs
@@ -1,7 +1,8 @@
 //! Clients: their connections, what they ask, and the replies.
 
 use super::{
-    Alarm, Attempt, Client, Part, Query, State, CLIENT_IDLE, CLOSED_AT_ONCE, GONE_BEGINS, MARGIN, MS,
+    Alarm, Attempt, Client, Part, Query, State, CLIENT_IDLE, CLOSED_AT_ONCE, GONE_BEGINS, MARGIN,
+    MS,
 };
 use crate::interface::{Event, Nanos, RequestId};
 use crate::protocol::http::Rejection;
@@ -15,10 +16,19 @@
 impl State {
     pub(super) fn client_opened(&mut self, now: Nanos, client: ClientId) {
         self.counters.connections.clients += 1;
-        self.clients.insert(client, Client { since: now, ..Client::default() });
+        self.clients.insert(
+            client,
+            Client {
+                since: now,
+                ..Client::default()
+            },
+        );
         if self.closing {
             // Accepted as the listener went: without a request on it, it would hold up the end.
-            self.effects.push(Effect::CloseClient { client, room: false });
+            self.effects.push(Effect::CloseClient {
+                client,
+                room: false,
+            });
         } else if self.clients.len() > self.room.clients / 2 {
             self.make_room(now, client);
         }
@@ -31,19 +41,27 @@
         let full = self.clients.len() > self.room.clients;
         let spare = |c: &Client| c.known && now.saturating_sub(c.since) >= CLIENT_IDLE;
         let idle = |id: &ClientId, c: &Client| c.query.is_none() && !c.closing && *id != newest;
-        let idle = self.clients.iter().filter(|(id, c)| idle(id, c) && (full || spare(c)));
+        let idle = self
+            .clients
+            .iter()
+            .filter(|(id, c)| idle(id, c) && (full || spare(c)));
         let mut idle: Vec<_> = idle.map(|(id, c)| (c.known, c.since, *id)).collect();
         idle.sort_unstable();
         for (_, _, client) in idle.into_iter().take(CLOSED_AT_ONCE) {
             if let Some(state) = self.clients.get_mut(&client) {
                 state.closing = true;
-                self.effects.push(Effect::CloseClient { client, room: true });
+                self.effects
+                    .push(Effect::CloseClient { client, room: true });
             }
         }
     }
 
     pub(super) fn asked(
-        &mut self, now: Nanos, client: ClientId, arrived: Nanos, asked: Result<Asked, Rejection>,
+        &mut self,
+        now: Nanos,
+        client: ClientId,
+        arrived: Nanos,
+        asked: Result<Asked, Rejection>,
     ) {
         match asked {
             Ok(Asked::Query(query)) => self.take_query(now, client, arrived, query),
@@ -52,34 +70,57 @@
                 self.reply(now, client, Reply::Ready(ready));
             }
             Ok(Asked::Stats) => {
-                let (list, heard_ms_ago) = (self.replicas.index, now.saturating_sub(self.heard) / MS);
-                let stats = Stats { counters: &self.counters, list, heard_ms_ago };
+                let (list, heard_ms_ago) =
+                    (self.replicas.index, now.saturating_sub(self.heard) / MS);
+                let stats = Stats {
+                    counters: &self.counters,
+                    list,
+                    heard_ms_ago,
+                };
                 let text = serde_json::to_vec_pretty(&stats).unwrap_or_default();
                 self.reply(now, client, Reply::Stats(text));
             }
             Err(rejection) => {
                 self.counters.taken.rejected += 1;
                 // Some clients send nothing else, as fast as they can: the log would be theirs.
-                tracing::debug!(client, status = rejection.status, why = rejection.why, "request rejected");
+                tracing::debug!(
+                    client,
+                    status = rejection.status,
+                    why = rejection.why,
+                    "request rejected"
+                );
                 self.reply(now, client, Reply::Rejected(rejection));
             }
         }
     }
 
-    pub(super) fn take_query(&mut self, now: Nanos, client: ClientId, arrived: Nanos, asked: AskedQuery) {
+    pub(super) fn take_query(
+        &mut self,
+        now: Nanos,
+        client: ClientId,
+        arrived: Nanos,
+        asked: AskedQuery,
+    ) {
         if !self.clients.contains_key(&client) {
             return;
         }
         // Its parts would have the names that the open one's have at the leaf servers.
         if self.names.contains(&*asked.name) {
-            let rejection = Rejection { status: 409, why: "X-Request-ID is that of an open query" };
+            let rejection = Rejection {
+                status: 409,
+                why: "X-Request-ID is that of an open query",
+            };
             return self.asked(now, client, arrived, Err(rejection));
         }
         // A part that is in is not open any more: counting it would refuse queries that there is room for.
         let open_parts = self.open_parts;
         if self.queries.len() + open_parts >= self.site.open_cap {
             self.counters.taken.over_cap += 1;
-            tracing::info!(queries = self.queries.len(), open_parts, "over the cap: query refused");
+            tracing::info!(
+                queries = self.queries.len(),
+                open_parts,
+                "over the cap: query refused"
+            );
             self.turned_away(arrived, &asked);
             let come_back = Some(self.site.come_back);
             self.reply(now, client, Reply::Refused { come_back });
@@ -93,9 +134,18 @@
         }
         if patience == 0 {
             self.counters.taken.too_late += 1;
-            tracing::info!(timeout_ms = asked.timeout / MS, "no time left: query refused");
+            tracing::info!(
+                timeout_ms = asked.timeout / MS,
+                "no time left: query refused"
+            );
             self.turned_away(arrived, &asked);
-            return self.reply(now, client, Reply::Refused { come_back: Some(self.site.come_back) });
+            return self.reply(
+                now,
+                client,
+                Reply::Refused {
+                    come_back: Some(self.site.come_back),
+                },
+            );
         }
         let id = self.id();
         self.last_group = self.last_group.wrapping_add(1);
@@ -120,10 +170,22 @@
             let (part_id, shard, weight) = (self.id(), part.shard, part.weight);
             let wire: Rc<str> = format!("{}.{shard}", asked.name).into();
             let text = asked.text.clone();
-            let new = Part { query: id, shard, weight, wire, text, ..Part::default() };
+            let new = Part {
+                query: id,
+                shard,
+                weight,
+                wire,
+                text,
+                ..Part::default()
+            };
             self.parts.insert(part_id, new);
             self.open_parts += 1;
-            self.events.push(Event::Part { id: part_id, group, shard, weight });
+            self.events.push(Event::Part {
+                id: part_id,
+                group,
+                shard,
+                weight,
+            });
             parts.push(part_id);
         }
         self.counters.taken.queries += 1;
@@ -136,14 +198,33 @@
         let (key, repeat) = (self.join_key(&asked), asked.repeat);
         let arrived = self.note_open(id, arrived);
         let class_at = usize::from(class);
-        let query = Query { name, client, class: class_at, deadline, parts, tenant, arrived, repeat, key };
+        let query = Query {
+            name,
+            client,
+            class: class_at,
+            deadline,
+            parts,
+            tenant,
+            arrived,
+            repeat,
+            key,
+        };
         self.queries.insert(id, query);
         let patience_ms = patience / MS;
-        tracing::debug!(id, name = asked.name, class, patience_ms, open_parts, "query taken");
+        tracing::debug!(
+            id,
+            name = asked.name,
+            class,
+            patience_ms,
+            open_parts,
+            "query taken"
+        );
     }
 
     pub(super) fn client_closed(&mut self, now: Nanos, client: ClientId) {
-        let Some(client) = self.clients.remove(&client) else { return };
+        let Some(client) = self.clients.remove(&client) else {
+            return;
+        };
         if let Some(id) = client.query {
             self.counters.answered.client_gone += 1;
             self.events.push(Event::ClientGone { id });
@@ -158,19 +239,27 @@
     /// before. Half of the time in which it may begin is for the socket to say that it took it.
     fn expect_taken(&mut self, now: Nanos, query: &Query) {
         for (link, (_, it)) in &self.links {
-            if let Some(given) =
-                it.call_given().filter(|_| query.parts.iter().any(|part| it.is_writing(*part)))
+            if let Some(given) = it
+                .call_given()
+                .filter(|_| query.parts.iter().any(|part| it.is_writing(*part)))
             {
-                self.alarms.insert((now + GONE_BEGINS / 2, Alarm::Stuck(*link, given)));
+                self.alarms
+                    .insert((now + GONE_BEGINS / 2, Alarm::Stuck(*link, given)));
             }
         }
     }
 
     pub(super) fn reply(&mut self, now: Nanos, client: ClientId, reply: Reply) {
-        let Some(state) = self.clients.get_mut(&client) else { return };
+        let Some(state) = self.clients.get_mut(&client) else {
+            return;
+        };
         (state.query, state.since) = (None, now);
         let close = self.closing || state.closing;
-        self.effects.push(Effect::Reply { client, reply, close });
+        self.effects.push(Effect::Reply {
+            client,
+            reply,
+            close,
+        });
     }
 
     /// Forgets a query and its parts. Attempts that are out end on their own; those that wait for a connection never
@@ -180,7 +269,10 @@
         for part in &query.parts {
             let attempts = self.attempts.range((*part, 0)..=(*part, u8::MAX));
             let waits = |(id, attempt): (&AttemptId, &Attempt)| {
-                self.links.get(&attempt.link).is_some_and(|(_, it)| it.unsent().contains(id)).then_some(*id)
+                self.links
+                    .get(&attempt.link)
+                    .is_some_and(|(_, it)| it.unsent().contains(id))
+                    .then_some(*id)
             };
             for waiting in attempts.filter_map(waits).collect::<Vec<_>>() {
                 self.end_attempt(now, waiting, crate::interface::Outcome::Cancelled);
@@ -189,7 +281,11 @@
         self.alarms.remove(&(query.deadline, Alarm::LastMoment(id)));
         self.names.remove(&query.name);
         self.note_over(id, query.arrived);
-        let parts: Vec<Part> = query.parts.iter().filter_map(|part| self.parts.remove(part)).collect();
+        let parts: Vec<Part> = query
+            .parts
+            .iter()
+            .filter_map(|part| self.parts.remove(part))
+            .collect();
         self.open_parts -= parts.iter().filter(|part| part.value.is_none()).count();
         Some((query, parts))
     }
--- a/crates/mixer/src/routing/state/links.rs
+++ b/crates/mixer/src/routing/state/links.rs
@@ -17,18 +17,35 @@
     pub(super) fn take_list(&mut self, now: Nanos, listing: Listing) {
         let (index, lines, whole) = (listing.index, listing.endpoints.len(), listing.snapshot);
         let unusable = listing.unusable as u64;
-        let Change { members, leaving, left, repeated, unknown } = self.replicas.take(now, listing);
+        let Change {
+            members,
+            leaving,
+            left,
+            repeated,
+            unknown,
+        } = self.replicas.take(now, listing);
         self.counters.lists += 1;
         self.counters.bad_lists.unusable += unusable;
         self.counters.bad_lists.repeated += repeated;
         self.counters.bad_lists.unknown += unknown;
         let since_heard_ms = now.saturating_sub(self.heard) / MS;
         let (changed, leave) = (members.len(), leaving.len());
-        tracing::debug!(index, lines, whole, changed, leaving = leave, since_heard_ms, "list taken");
+        tracing::debug!(
+            index,
+            lines,
+            whole,
+            changed,
+            leaving = leave,
+            since_heard_ms,
+            "list taken"
+        );
         self.heard = now;
         self.listed |= self.replicas.any_ready();
         // A whole list comes as what it changes too: whom it leaves out is among its members as gone.
-        self.events.push(Event::List { kind: ListKind::Changes, members });
+        self.events.push(Event::List {
+            kind: ListKind::Changes,
+            members,
+        });
         // What waits for a replica that drains or is gone never goes out: the rule counts its first byte. Nor does
         // what waits for an address that was left; others go on at the new one.
         for id in leaving {
@@ -47,7 +64,9 @@
 
     /// Takes back what has not gone to the socket. What has may still wait there for its first byte.
     fn withdraw(&mut self, now: Nanos, link: LinkId) {
-        let Some((_, it)) = self.links.get(&link) else { return };
+        let Some((_, it)) = self.links.get(&link) else {
+            return;
+        };
         if let Some(given) = it.call_given() {
             // Half of the grace is for the socket to say that it took the call, the other for the connection to go.
             let due = now + (self.site.drain_grace / 2).max(LEAST_STUCK);
@@ -66,7 +85,10 @@
     pub(super) fn stuck(&mut self, now: Nanos, link: LinkId, given: Nanos) {
         if self.links.get(&link).and_then(|(_, it)| it.call_given()) == Some(given) {
             self.counters.connections.stuck += 1;
-            tracing::info!(link, "a call was not taken by its connection while it might begin: closed");
+            tracing::info!(
+                link,
+                "a call was not taken by its connection while it might begin: closed"
+            );
             self.close_link(now, link);
         }
     }
@@ -97,8 +119,16 @@
     pub(super) fn hear_first(&mut self, now: Nanos) {
         self.unheard = false;
         for event in &mut self.events {
-            let Event::Query { id, patience, lag, .. } = event else { continue };
-            let left = self.queries.get(id).map_or(0, |query| query.deadline.saturating_sub(now));
+            let Event::Query {
+                id, patience, lag, ..
+            } = event
+            else {
+                continue;
+            };
+            let left = self
+                .queries
+                .get(id)
+                .map_or(0, |query| query.deadline.saturating_sub(now));
             *lag += patience.saturating_sub(left);
             *patience = left;
         }
@@ -117,18 +147,26 @@
             // Its versions are its own: they do not compare with that of the list in force.
             from = None;
             let settled = self.replicas.moved(now);
-            self.alarms.retain(|(_, alarm)| !matches!(alarm, Alarm::Settled(_)));
+            self.alarms
+                .retain(|(_, alarm)| !matches!(alarm, Alarm::Settled(_)));
             self.alarms.insert((settled, Alarm::Settled(address)));
         }
         self.effects.push(Effect::Watch { address, from });
     }
 
     pub(super) fn heard(&mut self, now: Nanos, link: LinkId, frame: FromLeaf) {
-        let Some((_, it)) = self.links.get_mut(&link) else { return };
+        let Some((_, it)) = self.links.get_mut(&link) else {
+            return;
+        };
         it.hear(now);
         self.pending.insert(link);
         match frame {
-            FromLeaf::Answer { id, end, report, value } => {
+            FromLeaf::Answer {
+                id,
+                end,
+                report,
+                value,
+            } => {
                 let attempt = match it.answered(&id) {
                     Answered::Attempt(attempt) => attempt,
                     Answered::Over => return,
@@ -150,14 +188,22 @@
                 let outcome = if ok { Outcome::Ok } else { Outcome::Error };
                 self.probe_ended(now, probe, outcome, &report);
             }
-            FromLeaf::Complaint(words) => tracing::warn!(link, words, "leaf server could not use a frame"),
+            FromLeaf::Complaint(words) => {
+                tracing::warn!(link, words, "leaf server could not use a frame")
+            }
             FromLeaf::Spoilt(id) => self.spoilt(now, link, id.as_deref()),
         }
     }
 
     /// Keeps the first value that comes for a part.
     fn keep_value(&mut self, part: RequestId, value: &[u8]) {
-        let Some(part) = self.parts.get_mut(&part).filter(|part| part.value.is_none()) else { return };
+        let Some(part) = self
+            .parts
+            .get_mut(&part)
+            .filter(|part| part.value.is_none())
+        else {
+            return;
+        };
         // Checked to be text by the codec, so nothing is lost here.
         part.value = Some(String::from_utf8_lossy(value).into_owned());
         self.open_parts -= 1;
@@ -167,9 +213,16 @@
     /// failed. The others out there wait for what will never come, so they are withdrawn with the
     /// connection, at once.
     pub(super) fn spoilt(&mut self, now: Nanos, link: LinkId, id: Option<&str>) {
-        let Some((replica, it)) = self.links.get_mut(&link) else { return };
+        let Some((replica, it)) = self.links.get_mut(&link) else {
+            return;
+        };
         self.counters.connections.spoilt += 1;
-        tracing::info!(link, replica = replica.0, id, "spoilt answer: its connection is closed");
+        tracing::info!(
+            link,
+            replica = replica.0,
+            id,
+            "spoilt answer: its connection is closed"
+        );
         let failed = it.spoilt(id);
         let others = it.written();
         if let Some(failed) = failed {
@@ -184,23 +237,36 @@
     /// The values of a report, in the order that the settings state; `-` or what lacks one is no report.
     pub(super) fn report(&self, text: &str) -> LoadReport {
         let value = |name: &String| {
-            let mut pairs = text.split([',', ';']).filter_map(|pair| pair.split_once('='));
+            let mut pairs = text
+                .split([',', ';'])
+                .filter_map(|pair| pair.split_once('='));
             pairs
                 .find(|(key, _)| key.trim() == name)
                 .and_then(|(_, v)| v.trim().parse().ok().filter(|v: &f32| v.is_finite()))
         };
-        self.site.report.iter().map(value).collect::<Option<_>>().unwrap_or_default()
+        self.site
+            .report
+            .iter()
+            .map(value)
+            .collect::<Option<_>>()
+            .unwrap_or_default()
     }
 
     pub(super) fn link_ended(&mut self, now: Nanos, link: LinkId) {
-        let Some((id, it)) = self.links.remove(&link) else { return };
+        let Some((id, it)) = self.links.remove(&link) else {
+            return;
+        };
         if let Some(at) = it.idle_alarm {
             self.alarms.remove(&(at, Alarm::Idle(link)));
         }
         self.replicas.disconnect(id, link);
         let (attempts, probes) = it.end();
         for (attempt, may_have_run) in attempts {
-            let outcome = if may_have_run { Outcome::Broken } else { Outcome::Unreachable };
+            let outcome = if may_have_run {
+                Outcome::Broken
+            } else {
+                Outcome::Unreachable
+            };
             self.ended(attempt, outcome, LoadReport::new());
         }
         for probe in probes {
@@ -211,7 +277,11 @@
     /// Closes a connection of ours, for whatever is still on it as if it had broken. The socket may have taken the
     /// last byte of a call a moment ago and not have said so yet: that call may run.
     pub(super) fn close_link(&mut self, now: Nanos, link: LinkId) {
-        if let Some((_, it)) = self.links.get_mut(&link).filter(|(_, it)| it.call_given().is_some()) {
+        if let Some((_, it)) = self
+            .links
+            .get_mut(&link)
+            .filter(|(_, it)| it.call_given().is_some())
+        {
             it.wrote();
         }
         self.effects.push(Effect::CloseLink { link });
@@ -227,14 +297,21 @@
         self.effects.push(Effect::Connect { link, address });
         self.counters.connections.opened += 1;
         self.links.insert(link, (id, Link::new(now)));
-        self.alarms.insert((now + self.site.connect_timeout, Alarm::Connect(link)));
+        self.alarms
+            .insert((now + self.site.connect_timeout, Alarm::Connect(link)));
         Some(link)
     }
 
     /// Closes the connection that has been idle for longest. There may be more leaf servers than descriptors.
     fn evict(&mut self, now: Nanos) -> bool {
-        let idle = self.links.iter().filter(|(_, (_, it))| it.phase() == Phase::Open && it.is_idle());
-        let Some(link) = idle.min_by_key(|(_, (_, it))| it.idle_since).map(|(link, _)| *link) else {
+        let idle = self
+            .links
+            .iter()
+            .filter(|(_, (_, it))| it.phase() == Phase::Open && it.is_idle());
+        let Some(link) = idle
+            .min_by_key(|(_, (_, it))| it.idle_since)
+            .map(|(link, _)| *link)
+        else {
             return false;
         };
         self.counters.connections.evicted += 1;
@@ -244,8 +321,11 @@
 
     /// A connection with room, the oldest first so that few stay in use; a new one where none has any.
     pub(super) fn link_for(&mut self, now: Nanos, id: ReplicaId, wire: &str) -> Option<LinkId> {
-        let fits =
-            |link: &&LinkId| self.links.get(link).is_some_and(|(_, it)| it.has_room(self.site.streams, wire));
+        let fits = |link: &&LinkId| {
+            self.links
+                .get(link)
+                .is_some_and(|(_, it)| it.has_room(self.site.streams, wire))
+        };
         match self.replicas.links(id).iter().find(fits) {
             Some(link) => Some(*link),
             None => self.open_link(now, id),
--- a/crates/mixer/src/routing/state/mod.rs
+++ b/crates/mixer/src/routing/state/mod.rs
@@ -204,18 +204,29 @@
 fn way(site: &Site, settings: &Settings) -> Way {
     if settings.list_on_request {
         let within = Duration::from_nanos(settings.list_within);
-        Way::Asked { within: Some(within).filter(|within| !within.is_zero()) }
+        Way::Asked {
+            within: Some(within).filter(|within| !within.is_zero()),
+        }
     } else {
-        Way::Pushed { grace: Duration::from_nanos(site.drain_grace) }
+        Way::Pushed {
+            grace: Duration::from_nanos(site.drain_grace),
+        }
     }
 }
 
 impl State {
     /// Starts with the list that was last in force, which may be old, and as many descriptors as may be open.
     pub fn new(
-        now: Nanos, site: Site, settings: Settings, seed: u64, known: &Listing, descriptors: usize,
+        now: Nanos,
+        site: Site,
+        settings: Settings,
+        seed: u64,
+        known: &Listing,
+        descriptors: usize,
     ) -> State {
-        let window = |class: &Class| Some(class.repeat_window).filter(|_| class.effect == ClassEffect::Keyed);
+        let window = |class: &Class| {
+            Some(class.repeat_window).filter(|_| class.effect == ClassEffect::Keyed)
+        };
         let mut state = State {
             repeat_windows: settings.classes.iter().map(window).collect(),
             room: Room::of(descriptors),
@@ -250,10 +261,16 @@
         };
         let members = state.replicas.take_copy(now, known).members;
         state.listed = state.replicas.any_ready();
-        state.events.push(Event::List { kind: ListKind::Remembered, members });
+        state.events.push(Event::List {
+            kind: ListKind::Remembered,
+            members,
+        });
         state.turn(now);
         state.unheard = true;
-        state.alarms.insert((now + state.watching.first_list().as_nanos() as Nanos, Alarm::Unheard));
+        state.alarms.insert((
+            now + state.watching.first_list().as_nanos() as Nanos,
+            Alarm::Unheard,
+        ));
         state
     }
 
@@ -300,7 +317,11 @@
     pub fn apply(&mut self, now: Nanos, input: Input) -> Vec<Effect> {
         match input {
             Input::ClientOpened { client } => self.client_opened(now, client),
-            Input::Asked { client, arrived, asked } => self.asked(now, client, arrived, asked),
+            Input::Asked {
+                client,
+                arrived,
+                asked,
+            } => self.asked(now, client, arrived, asked),
             Input::ClientClosed { client } => self.client_closed(now, client),
             Input::LinkOpened { link } => {
                 if let Some((_, it)) = self.links.get_mut(&link) {
--- a/crates/mixer/src/routing/state/turns.rs
+++ b/crates/mixer/src/routing/state/turns.rs
@@ -1,6 +1,8 @@
 //! Turns: alarms that are due, the decisions, what they ask for, and the end.
 
-use super::{usage, Alarm, Part, Query, State, GRACE, IDLE_TENTHS, KILL, LAST_WORDS, LONGEST_DEADLINE};
+use super::{
+    usage, Alarm, Part, Query, State, GRACE, IDLE_TENTHS, KILL, LAST_WORDS, LONGEST_DEADLINE,
+};
 use super::{MOST_DATAGRAM, MS};
 use crate::interface::*;
 use crate::protocol::query::{Hit, Reply};
@@ -30,13 +32,19 @@
             Alarm::Wake(token) => self.events.push(Event::Timer { token }),
             Alarm::Attempt(id) => self.end_attempt(now, id, Outcome::TimedOut),
             Alarm::Connect(link) => {
-                if self.links.get(&link).is_some_and(|(_, it)| it.phase() == Phase::Connecting) {
+                if self
+                    .links
+                    .get(&link)
+                    .is_some_and(|(_, it)| it.phase() == Phase::Connecting)
+                {
                     self.counters.connections.failed += 1;
                     self.close_link(now, link);
                 }
             }
             Alarm::Idle(link) => {
-                let Some((_, it)) = self.links.get_mut(&link) else { return };
+                let Some((_, it)) = self.links.get_mut(&link) else {
+                    return;
+                };
                 let due = it.idle_since + self.site.idle_time / 10 * IDLE_TENTHS;
                 if !it.is_idle() {
                     it.idle_alarm = None;
@@ -66,7 +74,10 @@
                 self.hear_first(now);
             }
             Alarm::Unheard => {}
-            Alarm::Settled(address) => self.effects.push(Effect::Watch { address, from: None }),
+            Alarm::Settled(address) => self.effects.push(Effect::Watch {
+                address,
+                from: None,
+            }),
             Alarm::Stuck(link, given) => self.stuck(now, link, given),
             Alarm::GraceOver => self.wind_down(),
             Alarm::End => {
@@ -82,8 +93,14 @@
 
     pub(super) fn act(&mut self, now: Nanos, action: Action) {
         match action {
-            Action::Send { part, replica, until } => self.send(now, part, replica, until),
-            Action::Cancel { part, attempt } => self.end_attempt(now, (part, attempt), Outcome::Cancelled),
+            Action::Send {
+                part,
+                replica,
+                until,
+            } => self.send(now, part, replica, until),
+            Action::Cancel { part, attempt } => {
+                self.end_attempt(now, (part, attempt), Outcome::Cancelled)
+            }
             Action::Answer { query, whole } => {
                 self.finish(now, query, |state, query| state.answer(query, whole));
             }
@@ -125,16 +142,28 @@
     }
 
     pub(super) fn finish(
-        &mut self, now: Nanos, id: RequestId, word: impl FnOnce(&mut Self, &(Query, Vec<Part>)) -> Reply,
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        word: impl FnOnce(&mut Self, &(Query, Vec<Part>)) -> Reply,
     ) {
-        let Some(ended) = self.end_query(now, id) else { return };
+        let Some(ended) = self.end_query(now, id) else {
+            return;
+        };
         let reply = word(self, &ended);
         self.record(&ended.0, &ended.1, usage::outcome(&reply));
         if tracing::enabled!(tracing::Level::DEBUG) {
             let (query, parts) = &ended;
             let attempts: Vec<String> = parts
                 .iter()
-                .map(|p| format!("{}:{}{}", p.shard, p.attempts, if p.value.is_some() { "+" } else { "-" }))
+                .map(|p| {
+                    format!(
+                        "{}:{}{}",
+                        p.shard,
+                        p.attempts,
+                        if p.value.is_some() { "+" } else { "-" }
+                    )
+                })
                 .collect();
             let (left_ms, attempts) = (query.deadline.saturating_sub(now) / MS, attempts.join(" "));
             let word = match &reply {
@@ -143,7 +172,13 @@
                 Reply::Refused { .. } => "refused",
                 _ => "failed",
             };
-            tracing::debug!(id, class = query.class, left_ms, attempts, "query ended: {word}");
+            tracing::debug!(
+                id,
+                class = query.class,
+                left_ms,
+                attempts,
+                "query ended: {word}"
+            );
         }
         self.reply(now, ended.0.client, reply);
     }
@@ -152,17 +187,32 @@
     /// module says: one dishonest answer costs a whole day.
     pub(super) fn answer(&mut self, (query, parts): &(Query, Vec<Part>), whole: bool) -> Reply {
         let all: f64 = parts.iter().map(|p| p.weight).sum();
-        let landed: f64 = parts.iter().filter(|p| p.value.is_some()).map(|p| p.weight).sum();
-        let holds =
-            |share: &[f64]| landed + 1e-4 >= share.get(query.class).copied().unwrap_or(1.0) * all.min(1.0);
+        let landed: f64 = parts
+            .iter()
+            .filter(|p| p.value.is_some())
+            .map(|p| p.weight)
+            .sum();
+        let holds = |share: &[f64]| {
+            landed + 1e-4 >= share.get(query.class).copied().unwrap_or(1.0) * all.min(1.0)
+        };
         let bears_whole = holds(&self.site.needs);
         if !holds(&self.site.floors) || whole && !bears_whole {
             self.counters.faults.dishonest += 1;
-            tracing::error!(landed, whole, class = query.class, "an answer that its parts do not bear out");
+            tracing::error!(
+                landed,
+                whole,
+                class = query.class,
+                "an answer that its parts do not bear out"
+            );
             self.counters.answered.failed += 1;
             return Reply::Failed;
         }
-        let hit = |p: &Part| p.value.clone().map(|doc| Hit { shard: p.shard, doc });
+        let hit = |p: &Part| {
+            p.value.clone().map(|doc| Hit {
+                shard: p.shard,
+                doc,
+            })
+        };
         let hits = parts.iter().filter_map(hit).collect();
         if whole {
             self.counters.answered.whole += 1;
@@ -182,7 +232,13 @@
 
     /// How long the end may take: a kill can follow, and what it finds unanswered is lost.
     pub(super) fn ending(&self) -> Nanos {
-        let longest = self.site.deadlines.iter().max().copied().unwrap_or_default();
+        let longest = self
+            .site
+            .deadlines
+            .iter()
+            .max()
+            .copied()
+            .unwrap_or_default();
         GRACE.max(longest.min(LONGEST_DEADLINE) + KILL - LAST_WORDS)
     }
 
@@ -191,16 +247,22 @@
         self.closing = true;
         self.effects.push(Effect::StopListening);
         let idle = self.clients.iter().filter(|(_, c)| c.query.is_none());
-        self.effects.extend(idle.map(|(client, _)| Effect::CloseClient { client: *client, room: false }));
+        self.effects
+            .extend(idle.map(|(client, _)| Effect::CloseClient {
+                client: *client,
+                room: false,
+            }));
     }
 
     /// Once all that was taken is answered and every client's connection has ended, nothing is left to do.
     pub(super) fn leave(&mut self) {
-        let over = self.closing && !self.listening && self.queries.is_empty() && self.clients.is_empty();
+        let over =
+            self.closing && !self.listening && self.queries.is_empty() && self.clients.is_empty();
         if over && !self.exited {
             self.exited = true;
             self.mark_end();
-            self.effects.push(Effect::Exit(Box::new(self.counters.clone())));
+            self.effects
+                .push(Effect::Exit(Box::new(self.counters.clone())));
         }
     }
 }
--- a/crates/mixer/src/routing/state/usage.rs
+++ b/crates/mixer/src/routing/state/usage.rs
@@ -30,7 +30,12 @@
 impl State {
     /// Records use from now on, with a mark each `every`.
     pub fn record_usage(&mut self, every: Nanos) {
-        self.recording = Some(Recording { every, sequence: 0, complete: 0, open: BTreeSet::new() });
+        self.recording = Some(Recording {
+            every,
+            sequence: 0,
+            complete: 0,
+            open: BTreeSet::new(),
+        });
         self.alarms.insert((0, Alarm::Mark));
     }
 
@@ -39,17 +44,27 @@
         if self.recording.is_none() {
             return 0;
         }
-        let class = self.site.classes.get(usize::from(asked.class)).map_or("", String::as_str);
+        let class = self
+            .site
+            .classes
+            .get(usize::from(asked.class))
+            .map_or("", String::as_str);
         match &asked.idempotency_key {
             Some(key) => usage::key_of_client(class, key),
-            None => usage::key_of_query(class, asked.parts.iter().map(|p| (p.shard, p.weight)), &asked.text),
+            None => usage::key_of_query(
+                class,
+                asked.parts.iter().map(|p| (p.shard, p.weight)),
+                &asked.text,
+            ),
         }
     }
 
     /// When a query counts as arrived: not before what is said to be complete, be it by the time that it waited
     /// for its turn here.
     pub(super) fn note_open(&mut self, id: RequestId, arrived: Nanos) -> Nanos {
-        let Some(recording) = &mut self.recording else { return arrived };
+        let Some(recording) = &mut self.recording else {
+            return arrived;
+        };
         let arrived = arrived.max(recording.complete);
         recording.open.insert((arrived, id));
         arrived
@@ -62,14 +77,28 @@
     }
 
     fn push(&mut self, mut usage: Usage) {
-        let Some(recording) = &mut self.recording else { return };
+        let Some(recording) = &mut self.recording else {
+            return;
+        };
         recording.sequence += 1;
         usage.sequence = recording.sequence;
         self.counters.recorded += 1;
         // Where the platform names no tenants, all use is one's.
-        let tenant = self.site.tenants.get(usage.tenant as usize).map_or("all", String::as_str);
-        let class = self.site.classes.get(usize::from(usage.class)).map_or("", String::as_str);
-        *self.counters.recorded_of.entry(format!("{tenant} {class}")).or_default() += 1;
+        let tenant = self
+            .site
+            .tenants
+            .get(usage.tenant as usize)
+            .map_or("all", String::as_str);
+        let class = self
+            .site
+            .classes
+            .get(usize::from(usage.class))
+            .map_or("", String::as_str);
+        *self
+            .counters
+            .recorded_of
+            .entry(format!("{tenant} {class}"))
+            .or_default() += 1;
         self.effects.push(Effect::Record(usage));
     }
 
@@ -81,8 +110,16 @@
         let outcome = match outcome {
             Outcome::Partial(_) => {
                 let all: f64 = parts.iter().map(|part| part.weight).sum();
-                let landed: f64 = parts.iter().filter(|p| p.value.is_some()).map(|p| p.weight).sum();
-                Outcome::Partial((landed / all.max(f64::MIN_POSITIVE) * 1e6).round().clamp(0.0, 1e6) as u32)
+                let landed: f64 = parts
+                    .iter()
+                    .filter(|p| p.value.is_some())
+                    .map(|p| p.weight)
+                    .sum();
+                Outcome::Partial(
+                    (landed / all.max(f64::MIN_POSITIVE) * 1e6)
+                        .round()
+                        .clamp(0.0, 1e6) as u32,
+                )
             }
             other => other,
         };
@@ -104,7 +141,9 @@
 
     /// Records a query that was refused before any decision.
     pub(super) fn turned_away(&mut self, arrived: Nanos, asked: &AskedQuery) {
-        let Some(recording) = &self.recording else { return };
+        let Some(recording) = &self.recording else {
+            return;
+        };
         let arrived = arrived.max(recording.complete);
         let key = self.join_key(asked);
         self.push(Usage {
@@ -124,18 +163,30 @@
 
     /// Says up to when the records are complete: the arrival of the oldest open query, else now.
     pub(super) fn mark(&mut self, now: Nanos) {
-        let Some(recording) = self.recording.as_mut().filter(|_| !self.exited) else { return };
+        let Some(recording) = self.recording.as_mut().filter(|_| !self.exited) else {
+            return;
+        };
         let oldest = recording.open.first().map_or(now, |(arrived, _)| *arrived);
         recording.complete = recording.complete.max(oldest);
-        let mark = Mark { sequence: recording.sequence, complete: recording.complete, end: false };
+        let mark = Mark {
+            sequence: recording.sequence,
+            complete: recording.complete,
+            end: false,
+        };
         self.alarms.insert((now + recording.every, Alarm::Mark));
         self.effects.push(Effect::Mark(mark));
     }
 
     /// The last mark.
     pub(super) fn mark_end(&mut self) {
-        let Some(recording) = &self.recording else { return };
-        let mark = Mark { sequence: recording.sequence, complete: recording.complete, end: true };
+        let Some(recording) = &self.recording else {
+            return;
+        };
+        let mark = Mark {
+            sequence: recording.sequence,
+            complete: recording.complete,
+            end: true,
+        };
         self.effects.push(Effect::Mark(mark));
     }
 }
--- a/crates/mixer/src/routing/usage.rs
+++ b/crates/mixer/src/routing/usage.rs
@@ -16,7 +16,9 @@
 
 /// The key of a use by the content of its query: the class, the parts (shard and weight) in any order, and the text.
 pub fn key_of_query(class: &str, parts: impl Iterator<Item = (u32, f64)>, text: &[u8]) -> JoinKey {
-    let mut parts: Vec<_> = parts.map(|(shard, weight)| (shard, weight.to_bits())).collect();
+    let mut parts: Vec<_> = parts
+        .map(|(shard, weight)| (shard, weight.to_bits()))
+        .collect();
     parts.sort_unstable();
     let mut hash = hash_of(class);
     for (shard, weight) in parts {
--- a/crates/mixer/src/routing/watching.rs
+++ b/crates/mixer/src/routing/watching.rs
@@ -68,7 +68,11 @@
 impl Watching {
     /// For one of so many `mixers`; they must have different seeds, or they would ask alike.
     pub fn new(way: Way, seed: u64, mixers: u32) -> Watching {
-        Watching { way, backoff: Backoff::new(seed, mixers, apart(way)), most_object: MOST_OBJECT }
+        Watching {
+            way,
+            backoff: Backoff::new(seed, mixers, apart(way)),
+            most_object: MOST_OBJECT,
+        }
     }
 
     /// Sets the bytes that the process may use: the text of a list takes its share of them at most.
@@ -125,12 +129,19 @@
             Way::Asked { .. } => {
                 let room = match ended {
                     // The clock for silence has run since the last line, and runs on.
-                    Ended { had: true, silent: true, .. } => STALENESS_BOUND - SILENT - LAST_TRY,
+                    Ended {
+                        had: true,
+                        silent: true,
+                        ..
+                    } => STALENESS_BOUND - SILENT - LAST_TRY,
                     Ended { had: true, .. } => apart,
                     // Discovery may have come back right after this try began.
-                    Ended { had: false, lasted, .. } => apart.saturating_sub(lasted),
+                    Ended {
+                        had: false, lasted, ..
+                    } => apart.saturating_sub(lasted),
                 };
-                self.backoff.after(ended.had, ended.retry_after, room.min(apart))
+                self.backoff
+                    .after(ended.had, ended.retry_after, room.min(apart))
             }
         }
     }
--- a/crates/mixer/src/settings.rs
+++ b/crates/mixer/src/settings.rs
@@ -11,24 +11,35 @@
 impl<'a> Pairs<'a> {
     fn read(text: &'a str) -> Result<Self, String> {
         let lines = text.lines().filter(|line| !line.trim().is_empty());
-        let split = |line| str::split_once(line, '=').ok_or(format!("settings line without '=': {line}"));
+        let split =
+            |line| str::split_once(line, '=').ok_or(format!("settings line without '=': {line}"));
         lines.map(split).collect::<Result<_, _>>().map(Pairs)
     }
 
     /// The items of a list of plain values.
     fn list(&self, key: &str) -> Vec<String> {
         let items = self.0.get(key).into_iter().flat_map(|text| text.split(','));
-        items.filter(|item| !item.is_empty()).map(str::to_string).collect()
+        items
+            .filter(|item| !item.is_empty())
+            .map(str::to_string)
+            .collect()
     }
 
     /// The names of a list of objects.
     fn names(&self, list: &str) -> Result<Vec<String>, String> {
-        let count = self.get::<usize>(&format!("{list}.count"))?.unwrap_or_default();
-        (0..count).map(|i| self.need(&format!("{list}.{i}.name"))).collect()
+        let count = self
+            .get::<usize>(&format!("{list}.count"))?
+            .unwrap_or_default();
+        (0..count)
+            .map(|i| self.need(&format!("{list}.{i}.name")))
+            .collect()
     }
 
     fn get<T: FromStr>(&self, key: &str) -> Result<Option<T>, String> {
-        let parse = |text: &&str| text.parse().map_err(|_| format!("setting {key}: bad value '{text}'"));
+        let parse = |text: &&str| {
+            text.parse()
+                .map_err(|_| format!("setting {key}: bad value '{text}'"))
+        };
         self.0.get(key).map(parse).transpose()
     }
 
@@ -67,20 +78,26 @@
     fn share(&self, key: &str, i: usize) -> Result<f64, String> {
         let number: f64 = self.item(key, i)?;
         let fits = (0.0..=1.0).contains(&number);
-        fits.then_some(number).ok_or(format!("setting {key}: {number} is out of range"))
+        fits.then_some(number)
+            .ok_or(format!("setting {key}: {number} is out of range"))
     }
 
     fn item<T: FromStr>(&self, key: &str, i: usize) -> Result<T, String> {
         let list = self.0.get(key).ok_or(format!("setting {key} is missing"))?;
-        let item = list.split(',').nth(i).ok_or(format!("setting {key} has no item {i}"))?;
-        item.parse().map_err(|_| format!("setting {key}: bad value '{item}'"))
+        let item = list
+            .split(',')
+            .nth(i)
+            .ok_or(format!("setting {key} has no item {i}"))?;
+        item.parse()
+            .map_err(|_| format!("setting {key}: bad value '{item}'"))
     }
 }
 
 pub fn parse(text: &str) -> Result<Settings, String> {
     let pairs = Pairs::read(text)?;
-    let classes: Vec<Class> =
-        (0..pairs.positive("classes.count")? as usize).map(|i| class(&pairs, i)).collect::<Result<_, _>>()?;
+    let classes: Vec<Class> = (0..pairs.positive("classes.count")? as usize)
+        .map(|i| class(&pairs, i))
+        .collect::<Result<_, _>>()?;
     Ok(Settings {
         classes,
         zone: pairs.get("my_zone")?.unwrap_or_default(),
@@ -141,7 +158,9 @@
 fn allowance(pairs: &Pairs) -> Result<f64, String> {
     let count = pairs.get::<usize>("orgs.count")?.unwrap_or_default();
     let of = |i| pairs.number(&format!("orgs.{i}.allowance_per_s"));
-    (0..count).map(of).try_fold(0.0, |sum, one| Ok(sum + one?.unwrap_or_default()))
+    (0..count)
+        .map(of)
+        .try_fold(0.0, |sum, one| Ok(sum + one?.unwrap_or_default()))
 }
 
 fn budget(pairs: &Pairs) -> Result<Option<Budget>, String> {
@@ -150,9 +169,11 @@
     let span = pairs.get("guarantees.budget_span_ns")?;
     Ok(match (floor, share, span) {
         (None, None, _) | (_, _, None) => None,
-        (floor, share, Some(span)) => {
-            Some(Budget { floor: floor.unwrap_or_default(), share: share.unwrap_or_default(), span })
-        }
+        (floor, share, Some(span)) => Some(Budget {
+            floor: floor.unwrap_or_default(),
+            share: share.unwrap_or_default(),
+            span,
+        }),
     })
 }
 
@@ -188,7 +209,11 @@
 pub fn site(text: &str) -> Result<Site, String> {
     let pairs = Pairs::read(text)?;
     let classes = pairs.names("classes")?;
-    let each = |key: &str| (0..classes.len()).map(|i| pairs.share(key, i)).collect::<Result<_, _>>();
+    let each = |key: &str| {
+        (0..classes.len())
+            .map(|i| pairs.share(key, i))
+            .collect::<Result<_, _>>()
+    };
     for i in 0..classes.len() {
         // The protocol has no words for a second step; half of one would break answers.
         if pairs.item::<u32>("extra.second_step", i)? > 0 {
@@ -206,12 +231,18 @@
         shards: number32(&pairs, "extra.ranges")?,
         call_parts: pairs.get("extra.bundle_max")?.unwrap_or(1).max(1),
         streams: pairs.get("limits.streams_per_conn")?.unwrap_or(1).max(1),
-        max_attempts: pairs.get("limits.max_attempts")?.unwrap_or(usize::from(u8::MAX)),
+        max_attempts: pairs
+            .get("limits.max_attempts")?
+            .unwrap_or(usize::from(u8::MAX)),
         open_cap: pairs.get("limits.open_cap")?.unwrap_or(OPEN_CAP),
-        connect_timeout: pairs.get("limits.connect_timeout_ns")?.unwrap_or(CONNECT_TIMEOUT),
+        connect_timeout: pairs
+            .get("limits.connect_timeout_ns")?
+            .unwrap_or(CONNECT_TIMEOUT),
         idle_time: pairs.get("limits.conn_idle_ns")?.unwrap_or(IDLE_TIME),
         come_back: pairs.time("limits.max_retry_after_ns")?,
-        drain_grace: pairs.get("guarantees.stop_sending_within_ns")?.unwrap_or(DRAIN_GRACE),
+        drain_grace: pairs
+            .get("guarantees.stop_sending_within_ns")?
+            .unwrap_or(DRAIN_GRACE),
         peers: pairs.flag("limits.peers")?,
         may_probe: pairs.flag("limits.may_probe")?,
         report: pairs.list("reporting.fields"),
--- a/crates/mixer/src/transport/clients.rs
+++ b/crates/mixer/src/transport/clients.rs
@@ -67,7 +67,9 @@
         }
     }
     while shared.clients.borrow().len() < most {
-        let Ok(Ok((stream, _))) = timeout(LAST_ACCEPT, listener.accept()).await else { break };
+        let Ok(Ok((stream, _))) = timeout(LAST_ACCEPT, listener.accept()).await else {
+            break;
+        };
         admit(&shared, stream).await;
     }
     drop(listener);
@@ -98,11 +100,16 @@
 
 /// The task of one connection: serves it, ends it and reports its end to the reducer.
 async fn serve_client(
-    shared: Shared, client: ClientId, stream: TcpStream, mut commands: mpsc::Receiver<Command>,
+    shared: Shared,
+    client: ClientId,
+    stream: TcpStream,
+    mut commands: mpsc::Receiver<Command>,
 ) {
     // A reply must not wait for more to fill a packet.
     let _ = stream.set_nodelay(true);
-    let mut connection = shared.pool.frame::<Response, _, _>(stream, ServerCodec::default());
+    let mut connection = shared
+        .pool
+        .frame::<Response, _, _>(stream, ServerCodec::default());
     match serve_requests(&shared, client, &mut connection, &mut commands).await {
         Ok(Ended::ByClient) => {}
         Ok(Ended::ByUs) => linger(&mut connection, &mut commands, LINGER).await,
@@ -117,7 +124,10 @@
 
 /// Serves one request after another until either side ends the connection.
 async fn serve_requests(
-    shared: &Shared, client: ClientId, connection: &mut Connection, commands: &mut mpsc::Receiver<Command>,
+    shared: &Shared,
+    client: ClientId,
+    connection: &mut Connection,
+    commands: &mut mpsc::Receiver<Command>,
 ) -> io::Result<Ended> {
     let mut pipelined: Option<Incoming> = None;
     let mut begun = Some(Instant::now());
@@ -134,7 +144,16 @@
         let asked = incoming.and_then(|request| query::read(&request, &shared.names));
         // After a rejection the connection ends: the client would only send such a request again.
         let mut keep = keep && asked.is_ok();
-        if shared.inputs.send(Input::Asked { client, arrived, asked }).await.is_err() {
+        if shared
+            .inputs
+            .send(Input::Asked {
+                client,
+                arrived,
+                asked,
+            })
+            .await
+            .is_err()
+        {
             return Ok(Ended::ByUs);
         }
         let (response, close) = loop {
@@ -207,7 +226,11 @@
 /// Shuts the write side down and discards what still arrives, for `most` at the longest: closing over unread bytes
 /// would reset the connection, and the reset can overtake the last reply. A client whose next request crosses the
 /// shutdown sees the end of the connection and can repeat that request elsewhere, as it was not read.
-async fn linger(connection: &mut Connection, commands: &mut mpsc::Receiver<Command>, most: Duration) {
+async fn linger(
+    connection: &mut Connection,
+    commands: &mut mpsc::Receiver<Command>,
+    most: Duration,
+) {
     if connection.get_mut().shutdown().await.is_err() {
         return;
     }
@@ -239,13 +262,17 @@
 
 /// The result of a read: a request, or the end of the connection by the client.
 fn request_or_end(next: Option<io::Result<Incoming>>) -> io::Result<ControlFlow<Ended, Incoming>> {
-    Ok(next.transpose()?.map_or(ControlFlow::Break(Ended::ByClient), ControlFlow::Continue))
+    Ok(next
+        .transpose()?
+        .map_or(ControlFlow::Break(Ended::ByClient), ControlFlow::Continue))
 }
 
 /// The next request, or how the connection ends without one: the client closes it, sends nothing on a new connection
 /// (opened at `opened`), or the driver closes it between requests.
 async fn next_request(
-    connection: &mut Connection, commands: &mut mpsc::Receiver<Command>, opened: Option<Instant>,
+    connection: &mut Connection,
+    commands: &mut mpsc::Receiver<Command>,
+    opened: Option<Instant>,
 ) -> io::Result<ControlFlow<Ended, Incoming>> {
     let mut begun = opened.or_else(|| in_request(connection).then(Instant::now));
     loop {
--- a/crates/mixer/src/transport/clock.rs
+++ b/crates/mixer/src/transport/clock.rs
@@ -14,8 +14,13 @@
 impl Clock {
     /// A clock that reads the system's time once, now.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { began: Instant::now(), unix: unix.as_nanos() as Nanos }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            began: Instant::now(),
+            unix: unix.as_nanos() as Nanos,
+        }
     }
 
     /// The time in Unix nanoseconds.
--- a/crates/mixer/src/transport/leaf.rs
+++ b/crates/mixer/src/transport/leaf.rs
@@ -52,7 +52,10 @@
         }
         let _ = shared.inputs.send(Input::LinkClosed { link }).await;
     });
-    Handle { frames, task: task.abort_handle() }
+    Handle {
+        frames,
+        task: task.abort_handle(),
+    }
 }
 
 /// Connects, then writes and reads frames until either side ends the connection.
@@ -60,11 +63,16 @@
 /// # Errors
 /// What the connect or the socket reports.
 async fn exchange_frames(
-    shared: &Shared, link: LinkId, address: SocketAddr, mut frames: mpsc::Receiver<ToLeaf>,
+    shared: &Shared,
+    link: LinkId,
+    address: SocketAddr,
+    mut frames: mpsc::Receiver<ToLeaf>,
 ) -> io::Result<()> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let mut connection = shared.pool.frame::<ToLeaf, _, _>(stream, LeafCodec::default());
+    let mut connection = shared
+        .pool
+        .frame::<ToLeaf, _, _>(stream, LeafCodec::default());
     let mut begun = None;
     let _ = shared.inputs.send(Input::LinkOpened { link }).await;
     let ended = loop {
--- a/crates/mixer/src/transport/ledger.rs
+++ b/crates/mixer/src/transport/ledger.rs
@@ -89,7 +89,11 @@
             }
             Some(sequence) if written < sequence => {
                 let deadline = Instant::now() + self.stall;
-                self.queue.push_back(PendingReply { sequence, deadline, reply });
+                self.queue.push_back(PendingReply {
+                    sequence,
+                    deadline,
+                    reply,
+                });
                 None
             }
             _ => Some(reply),
@@ -98,7 +102,11 @@
 
     /// Has a client's connection end with its reply, if that is still queued.
     pub fn close_client(&mut self, client: ClientId) {
-        for pending in self.queue.iter_mut().filter(|pending| pending.reply.client == client) {
+        for pending in self
+            .queue
+            .iter_mut()
+            .filter(|pending| pending.reply.client == client)
+        {
             pending.reply.close = true;
         }
     }
@@ -115,7 +123,9 @@
         }
         if self.written.changed().await.is_err() {
             // The writer is gone: there is nothing to wait for.
-            self.queue.iter_mut().for_each(|pending| pending.deadline = Instant::now());
+            self.queue
+                .iter_mut()
+                .for_each(|pending| pending.deadline = Instant::now());
         }
     }
 
--- a/crates/mixer/src/transport/mod.rs
+++ b/crates/mixer/src/transport/mod.rs
@@ -122,21 +122,34 @@
 impl Udp {
     fn start(shared: &Shared, socket: Rc<UdpSocket>, addresses: &Addresses) -> Udp {
         let book = peers::Book::new(addresses);
-        let task = tokio::task::spawn_local(peers::listen(shared.clone(), socket.clone(), book.clone()));
-        Udp { socket, book, task: task.abort_handle() }
+        let task =
+            tokio::task::spawn_local(peers::listen(shared.clone(), socket.clone(), book.clone()));
+        Udp {
+            socket,
+            book,
+            task: task.abort_handle(),
+        }
     }
 }
 
 /// Starts a watch on discovery, for changes from a version on or with the whole list first.
 fn watch(shared: &Shared, address: SocketAddr, from: Option<u64>) -> AbortHandle {
-    let Shared { pool, lists, watching, .. } = shared.clone();
+    let Shared {
+        pool,
+        lists,
+        watching,
+        ..
+    } = shared.clone();
     tokio::task::spawn_local(watch::follow(pool, lists, watching, address, from)).abort_handle()
 }
 
 /// Follows discovery's list for ever as a serving mixer does, from version `from` on or from the whole list, and sends
 /// what it tells as inputs for the reducer. It ends only when it is dropped.
 pub async fn follow_list(
-    lists: mpsc::Sender<Input>, watching: Watching, address: SocketAddr, from: Option<u64>,
+    lists: mpsc::Sender<Input>,
+    watching: Watching,
+    address: SocketAddr,
+    from: Option<u64>,
 ) {
     watch::follow(Pool::default(), lists, watching, address, from).await;
 }
@@ -149,7 +162,9 @@
 /// # Errors
 /// [`Elapsed`] if the message was not whole in time.
 async fn message<C: Decoder>(
-    connection: &mut Framed<TcpStream, C>, begun: &mut Option<Instant>, most: Duration,
+    connection: &mut Framed<TcpStream, C>,
+    begun: &mut Option<Instant>,
+    most: Duration,
 ) -> Result<Option<Result<C::Item, C::Error>>, Elapsed> {
     let since = match *begun {
         Some(since) => since,
@@ -171,8 +186,13 @@
 /// # Errors
 /// The socket for datagrams can't be bound.
 pub async fn serve(
-    mut state: State, clock: Clock, names: Names, listener: TcpListener, addresses: Addresses,
-    mut controls: mpsc::Receiver<Control>, beside: Beside,
+    mut state: State,
+    clock: Clock,
+    names: Names,
+    listener: TcpListener,
+    addresses: Addresses,
+    mut controls: mpsc::Receiver<Control>,
+    beside: Beside,
 ) -> io::Result<()> {
     let (inputs, mut arrived) = mpsc::channel(MOST_INPUTS);
     let (lists, mut listed) = mpsc::channel(MOST_LISTS);
@@ -189,18 +209,44 @@
         stopped: Rc::new(latest::channel(false).0),
     };
     let udp = match addresses.peer_listen {
-        Some(at) => Some(Udp::start(&shared, Rc::new(UdpSocket::bind(at).await?), &addresses)),
+        Some(at) => Some(Udp::start(
+            &shared,
+            Rc::new(UdpSocket::bind(at).await?),
+            &addresses,
+        )),
         None => None,
     };
-    tokio::task::spawn_local(clients::listen(shared.clone(), listener, state.most_clients()));
+    tokio::task::spawn_local(clients::listen(
+        shared.clone(),
+        listener,
+        state.most_clients(),
+    ));
     let watch = watch(&shared, addresses.discovery, Some(state.list_index()));
-    beside.fronts.into_iter().for_each(|start| start(QueryClient::new(shared.clone())));
+    beside
+        .fronts
+        .into_iter()
+        .for_each(|start| start(QueryClient::new(shared.clone())));
     let pending_replies = beside.recorder.map(PendingReplies::new);
-    let mut driver = Driver { shared, links: HashMap::new(), udp, watch, pending_replies, exited: false };
+    let mut driver = Driver {
+        shared,
+        links: HashMap::new(),
+        udp,
+        watch,
+        pending_replies,
+        exited: false,
+    };
     while !driver.exited {
         // One timer for alarms and replies: arming a second one each turn is costly.
-        let reply_due = driver.pending_replies.as_ref().and_then(PendingReplies::next_deadline);
-        let due = state.next_due().map(|at| clock.instant(at)).into_iter().chain(reply_due).min();
+        let reply_due = driver
+            .pending_replies
+            .as_ref()
+            .and_then(PendingReplies::next_deadline);
+        let due = state
+            .next_due()
+            .map(|at| clock.instant(at))
+            .into_iter()
+            .chain(reply_due)
+            .min();
         tokio::select! {
             biased;
             Some(control) = controls.recv() => {
@@ -259,13 +305,23 @@
             udp.task.abort();
             *udp = Udp::start(&self.shared, udp.socket.clone(), addresses);
         }
-        Input::Reloaded { discovery: addresses.map(|addresses| addresses.discovery) }
+        Input::Reloaded {
+            discovery: addresses.map(|addresses| addresses.discovery),
+        }
     }
 
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Reply { client, reply, close } => {
-                let reply = ClientReply { client, reply, close };
+            Effect::Reply {
+                client,
+                reply,
+                close,
+            } => {
+                let reply = ClientReply {
+                    client,
+                    reply,
+                    close,
+                };
                 let ready = match &mut self.pending_replies {
                     Some(pending_replies) => pending_replies.enqueue(reply),
                     None => Some(reply),
@@ -292,7 +348,8 @@
             }
             Effect::Connect { link, address } => {
                 self.links.retain(|_, handle| !handle.is_over());
-                self.links.insert(link, leaf::open(self.shared.clone(), link, address));
+                self.links
+                    .insert(link, leaf::open(self.shared.clone(), link, address));
             }
             Effect::Write { link, frame } => {
                 if let Some(handle) = self.links.get(&link) {
@@ -318,20 +375,35 @@
         }
     }
 
-    fn reply(&self, ClientReply { client, reply, close }: ClientReply) {
+    fn reply(
+        &self,
+        ClientReply {
+            client,
+            reply,
+            close,
+        }: ClientReply,
+    ) {
         self.command_client(client, clients::Command::Reply(Box::new(reply), close));
     }
 
     /// Sends the replies whose records are written, or that have waited for long enough.
     fn send_ready_replies(&mut self) {
-        while let Some(reply) = self.pending_replies.as_mut().and_then(PendingReplies::pop_ready) {
+        while let Some(reply) = self
+            .pending_replies
+            .as_mut()
+            .and_then(PendingReplies::pop_ready)
+        {
             self.reply(reply);
         }
     }
 
     /// Writes the records that wait, and sends every reply that is still queued.
     fn close_recorder(&mut self) {
-        let queued = self.pending_replies.as_mut().map(PendingReplies::close).unwrap_or_default();
+        let queued = self
+            .pending_replies
+            .as_mut()
+            .map(PendingReplies::close)
+            .unwrap_or_default();
         queued.into_iter().for_each(|reply| self.reply(reply));
     }
 
--- a/crates/mixer/src/transport/peers.rs
+++ b/crates/mixer/src/transport/peers.rs
@@ -16,7 +16,10 @@
 impl Book {
     /// The address book of a configuration.
     pub fn new(addresses: &Addresses) -> Book {
-        Book { peers: addresses.peers.clone(), all: addresses.peers_all }
+        Book {
+            peers: addresses.peers.clone(),
+            all: addresses.peers_all,
+        }
     }
 
     /// Sends a datagram to one mixer, or to all. It is dropped if the socket has no room or the number is unknown.
@@ -36,9 +39,14 @@
     let mut buffer = [0; super::pool::BUFFER];
     loop {
         // An error here is about a datagram sent before, to a mixer that is down.
-        let Ok((length, sender)) = socket.recv_from(&mut buffer).await else { continue };
+        let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
+            continue;
+        };
         if let Some(from) = book.peers.iter().position(|peer| *peer == sender) {
-            let input = Input::Datagram { from: from as u32, bytes: buffer[..length].to_vec() };
+            let input = Input::Datagram {
+                from: from as u32,
+                bytes: buffer[..length].to_vec(),
+            };
             let _ = shared.inputs.send(input).await;
         }
     }
--- a/crates/mixer/src/transport/pool.rs
+++ b/crates/mixer/src/transport/pool.rs
@@ -17,7 +17,10 @@
 
 impl Pool {
     fn take(&self) -> BytesMut {
-        self.0.borrow_mut().pop().unwrap_or_else(|| BytesMut::with_capacity(BUFFER))
+        self.0
+            .borrow_mut()
+            .pop()
+            .unwrap_or_else(|| BytesMut::with_capacity(BUFFER))
     }
 
     /// Takes a buffer back. One that had to grow for a large message is freed, or all would end up large.
@@ -30,7 +33,11 @@
     }
 
     /// A connection that writes messages of type `M`, with two buffers of the pool.
-    pub fn frame<M, T: AsyncRead + AsyncWrite, C: Encoder<M>>(&self, io: T, codec: C) -> Framed<T, C> {
+    pub fn frame<M, T: AsyncRead + AsyncWrite, C: Encoder<M>>(
+        &self,
+        io: T,
+        codec: C,
+    ) -> Framed<T, C> {
         let mut parts = FramedParts::new::<M>(io, codec);
         parts.read_buf = self.take();
         parts.write_buf = self.take();
--- a/crates/mixer/src/transport/query_client.rs
+++ b/crates/mixer/src/transport/query_client.rs
@@ -24,7 +24,12 @@
     fn drop(&mut self) {
         self.shared.clients.borrow_mut().remove(&self.client);
         self.shared.client_ended.notify_one();
-        let (inputs, closed) = (self.shared.inputs.clone(), Input::ClientClosed { client: self.client });
+        let (inputs, closed) = (
+            self.shared.inputs.clone(),
+            Input::ClientClosed {
+                client: self.client,
+            },
+        );
         if let Err(mpsc::error::TrySendError::Full(closed)) = inputs.try_send(closed) {
             tokio::task::spawn_local(async move {
                 let _ = inputs.send(closed).await;
@@ -54,10 +59,25 @@
         let client = self.shared.client();
         let (commands, mut replies) = mpsc::channel(MOST_COMMANDS);
         self.shared.clients.borrow_mut().insert(client, commands);
-        let registration = Registration { shared: self.shared.clone(), client };
-        let _ = registration.shared.inputs.send(Input::ClientOpened { client }).await;
+        let registration = Registration {
+            shared: self.shared.clone(),
+            client,
+        };
+        let _ = registration
+            .shared
+            .inputs
+            .send(Input::ClientOpened { client })
+            .await;
         let asked = Ok(Asked::Query(query));
-        let _ = registration.shared.inputs.send(Input::Asked { client, arrived, asked }).await;
+        let _ = registration
+            .shared
+            .inputs
+            .send(Input::Asked {
+                client,
+                arrived,
+                asked,
+            })
+            .await;
         loop {
             match replies.recv().await {
                 Some(Command::Reply(reply, _)) => return *reply,
--- a/crates/mixer/src/transport/watch.rs
+++ b/crates/mixer/src/transport/watch.rs
@@ -32,20 +32,43 @@
 
 /// Follows the list from version `index` on, or from the whole list, for ever.
 pub(super) async fn follow(
-    pool: Pool, lists: mpsc::Sender<Input>, watching: Watching, address: SocketAddr, index: Option<u64>,
+    pool: Pool,
+    lists: mpsc::Sender<Input>,
+    watching: Watching,
+    address: SocketAddr,
+    index: Option<u64>,
 ) {
-    let mut follower = Follower { pool, lists, watching, address, index, had: false, refused: false };
+    let mut follower = Follower {
+        pool,
+        lists,
+        watching,
+        address,
+        index,
+        had: false,
+        refused: false,
+    };
     let mut failing = false;
     loop {
         follower.had = false;
         let began = Instant::now();
-        let Err(why) = follower.watch().await else { continue };
+        let Err(why) = follower.watch().await else {
+            continue;
+        };
         failing &= !follower.had;
         let silent = why.kind() == ErrorKind::TimedOut;
-        follower.report(Input::Watch(WatchNews::Ended { silent })).await;
-        let retry_after =
-            why.get_ref().and_then(|e| e.downcast_ref::<TurnedAway>()).and_then(|e| e.retry_after);
-        let ended = Ended { lasted: began.elapsed(), had: follower.had, silent, retry_after };
+        follower
+            .report(Input::Watch(WatchNews::Ended { silent }))
+            .await;
+        let retry_after = why
+            .get_ref()
+            .and_then(|e| e.downcast_ref::<TurnedAway>())
+            .and_then(|e| e.retry_after);
+        let ended = Ended {
+            lasted: began.elapsed(),
+            had: follower.had,
+            silent,
+            retry_after,
+        };
         let wait = follower.watching.after(ended);
         let (index, wait_ms) = (follower.index, wait.as_millis());
         if !failing {
@@ -91,14 +114,19 @@
     async fn listing(&mut self, message: io::Result<Bytes>) -> io::Result<Option<Listing>> {
         let read = match message {
             Ok(object) => discovery::read(&object),
-            Err(error) => match error.get_ref().and_then(|source| source.downcast_ref::<Refused>()) {
+            Err(error) => match error
+                .get_ref()
+                .and_then(|source| source.downcast_ref::<Refused>())
+            {
                 Some(refused) => Err(refused.clone()),
                 None => return Err(error),
             },
         };
         match read {
             Ok(listing) => Ok(listing),
-            Err(why) if why.is_over_bound() => Err(self.refuse(ListFault::OverBound, why.to_string()).await),
+            Err(why) if why.is_over_bound() => {
+                Err(self.refuse(ListFault::OverBound, why.to_string()).await)
+            }
             Err(why) => Err(self.refuse(ListFault::Unreadable, why.to_string()).await),
         }
     }
@@ -107,14 +135,17 @@
     /// may have begun anew.
     async fn check_version(&mut self, listing: &Listing) -> io::Result<()> {
         let (index, address) = (listing.index, self.address);
-        let Some(in_force) = self.index.filter(|in_force| index < *in_force) else { return Ok(()) };
+        let Some(in_force) = self.index.filter(|in_force| index < *in_force) else {
+            return Ok(());
+        };
         if listing.snapshot {
             tracing::info!(%address, index, in_force, "a whole list of an earlier version is taken");
             self.report(Input::Watch(WatchNews::WentBack)).await;
             return Ok(());
         }
-        let why =
-            format!("changes up to version {index}, {in_force} is in force: {in_force} or later is valid");
+        let why = format!(
+            "changes up to version {index}, {in_force} is in force: {in_force} or later is valid"
+        );
         Err(self.refuse(ListFault::WentBack, why).await)
     }
 
@@ -124,9 +155,17 @@
         tracing::debug!(address = %self.address, from, "discovery asked");
         self.report(Input::Watch(WatchNews::Asked)).await;
         loop {
-            let most = if self.had { self.watching.silent() } else { self.watching.answer() };
-            let message = timeout(most, connection.next()).await.map_err(|_| ErrorKind::TimedOut)?;
-            let Some(message) = message else { return Err(ErrorKind::UnexpectedEof.into()) };
+            let most = if self.had {
+                self.watching.silent()
+            } else {
+                self.watching.answer()
+            };
+            let message = timeout(most, connection.next())
+                .await
+                .map_err(|_| ErrorKind::TimedOut)?;
+            let Some(message) = message else {
+                return Err(ErrorKind::UnexpectedEof.into());
+            };
             let listing = self.listing(message).await?;
             self.had = true;
             let Some(listing) = listing else {
