--- a/crates/mixer/tests/leaving.rs
+++ b/crates/mixer/tests/leaving.rs
@@ -11,7 +11,11 @@
 
 fn ready(bed: &mut Bed) -> bool {
     let client = bed.connect();
-    bed.put(Input::Asked { client, arrived: bed.now, asked: Ok(Asked::Ready) });
+    bed.put(Input::Asked {
+        client,
+        arrived: bed.now,
+        asked: Ok(Asked::Ready),
+    });
     bed.reply(client) == Some(&Reply::Ready(true))
 }
 
@@ -30,7 +34,11 @@
         bed.list(1, "draining", 0);
         bed.open_all();
         assert!(ready(&mut bed));
-        assert_eq!(bed.called(), vec![bed::address(2); 2], "at once, and not to the one that leaves");
+        assert_eq!(
+            bed.called(),
+            vec![bed::address(2); 2],
+            "at once, and not to the one that leaves"
+        );
         bed.answer_all();
         assert!(whole(bed.reply(client)));
     }
@@ -38,7 +46,10 @@
 
 #[test]
 fn where_discovery_is_silent_a_new_process_serves_from_the_list_it_held() {
-    for text in [SETTINGS.to_string(), SETTINGS.to_string() + "discovery=on_request\n"] {
+    for text in [
+        SETTINGS.to_string(),
+        SETTINGS.to_string() + "discovery=on_request\n",
+    ] {
         serves_from_what_it_held(&text);
     }
 }
@@ -49,7 +60,11 @@
     bed.ask_on(late, 1, &[1.0], 300);
     bed.pass(999);
     assert!(!ready(&mut bed) && bed.links.is_empty());
-    assert_eq!(bed.replies[&late].len(), 1, "answered in its time all the same");
+    assert_eq!(
+        bed.replies[&late].len(),
+        1,
+        "answered in its time all the same"
+    );
     bed.pass(2);
     assert!(ready(&mut bed));
     bed.open_all();
@@ -63,8 +78,14 @@
     let mut bed = Bed::new(4);
     bed.list(1, "draining", 0);
     bed.list(2, "removed", 0);
-    bed.put(Input::Reloaded { discovery: Some("127.0.0.1:8501".parse().unwrap()) });
-    assert_eq!(bed.watches, [None], "versions are each discovery's own: the whole list comes first");
+    bed.put(Input::Reloaded {
+        discovery: Some("127.0.0.1:8501".parse().unwrap()),
+    });
+    assert_eq!(
+        bed.watches,
+        [None],
+        "versions are each discovery's own: the whole list comes first"
+    );
     let all = [(1, "up", 0), (2, "up", 0), (3, "up", 0), (4, "up", 0)];
     bed.listed(true, &all);
     bed.listed(false, &all[..2]);
@@ -72,7 +93,9 @@
     bed.open_all();
     bed.answer_all();
     assert!(
-        bed.links.values().all(|(at, _)| *at != bed::address(1) && *at != bed::address(2)),
+        bed.links
+            .values()
+            .all(|(at, _)| *at != bed::address(1) && *at != bed::address(2)),
         "{:?}",
         bed.links
     );
@@ -81,13 +104,21 @@
     bed.pass(5990);
     assert_eq!(bed.watches.len(), 1);
     bed.pass(20);
-    assert_eq!(bed.watches, [None, None], "its last word is asked for once it must have it");
+    assert_eq!(
+        bed.watches,
+        [None, None],
+        "its last word is asked for once it must have it"
+    );
     bed.told(&bed::address(1), "up");
     bed.listed(true, &all[..1]);
     let client = bed.ask(1, &[1.0]);
     bed.open_all();
     bed.answer_all();
-    assert!(whole(bed.reply(client)), "by then it is believed: {:?}", bed.reply(client));
+    assert!(
+        whole(bed.reply(client)),
+        "by then it is believed: {:?}",
+        bed.reply(client)
+    );
 }
 
 #[test]
@@ -97,10 +128,17 @@
     let client = bed.ask(1, &[1.0]);
     bed.open_all();
     let stuck = bed.frames[0].0;
-    let leaves = if bed.links[&stuck].0 == bed::address(1) { 1 } else { 2 };
+    let leaves = if bed.links[&stuck].0 == bed::address(1) {
+        1
+    } else {
+        2
+    };
     bed.list(leaves, "draining", 0);
     bed.pass(GRACE / MS);
-    assert!(!bed.links.contains_key(&stuck), "it may go out at any moment");
+    assert!(
+        !bed.links.contains_key(&stuck),
+        "it may go out at any moment"
+    );
     bed.stuck = false;
     bed.open_all();
     bed.answer_all();
@@ -134,13 +172,22 @@
         bed.ask_part(client, 1, shard);
         bed.open_all();
         bed.answer_all();
-        assert!(whole(bed.reply(client)), "shard {shard}: {:?}", bed.reply(client));
+        assert!(
+            whole(bed.reply(client)),
+            "shard {shard}: {:?}",
+            bed.reply(client)
+        );
     }
     assert!(bed.links.len() <= 64 * 4 / 10);
 }
 
 fn config(cases: u32) -> ProptestConfig {
-    ProptestConfig { cases, rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..Default::default() }
+    ProptestConfig {
+        cases,
+        rng_seed: RngSeed::Fixed(11),
+        failure_persistence: None,
+        ..Default::default()
+    }
 }
 
 proptest! {
--- a/crates/mixer/tests/lists.rs
+++ b/crates/mixer/tests/lists.rs
@@ -39,20 +39,38 @@
 
 fn whole(entries: impl Iterator<Item = String>) -> String {
     let entries: Vec<String> = entries.collect();
-    format!("{{\"index\":43,\"snapshot\":true,\"endpoints\":[{}]}}", entries.join(","))
+    format!(
+        "{{\"index\":43,\"snapshot\":true,\"endpoints\":[{}]}}",
+        entries.join(",")
+    )
 }
 
 #[test]
 fn the_list_to_plan_for_is_read_and_applied() {
     let text = whole((0..PLANNED).map(entry));
-    assert!((14_300_000..14_700_000).contains(&text.len()), "{} bytes", text.len());
+    assert!(
+        (14_300_000..14_700_000).contains(&text.len()),
+        "{} bytes",
+        text.len()
+    );
     let most = discovery::most_object(64_000_000);
-    assert!(text.len() <= most, "accepted where the process may use 64 MB: {most}");
-    let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+    assert!(
+        text.len() <= most,
+        "accepted where the process may use 64 MB: {most}"
+    );
+    let answer = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
+        text.len()
+    );
     let (mut codec, mut buffer, mut objects) = (WatchCodec::new(most), BytesMut::new(), Vec::new());
     for piece in answer.as_bytes().chunks(16 * 1024) {
         buffer.extend_from_slice(piece);
-        objects.extend(codec.decode(&mut buffer).unwrap().filter(|object| !object.is_empty()));
+        objects.extend(
+            codec
+                .decode(&mut buffer)
+                .unwrap()
+                .filter(|object| !object.is_empty()),
+        );
     }
     assert_eq!(objects.len(), 1);
     let listing = discovery::read(&objects[0]).unwrap().unwrap();
@@ -66,10 +84,16 @@
     let list = whole((0..1000).map(entry));
     for after in ["", "\n", "\n{\"index\":44"] {
         let mut objects = Objects::default();
-        objects.buffer().extend_from_slice((list.clone() + after).as_bytes());
+        objects
+            .buffer()
+            .extend_from_slice((list.clone() + after).as_bytes());
         let object = objects.whole().expect("a whole list");
         assert_eq!(object.len(), list.len());
-        assert!(object.is_unique(), "its memory goes with it, {} bytes after it or not", after.len());
+        assert!(
+            object.is_unique(),
+            "its memory goes with it, {} bytes after it or not",
+            after.len()
+        );
         objects.buffer().extend_from_slice(b"}");
         let next = objects.whole().expect("what follows is read on");
         assert_eq!(next, after.trim().to_string() + "}");
@@ -79,12 +103,29 @@
 #[test]
 fn the_bound_has_room_for_the_planned_list_indented_and_grown() {
     let list: Value = serde_json::from_str(&whole((0..1000).map(entry))).unwrap();
-    let indented = serde_json::to_string_pretty(&list).unwrap().len().div_ceil(1000);
-    assert!(indented * PLANNED <= MOST_OBJECT, "{indented} bytes an entry");
-    assert!(indented * MOST_ENTRIES <= MOST_OBJECT, "and as many as are accepted at all");
-    assert_eq!(discovery::most_object(48_000_000), 12_000_000, "a quarter of the memory limit");
+    let indented = serde_json::to_string_pretty(&list)
+        .unwrap()
+        .len()
+        .div_ceil(1000);
+    assert!(
+        indented * PLANNED <= MOST_OBJECT,
+        "{indented} bytes an entry"
+    );
+    assert!(
+        indented * MOST_ENTRIES <= MOST_OBJECT,
+        "and as many as are accepted at all"
+    );
+    assert_eq!(
+        discovery::most_object(48_000_000),
+        12_000_000,
+        "a quarter of the memory limit"
+    );
     assert_eq!(discovery::most_object(usize::MAX), MOST_OBJECT);
-    assert_eq!(discovery::most_object(1), 4096 * 1024, "never less than lists had before there was a limit");
+    assert_eq!(
+        discovery::most_object(1),
+        4096 * 1024,
+        "never less than lists had before there was a limit"
+    );
 }
 
 #[test]
@@ -100,9 +141,19 @@
             "seed": "8c1f", "limits": limits, "settings": settings});
         Config::read(&file.to_string()).unwrap()
     };
-    assert_eq!(config(json!({"sockets": 9, "memory_mb": 128})).memory, Some(128_000_000));
-    assert_eq!(config(json!({"sockets": 9, "memory_mb": 48.5})).memory, Some(48_500_000));
-    for stated in [json!({"sockets": 9}), json!({"sockets": 9, "memory_mb": "all"}), Value::Null] {
+    assert_eq!(
+        config(json!({"sockets": 9, "memory_mb": 128})).memory,
+        Some(128_000_000)
+    );
+    assert_eq!(
+        config(json!({"sockets": 9, "memory_mb": 48.5})).memory,
+        Some(48_500_000)
+    );
+    for stated in [
+        json!({"sockets": 9}),
+        json!({"sockets": 9, "memory_mb": "all"}),
+        Value::Null,
+    ] {
         assert_eq!(config(stated.clone()).memory, None, "{stated}");
     }
 }
@@ -121,8 +172,14 @@
     );
     let read = |text: &str| discovery::read(text.as_bytes()).unwrap().unwrap();
     let want = read(plain);
-    assert_eq!((&*want.endpoints[0].name, &*want.endpoints[0].zone), ("s-1", "a"));
-    assert_eq!(SocketAddr::from(want.endpoints[1].address.as_ref().unwrap()), "[::1]:70".parse().unwrap());
+    assert_eq!(
+        (&*want.endpoints[0].name, &*want.endpoints[0].zone),
+        ("s-1", "a")
+    );
+    assert_eq!(
+        SocketAddr::from(want.endpoints[1].address.as_ref().unwrap()),
+        "[::1]:70".parse().unwrap()
+    );
     assert_eq!(read(last_first), want);
     let value: Value = serde_json::from_str(plain).unwrap();
     assert_eq!(read(&serde_json::to_string_pretty(&value).unwrap()), want);
@@ -137,13 +194,26 @@
     let bad = (0..40).map(|n| format!("{{\"name\":\"s-{n}\",\"group\":-1,\"status\":\"up\"}}"));
     let listing = discovery::read(whole(bad).as_bytes()).unwrap().unwrap();
     assert_eq!((listing.endpoints.len(), listing.unusable), (40, 40));
-    assert!(listing.endpoints.iter().all(|e| e.status == Status::Draining && e.address.is_none()));
-    assert_eq!(logs.with("WARN", &["index=43", "listed with what can't be used"]).len(), 17);
+    assert!(listing
+        .endpoints
+        .iter()
+        .all(|e| e.status == Status::Draining && e.address.is_none()));
+    assert_eq!(
+        logs.with("WARN", &["index=43", "listed with what can't be used"])
+            .len(),
+        17
+    );
     logs.assert_one("WARN", &["more=24"]);
     let mut bed = Bed::new(1);
     let change = bed.change(false, &[]);
-    let Input::Listed(change) = change else { panic!("{change:?}") };
-    bed.put(Input::Listed(Listing { endpoints: listing.endpoints, unusable: 40, ..change }));
+    let Input::Listed(change) = change else {
+        panic!("{change:?}")
+    };
+    bed.put(Input::Listed(Listing {
+        endpoints: listing.endpoints,
+        unusable: 40,
+        ..change
+    }));
     assert_eq!(bed.state.counters().bad_lists.unusable, 40);
 }
 
@@ -151,7 +221,10 @@
 fn what_is_up_without_a_usable_address_is_logged_with_what_was_stated() {
     let logs = Logs::collect();
     let text = r#"{"index":43,"snapshot":true,"endpoints":[{"name":"s-1","address":"here","group":3,"status":"up"}]}"#;
-    assert_eq!(discovery::read(text.as_bytes()).unwrap().unwrap().unusable, 1);
+    assert_eq!(
+        discovery::read(text.as_bytes()).unwrap().unwrap().unusable,
+        1
+    );
     logs.assert_one("WARN", &["index=43", "s-1", "\"here\" is no IP:PORT"]);
 }
 
@@ -179,11 +252,17 @@
     let mut bed = Bed::new(1);
     let change: Vec<_> = status.iter().map(|status| (9, *status, 0)).collect();
     bed.listed(false, &change);
-    assert_eq!(bed.state.counters().bad_lists.unknown, u64::from(status.is_some()));
+    assert_eq!(
+        bed.state.counters().bad_lists.unknown,
+        u64::from(status.is_some())
+    );
     let client = bed.ask(1, &[1.0]);
     bed.open_all();
     bed.answer_all();
-    assert!(matches!(bed.reply(client), Some(Reply::Answer { whole: true, .. })), "{status:?}");
+    assert!(
+        matches!(bed.reply(client), Some(Reply::Answer { whole: true, .. })),
+        "{status:?}"
+    );
     assert_eq!(bed.links.len(), 1, "no connection to the unknown one");
     let change: Vec<_> = status.iter().map(|_| (9, "removed", 0)).collect();
     bed.listed(false, &change);
@@ -208,7 +287,11 @@
     }
     let mut bed = Bed::new(1);
     bed.listed(true, &[(1, "up", 0), (2, "draining", 0)]);
-    assert_eq!(bed.state.counters().bad_lists.unknown, 0, "a whole list names who drains");
+    assert_eq!(
+        bed.state.counters().bad_lists.unknown,
+        0,
+        "a whole list names who drains"
+    );
 }
 
 #[test]
@@ -216,7 +299,9 @@
     let mut bed = Bed::new(1);
     bed.listed(false, &[(9, "removed", 0)]);
     bed.told(&bed::address(9), "removed");
-    bed.put(Input::Reloaded { discovery: Some("127.0.0.1:8501".parse().unwrap()) });
+    bed.put(Input::Reloaded {
+        discovery: Some("127.0.0.1:8501".parse().unwrap()),
+    });
     bed.listed(true, &[(9, "up", 0)]);
     let client = bed.ask(1, &[1.0]);
     bed.open_all();
@@ -230,9 +315,18 @@
 fn a_list_over_the_bound_of_entries_is_refused_by_their_number() {
     let text = whole((0..MOST_ENTRIES + 2).map(|_| "{}".to_string()));
     let refused = discovery::read(text.as_bytes()).unwrap_err();
-    assert_eq!(refused, Refused::TooManyEntries { index: 43, entries: MOST_ENTRIES + 2 });
+    assert_eq!(
+        refused,
+        Refused::TooManyEntries {
+            index: 43,
+            entries: MOST_ENTRIES + 2
+        }
+    );
     assert!(refused.is_over_bound());
-    assert_eq!(refused.to_string(), "131074 entries in version 43, 131072 at most are accepted");
+    assert_eq!(
+        refused.to_string(),
+        "131074 entries in version 43, 131072 at most are accepted"
+    );
 }
 
 /// One connection of a watch that the test plays: what the mixer asked for, and the stream to answer on.
@@ -248,7 +342,10 @@
 
 async fn stats(mixer: SocketAddr) -> Value {
     let mut stream = TcpStream::connect(mixer).await.unwrap();
-    stream.write_all(b"GET /-/stats HTTP/1.1\r\n\r\n").await.unwrap();
+    stream
+        .write_all(b"GET /-/stats HTTP/1.1\r\n\r\n")
+        .await
+        .unwrap();
     serde_json::from_str(&reply(&mut stream).await.1).unwrap()
 }
 
@@ -283,19 +380,28 @@
 /// Runs `test` against a mixer that has the list of version 3 in force, from a whole list over the watch that is
 /// given to it. The process may use 20 MB, so a message may take 5 MB.
 fn with_list_in_force<F: Future<Output = ()>>(test: impl FnOnce(Around, TcpStream, Logs) -> F) {
-    loopback::run_within(Some(20_000_000), false, bed::SETTINGS, DESCRIPTORS, |mut around| async move {
-        let logs = Logs::collect();
-        let free = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let leaf_at = std::mem::replace(&mut around.leaf, free);
-        let (request, mut watch) = asked(&around.discovery).await;
-        assert_eq!(request, "GET /api/targets?watch=1&from=0");
-        watch.write_all(loopback::list(3, leaf_at.local_addr().unwrap(), "up").as_bytes()).await.unwrap();
-        tokio::task::spawn_local(leaf(leaf_at));
-        while stats(around.mixer).await["list"] != 3 {
-            tokio::task::yield_now().await;
-        }
-        test(around, watch, logs).await;
-    });
+    loopback::run_within(
+        Some(20_000_000),
+        false,
+        bed::SETTINGS,
+        DESCRIPTORS,
+        |mut around| async move {
+            let logs = Logs::collect();
+            let free = TcpListener::bind("127.0.0.1:0").await.unwrap();
+            let leaf_at = std::mem::replace(&mut around.leaf, free);
+            let (request, mut watch) = asked(&around.discovery).await;
+            assert_eq!(request, "GET /api/targets?watch=1&from=0");
+            watch
+                .write_all(loopback::list(3, leaf_at.local_addr().unwrap(), "up").as_bytes())
+                .await
+                .unwrap();
+            tokio::task::spawn_local(leaf(leaf_at));
+            while stats(around.mixer).await["list"] != 3 {
+                tokio::task::yield_now().await;
+            }
+            test(around, watch, logs).await;
+        },
+    );
 }
 
 /// Sends what has to be refused on the watch, and checks that the list in force stays, that the fault is counted and
@@ -307,25 +413,44 @@
         let (request, mut next) = asked(&around.discovery).await;
         assert_eq!(request, "GET /api/targets", "the whole list comes first");
         let found = stats(around.mixer).await;
-        assert_eq!((&found["list"], &found["lists"]), (&json!(3), &json!(1)), "{fault}");
+        assert_eq!(
+            (&found["list"], &found["lists"]),
+            (&json!(3), &json!(1)),
+            "{fault}"
+        );
         let mut counted = json!({"over_bound": 0, "unreadable": 0, "went_back": 0, "whole_went_back": 0,
             "unusable": 0, "repeated": 0, "unknown": 0});
         counted[fault] = 1.into();
         assert_eq!(found["bad_lists"], counted);
-        assert!(is_served(around.mixer, "kept").await, "the list in force stays");
+        assert!(
+            is_served(around.mixer, "kept").await,
+            "the list in force stays"
+        );
         logs.assert_one("WARN", words);
         let free = around.leaf.local_addr().unwrap();
-        next.write_all(loopback::list(2, free, "up").as_bytes()).await.unwrap();
+        next.write_all(loopback::list(2, free, "up").as_bytes())
+            .await
+            .unwrap();
         let (request, _open) = asked(&around.discovery).await;
-        assert_eq!(request, "GET /api/targets?watch=1&from=2", "a whole list is right whatever its version");
+        assert_eq!(
+            request, "GET /api/targets?watch=1&from=2",
+            "a whole list is right whatever its version"
+        );
         assert_eq!(stats(around.mixer).await["list"], 2);
     });
 }
 
 #[test]
 fn a_list_over_the_bound_of_bytes_is_refused() {
-    let endless = format!("{{\"index\":4,\"snapshot\":true,\"endpoints\":[{}", "1,".repeat(2_500_000));
-    let words = &["OverBound", "in_force=3", "over 5000000 bytes, the most that is accepted"];
+    let endless = format!(
+        "{{\"index\":4,\"snapshot\":true,\"endpoints\":[{}",
+        "1,".repeat(2_500_000)
+    );
+    let words = &[
+        "OverBound",
+        "in_force=3",
+        "over 5000000 bytes, the most that is accepted",
+    ];
     is_refused(chunk(&endless), "over_bound", words);
 }
 
@@ -340,13 +465,23 @@
 #[test]
 fn changes_that_go_back_behind_later_ones_of_the_same_watch_are_refused() {
     with_list_in_force(|around, mut watch, _logs| async move {
-        let changes =
-            |index: u64| chunk(&format!("{}\n", json!({"index": index, "snapshot": false, "endpoints": []})));
-        watch.write_all((changes(9) + &changes(9) + &changes(8)).as_bytes()).await.unwrap();
+        let changes = |index: u64| {
+            chunk(&format!(
+                "{}\n",
+                json!({"index": index, "snapshot": false, "endpoints": []})
+            ))
+        };
+        watch
+            .write_all((changes(9) + &changes(9) + &changes(8)).as_bytes())
+            .await
+            .unwrap();
         let (request, _next) = asked(&around.discovery).await;
         assert_eq!(request, "GET /api/targets");
         let found = stats(around.mixer).await;
-        assert_eq!((&found["list"], &found["bad_lists"]["went_back"]), (&json!(9), &json!(1)));
+        assert_eq!(
+            (&found["list"], &found["bad_lists"]["went_back"]),
+            (&json!(9), &json!(1))
+        );
     });
 }
 
@@ -369,16 +504,28 @@
 fn a_whole_list_of_an_earlier_version_is_taken_and_counted() {
     with_list_in_force(|around, mut watch, logs| async move {
         let whole = json!({"index": 1, "snapshot": true, "endpoints": []});
-        watch.write_all(chunk(&format!("{whole}\n")).as_bytes()).await.unwrap();
+        watch
+            .write_all(chunk(&format!("{whole}\n")).as_bytes())
+            .await
+            .unwrap();
         while stats(around.mixer).await["list"] != 1 {
             tokio::task::yield_now().await;
         }
         let found = stats(around.mixer).await;
         assert_eq!(
-            (&found["bad_lists"]["whole_went_back"], &found["watches"]["ended"]),
+            (
+                &found["bad_lists"]["whole_went_back"],
+                &found["watches"]["ended"]
+            ),
             (&json!(1), &json!(0))
         );
-        logs.assert_one("INFO", &["index=1", "in_force=3", "whole list of an earlier version"]);
-        assert!(!is_served(around.mixer, "gone").await, "whom it leaves out is gone at once");
+        logs.assert_one(
+            "INFO",
+            &["index=1", "in_force=3", "whole list of an earlier version"],
+        );
+        assert!(
+            !is_served(around.mixer, "gone").await,
+            "whom it leaves out is gone at once"
+        );
     });
 }
--- a/crates/mixer/tests/logs/mod.rs
+++ b/crates/mixer/tests/logs/mod.rs
@@ -51,18 +51,34 @@
     pub fn collect() -> Logs {
         let lines = Arc::<Mutex<Vec<String>>>::default();
         let guard = tracing::subscriber::set_default(Collector(lines.clone()));
-        Logs { lines, _guard: guard }
+        Logs {
+            lines,
+            _guard: guard,
+        }
     }
 
     /// The lines at a level that have all of these words.
     pub fn with(&self, level: &str, words: &[&str]) -> Vec<String> {
-        let has = |line: &&String| line.starts_with(level) && words.iter().all(|word| line.contains(word));
-        self.lines.lock().unwrap().iter().filter(has).cloned().collect()
+        let has = |line: &&String| {
+            line.starts_with(level) && words.iter().all(|word| line.contains(word))
+        };
+        self.lines
+            .lock()
+            .unwrap()
+            .iter()
+            .filter(has)
+            .cloned()
+            .collect()
     }
 
     /// Checks that there is such a line, once.
     pub fn assert_one(&self, level: &str, words: &[&str]) {
         let found = self.with(level, words);
-        assert_eq!(found.len(), 1, "{level} {words:?}: {found:#?} of {:#?}", self.lines.lock().unwrap());
+        assert_eq!(
+            found.len(),
+            1,
+            "{level} {words:?}: {found:#?} of {:#?}",
+            self.lines.lock().unwrap()
+        );
     }
 }
--- a/crates/mixer/tests/loopback/mod.rs
+++ b/crates/mixer/tests/loopback/mod.rs
@@ -35,20 +35,30 @@
 /// Runs `test` around a mixer with these settings and so many descriptors; where `paused`, on a clock that stands still
 /// while anyone has something to do and else goes on to the next timer.
 pub fn run<F: Future<Output = ()>>(
-    paused: bool, text: &str, descriptors: usize, test: impl FnOnce(Around) -> F,
+    paused: bool,
+    text: &str,
+    descriptors: usize,
+    test: impl FnOnce(Around) -> F,
 ) {
     run_within(None, paused, text, descriptors, test);
 }
 
 /// The same where the process may use so many bytes of memory.
 pub fn run_within<F: Future<Output = ()>>(
-    memory: Option<usize>, paused: bool, text: &str, descriptors: usize, test: impl FnOnce(Around) -> F,
+    memory: Option<usize>,
+    paused: bool,
+    text: &str,
+    descriptors: usize,
+    test: impl FnOnce(Around) -> F,
 ) {
     let mut runtime = tokio::runtime::Builder::new_current_thread();
     let runtime = runtime.enable_all().start_paused(paused).build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (discovery, leaf, listener) = (listener(), listener(), listener());
-        let (site, decisions) = (settings::site(text).unwrap(), settings::parse(text).unwrap());
+        let (site, decisions) = (
+            settings::site(text).unwrap(),
+            settings::parse(text).unwrap(),
+        );
         let names = Names {
             classes: site.classes.clone(),
             deadlines: site.deadlines.clone(),
@@ -56,18 +66,44 @@
             ..Names::default()
         };
         let clock = Clock::start();
-        let mut state = State::new(clock.now(), site, decisions, 7, &Default::default(), descriptors);
+        let mut state = State::new(
+            clock.now(),
+            site,
+            decisions,
+            7,
+            &Default::default(),
+            descriptors,
+        );
         if let Some(memory) = memory {
             state.limit_memory(memory);
         }
         let at = discovery.local_addr().unwrap();
-        let addresses = Addresses { discovery: at, peer_listen: None, peers: Vec::new(), peers_all: None };
+        let addresses = Addresses {
+            discovery: at,
+            peer_listen: None,
+            peers: Vec::new(),
+            peers_all: None,
+        };
         let (control, controls) = mpsc::channel(1);
         let mixer = listener.local_addr().unwrap();
-        let serving =
-            transport::serve(state, clock, names, listener, addresses, controls, Default::default());
+        let serving = transport::serve(
+            state,
+            clock,
+            names,
+            listener,
+            addresses,
+            controls,
+            Default::default(),
+        );
         let serving = tokio::task::spawn_local(serving);
-        test(Around { mixer, serving, control, discovery, leaf }).await;
+        test(Around {
+            mixer,
+            serving,
+            control,
+            discovery,
+            leaf,
+        })
+        .await;
     });
 }
 
@@ -88,7 +124,13 @@
         head.push(stream.read_u8().await.expect("a reply"));
     }
     let head = String::from_utf8(head).unwrap();
-    let length = head.split("Content-Length: ").nth(1).unwrap().split('\r').next().unwrap();
+    let length = head
+        .split("Content-Length: ")
+        .nth(1)
+        .unwrap()
+        .split('\r')
+        .next()
+        .unwrap();
     let mut body = vec![0; length.parse().unwrap()];
     stream.read_exact(&mut body).await.unwrap();
     (head, String::from_utf8(body).unwrap())
--- a/crates/mixer/tests/protocol.rs
+++ b/crates/mixer/tests/protocol.rs
@@ -4,7 +4,9 @@
 use cottonhill_mixer::config::Config;
 use cottonhill_mixer::protocol::discovery::{self, Listing};
 use cottonhill_mixer::protocol::http;
-use cottonhill_mixer::protocol::http::{Rejection, Request, Response, ServerCodec, TurnedAway, WatchCodec};
+use cottonhill_mixer::protocol::http::{
+    Rejection, Request, Response, ServerCodec, TurnedAway, WatchCodec,
+};
 use cottonhill_mixer::protocol::leaf::{CallPart, End, FromLeaf, LeafCodec, ToLeaf};
 use cottonhill_mixer::protocol::query::{self, Asked, Names, Reply};
 use proptest::prelude::*;
@@ -12,7 +14,8 @@
 use std::time::Duration;
 use tokio_util::codec::{Decoder, Encoder};
 
-const QUERY: &str = "{\"shards\":[{\"shard\":3,\"weight\":0.5,\"cost\":9000},{\"shard\":2,\"weight\":0.5}],\
+const QUERY: &str =
+    "{\"shards\":[{\"shard\":3,\"weight\":0.5,\"cost\":9000},{\"shard\":2,\"weight\":0.5}],\
 \"q\":\"c41e77d0\"}";
 
 const CHUNKED: &str = "POST /checkout HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -37,7 +40,11 @@
 }
 
 /// Feeds bytes in pieces of these sizes, over and over, and gathers what comes out.
-fn feed<D: Decoder<Error = std::io::Error>>(codec: &mut D, bytes: &[u8], sizes: &[usize]) -> Vec<D::Item> {
+fn feed<D: Decoder<Error = std::io::Error>>(
+    codec: &mut D,
+    bytes: &[u8],
+    sizes: &[usize],
+) -> Vec<D::Item> {
     let (mut found, mut buffer, mut rest) = (Vec::new(), BytesMut::new(), bytes);
     for size in sizes.iter().cycle() {
         let (now, later) = rest.split_at((*size).clamp(1, rest.len().max(1)).min(rest.len()));
@@ -58,7 +65,9 @@
 }
 
 fn asked(text: &str) -> Result<Asked, u16> {
-    one(text).and_then(|request| query::read(&request, &names())).map_err(|rejection| rejection.status)
+    one(text)
+        .and_then(|request| query::read(&request, &names()))
+        .map_err(|rejection| rejection.status)
 }
 
 proptest! {
@@ -103,11 +112,19 @@
 #[test]
 fn a_query_is_read_as_sent() {
     let headers = "X-Retried: 1\r\nIdempotency-Key: k 1\r\n";
-    let Ok(Asked::Query(query)) = asked(&post("/checkout?x=1", headers, QUERY)) else { panic!() };
+    let Ok(Asked::Query(query)) = asked(&post("/checkout?x=1", headers, QUERY)) else {
+        panic!()
+    };
     assert_eq!(query.idempotency_key.as_deref(), Some("k 1"));
-    assert_eq!((query.name.as_str(), query.class, query.tenant), ("9b1f", 0, 0));
+    assert_eq!(
+        (query.name.as_str(), query.class, query.tenant),
+        ("9b1f", 0, 0)
+    );
     assert_eq!((query.timeout, query.repeat), (480_000_000, true));
-    assert_eq!((query.parts[0].shard, query.parts[0].work), (3, Some(9_000_000)));
+    assert_eq!(
+        (query.parts[0].shard, query.parts[0].work),
+        (3, Some(9_000_000))
+    );
     assert_eq!(&query.text[..], b"c41e77d0");
 }
 
@@ -116,34 +133,83 @@
     let status = |text: &str| asked(text).unwrap_err();
     assert_eq!(status("nonsense\r\n\r\n"), 400);
     assert_eq!(status(&post("/checkout", "", "{}")), 400);
-    assert_eq!(status(&post("/checkout", "", &QUERY.replace(":3", ":9"))), 400);
-    assert_eq!(status(&post("/checkout", "", &QUERY.replace(":3", ":2"))), 400);
+    assert_eq!(
+        status(&post("/checkout", "", &QUERY.replace(":3", ":9"))),
+        400
+    );
+    assert_eq!(
+        status(&post("/checkout", "", &QUERY.replace(":3", ":2"))),
+        400
+    );
     for weight in ["0.6", "1.5", "-0.5", "1e999"] {
-        assert_eq!(status(&post("/checkout", "", &QUERY.replacen("0.5", weight, 1))), 400, "{weight}");
+        assert_eq!(
+            status(&post("/checkout", "", &QUERY.replacen("0.5", weight, 1))),
+            400,
+            "{weight}"
+        );
     }
-    for timeout in ["480", "m", "-480m", "nanm", "infm", "4e3m", "0x1m", "1.2.3m"] {
-        assert_eq!(status(&post("/checkout", "", QUERY).replace("480m", timeout)), 400, "{timeout}");
+    for timeout in [
+        "480", "m", "-480m", "nanm", "infm", "4e3m", "0x1m", "1.2.3m",
+    ] {
+        assert_eq!(
+            status(&post("/checkout", "", QUERY).replace("480m", timeout)),
+            400,
+            "{timeout}"
+        );
     }
-    assert_eq!(status(&post("/checkout", "", QUERY).replace("9b1f", "9b 1f")), 400);
+    assert_eq!(
+        status(&post("/checkout", "", QUERY).replace("9b1f", "9b 1f")),
+        400
+    );
     for key in [String::new(), "k".repeat(129)] {
-        assert_eq!(status(&post("/checkout", &format!("Idempotency-Key: {key}\r\n"), QUERY)), 400, "{key}");
+        assert_eq!(
+            status(&post(
+                "/checkout",
+                &format!("Idempotency-Key: {key}\r\n"),
+                QUERY
+            )),
+            400,
+            "{key}"
+        );
     }
-    assert_eq!(status(&post("/checkout", "", QUERY).replace("acme", "nobody")), 400);
-    assert_eq!(status(&post("/checkout", "Content-Length: 3\r\n", QUERY)), 400);
-    assert_eq!(status(&post("/checkout", "Transfer-Encoding: chunked\r\n", QUERY)), 400);
+    assert_eq!(
+        status(&post("/checkout", "", QUERY).replace("acme", "nobody")),
+        400
+    );
+    assert_eq!(
+        status(&post("/checkout", "Content-Length: 3\r\n", QUERY)),
+        400
+    );
+    assert_eq!(
+        status(&post("/checkout", "Transfer-Encoding: chunked\r\n", QUERY)),
+        400
+    );
     assert_eq!(status(&post("/elsewhere", "", QUERY)), 404);
     assert_eq!(status("GET /checkout HTTP/1.1\r\n\r\n"), 405);
     assert_eq!(status("POST /-/ready HTTP/1.1\r\n\r\n"), 405);
-    assert_eq!(status("POST /checkout HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"), 413);
+    assert_eq!(
+        status("POST /checkout HTTP/1.1\r\nContent-Length: 65537\r\n\r\n"),
+        413
+    );
     let chunk = format!("10000\r\n{}\r\n1\r\n", "x".repeat(65536));
     assert_eq!(status(&(CHUNKED.to_string() + &chunk + "x")), 413);
-    assert_eq!(status(&format!("GET / HTTP/1.1\r\nA: {}", "x".repeat(http::MOST_HEAD))), 431);
+    assert_eq!(
+        status(&format!(
+            "GET / HTTP/1.1\r\nA: {}",
+            "x".repeat(http::MOST_HEAD)
+        )),
+        431
+    );
 }
 
 #[test]
 fn a_connection_is_kept_unless_a_side_says_otherwise() {
     assert!(one(&post("/checkout", "", QUERY)).unwrap().keep_alive);
-    assert!(!one(&post("/checkout", "Connection: close\r\n", QUERY)).unwrap().keep_alive);
+    assert!(
+        !one(&post("/checkout", "Connection: close\r\n", QUERY))
+            .unwrap()
+            .keep_alive
+    );
     assert!(!one("GET / HTTP/1.0\r\n\r\n").unwrap().keep_alive);
 }
 
@@ -155,33 +221,79 @@
 
 #[test]
 fn replies_say_when_to_come_back_and_whether_they_are_whole() {
-    let refused = written(query::render(&Reply::Refused { come_back: Some(500_000_001) }, false));
-    assert!(refused.starts_with("HTTP/1.1 503 ") && refused.contains("Retry-After: 0.501\r\n"), "{refused}");
-    let hits = vec![query::Hit { shard: 3, doc: "5be2\"".into() }];
+    let refused = written(query::render(
+        &Reply::Refused {
+            come_back: Some(500_000_001),
+        },
+        false,
+    ));
+    assert!(
+        refused.starts_with("HTTP/1.1 503 ") && refused.contains("Retry-After: 0.501\r\n"),
+        "{refused}"
+    );
+    let hits = vec![query::Hit {
+        shard: 3,
+        doc: "5be2\"".into(),
+    }];
     let answer = written(query::render(&Reply::Answer { whole: false, hits }, true));
     assert!(answer.contains("Connection: close\r\n"));
-    assert!(answer.ends_with("\r\n\r\n{\"complete\":false,\"hits\":[{\"shard\":3,\"doc\":\"5be2\\\"\"}]}"));
-    let allowed = written(query::render(&Reply::Rejected(Rejection { status: 405, why: "POST" }), false));
+    assert!(answer
+        .ends_with("\r\n\r\n{\"complete\":false,\"hits\":[{\"shard\":3,\"doc\":\"5be2\\\"\"}]}"));
+    let allowed = written(query::render(
+        &Reply::Rejected(Rejection {
+            status: 405,
+            why: "POST",
+        }),
+        false,
+    ));
     assert!(allowed.contains("Allow: POST\r\n"));
 }
 
 #[test]
 fn frames_are_as_the_protocol_states() {
-    let part =
-        |id: &str, shard| CallPart { id: id.into(), shard, wait_ms: 240, text: Bytes::from("c41e77d0") };
+    let part = |id: &str, shard| CallPart {
+        id: id.into(),
+        shard,
+        wait_ms: 240,
+        text: Bytes::from("c41e77d0"),
+    };
     let mut out = BytesMut::new();
     let mut codec = LeafCodec::default();
-    codec.encode(ToLeaf::Call(vec![part("9b1f.3", 3), part("9b1f.9", 9)]), &mut out).unwrap();
-    assert_eq!(&out[..], b"\0\0\0\x33Q9b1f.3 3 d=240 8\nc41e77d09b1f.9 9 d=240 8\nc41e77d0");
+    codec
+        .encode(
+            ToLeaf::Call(vec![part("9b1f.3", 3), part("9b1f.9", 9)]),
+            &mut out,
+        )
+        .unwrap();
+    assert_eq!(
+        &out[..],
+        b"\0\0\0\x33Q9b1f.3 3 d=240 8\nc41e77d09b1f.9 9 d=240 8\nc41e77d0"
+    );
     out.clear();
-    codec.encode(ToLeaf::GiveUp("9b1f.3".into()), &mut out).unwrap();
+    codec
+        .encode(ToLeaf::GiveUp("9b1f.3".into()), &mut out)
+        .unwrap();
     assert_eq!(&out[..], b"\0\0\0\x07X9b1f.3");
     let answers = b"\0\0\0\x16A9b1f.3 ok 1840 -\n5be2\0\0\0\x03Pok\0\0\0\x11A9b1f.9 busy 0 -\n";
     for sizes in [[1], [7], [100]] {
         let found = feed(&mut LeafCodec::default(), answers, &sizes);
         let (id, report, value) = ("9b1f.3".to_string(), "-".to_string(), Bytes::from("5be2"));
-        assert_eq!(found[0], FromLeaf::Answer { id, end: End::Ok, report, value });
-        assert_eq!(found[1], FromLeaf::Probed { ok: true, report: "ok".into() });
+        assert_eq!(
+            found[0],
+            FromLeaf::Answer {
+                id,
+                end: End::Ok,
+                report,
+                value
+            }
+        );
+        assert_eq!(
+            found[1],
+            FromLeaf::Probed {
+                ok: true,
+                report: "ok".into()
+            }
+        );
         assert!(matches!(&found[2], FromLeaf::Answer { end: End::Busy, .. }));
     }
 }
@@ -206,28 +318,52 @@
         assert_eq!(read(&frame(text)), spoilt(Some("9b1f.3")), "{text}");
     }
     // A letter or length that no frame has is seen before the rest has come.
-    for start in ["\0\0\0\x36\x01", "\0\0\0\0A", "xxxx", "\x03\0\0\0A9", "\0\0\x10\0P"] {
+    for start in [
+        "\0\0\0\x36\x01",
+        "\0\0\0\0A",
+        "xxxx",
+        "\x03\0\0\0A9",
+        "\0\0\x10\0P",
+    ] {
         assert_eq!(read(start.as_bytes()), spoilt(None), "{start:?}");
     }
-    let noise = [frame("A9b1f.3 ok 1840 nan\n5be2"), b"\x8f\x9cx noise".to_vec(), frame("Pok")].concat();
+    let noise = [
+        frame("A9b1f.3 ok 1840 nan\n5be2"),
+        b"\x8f\x9cx noise".to_vec(),
+        frame("Pok"),
+    ]
+    .concat();
     let found = read(&noise);
     assert!(matches!(&found[0], FromLeaf::Answer { end: End::Ok, report, .. } if report == "nan"));
     assert_eq!(found[1..], spoilt(None), "nothing is read after it");
     let mut codec = LeafCodec::default();
-    assert_eq!(codec.cut_short(b"\0\0\0\x36A9b1f.3 o"), spoilt(Some("9b1f.3"))[0]);
-    assert_eq!(codec.cut_short(b"\0\0\0\x36A9b1f"), spoilt(None)[0], "the id may go on");
+    assert_eq!(
+        codec.cut_short(b"\0\0\0\x36A9b1f.3 o"),
+        spoilt(Some("9b1f.3"))[0]
+    );
+    assert_eq!(
+        codec.cut_short(b"\0\0\0\x36A9b1f"),
+        spoilt(None)[0],
+        "the id may go on"
+    );
 }
 
 /// A watch's answer: each text in one chunk.
 fn watched(texts: &[&str]) -> Vec<u8> {
-    let chunks: String = texts.iter().map(|text| format!("{:x}\r\n{text}\r\n", text.len())).collect();
+    let chunks: String = texts
+        .iter()
+        .map(|text| format!("{:x}\r\n{text}\r\n", text.len()))
+        .collect();
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}").into_bytes()
 }
 
 /// The lists in a watch's answer that comes in pieces of these sizes.
 fn lists(answer: &[u8], sizes: &[usize]) -> Vec<Listing> {
     let objects = feed(&mut WatchCodec::default(), answer, sizes);
-    objects.iter().filter_map(|object| discovery::read(object).unwrap()).collect()
+    objects
+        .iter()
+        .filter_map(|object| discovery::read(object).unwrap())
+        .collect()
 }
 
 /// A whole list of so many servers, the even ones leaving.
@@ -243,15 +379,32 @@
 
 #[test]
 fn lists_are_read_however_they_are_laid_out_and_cut() {
-    let (first, second) = (large(3), serde_json::json!({"index": 44, "snapshot": false, "endpoints": []}));
+    let (first, second) = (
+        large(3),
+        serde_json::json!({"index": 44, "snapshot": false, "endpoints": []}),
+    );
     let indented = serde_json::to_string_pretty(&first).unwrap() + "\n";
     let plain = first.to_string() + "\n";
-    let want: Vec<Listing> =
-        [&first, &second].map(|list| serde_json::from_value(list.clone()).unwrap()).into();
+    let want: Vec<Listing> = [&first, &second]
+        .map(|list| serde_json::from_value(list.clone()).unwrap())
+        .into();
     for (name, answer) in [
-        ("a line each, with signs of life", watched(&["\n", &plain, "\n\n", &(second.to_string() + "\n")])),
-        ("indented", watched(&["\n", &indented, &serde_json::to_string_pretty(&second).unwrap()])),
-        ("both in one chunk", watched(&[&(indented.clone() + &second.to_string())])),
+        (
+            "a line each, with signs of life",
+            watched(&["\n", &plain, "\n\n", &(second.to_string() + "\n")]),
+        ),
+        (
+            "indented",
+            watched(&[
+                "\n",
+                &indented,
+                &serde_json::to_string_pretty(&second).unwrap(),
+            ]),
+        ),
+        (
+            "both in one chunk",
+            watched(&[&(indented.clone() + &second.to_string())]),
+        ),
         ("one over many chunks", {
             let cut: Vec<String> = indented.chars().map(String::from).collect();
             let mut texts: Vec<&str> = cut.iter().map(String::as_str).collect();
@@ -261,24 +414,44 @@
         }),
     ] {
         for sizes in [&[1][..], &[9], &[3, 100], &[100_000]] {
-            assert_eq!(lists(&answer, sizes), want, "{name}, in pieces of {sizes:?}");
+            assert_eq!(
+                lists(&answer, sizes),
+                want,
+                "{name}, in pieces of {sizes:?}"
+            );
         }
         for cut in 1..answer.len() {
-            assert_eq!(lists(&answer, &[cut, answer.len()]), want, "{name}, cut at {cut}");
+            assert_eq!(
+                lists(&answer, &[cut, answer.len()]),
+                want,
+                "{name}, cut at {cut}"
+            );
         }
     }
-    for text in [large(1024).to_string(), serde_json::to_string_pretty(&large(1024)).unwrap()] {
+    for text in [
+        large(1024).to_string(),
+        serde_json::to_string_pretty(&large(1024)).unwrap(),
+    ] {
         let found = lists(&watched(&[&text]), &[16 * 1024]);
         assert_eq!(found[0].endpoints.len(), 1024, "{} bytes", text.len());
     }
-    assert!(WatchCodec::default().decode(&mut BytesMut::from("HTTP/1.1 503 No\r\n\r\n")).is_err());
+    assert!(WatchCodec::default()
+        .decode(&mut BytesMut::from("HTTP/1.1 503 No\r\n\r\n"))
+        .is_err());
 }
 
 #[test]
 fn what_spoils_an_object_is_named_and_what_spoils_an_entry_costs_that_entry() {
     let read = |text: &str| match lists_or_why(text) {
         Ok(lists) => {
-            format!("{:?}", lists[0].endpoints.iter().map(|e| (&*e.name, e.status)).collect::<Vec<_>>())
+            format!(
+                "{:?}",
+                lists[0]
+                    .endpoints
+                    .iter()
+                    .map(|e| (&*e.name, e.status))
+                    .collect::<Vec<_>>()
+            )
         }
         Err(why) => why,
     };
@@ -299,22 +472,33 @@
         );
     }
     let nameless = r#"{"address":"10.1.0.2:7070","group":3,"status":"draining"}"#;
-    assert_eq!(read(&list(true, nameless)), r#"[("s-1", Up)]"#, "a whole list is right without it");
+    assert_eq!(
+        read(&list(true, nameless)),
+        r#"[("s-1", Up)]"#,
+        "a whole list is right without it"
+    );
     assert!(read(&list(false, nameless)).contains("entry 1 of version 43 names nobody"));
     for (text, why) in [
         ("{\"index\":43,\n\"snapshot\":true]\n", "line 2 column 16"),
-        ("{\"index\":-1,\"snapshot\":true,\"endpoints\":[]}", "column 11"),
+        (
+            "{\"index\":-1,\"snapshot\":true,\"endpoints\":[]}",
+            "column 11",
+        ),
         ("nothing like it", "line 1 column 1"),
     ] {
         assert!(read(text).contains(why), "{text}: {}", read(text));
     }
-    let endless = "{\"index\":43,\"endpoints\":[".to_string() + &"1,".repeat(discovery::MOST_OBJECT / 2);
+    let endless =
+        "{\"index\":43,\"endpoints\":[".to_string() + &"1,".repeat(discovery::MOST_OBJECT / 2);
     assert!(read(&endless).contains("over 33554432 bytes"));
 }
 
 fn lists_or_why(text: &str) -> Result<Vec<Listing>, String> {
-    let (mut codec, mut bytes, mut lists) =
-        (WatchCodec::default(), BytesMut::from(&watched(&[text])[..]), vec![]);
+    let (mut codec, mut bytes, mut lists) = (
+        WatchCodec::default(),
+        BytesMut::from(&watched(&[text])[..]),
+        vec![],
+    );
     while let Some(object) = codec.decode(&mut bytes).map_err(|e| e.to_string())? {
         lists.extend(discovery::read(&object).map_err(|e| e.to_string())?);
     }
@@ -335,8 +519,14 @@
         Config::read(&file.to_string())
     };
     let read = config(&settings).unwrap();
-    assert_eq!((read.site.zones.len(), read.site.classes[0].as_str()), (2, "a_b"));
-    assert_eq!((read.settings.classes[0].floor, read.seed), (0.6, 0x8c1f_30d2_7a5b_e964));
+    assert_eq!(
+        (read.site.zones.len(), read.site.classes[0].as_str()),
+        (2, "a_b")
+    );
+    assert_eq!(
+        (read.settings.classes[0].floor, read.seed),
+        (0.6, 0x8c1f_30d2_7a5b_e964)
+    );
     let mut broken = settings.clone();
     broken["tick_ns"] = 0.into();
     assert!(config(&broken).unwrap_err().contains("tick_ns"));
@@ -348,17 +538,29 @@
 #[test]
 fn a_watch_that_is_turned_away_says_for_how_long() {
     let turned_away = |head: &str| {
-        let mut bytes =
-            BytesMut::from(format!("HTTP/1.1 503 Busy\r\n{head}Content-Length: 0\r\n\r\n").as_str());
-        let error = WatchCodec::default().decode(&mut bytes).expect_err("no watch");
-        let why = error.get_ref().and_then(|e| e.downcast_ref::<TurnedAway>()).expect("turned away");
+        let mut bytes = BytesMut::from(
+            format!("HTTP/1.1 503 Busy\r\n{head}Content-Length: 0\r\n\r\n").as_str(),
+        );
+        let error = WatchCodec::default()
+            .decode(&mut bytes)
+            .expect_err("no watch");
+        let why = error
+            .get_ref()
+            .and_then(|e| e.downcast_ref::<TurnedAway>())
+            .expect("turned away");
         assert_eq!(why.status, 503);
         why.retry_after
     };
-    assert_eq!(turned_away("Retry-After: 1.5\r\n"), Some(Duration::from_millis(1500)));
-    for says_nothing in
-        ["", "Retry-After: Wed, 02 Dec 2026 07:28:00 GMT\r\n", "Retry-After: -1\r\n", "Retry-After: inf\r\n"]
-    {
+    assert_eq!(
+        turned_away("Retry-After: 1.5\r\n"),
+        Some(Duration::from_millis(1500))
+    );
+    for says_nothing in [
+        "",
+        "Retry-After: Wed, 02 Dec 2026 07:28:00 GMT\r\n",
+        "Retry-After: -1\r\n",
+        "Retry-After: inf\r\n",
+    ] {
         assert_eq!(turned_away(says_nothing), None, "{says_nothing}");
     }
 }
--- a/crates/mixer/tests/recording.rs
+++ b/crates/mixer/tests/recording.rs
@@ -51,14 +51,22 @@
 }
 
 fn reply(client: u64, reply: Reply) -> ClientReply {
-    ClientReply { client, reply, close: false }
+    ClientReply {
+        client,
+        reply,
+        close: false,
+    }
 }
 
 #[tokio::test(start_paused = true)]
 async fn replies_wait_for_their_records_in_order_but_no_longer_than_a_stall() {
     let without = Rc::<Cell<u32>>::default();
     let (written, _keep) = watch::channel(0);
-    let slow = Slow { room: true, written: written.clone(), without: without.clone() };
+    let slow = Slow {
+        room: true,
+        written: written.clone(),
+        without: without.clone(),
+    };
     let mut pending = PendingReplies::new(Box::new(slow));
     for sequence in 1..=3 {
         pending.record(usage(sequence));
@@ -70,13 +78,22 @@
     pending.close_client(2);
     written.send_replace(2);
     pending.progress().await;
-    assert_eq!(pending.pop_ready().map(|r| (r.client, r.close)), Some((1, false)));
-    assert_eq!(pending.pop_ready().map(|r| (r.client, r.close)), Some((2, true)));
+    assert_eq!(
+        pending.pop_ready().map(|r| (r.client, r.close)),
+        Some((1, false))
+    );
+    assert_eq!(
+        pending.pop_ready().map(|r| (r.client, r.close)),
+        Some((2, true))
+    );
     assert!(pending.pop_ready().is_none());
     let began = Instant::now();
     tokio::time::sleep_until(pending.next_deadline().unwrap()).await;
     assert_eq!(pending.pop_ready().map(|r| r.client), Some(3));
-    assert_eq!((began.elapsed(), without.get()), (Duration::from_millis(5), 1));
+    assert_eq!(
+        (began.elapsed(), without.get()),
+        (Duration::from_millis(5), 1)
+    );
     // It has stalled: nothing waits until it moves.
     pending.record(usage(4));
     assert!(pending.enqueue(reply(4, Reply::Failed)).is_some());
@@ -89,8 +106,11 @@
 #[tokio::test]
 async fn a_reply_whose_record_is_lost_goes_at_once() {
     let (written, _keep) = watch::channel(0);
-    let mut pending =
-        PendingReplies::new(Box::new(Slow { room: false, written, without: Default::default() }));
+    let mut pending = PendingReplies::new(Box::new(Slow {
+        room: false,
+        written,
+        without: Default::default(),
+    }));
     pending.record(usage(1));
     assert!(pending.enqueue(reply(1, Reply::Failed)).is_some());
 }
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -40,7 +40,10 @@
     bed.open_all();
     bed.answer_all();
     bed.ask(1, &[1.0]);
-    assert_eq!((bed.links.len(), bed.state.counters().connections.opened), (1, 1));
+    assert_eq!(
+        (bed.links.len(), bed.state.counters().connections.opened),
+        (1, 1)
+    );
     assert_eq!(calls(&bed).len(), 3);
 }
 
@@ -70,7 +73,10 @@
     bed.list(1, "draining", 0);
     bed.open(link);
     bed.pass(3000);
-    assert!(calls(&bed).is_empty(), "its first byte would break the rule");
+    assert!(
+        calls(&bed).is_empty(),
+        "its first byte would break the rule"
+    );
     assert_eq!(bed.state.counters().ended.not_sent, 1);
 }
 
@@ -80,13 +86,25 @@
     bed.ask(1, &[1.0]);
     let link = *bed.links.keys().next().unwrap();
     bed.break_off(link);
-    assert_eq!((bed.state.counters().ended.unreachable, bed.state.counters().ended.broken), (1, 0));
+    assert_eq!(
+        (
+            bed.state.counters().ended.unreachable,
+            bed.state.counters().ended.broken
+        ),
+        (1, 0)
+    );
     let mut bed = Bed::new(1);
     bed.ask(1, &[1.0]);
     bed.open_all();
     let link = *bed.links.keys().next().unwrap();
     bed.break_off(link);
-    assert_eq!((bed.state.counters().ended.unreachable, bed.state.counters().ended.broken), (0, 1));
+    assert_eq!(
+        (
+            bed.state.counters().ended.unreachable,
+            bed.state.counters().ended.broken
+        ),
+        (0, 1)
+    );
 }
 
 #[test]
@@ -98,9 +116,15 @@
     // The only replica answers nothing until the client gives up.
     bed.pass(6000);
     assert!(bed.reply(client).is_some());
-    assert!(!bed.links.contains_key(&old), "closed, since nothing more is out on it");
+    assert!(
+        !bed.links.contains_key(&old),
+        "closed, since nothing more is out on it"
+    );
     bed.ask(1, &[1.0]);
-    assert!(bed.links.keys().all(|link| *link > old), "a new one shows at once whether anyone is there");
+    assert!(
+        bed.links.keys().all(|link| *link > old),
+        "a new one shows at once whether anyone is there"
+    );
 }
 
 #[test]
@@ -111,7 +135,10 @@
     bed.open_all();
     let old = *bed.links.keys().next().unwrap();
     bed.pass(6000);
-    assert!(!bed.links.contains_key(&old), "its machine has vanished with the buffer full");
+    assert!(
+        !bed.links.contains_key(&old),
+        "its machine has vanished with the buffer full"
+    );
 }
 
 #[test]
@@ -121,7 +148,9 @@
     bed.ask(1, &[0.5, 0.5]);
     bed.open_all();
     let link = *bed.links.keys().next().unwrap();
-    let effects = bed.state.apply(START + 2100 * MS, Input::LinkWrote { link });
+    let effects = bed
+        .state
+        .apply(START + 2100 * MS, Input::LinkWrote { link });
     assert_eq!(effects, [], "its time was the aim of 2 s");
     assert_eq!(bed.state.counters().ended.not_sent, 1);
 }
@@ -134,7 +163,10 @@
     let link = *bed.links.keys().next().unwrap();
     bed.left.insert(first);
     bed.put(Input::ClientClosed { client: first });
-    assert!(bed.frames.iter().any(|(_, frame)| *frame == ToLeaf::GiveUp("q1.0".into())));
+    assert!(bed
+        .frames
+        .iter()
+        .any(|(_, frame)| *frame == ToLeaf::GiveUp("q1.0".into())));
     bed.answer_to(link, "q1.0", End::Ok);
     assert_eq!(bed.state.counters().ended.ok, 0);
     assert!(bed.replies[&first].is_empty(), "nobody is there to be told");
@@ -156,8 +188,15 @@
 fn over_the_cap_a_query_is_refused_at_once_with_advice() {
     let mut bed = Bed::new(1);
     let clients: Vec<u64> = (0..20).map(|_| bed.ask(1, &[0.2; 5])).collect();
-    let at_once = clients.iter().filter(|client| refused(bed.reply(**client))).count();
-    assert_eq!(bed.state.counters().taken.over_cap, 10, "ten queries of five parts fill the cap of 60");
+    let at_once = clients
+        .iter()
+        .filter(|client| refused(bed.reply(**client)))
+        .count();
+    assert_eq!(
+        bed.state.counters().taken.over_cap,
+        10,
+        "ten queries of five parts fill the cap of 60"
+    );
     assert!(at_once >= 10);
 }
 
@@ -182,17 +221,28 @@
     let answered = bed.ask(1, &[0.2; 5]);
     bed.open_all();
     bed.answer_all();
-    assert!(matches!(bed.reply(answered), Some(Reply::Answer { whole: true, .. })));
+    assert!(matches!(
+        bed.reply(answered),
+        Some(Reply::Answer { whole: true, .. })
+    ));
     for values in 0..3 {
         let gone = bed.ask(1, &[0.2; 5]);
         bed.open_all();
-        let link = *bed.out.iter().find(|(_, out)| out.len() >= values).expect("parts are out").0;
+        let link = *bed
+            .out
+            .iter()
+            .find(|(_, out)| out.len() >= values)
+            .expect("parts are out")
+            .0;
         (0..values).for_each(|_| bed.answer(link, End::Ok));
         bed.left.insert(gone);
         bed.put(Input::ClientClosed { client: gone });
     }
     let clients: Vec<u64> = (0..12).map(|_| bed.ask(1, &[0.2; 5])).collect();
-    let at_once: Vec<bool> = clients.iter().map(|client| refused(bed.reply(*client))).collect();
+    let at_once: Vec<bool> = clients
+        .iter()
+        .map(|client| refused(bed.reply(*client)))
+        .collect();
     assert_eq!(
         at_once,
         [[false; 10].as_slice(), &[true; 2]].concat(),
@@ -231,7 +281,11 @@
 fn not_ready_without_a_list_nor_once_told_to_end() {
     let ready = |bed: &mut Bed| {
         let client = bed.connect();
-        bed.put(Input::Asked { client, arrived: bed.now, asked: Ok(Asked::Ready) });
+        bed.put(Input::Asked {
+            client,
+            arrived: bed.now,
+            asked: Ok(Asked::Ready),
+        });
         bed.reply(client) == Some(&Reply::Ready(true))
     };
     let mut bed = Bed::new(0);
@@ -247,7 +301,9 @@
     let mut bed = Bed::new(1);
     let opened = |client| bed.state.apply(START, Input::ClientOpened { client });
     let closed: Vec<Effect> = (1..=470).flat_map(opened).collect();
-    let oldest: Vec<Effect> = (1..=20).map(|client| Effect::CloseClient { client, room: true }).collect();
+    let oldest: Vec<Effect> = (1..=20)
+        .map(|client| Effect::CloseClient { client, room: true })
+        .collect();
     assert_eq!(
         closed, oldest,
         "of 1,024 descriptors 460 are for clients, and two go for each that is too many"
@@ -282,7 +338,10 @@
     assert!(bed.closed.is_empty());
     bed.pass(2000);
     let late: Vec<u64> = (0..150).map(|_| ask_once(&mut bed)).collect();
-    assert!(early[..70].iter().all(|client| bed.closed.contains(client)), "down to half of the room");
+    assert!(
+        early[..70].iter().all(|client| bed.closed.contains(client)),
+        "down to half of the room"
+    );
     assert!(!late.iter().any(|client| bed.closed.contains(client)));
 }
 
@@ -292,7 +351,11 @@
     let client = bed.ask(1, &[1.0]);
     let other = bed.connect();
     let ask_as = |bed: &mut Bed| {
-        let part = AskedPart { shard: 0, weight: 1.0, work: None };
+        let part = AskedPart {
+            shard: 0,
+            weight: 1.0,
+            work: None,
+        };
         let query = Query {
             name: format!("q{client}"),
             class: 1,
@@ -303,10 +366,17 @@
             parts: vec![part],
             text: Default::default(),
         };
-        bed.put(Input::Asked { client: other, arrived: bed.now, asked: Ok(Asked::Query(query)) });
+        bed.put(Input::Asked {
+            client: other,
+            arrived: bed.now,
+            asked: Ok(Asked::Query(query)),
+        });
         bed.reply(other).cloned()
     };
-    assert!(matches!(ask_as(&mut bed), Some(Reply::Rejected(Rejection { status: 409, .. }))));
+    assert!(matches!(
+        ask_as(&mut bed),
+        Some(Reply::Rejected(Rejection { status: 409, .. }))
+    ));
     bed.open_all();
     assert_eq!(calls(&bed).len(), 1, "its parts would have the same names");
     bed.answer_all();
@@ -324,11 +394,20 @@
         let there = bed.out[&link].len() as u64;
         bed.spoil(link, named);
         let ended = bed.state.counters().ended.clone();
-        assert_eq!((ended.error, ended.cancelled, ended.broken), (1, there - 1, 0));
-        assert!(!bed.links.contains_key(&link), "where its next frame begins is not known");
+        assert_eq!(
+            (ended.error, ended.cancelled, ended.broken),
+            (1, there - 1, 0)
+        );
+        assert!(
+            !bed.links.contains_key(&link),
+            "where its next frame begins is not known"
+        );
         bed.open_all();
         bed.answer_all();
-        assert!(matches!(bed.reply(client), Some(Reply::Answer { whole: true, .. })));
+        assert!(matches!(
+            bed.reply(client),
+            Some(Reply::Answer { whole: true, .. })
+        ));
         assert_eq!(bed.now, START, "nothing was waited for");
     }
 }
@@ -359,7 +438,11 @@
     assert_eq!(bed.state.counters().connections.spoilt, 0);
     bed.answer_to(link, "q9.0", End::Ok);
     assert_eq!(bed.state.counters().connections.spoilt, 1);
-    assert_eq!(bed.state.counters().ended.error, 1, "the one that was out has failed");
+    assert_eq!(
+        bed.state.counters().ended.error,
+        1,
+        "the one that was out has failed"
+    );
 }
 
 /// Replicas, clients and queries of ever new names, all day long.
@@ -393,14 +476,20 @@
     bed.answer_all();
     bed.put(Input::Terminate);
     bed.pass(700);
-    assert!(bed.listening && bed.closed.is_empty(), "clients may still come for 0.7 s");
+    assert!(
+        bed.listening && bed.closed.is_empty(),
+        "clients may still come for 0.7 s"
+    );
     let late = bed.ask(1, &[1.0]);
     bed.pass(100);
     assert!(!bed.listening);
     assert_eq!(bed.closed, [idle]);
     assert!(!bed.exited, "a query is still open");
     bed.answer_all();
-    assert!(matches!(bed.reply(late), Some(Reply::Answer { whole: true, .. })));
+    assert!(matches!(
+        bed.reply(late),
+        Some(Reply::Answer { whole: true, .. })
+    ));
     assert!(bed.exited);
 }
 
@@ -412,7 +501,11 @@
     let client = bed.connect();
     bed.ask_on(client, 1, &[1.0], 6000);
     bed.pass(5400);
-    assert_eq!(bed.replies[&client].len(), 1, "SIGKILL may come 6.7 s after SIGTERM");
+    assert_eq!(
+        bed.replies[&client].len(),
+        1,
+        "SIGKILL may come 6.7 s after SIGTERM"
+    );
     assert!(bed.exited);
 }
 
@@ -445,7 +538,13 @@
     let mut bed = Bed::new(2);
     bed.put(only_the_second(&bed::address(2)));
     bed.ask(1, &[0.5, 0.5]);
-    assert!(bed.links.values().all(|(address, _)| *address == bed::address(2)), "{:?}", bed.links);
+    assert!(
+        bed.links
+            .values()
+            .all(|(address, _)| *address == bed::address(2)),
+        "{:?}",
+        bed.links
+    );
     assert_eq!(bed.state.list_index(), 9);
 }
 
@@ -460,6 +559,9 @@
     let before = bed.frames.len();
     bed.ask(1, &[1.0]);
     bed.open_all();
-    let sent: Vec<&str> = bed.frames[before..].iter().map(|(link, _)| bed.links[link].0.as_str()).collect();
+    let sent: Vec<&str> = bed.frames[before..]
+        .iter()
+        .map(|(link, _)| bed.links[link].0.as_str())
+        .collect();
     assert_eq!(sent, ["127.0.0.9:7070"]);
 }
--- a/crates/mixer/tests/replicas.rs
+++ b/crates/mixer/tests/replicas.rs
@@ -2,7 +2,9 @@
 
 mod bed;
 
-use cottonhill_mixer::interface::{Action, Event, ListKind, Member, Outcome, ReplicaId, Settings, Standing};
+use cottonhill_mixer::interface::{
+    Action, Event, ListKind, Member, Outcome, ReplicaId, Settings, Standing,
+};
 use cottonhill_mixer::protocol::discovery::{self, Endpoint, Listing, Status};
 use cottonhill_mixer::routing::replica_table::Replica;
 use cottonhill_mixer::routing::replicas::{Change, Replicas, LATE};
@@ -51,7 +53,8 @@
 
 impl Oracle {
     fn take(&mut self, now: u64, listing: &Listing) -> Expected {
-        self.known.retain(|_, r| r.gone.is_none_or(|gone| now < gone + LATE) || !r.links.is_empty());
+        self.known
+            .retain(|_, r| r.gone.is_none_or(|gone| now < gone + LATE) || !r.links.is_empty());
         let known = &self.known;
         self.numbers.retain(|_, id| known.contains_key(id));
         let left_before = self.leaving();
@@ -78,12 +81,27 @@
                 replica.gone.get_or_insert(now);
             }
         }
-        let kind = if listing.snapshot { ListKind::Full } else { ListKind::Changes };
-        Expected { kind, members, leaving: self.leaving(), left_before, left, repeated, unknown }
+        let kind = if listing.snapshot {
+            ListKind::Full
+        } else {
+            ListKind::Changes
+        };
+        Expected {
+            kind,
+            members,
+            leaving: self.leaving(),
+            left_before,
+            left,
+            repeated,
+            unknown,
+        }
     }
 
     fn leaving(&self) -> BTreeSet<ReplicaId> {
-        let leaving = self.known.iter().filter(|(_, r)| r.standing != Standing::Ready);
+        let leaving = self
+            .known
+            .iter()
+            .filter(|(_, r)| r.standing != Standing::Ready);
         leaving.map(|(id, _)| *id).collect()
     }
 
@@ -92,7 +110,9 @@
         let known = number.and_then(|id| self.known.get(&id));
         let started = endpoint.since_ms * MS;
         let leaving = known.filter(|r| r.standing != Standing::Ready && started <= r.started);
-        let leaving = leaving.filter(|_| now < self.behind_until).map(|r| r.standing);
+        let leaving = leaving
+            .filter(|_| now < self.behind_until)
+            .map(|r| r.standing);
         let stated = endpoint.address.as_ref().map(SocketAddr::from);
         let standing = match endpoint.status {
             Status::Up if stated.is_some() => leaving.unwrap_or(Standing::Ready),
@@ -100,13 +120,25 @@
             Status::Removed => Standing::Gone,
         };
         let address = stated.or(known.map(|r| r.address))?;
-        let id = *self.numbers.entry(endpoint.name.to_string()).or_insert_with(|| {
-            self.last += 1;
-            ReplicaId(self.last)
-        });
-        let zone = ["north", "south"].iter().position(|zone| **zone == *endpoint.zone);
+        let id = *self
+            .numbers
+            .entry(endpoint.name.to_string())
+            .or_insert_with(|| {
+                self.last += 1;
+                ReplicaId(self.last)
+            });
+        let zone = ["north", "south"]
+            .iter()
+            .position(|zone| **zone == *endpoint.zone);
         let zone = zone.map_or(u16::MAX, |zone| zone as u16);
-        let new = Plain { address, zone, standing, links: Vec::new(), started, gone: None };
+        let new = Plain {
+            address,
+            zone,
+            standing,
+            links: Vec::new(),
+            started,
+            gone: None,
+        };
         let replica = self.known.entry(id).or_insert(new);
         if replica.address != address {
             left.append(&mut replica.links);
@@ -114,7 +146,13 @@
         let gone = (standing == Standing::Gone).then(|| replica.gone.unwrap_or(now));
         (replica.address, replica.zone, replica.standing) = (address, zone, standing);
         (replica.started, replica.gone) = (started.max(replica.started), gone);
-        Some(Member { replica: id, cell: endpoint.group, zone, started, standing })
+        Some(Member {
+            replica: id,
+            cell: endpoint.group,
+            zone,
+            started,
+            standing,
+        })
     }
 }
 
@@ -135,12 +173,28 @@
 
 impl View {
     fn take(&mut self, event: &Event) {
-        let Event::List { kind, members } = event else { panic!("{event:?}") };
+        let Event::List { kind, members } = event else {
+            panic!("{event:?}")
+        };
         if *kind == ListKind::Full {
-            self.0.retain(|id, _| members.iter().any(|member| member.replica == *id));
+            self.0
+                .retain(|id, _| members.iter().any(|member| member.replica == *id));
         }
-        for &Member { replica, cell, zone, started, standing } in members {
-            let new = Heard { cell, zone, standing, started, restarts: 0 };
+        for &Member {
+            replica,
+            cell,
+            zone,
+            started,
+            standing,
+        } in members
+        {
+            let new = Heard {
+                cell,
+                zone,
+                standing,
+                started,
+                restarts: 0,
+            };
             let heard = self.0.entry(replica).or_insert(new);
             (heard.cell, heard.zone, heard.standing) = (cell, zone, standing);
             if standing == Standing::Ready && heard.started != started {
@@ -198,38 +252,76 @@
     fn list(&mut self, snapshot: bool, entries: &[(u8, u8, u8, u8, u8)]) {
         self.index += 1;
         let entry = |&(name, place, zone, status, since): &(u8, u8, u8, u8, u8)| {
-            let address = if place == 0 { "nowhere".into() } else { format!("127.0.{name}.{place}:7070") };
+            let address = if place == 0 {
+                "nowhere".into()
+            } else {
+                format!("127.0.{name}.{place}:7070")
+            };
             let zone = ["north", "south", "attic"][usize::from(zone % 3)];
             let status = ["up", "up", "draining", "removed"][usize::from(status % 4)];
             serde_json::json!({"name": format!("s-{name}"), "address": address, "group": (name + place) % 3,
                 "zone": zone, "status": status, "since_ms": since})
         };
         let entries: Vec<_> = entries.iter().map(entry).collect();
-        let text = serde_json::json!({"index": self.index, "snapshot": snapshot, "endpoints": entries});
-        let listing = discovery::read(text.to_string().as_bytes()).unwrap().unwrap();
+        let text =
+            serde_json::json!({"index": self.index, "snapshot": snapshot, "endpoints": entries});
+        let listing = discovery::read(text.to_string().as_bytes())
+            .unwrap()
+            .unwrap();
         let expected = self.oracle.take(self.now, &listing);
         let change = self.replicas.take(self.now, listing);
         self.compare(&change, &expected);
-        let list = Event::List { kind: ListKind::Changes, members: change.members };
-        let oracle_list = Event::List { kind: expected.kind, members: expected.members };
+        let list = Event::List {
+            kind: ListKind::Changes,
+            members: change.members,
+        };
+        let oracle_list = Event::List {
+            kind: expected.kind,
+            members: expected.members,
+        };
         self.view.take(&list);
         self.oracle_view.take(&oracle_list);
-        assert_eq!(self.view.0, self.oracle_view.0, "what the modules know of the replicas");
+        assert_eq!(
+            self.view.0, self.oracle_view.0,
+            "what the modules know of the replicas"
+        );
         self.decide(list, oracle_list);
     }
 
     fn compare(&self, change: &Change, expected: &Expected) {
         assert_eq!(change.left, expected.left);
-        assert_eq!((change.repeated, change.unknown), (expected.repeated, expected.unknown));
+        assert_eq!(
+            (change.repeated, change.unknown),
+            (expected.repeated, expected.unknown)
+        );
         let leaving: BTreeSet<ReplicaId> = change.leaving.iter().copied().collect();
-        assert!(leaving.is_subset(&expected.leaving), "{leaving:?}, {:?}", expected.leaving);
-        let newly: BTreeSet<_> = expected.leaving.difference(&expected.left_before).copied().collect();
-        assert!(newly.is_subset(&leaving), "{newly:?} leave now, {leaving:?} are withdrawn");
+        assert!(
+            leaving.is_subset(&expected.leaving),
+            "{leaving:?}, {:?}",
+            expected.leaving
+        );
+        let newly: BTreeSet<_> = expected
+            .leaving
+            .difference(&expected.left_before)
+            .copied()
+            .collect();
+        assert!(
+            newly.is_subset(&leaving),
+            "{newly:?} leave now, {leaving:?} are withdrawn"
+        );
         assert_eq!(self.replicas.known(), self.oracle.known.len());
-        let ready = self.oracle.known.values().any(|r| r.standing == Standing::Ready);
+        let ready = self
+            .oracle
+            .known
+            .values()
+            .any(|r| r.standing == Standing::Ready);
         assert_eq!(self.replicas.any_ready(), ready);
         for name in (0..4).map(|name| format!("s-{name}")) {
-            assert_eq!(self.replicas.id(&name), self.oracle.numbers.get(&name).copied(), "{name}");
+            assert_eq!(
+                self.replicas.id(&name),
+                self.oracle.numbers.get(&name).copied(),
+                "{name}"
+            );
         }
         for (id, plain) in &self.oracle.known {
             let replica = self.replicas.get(*id).expect("known to the oracle");
@@ -254,8 +346,12 @@
             work: None,
             repeat: false,
         };
-        let part =
-            |shard: u32| Event::Part { id: id + 1 + u64::from(shard), group: id as u32, shard, weight: 0.25 };
+        let part = |shard: u32| Event::Part {
+            id: id + 1 + u64::from(shard),
+            group: id as u32,
+            shard,
+            weight: 0.25,
+        };
         let mut rest = std::mem::take(&mut self.ends);
         rest.push(query);
         rest.extend((0..4).map(part));
@@ -267,18 +363,37 @@
         };
         let actions = decide(&mut self.module, list);
         assert_eq!(actions, decide(&mut self.oracle_module, oracle_list));
-        assert_eq!(self.module.held(), self.oracle_module.held(), "the same is kept");
+        assert_eq!(
+            self.module.held(),
+            self.oracle_module.held(),
+            "the same is kept"
+        );
         let mut attempts: BTreeMap<u64, u8> = BTreeMap::new();
         for action in actions {
-            let Action::Send { part, replica, .. } = action else { continue };
+            let Action::Send { part, replica, .. } = action else {
+                continue;
+            };
             let attempt = *attempts.entry(part).and_modify(|n| *n += 1).or_insert(0);
-            let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Refused, Outcome::TimedOut][part as usize % 4];
-            self.ends.push(Event::Ended { part, attempt, replica, outcome, report: Vec::new() });
+            let outcome = [
+                Outcome::Ok,
+                Outcome::Ok,
+                Outcome::Refused,
+                Outcome::TimedOut,
+            ][part as usize % 4];
+            self.ends.push(Event::Ended {
+                part,
+                attempt,
+                replica,
+                outcome,
+                report: Vec::new(),
+            });
         }
     }
 
     fn connect(&mut self, name: u8) {
-        let Some(id) = self.replicas.id(&format!("s-{name}")) else { return };
+        let Some(id) = self.replicas.id(&format!("s-{name}")) else {
+            return;
+        };
         self.next += 10;
         let link = self.next;
         let at = self.replicas.connect(id, link);
@@ -315,7 +430,15 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let entry = || (0u8..4, prop_oneof![1 => Just(0u8), 9 => 1u8..3], 0u8..3, 0u8..4, 0u8..3);
+    let entry = || {
+        (
+            0u8..4,
+            prop_oneof![1 => Just(0u8), 9 => 1u8..3],
+            0u8..3,
+            0u8..4,
+            0u8..3,
+        )
+    };
     let step = prop_oneof![
         4 => prop::collection::vec(entry(), 0..4).prop_map(Step::Changes),
         2 => prop::collection::vec(entry(), 0..6).prop_map(Step::Whole),
@@ -328,7 +451,12 @@
 }
 
 fn config(cases: u32) -> ProptestConfig {
-    ProptestConfig { cases, rng_seed: RngSeed::Fixed(32), failure_persistence: None, ..Default::default() }
+    ProptestConfig {
+        cases,
+        rng_seed: RngSeed::Fixed(32),
+        failure_persistence: None,
+        ..Default::default()
+    }
 }
 
 proptest! {
@@ -362,7 +490,10 @@
 }
 
 fn listing(index: u64, snapshot: bool, entries: &[String]) -> Listing {
-    let text = format!("{{\"index\":{index},\"snapshot\":{snapshot},\"endpoints\":[{}]}}", entries.join(","));
+    let text = format!(
+        "{{\"index\":{index},\"snapshot\":{snapshot},\"endpoints\":[{}]}}",
+        entries.join(",")
+    );
     discovery::read(text.as_bytes()).unwrap().unwrap()
 }
 
@@ -388,27 +519,44 @@
     replicas.take(LATE + 2 * MS, listing(4, false, &[]));
     assert_eq!(replicas.known() as u64, servers - 1);
     let gone = since_last(&replicas);
-    let entries: Vec<String> = (0..servers).filter(|s| *s != 1).map(|server| entry(server, "up")).collect();
+    let entries: Vec<String> = (0..servers)
+        .filter(|s| *s != 1)
+        .map(|server| entry(server, "up"))
+        .collect();
     let change = replicas.take(LATE + 3 * MS, listing(5, true, &entries));
-    assert!(change.members.is_empty() && change.leaving.is_empty(), "nothing has changed");
+    assert!(
+        change.members.is_empty() && change.leaving.is_empty(),
+        "nothing has changed"
+    );
     [one, gone, since_last(&replicas)]
 }
 
 #[test]
 fn a_change_costs_its_entries_whatever_the_size_of_the_fleet() {
     assert_eq!(visits(300), [1, 2, 2 * 299]);
-    assert_eq!(visits(30_000), [1, 2, 2 * 29_999], "a whole list is walked twice at the most");
+    assert_eq!(
+        visits(30_000),
+        [1, 2, 2 * 29_999],
+        "a whole list is walked twice at the most"
+    );
 }
 
 #[test]
 fn what_is_kept_of_an_entry_is_small_and_its_name_once() {
     // Before: 88 bytes in one tree, and the name with its number, 32 bytes, in another.
     assert!(size_of::<Replica>() <= 56, "{}", size_of::<Replica>());
-    assert_eq!(size_of::<Option<Replica>>(), size_of::<Replica>(), "an empty slot costs no more");
+    assert_eq!(
+        size_of::<Option<Replica>>(),
+        size_of::<Replica>(),
+        "an empty slot costs no more"
+    );
     // As read: before, 88 bytes and three texts on the heap.
     assert!(size_of::<Endpoint>() <= 64, "{}", size_of::<Endpoint>());
     let read = listing(1, true, &[entry(1, "up"), entry(2, "up")]);
-    assert!(std::sync::Arc::ptr_eq(&read.endpoints[0].zone, &read.endpoints[1].zone), "a zone's name once");
+    assert!(
+        std::sync::Arc::ptr_eq(&read.endpoints[0].zone, &read.endpoints[1].zone),
+        "a zone's name once"
+    );
 }
 
 #[test]
@@ -418,7 +566,18 @@
     entries[5] = entry(5, "draining");
     entries.push(entry(100, "up"));
     let change = replicas.take(MS, listing(2, true, &entries));
-    let found: Vec<_> = change.members.iter().map(|m| (m.replica.0, m.standing)).collect();
-    assert_eq!(found, [(6, Standing::Draining), (101, Standing::Ready), (100, Standing::Gone)]);
+    let found: Vec<_> = change
+        .members
+        .iter()
+        .map(|m| (m.replica.0, m.standing))
+        .collect();
+    assert_eq!(
+        found,
+        [
+            (6, Standing::Draining),
+            (101, Standing::Ready),
+            (100, Standing::Gone)
+        ]
+    );
     assert_eq!(change.leaving, [ReplicaId(6), ReplicaId(100)]);
 }
--- a/crates/mixer/tests/usage.rs
+++ b/crates/mixer/tests/usage.rs
@@ -16,7 +16,11 @@
 
 fn ask(bed: &mut Bed, name: &str, timeout_ms: u64, key: Option<&str>) -> u64 {
     let client = bed.connect();
-    let part = |shard| AskedPart { shard, weight: 0.5, work: None };
+    let part = |shard| AskedPart {
+        shard,
+        weight: 0.5,
+        work: None,
+    };
     let query = Query {
         name: name.into(),
         class: 1,
@@ -27,7 +31,11 @@
         parts: vec![part(0), part(1)],
         text: bytes::Bytes::from_static(b"text"),
     };
-    bed.put(Input::Asked { client, arrived: bed.now, asked: Ok(Asked::Query(query)) });
+    bed.put(Input::Asked {
+        client,
+        arrived: bed.now,
+        asked: Ok(Asked::Query(query)),
+    });
     client
 }
 
@@ -43,20 +51,41 @@
     // Refused before any decision: no time left, and too much open.
     ask(&mut bed, "late", 1, None);
     let many: Vec<u64> = (0..30).map(|_| bed.ask(1, &[0.5, 0.5])).collect();
-    let over = bed.records.iter().filter(|it| it.outcome == Outcome::Refused).count();
-    assert_eq!(over, 1 + 10, "20 queries of two parts each are all that may be open");
+    let over = bed
+        .records
+        .iter()
+        .filter(|it| it.outcome == Outcome::Refused)
+        .count();
+    assert_eq!(
+        over,
+        1 + 10,
+        "20 queries of two parts each are all that may be open"
+    );
     // Failed or refused once their time is up: none is left without a record.
     bed.pass(7000);
     assert_eq!(bed.records.len(), 3 + many.len());
     let first = &bed.records[0];
-    assert_eq!((first.outcome, first.parts, first.attempts, first.arrived), (Outcome::Whole, 2, 2, START));
+    assert_eq!(
+        (first.outcome, first.parts, first.attempts, first.arrived),
+        (Outcome::Whole, 2, 2, START)
+    );
     assert_eq!(bed.records[1].outcome, Outcome::Left);
     let numbers: Vec<u64> = bed.records.iter().map(|it| it.sequence).collect();
-    assert_eq!(numbers, (1..=numbers.len() as u64).collect::<Vec<_>>(), "without a gap");
+    assert_eq!(
+        numbers,
+        (1..=numbers.len() as u64).collect::<Vec<_>>(),
+        "without a gap"
+    );
     let counters = bed.state.counters();
     assert_eq!(counters.recorded, numbers.len() as u64);
-    assert_eq!(counters.recorded_of.values().sum::<u64>(), counters.recorded);
-    assert_eq!(counters.recorded_of.keys().collect::<Vec<_>>(), ["all lookup"]);
+    assert_eq!(
+        counters.recorded_of.values().sum::<u64>(),
+        counters.recorded
+    );
+    assert_eq!(
+        counters.recorded_of.keys().collect::<Vec<_>>(),
+        ["all lookup"]
+    );
 }
 
 #[test]
@@ -68,7 +97,12 @@
     bed.answer(link, End::Ok);
     bed.pass(5000);
     assert_eq!(bed.records.len(), 1);
-    assert_eq!(bed.records[0].outcome, Outcome::Partial(700_000), "{:?}", bed.records[0]);
+    assert_eq!(
+        bed.records[0].outcome,
+        Outcome::Partial(700_000),
+        "{:?}",
+        bed.records[0]
+    );
 }
 
 /// What a mark calls complete stays so: whatever arrives later counts as later, and what is open holds it back.
@@ -80,7 +114,11 @@
     let asked = bed.now;
     bed.pass(1000);
     let held = bed.marks.last().unwrap();
-    assert_eq!((held.complete, held.sequence, held.end), (asked, 0, false), "an open query holds it back");
+    assert_eq!(
+        (held.complete, held.sequence, held.end),
+        (asked, 0, false),
+        "an open query holds it back"
+    );
     bed.open_all();
     bed.answer_all();
     assert!(bed.reply(early).is_some());
@@ -89,7 +127,11 @@
     assert!(complete > asked && bed.marks.last().unwrap().sequence == 1);
     // It waited for its turn since before the mark.
     let client = bed.connect();
-    let part = AskedPart { shard: 0, weight: 1.0, work: None };
+    let part = AskedPart {
+        shard: 0,
+        weight: 1.0,
+        work: None,
+    };
     let query = Query {
         name: "waited".into(),
         class: 1,
@@ -100,13 +142,20 @@
         parts: vec![part],
         text: bytes::Bytes::from_static(b"text"),
     };
-    bed.put(Input::Asked { client, arrived: now - 190 * MS, asked: Ok(Asked::Query(query)) });
+    bed.put(Input::Asked {
+        client,
+        arrived: now - 190 * MS,
+        asked: Ok(Asked::Query(query)),
+    });
     bed.open_all();
     bed.answer_all();
     assert_eq!(bed.records[1].arrived, complete);
     bed.put(Input::Terminate);
     bed.pass(7000);
-    assert!(bed.exited && bed.marks.last().unwrap().end, "the last mark says that nothing follows");
+    assert!(
+        bed.exited && bed.marks.last().unwrap().end,
+        "the last mark says that nothing follows"
+    );
 }
 
 #[test]
@@ -116,7 +165,14 @@
     bed.open_all();
     bed.answer_all();
     bed.pass(1000);
-    assert_eq!((bed.records.len(), bed.marks.len(), bed.state.counters().recorded), (0, 0, 0));
+    assert_eq!(
+        (
+            bed.records.len(),
+            bed.marks.len(),
+            bed.state.counters().recorded
+        ),
+        (0, 0, 0)
+    );
 }
 
 #[test]
@@ -127,7 +183,11 @@
     ask(&mut bed, "c", 1, Some("k"));
     let keys: Vec<u64> = bed.records.iter().map(|it| it.key).collect();
     let parts = [(1, 0.5), (0, 0.5)];
-    assert_eq!(keys[0], key_of_query("lookup", parts.into_iter(), b"text"), "parts in any order");
+    assert_eq!(
+        keys[0],
+        key_of_query("lookup", parts.into_iter(), b"text"),
+        "parts in any order"
+    );
     assert_eq!((keys[0], keys[2]), (keys[1], key_of_client("lookup", "k")));
     assert!(is_client_key(keys[2]) && !is_client_key(keys[0]) && bed.records[2].keyed);
     let others = [
--- a/crates/opensearch/src/dsl/check.rs
+++ b/crates/opensearch/src/dsl/check.rs
@@ -27,25 +27,36 @@
     pub fn check(&self) -> Result<(), Problem> {
         let window = self.from().saturating_add(self.size());
         if window > MOST_WINDOW {
-            return Err(too_much("from", format!("from + size is {window}, and {MOST_WINDOW} at most")));
+            return Err(too_much(
+                "from",
+                format!("from + size is {window}, and {MOST_WINDOW} at most"),
+            ));
         }
         if let Some(after) = &self.search_after {
             self.check_search_after(after)?;
         }
         if self.sort.len() > MOST_SORT_KEYS {
-            return Err(too_much("sort", format!("has more than {MOST_SORT_KEYS} keys")));
+            return Err(too_much(
+                "sort",
+                format!("has more than {MOST_SORT_KEYS} keys"),
+            ));
         }
         if let Some(text) = &self.timeout {
             duration_ms(text).ok_or_else(|| problem("timeout", "is no time as in 500ms or 2s"))?;
         }
         if self.aggs.len() > MOST_AGGREGATIONS {
-            return Err(too_much("aggs", format!("are more than {MOST_AGGREGATIONS}")));
+            return Err(too_much(
+                "aggs",
+                format!("are more than {MOST_AGGREGATIONS}"),
+            ));
         }
         for (name, aggregation) in &self.aggs {
             check_aggregation(&format!("aggs.{name}"), aggregation)?;
         }
         let mut clauses = 0;
-        self.query.as_ref().map_or(Ok(()), |query| count(query, 1, &mut clauses))
+        self.query
+            .as_ref()
+            .map_or(Ok(()), |query| count(query, 1, &mut clauses))
     }
 
     fn check_search_after(&self, after: &[Value]) -> Result<(), Problem> {
@@ -53,12 +64,18 @@
             return Err(problem("search_after", "needs a sort"));
         }
         if after.len() != self.sort.len() {
-            return Err(problem("search_after", "has to have a value for each key of the sort"));
+            return Err(problem(
+                "search_after",
+                "has to have a value for each key of the sort",
+            ));
         }
         if self.from() > 0 {
             return Err(problem("from", "has to be 0 with search_after"));
         }
-        if after.iter().any(|value| value.is_object() || value.is_array()) {
+        if after
+            .iter()
+            .any(|value| value.is_object() || value.is_array())
+        {
             return Err(problem("search_after", "takes plain values only"));
         }
         Ok(())
@@ -67,13 +84,16 @@
 
 fn check_aggregation(path: &str, aggregation: &Aggregation) -> Result<(), Problem> {
     match aggregation {
-        Aggregation::Terms(it) if it.size == 0 || it.size > MOST_BUCKETS => {
-            Err(too_much(path, format!("size has to be from 1 to {MOST_BUCKETS}")))
-        }
+        Aggregation::Terms(it) if it.size == 0 || it.size > MOST_BUCKETS => Err(too_much(
+            path,
+            format!("size has to be from 1 to {MOST_BUCKETS}"),
+        )),
         Aggregation::Histogram(it) if !(it.interval > 0.0 && it.interval.is_finite()) => {
             Err(problem(path, "interval has to be above 0"))
         }
-        Aggregation::DateHistogram(it) if duration_ms(&it.fixed_interval).is_none_or(|ms| ms == 0) => {
+        Aggregation::DateHistogram(it)
+            if duration_ms(&it.fixed_interval).is_none_or(|ms| ms == 0) =>
+        {
             Err(problem(path, "fixed_interval is no time as in 1d or 30m"))
         }
         _ => Ok(()),
@@ -84,17 +104,28 @@
 /// two brackets, and a few stand around them.
 pub(super) fn check_depth(body: &[u8]) -> Result<(), Problem> {
     if depth(body) > 2 * MOST_DEPTH + 8 {
-        return Err(too_much("query", format!("clauses are more than {MOST_DEPTH} deep")));
+        return Err(too_much(
+            "query",
+            format!("clauses are more than {MOST_DEPTH} deep"),
+        ));
     }
     Ok(())
 }
 
 fn problem(path: &str, reason: &str) -> Problem {
-    Problem { path: path.into(), reason: reason.into(), too_much: false }
+    Problem {
+        path: path.into(),
+        reason: reason.into(),
+        too_much: false,
+    }
 }
 
 fn too_much(path: &str, reason: String) -> Problem {
-    Problem { path: path.into(), reason, too_much: true }
+    Problem {
+        path: path.into(),
+        reason,
+        too_much: true,
+    }
 }
 
 /// How deep brackets stand in each other, outside of texts.
@@ -120,10 +151,16 @@
 fn count(query: &Query, depth: usize, clauses: &mut usize) -> Result<(), Problem> {
     *clauses += 1;
     if depth > MOST_DEPTH {
-        return Err(too_much("query", format!("clauses are more than {MOST_DEPTH} deep")));
+        return Err(too_much(
+            "query",
+            format!("clauses are more than {MOST_DEPTH} deep"),
+        ));
     }
     if *clauses > MOST_CLAUSES {
-        return Err(too_much("query", format!("has more than {MOST_CLAUSES} clauses")));
+        return Err(too_much(
+            "query",
+            format!("has more than {MOST_CLAUSES} clauses"),
+        ));
     }
     let values = match query {
         Query::Terms(it) => it.what.len(),
@@ -132,12 +169,17 @@
         _ => 0,
     };
     if values > MOST_CLAUSES {
-        return Err(too_much("query", format!("a clause has more than {MOST_CLAUSES} values")));
+        return Err(too_much(
+            "query",
+            format!("a clause has more than {MOST_CLAUSES} values"),
+        ));
     }
     match query {
         Query::Bool(it) => {
             let all = [&it.must, &it.filter, &it.should, &it.must_not];
-            all.iter().flat_map(|clauses| &clauses.0).try_for_each(|query| count(query, depth + 1, clauses))
+            all.iter()
+                .flat_map(|clauses| &clauses.0)
+                .try_for_each(|query| count(query, depth + 1, clauses))
         }
         Query::ConstantScore(it) => count(&it.filter, depth + 1, clauses),
         Query::FunctionScore(it) => count(&it.query, depth + 1, clauses),
--- a/crates/opensearch/src/dsl/mod.rs
+++ b/crates/opensearch/src/dsl/mod.rs
@@ -12,8 +12,8 @@
 pub use check::{MOST_AGGREGATIONS, MOST_BUCKETS, MOST_CLAUSES, MOST_DEPTH, MOST_WINDOW};
 pub use object::Of;
 pub use query::{
-    Bool, Clauses, ConstantScore, Empty, Field, FunctionScore, Ids, Match, MultiMatch, Operator, Prefix,
-    Query, Range, Scalar, Term,
+    Bool, Clauses, ConstantScore, Empty, Field, FunctionScore, Ids, Match, MultiMatch, Operator,
+    Prefix, Query, Range, Scalar, Term,
 };
 pub use search::{Search, Source, SourceBoth, Track};
 pub use sort::{Order, SortKey};
--- a/crates/opensearch/src/dsl/object.rs
+++ b/crates/opensearch/src/dsl/object.rs
@@ -32,12 +32,14 @@
             }
 
             fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Of<T>, A::Error> {
-                let (field, what) = map.next_entry()?.ok_or_else(|| de::Error::invalid_length(0, &self))?;
+                let (field, what) = map
+                    .next_entry()?
+                    .ok_or_else(|| de::Error::invalid_length(0, &self))?;
                 match map.next_key::<String>()? {
                     None => Ok(Of { field, what }),
-                    Some(other) => {
-                        Err(de::Error::custom(format!("one field is expected, and [{other}] is another")))
-                    }
+                    Some(other) => Err(de::Error::custom(format!(
+                        "one field is expected, and [{other}] is another"
+                    ))),
                 }
             }
         }
@@ -66,7 +68,9 @@
     }
 }
 
-pub(super) fn object<'de, D: Deserializer<'de>, T: Deserialize<'de>>(deserializer: D) -> Result<T, D::Error> {
+pub(super) fn object<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
+    deserializer: D,
+) -> Result<T, D::Error> {
     Object::deserialize(deserializer).map(|object| object.0)
 }
 
@@ -74,5 +78,8 @@
     deserializer: D,
 ) -> Result<Of<T>, D::Error> {
     let Of { field, what } = Of::<Object<T>>::deserialize(deserializer)?;
-    Ok(Of { field, what: what.0 })
+    Ok(Of {
+        field,
+        what: what.0,
+    })
 }
--- a/crates/opensearch/src/dsl/query.rs
+++ b/crates/opensearch/src/dsl/query.rs
@@ -122,7 +122,8 @@
             }
 
             fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<Clauses, A::Error> {
-                Query::deserialize(de::value::MapAccessDeserializer::new(map)).map(|one| Clauses(vec![one]))
+                Query::deserialize(de::value::MapAccessDeserializer::new(map))
+                    .map(|one| Clauses(vec![one]))
             }
         }
         deserializer.deserialize_any(OneOrMore)
--- a/crates/opensearch/src/dsl/search.rs
+++ b/crates/opensearch/src/dsl/search.rs
@@ -49,7 +49,10 @@
     pub from: Option<u64>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub size: Option<u64>,
-    #[serde(skip_serializing_if = "Vec::is_empty", deserialize_with = "one_or_more")]
+    #[serde(
+        skip_serializing_if = "Vec::is_empty",
+        deserialize_with = "one_or_more"
+    )]
     pub sort: Vec<SortKey>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub search_after: Option<Vec<Value>>,
@@ -65,9 +68,15 @@
     pub aggs: BTreeMap<String, Aggregation>,
 }
 
-fn one_or_more<'de, D: Deserializer<'de>, T: DeserializeOwned>(deserializer: D) -> Result<Vec<T>, D::Error> {
+fn one_or_more<'de, D: Deserializer<'de>, T: DeserializeOwned>(
+    deserializer: D,
+) -> Result<Vec<T>, D::Error> {
     let value = Value::deserialize(deserializer)?;
-    let all = if value.is_array() { value } else { Value::Array(vec![value]) };
+    let all = if value.is_array() {
+        value
+    } else {
+        Value::Array(vec![value])
+    };
     serde_json::from_value(all).map_err(de::Error::custom)
 }
 
@@ -82,10 +91,17 @@
         }
         check_depth(body)?;
         let mut reader = serde_json::Deserializer::from_slice(body);
-        let Object(search): Object<Search> = serde_path_to_error::deserialize(&mut reader).map_err(|e| {
-            Problem { path: e.path().to_string(), reason: e.into_inner().to_string(), too_much: false }
+        let Object(search): Object<Search> = serde_path_to_error::deserialize(&mut reader)
+            .map_err(|e| Problem {
+                path: e.path().to_string(),
+                reason: e.into_inner().to_string(),
+                too_much: false,
+            })?;
+        reader.end().map_err(|e| Problem {
+            path: ".".into(),
+            reason: e.to_string(),
+            too_much: false,
         })?;
-        reader.end().map_err(|e| Problem { path: ".".into(), reason: e.to_string(), too_much: false })?;
         search.check()?;
         Ok(search)
     }
@@ -117,7 +133,9 @@
                 // An average of averages is none: count and sum are.
                 Aggregation::Avg(field) => *aggregation = Aggregation::Stats(field.clone()),
                 // What is just below the top in one shard may be in it over all.
-                Aggregation::Terms(it) => it.size = (it.size + it.size / 2 + 10).min(2 * MOST_BUCKETS),
+                Aggregation::Terms(it) => {
+                    it.size = (it.size + it.size / 2 + 10).min(2 * MOST_BUCKETS)
+                }
                 _ => {}
             }
         }
--- a/crates/opensearch/src/dsl/sort.rs
+++ b/crates/opensearch/src/dsl/sort.rs
@@ -23,7 +23,10 @@
 
 impl From<SortKey> for Of<Order> {
     fn from(key: SortKey) -> Of<Order> {
-        Of { field: key.field, what: key.order }
+        Of {
+            field: key.field,
+            what: key.order,
+        }
     }
 }
 
@@ -36,12 +39,19 @@
             order: Option<Order>,
         }
         let value = Value::deserialize(deserializer)?;
-        let natural = |field: &str| if field == "_score" { Order::Desc } else { Order::Asc };
+        let natural = |field: &str| {
+            if field == "_score" {
+                Order::Desc
+            } else {
+                Order::Asc
+            }
+        };
         if let Value::String(field) = value {
             let order = natural(&field);
             return Ok(SortKey { field, order });
         }
-        let Of { field, what }: Of<Value> = serde_json::from_value(value).map_err(de::Error::custom)?;
+        let Of { field, what }: Of<Value> =
+            serde_json::from_value(value).map_err(de::Error::custom)?;
         let order = if what.is_object() {
             let Long { order } = serde_json::from_value(what).map_err(de::Error::custom)?;
             order.unwrap_or_else(|| natural(&field))
--- a/crates/opensearch/src/front/mod.rs
+++ b/crates/opensearch/src/front/mod.rs
@@ -41,10 +41,17 @@
 pub fn start(front: Front, tls: Option<Rc<Tls>>, listener: TcpListener, queries: QueryClient) {
     let run = format!("os{:016x}", rand::random::<u64>());
     let room = Arc::new(Semaphore::new(front.connections));
-    let context = Rc::new(Context { front, queries, run, last: Cell::new(0) });
+    let context = Rc::new(Context {
+        front,
+        queries,
+        run,
+        last: Cell::new(0),
+    });
     tokio::task::spawn_local(async move {
         loop {
-            let Ok(place) = room.clone().acquire_owned().await else { return };
+            let Ok(place) = room.clone().acquire_owned().await else {
+                return;
+            };
             let (stream, peer) = tokio::select! {
                 accepted = listener.accept() => match accepted {
                     Ok(accepted) => accepted,
@@ -59,7 +66,10 @@
             let (context, tls) = (context.clone(), tls.clone());
             tokio::task::spawn_local(async move {
                 let _ = stream.set_nodelay(true);
-                let peer = Peer { address: peer.ip(), name: None };
+                let peer = Peer {
+                    address: peer.ip(),
+                    name: None,
+                };
                 match tls {
                     None => attend(&context, stream, peer).await,
                     Some(tls) => attend_tls(&context, &tls, stream, peer).await,
@@ -82,7 +92,9 @@
     match timeout(HANDSHAKE, tls.acceptor().accept(stream)).await {
         Ok(Ok(stream)) => {
             let certificates = stream.get_ref().1.peer_certificates();
-            let name = certificates.and_then(|all| all.first()).and_then(tls::common_name);
+            let name = certificates
+                .and_then(|all| all.first())
+                .and_then(tls::common_name);
             attend(context, stream, Peer { name, ..peer }).await;
         }
         Ok(Err(e)) => tracing::debug!(address = %peer.address, error = %e, "TLS handshake"),
@@ -90,13 +102,20 @@
     }
 }
 
-async fn attend<S: AsyncRead + AsyncWrite + Unpin + 'static>(context: &Rc<Context>, stream: S, peer: Peer) {
+async fn attend<S: AsyncRead + AsyncWrite + Unpin + 'static>(
+    context: &Rc<Context>,
+    stream: S,
+    peer: Peer,
+) {
     let answer = service_fn(|request| {
         let (context, peer) = (context.clone(), peer.clone());
         async move { Ok::<_, Infallible>(request::handle(&context, peer, request).await) }
     });
     let mut builder = hyper::server::conn::http1::Builder::new();
-    builder.timer(TokioTimer::new()).header_read_timeout(context.front.idle).max_buf_size(MOST_BUFFER);
+    builder
+        .timer(TokioTimer::new())
+        .header_read_timeout(context.front.idle)
+        .max_buf_size(MOST_BUFFER);
     let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), answer));
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
--- a/crates/opensearch/src/front/multi.rs
+++ b/crates/opensearch/src/front/multi.rs
@@ -30,11 +30,18 @@
 /// Searches one after another on their lines, asked a few at a time and answered in their order. One that can't be
 /// read is answered with its error; it does not touch the others.
 pub(super) async fn msearch(
-    context: &Rc<Context>, arrived: u64, index: Option<&str>, caller: &Caller, parameters: &Parameters,
+    context: &Rc<Context>,
+    arrived: u64,
+    index: Option<&str>,
+    caller: &Caller,
+    parameters: &Parameters,
     body: &Bytes,
 ) -> Result<Vec<u8>, Answer> {
     let began = Instant::now();
-    let mut lines: Vec<&[u8]> = body.split(|byte| *byte == b'\n').map(<[u8]>::trim_ascii).collect();
+    let mut lines: Vec<&[u8]> = body
+        .split(|byte| *byte == b'\n')
+        .map(<[u8]>::trim_ascii)
+        .collect();
     while lines.last().is_some_and(|line| line.is_empty()) {
         lines.pop();
     }
@@ -43,7 +50,10 @@
         return Err(shape::error(400, "illegal_argument_exception", reason));
     }
     if lines.len() / 2 > MOST_SEARCHES {
-        let reason = format!("{} searches at once, and {MOST_SEARCHES} at most", lines.len() / 2);
+        let reason = format!(
+            "{} searches at once, and {MOST_SEARCHES} at most",
+            lines.len() / 2
+        );
         return Err(shape::error(400, "illegal_argument_exception", &reason));
     }
     let mut answers: Vec<Vec<u8>> = vec![Vec::new(); lines.len() / 2];
@@ -61,7 +71,8 @@
             }
         }
         let (line, body) = (pair[0].to_vec(), body.slice_ref(pair[1]));
-        let (context, caller, mut parameters) = (context.clone(), caller.clone(), parameters.clone());
+        let (context, caller, mut parameters) =
+            (context.clone(), caller.clone(), parameters.clone());
         let index = index.map(str::to_string);
         open.spawn_local(async move {
             let asked = async {
@@ -70,7 +81,11 @@
                 } else {
                     let read = serde_json::from_slice(&line);
                     read.map_err(|e| {
-                        shape::error(400, "parsing_exception", &format!("the line before it: {e}"))
+                        shape::error(
+                            400,
+                            "parsing_exception",
+                            &format!("the line before it: {e}"),
+                        )
                     })?
                 };
                 let named = line.index.as_ref().and_then(|index| match index {
@@ -85,13 +100,18 @@
                         "one search goes to one index here",
                     ));
                 }
-                if line.routing.is_some() || line.search_type.is_some_and(|kind| kind != "query_then_fetch") {
+                if line.routing.is_some()
+                    || line
+                        .search_type
+                        .is_some_and(|kind| kind != "query_then_fetch")
+                {
                     let reason = "neither routing nor another search_type is supported here";
                     return Err(shape::error(400, "illegal_argument_exception", reason));
                 }
                 if let Some(preference) = line.preference {
                     parameters.only =
-                        read_parameters("/_msearch", Some(&format!("preference={preference}")))?.only;
+                        read_parameters("/_msearch", Some(&format!("preference={preference}")))?
+                            .only;
                 }
                 parameters.partial = line.allow_partial_search_results.or(parameters.partial);
                 let name = named.or(index.as_deref()).unwrap_or("_all");
@@ -103,7 +123,8 @@
     while let Some(ended) = open.join_next().await {
         done(ended, &mut answers);
     }
-    let mut body = format!("{{\"took\":{},\"responses\":[", began.elapsed().as_millis()).into_bytes();
+    let mut body =
+        format!("{{\"took\":{},\"responses\":[", began.elapsed().as_millis()).into_bytes();
     body.extend(answers.join(&b','));
     body.extend_from_slice(b"]}");
     Ok(body)
--- a/crates/opensearch/src/front/parameters.rs
+++ b/crates/opensearch/src/front/parameters.rs
@@ -20,9 +20,17 @@
 /// Reads the parameters of a query string; the answer to the client if one is unknown or can't be used.
 pub(super) fn read_parameters(path: &str, query: Option<&str>) -> Result<Parameters, Answer> {
     let mut all = Parameters::default();
-    for pair in query.unwrap_or_default().split('&').filter(|pair| !pair.is_empty()) {
+    for pair in query
+        .unwrap_or_default()
+        .split('&')
+        .filter(|pair| !pair.is_empty())
+    {
         let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
-        let value = value.replace("%3A", ":").replace("%3a", ":").replace("%2C", ",").replace("%2c", ",");
+        let value = value
+            .replace("%3A", ":")
+            .replace("%3a", ":")
+            .replace("%2C", ",")
+            .replace("%2c", ",");
         let wrong = || {
             let reason = format!("Failed to parse value [{value}] of parameter [{name}]");
             shape::error(400, "illegal_argument_exception", &reason)
@@ -38,13 +46,19 @@
             "size" => all.size = Some(number()?),
             "timeout" => all.timeout = Some(duration_ms(&value).ok_or_else(wrong)?),
             "track_total_hits" => {
-                all.track = Some(number().map(Track::UpTo).or_else(|_| flag().map(Track::Flag))?);
+                all.track = Some(
+                    number()
+                        .map(Track::UpTo)
+                        .or_else(|_| flag().map(Track::Flag))?,
+                );
             }
             "allow_partial_search_results" => all.partial = Some(flag()?),
             "preference" => {
                 let shards = value.strip_prefix("_shards:").ok_or_else(wrong)?;
                 let shards = shards.split('|').next().unwrap_or_default().split(',');
-                let shards: Result<_, _> = shards.map(|shard| shard.parse().map_err(|_| wrong())).collect();
+                let shards: Result<_, _> = shards
+                    .map(|shard| shard.parse().map_err(|_| wrong()))
+                    .collect();
                 all.only = Some(shards?);
             }
             // How the answer is written or named: nothing that it holds.
--- a/crates/opensearch/src/front/request.rs
+++ b/crates/opensearch/src/front/request.rs
@@ -8,7 +8,9 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
-use hyper::header::{HeaderMap, HeaderValue, ACCEPT_ENCODING, CONTENT_ENCODING, CONTENT_TYPE, RETRY_AFTER};
+use hyper::header::{
+    HeaderMap, HeaderValue, ACCEPT_ENCODING, CONTENT_ENCODING, CONTENT_TYPE, RETRY_AFTER,
+};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 use std::net::IpAddr;
@@ -36,12 +38,15 @@
 
 /// The response to one request, whatever becomes of it.
 pub(super) async fn handle(
-    context: &Rc<Context>, peer: Peer, request: Request<Incoming>,
+    context: &Rc<Context>,
+    peer: Peer,
+    request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let arrived = context.queries.now();
     let head = request.method() == Method::HEAD;
     let (parts, body) = request.into_parts();
-    let accepts = text_of(&parts.headers, ACCEPT_ENCODING.as_str()).is_some_and(|all| all.contains("gzip"));
+    let accepts =
+        text_of(&parts.headers, ACCEPT_ENCODING.as_str()).is_some_and(|all| all.contains("gzip"));
     let opaque = parts.headers.get("x-opaque-id").cloned();
     let mut response = match body_of(context, &parts, body).await {
         Err(answer) => response(answer, head),
@@ -53,17 +58,25 @@
                 .filter_map(|line| line.to_str().ok())
                 .collect();
             let address = tenant::client(peer.address, &forwarded, &context.front.proxies);
-            let caller = Caller { headers: parts.headers.clone(), address, name: peer.name };
+            let caller = Caller {
+                headers: parts.headers.clone(),
+                address,
+                name: peer.name,
+            };
             match route(context, arrived, &parts, &caller, &body).await {
                 Ok(_) if head => bytes_response(200, Vec::new()),
-                Ok(bytes) if accepts && bytes.len() >= WORTH_PACKING => match packed::pack(&bytes) {
-                    Some(short) => {
-                        let mut response = bytes_response(200, short);
-                        response.headers_mut().insert(CONTENT_ENCODING, HeaderValue::from_static("gzip"));
-                        response
+                Ok(bytes) if accepts && bytes.len() >= WORTH_PACKING => {
+                    match packed::pack(&bytes) {
+                        Some(short) => {
+                            let mut response = bytes_response(200, short);
+                            response
+                                .headers_mut()
+                                .insert(CONTENT_ENCODING, HeaderValue::from_static("gzip"));
+                            response
+                        }
+                        None => bytes_response(200, bytes),
                     }
-                    None => bytes_response(200, bytes),
-                },
+                }
                 Ok(bytes) => bytes_response(200, bytes),
                 Err(answer) => response(answer, head),
             }
@@ -85,12 +98,24 @@
     let too_long = |reason: &str| shape::error(413, "illegal_argument_exception", reason);
     let body = match timeout(WHOLE_BODY, Limited::new(body, most).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
-        Ok(Err(_)) => return Err(too_long(&format!("the body is cut short or longer than {most} bytes"))),
-        Err(_) => return Err(shape::error(408, "timeout_exception", "the body took too long")),
+        Ok(Err(_)) => {
+            return Err(too_long(&format!(
+                "the body is cut short or longer than {most} bytes"
+            )))
+        }
+        Err(_) => {
+            return Err(shape::error(
+                408,
+                "timeout_exception",
+                "the body took too long",
+            ))
+        }
     };
     match text_of(&parts.headers, CONTENT_ENCODING.as_str()) {
         None | Some("identity") => Ok(body),
-        Some("gzip") => packed::unpack(&body, most).map(Bytes::from).map_err(|why| too_long(&why)),
+        Some("gzip") => packed::unpack(&body, most)
+            .map(Bytes::from)
+            .map_err(|why| too_long(&why)),
         Some(other) => {
             let reason = format!("Content-Encoding [{other}] is not supported; gzip is");
             Err(shape::error(415, "illegal_argument_exception", &reason))
@@ -100,7 +125,11 @@
 
 fn response(answer: Answer, head: bool) -> Response<Full<Bytes>> {
     let after = answer.retry_after;
-    let body = if head { Vec::new() } else { serde_json::to_vec(&answer.body).unwrap_or_default() };
+    let body = if head {
+        Vec::new()
+    } else {
+        serde_json::to_vec(&answer.body).unwrap_or_default()
+    };
     let mut response = bytes_response(answer.status, body);
     if let Some(after) = after {
         // Whole seconds, as clients of this protocol read them; the reason tells the milliseconds.
@@ -112,7 +141,11 @@
 
 fn bytes_response(status: u16, body: Vec<u8>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
-    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json; charset=UTF-8"));
+    *response.status_mut() =
+        StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    response.headers_mut().insert(
+        CONTENT_TYPE,
+        HeaderValue::from_static("application/json; charset=UTF-8"),
+    );
     response
 }
--- a/crates/opensearch/src/front/route.rs
+++ b/crates/opensearch/src/front/route.rs
@@ -15,22 +15,29 @@
 
 /// The bytes of a 200, or any other answer.
 pub(super) async fn route(
-    context: &Rc<Context>, arrived: u64, parts: &Parts, caller: &Caller, body: &Bytes,
+    context: &Rc<Context>,
+    arrived: u64,
+    parts: &Parts,
+    caller: &Caller,
+    body: &Bytes,
 ) -> Result<Vec<u8>, Answer> {
     let path = parts.uri.path();
     let parameters = read_parameters(path, parts.uri.query())?;
-    let segments: Vec<&str> = path.split('/').filter(|segment| !segment.is_empty()).collect();
+    let segments: Vec<&str> = path
+        .split('/')
+        .filter(|segment| !segment.is_empty())
+        .collect();
     let get = matches!(parts.method, Method::GET | Method::HEAD);
     let read = get || parts.method == Method::POST;
     let plain = |value: Value| Ok(serde_json::to_vec(&value).unwrap_or_default());
     let front = &context.front;
     match segments[..] {
-        [] if get => {
-            plain(json!({"name": "mixer", "cluster_name": front.cluster, "cluster_uuid": context.run,
+        [] if get => plain(
+            json!({"name": "mixer", "cluster_name": front.cluster, "cluster_uuid": context.run,
             "version": {"distribution": "opensearch", "number": "2.11.0", "build_type": "cottonhill",
                 "minimum_wire_compatibility_version": "7.10.0", "minimum_index_compatibility_version": "7.0.0"},
-            "tagline": "a query mixer"}))
-        }
+            "tagline": "a query mixer"}),
+        ),
         ["_cluster", "health"] if get => {
             let shards: usize = front.indices.values().map(|index| index.shards.len()).sum();
             plain(
@@ -50,9 +57,13 @@
             msearch(context, arrived, Some(index), caller, &parameters, body).await
         }
         ["_search"] if read => search(context, arrived, "_all", caller, &parameters, body).await,
-        [index, "_search"] if read => search(context, arrived, index, caller, &parameters, body).await,
+        [index, "_search"] if read => {
+            search(context, arrived, index, caller, &parameters, body).await
+        }
         ["_count"] if read => count(context, arrived, "_all", caller, &parameters, body).await,
-        [index, "_count"] if read => count(context, arrived, index, caller, &parameters, body).await,
+        [index, "_count"] if read => {
+            count(context, arrived, index, caller, &parameters, body).await
+        }
         [index] if get && !index.starts_with('_') => {
             let (name, index) = find(front, index)?;
             plain(
@@ -60,7 +71,10 @@
             )
         }
         _ => {
-            let reason = format!("no handler found for uri [{path}] and method [{}]", parts.method);
+            let reason = format!(
+                "no handler found for uri [{path}] and method [{}]",
+                parts.method
+            );
             Err(shape::error(400, "illegal_argument_exception", &reason))
         }
     }
--- a/crates/opensearch/src/front/search.rs
+++ b/crates/opensearch/src/front/search.rs
@@ -19,28 +19,62 @@
 
 /// The body of a search's answer.
 pub(super) async fn search(
-    context: &Context, arrived: u64, index: &str, caller: &Caller, parameters: &Parameters, body: &[u8],
+    context: &Context,
+    arrived: u64,
+    index: &str,
+    caller: &Caller,
+    parameters: &Parameters,
+    body: &[u8],
 ) -> Result<Vec<u8>, Answer> {
     let search = read(parameters, body)?;
-    let Gathered { index, shards, answers, began } =
-        gather(context, arrived, index, caller, parameters, &search).await?;
+    let Gathered {
+        index,
+        shards,
+        answers,
+        began,
+    } = gather(context, arrived, index, caller, parameters, &search).await?;
     let merged = merge::merge(&search, answers);
-    Ok(shape::found(index, &search, began.elapsed(), &shards, &merged))
+    Ok(shape::found(
+        index,
+        &search,
+        began.elapsed(),
+        &shards,
+        &merged,
+    ))
 }
 
 /// The body of a count's answer.
 pub(super) async fn count(
-    context: &Context, arrived: u64, index: &str, caller: &Caller, parameters: &Parameters, body: &[u8],
+    context: &Context,
+    arrived: u64,
+    index: &str,
+    caller: &Caller,
+    parameters: &Parameters,
+    body: &[u8],
 ) -> Result<Vec<u8>, Answer> {
     let mut search = read(parameters, body)?;
-    if search.size.is_some() || search.from.is_some() || !search.sort.is_empty() || !search.aggs.is_empty() {
-        return Err(shape::error(400, "parsing_exception", "a count takes a query only"));
+    if search.size.is_some()
+        || search.from.is_some()
+        || !search.sort.is_empty()
+        || !search.aggs.is_empty()
+    {
+        return Err(shape::error(
+            400,
+            "parsing_exception",
+            "a count takes a query only",
+        ));
     }
     search.size = Some(0);
     search.track_total_hits = Some(Track::Flag(true));
-    let Gathered { index, shards, answers, .. } =
-        gather(context, arrived, index, caller, parameters, &search).await?;
-    let total = merge::merge(&search, answers).total.map_or(0, |total| total.value);
+    let Gathered {
+        index,
+        shards,
+        answers,
+        ..
+    } = gather(context, arrived, index, caller, parameters, &search).await?;
+    let total = merge::merge(&search, answers)
+        .total
+        .map_or(0, |total| total.value);
     Ok(serde_json::to_vec(&shape::counted(index, &shards, total).body).unwrap_or_default())
 }
 
@@ -79,7 +113,12 @@
 
 /// Asks the shards of an index; the answer to the client if too few of theirs can be used.
 async fn gather<'a>(
-    context: &'a Context, arrived: u64, name: &str, caller: &Caller, parameters: &Parameters, search: &Search,
+    context: &'a Context,
+    arrived: u64,
+    name: &str,
+    caller: &Caller,
+    parameters: &Parameters,
+    search: &Search,
 ) -> Result<Gathered<'a>, Answer> {
     let began = Instant::now();
     let (front, names) = (&context.front, context.queries.names().clone());
@@ -87,16 +126,38 @@
     let class = class_of(index, settings, &names)?;
     let tenant = tenant_of(front, caller, &names)?;
     let chosen = chosen_shards(index, settings, parameters)?;
-    let query = query(context, caller, parameters, search, (class, tenant), &chosen, &names);
+    let query = query(
+        context,
+        caller,
+        parameters,
+        search,
+        (class, tenant),
+        &chosen,
+        &names,
+    );
     let hits = match context.queries.ask(arrived, query).await {
         Reply::Answer { hits, .. } => hits,
-        Reply::Refused { come_back } => return Err(shape::refused(come_back.map(Duration::from_nanos))),
+        Reply::Refused { come_back } => {
+            return Err(shape::refused(come_back.map(Duration::from_nanos)))
+        }
         Reply::Rejected(rejection) => {
-            return Err(shape::error(rejection.status, "illegal_argument_exception", rejection.why));
+            return Err(shape::error(
+                rejection.status,
+                "illegal_argument_exception",
+                rejection.why,
+            ));
         }
         _ => {
-            let shards = Shards { total: chosen.len(), ..Shards::default() };
-            return Err(shape::failed(503, index, &shards, "all shards failed or were too late"));
+            let shards = Shards {
+                total: chosen.len(),
+                ..Shards::default()
+            };
+            return Err(shape::failed(
+                503,
+                index,
+                &shards,
+                "all shards failed or were too late",
+            ));
         }
     };
     check_size(front, &hits)?;
@@ -104,22 +165,37 @@
     // What came back as an error counts as little as what did not come back.
     let floor = names.floors.get(class).copied().unwrap_or(1.0);
     if share + ROUNDING < floor {
-        let reason = format!("{} of {} shards failed", shards.failures.len(), shards.total);
+        let reason = format!(
+            "{} of {} shards failed",
+            shards.failures.len(),
+            shards.total
+        );
         return Err(shape::failed(503, index, &shards, &reason));
     }
     if parameters.partial == Some(false) && shards.successful < shards.total {
         return Err(shape::failed(503, index, &shards, "Partial shards failure"));
     }
-    Ok(Gathered { index, shards, answers, began })
+    Ok(Gathered {
+        index,
+        shards,
+        answers,
+        began,
+    })
 }
 
 /// The number of an index's class.
 fn class_of(index: &str, settings: &Index, names: &Names) -> Result<usize, Answer> {
-    names.classes.iter().position(|class| *class == settings.class).ok_or_else(|| {
-        let reason =
-            format!("index [{index}] is of the class [{}], which the platform does not name", settings.class);
-        shape::error(500, "illegal_state_exception", &reason)
-    })
+    names
+        .classes
+        .iter()
+        .position(|class| *class == settings.class)
+        .ok_or_else(|| {
+            let reason = format!(
+                "index [{index}] is of the class [{}], which the platform does not name",
+                settings.class
+            );
+            shape::error(500, "illegal_state_exception", &reason)
+        })
 }
 
 /// The number of the caller's tenant; 0 where the platform names none.
@@ -133,9 +209,17 @@
     };
     match named_tenant.or(front.tenant.as_deref()) {
         _ if names.tenants.is_empty() => Ok(0),
-        Some(tenant) => names.tenants.iter().position(|name| name == tenant).ok_or_else(|| {
-            shape::error(403, "security_exception", &format!("there is no tenant [{tenant}]"))
-        }),
+        Some(tenant) => names
+            .tenants
+            .iter()
+            .position(|name| name == tenant)
+            .ok_or_else(|| {
+                shape::error(
+                    403,
+                    "security_exception",
+                    &format!("there is no tenant [{tenant}]"),
+                )
+            }),
         None => {
             let reason = "nothing tells the tenant: see tenant-by in the settings";
             Err(shape::error(401, "security_exception", reason))
@@ -144,11 +228,29 @@
 }
 
 /// The shards to ask, with their weights: all of an index, or those that the parameters name.
-fn chosen_shards(index: &str, settings: &Index, parameters: &Parameters) -> Result<Vec<(u32, f64)>, Answer> {
-    let wanted = |shard: &u32| parameters.only.as_ref().is_none_or(|only| only.contains(shard));
-    let chosen: Vec<(u32, f64)> =
-        settings.shards.iter().filter(|(shard, _)| wanted(shard)).copied().collect();
-    if chosen.is_empty() || parameters.only.as_ref().is_some_and(|only| only.len() != chosen.len()) {
+fn chosen_shards(
+    index: &str,
+    settings: &Index,
+    parameters: &Parameters,
+) -> Result<Vec<(u32, f64)>, Answer> {
+    let wanted = |shard: &u32| {
+        parameters
+            .only
+            .as_ref()
+            .is_none_or(|only| only.contains(shard))
+    };
+    let chosen: Vec<(u32, f64)> = settings
+        .shards
+        .iter()
+        .filter(|(shard, _)| wanted(shard))
+        .copied()
+        .collect();
+    if chosen.is_empty()
+        || parameters
+            .only
+            .as_ref()
+            .is_some_and(|only| only.len() != chosen.len())
+    {
         let reason = format!("the preference names shards that index [{index}] does not have");
         return Err(shape::error(400, "illegal_argument_exception", &reason));
     }
@@ -161,16 +263,31 @@
 
 /// The query for a search, under a name of its own.
 fn query(
-    context: &Context, caller: &Caller, parameters: &Parameters, search: &Search,
-    (class, tenant): (usize, usize), chosen: &[(u32, f64)], names: &Names,
+    context: &Context,
+    caller: &Caller,
+    parameters: &Parameters,
+    search: &Search,
+    (class, tenant): (usize, usize),
+    chosen: &[(u32, f64)],
+    names: &Names,
 ) -> Query {
     let sum = sum_of_weights(chosen);
     let longest = names.deadlines.get(class).copied().unwrap_or_default();
-    let timeout = search.timeout.as_deref().and_then(duration_ms).or(parameters.timeout);
+    let timeout = search
+        .timeout
+        .as_deref()
+        .and_then(duration_ms)
+        .or(parameters.timeout);
     let timeout = timeout.map(|ms| ms.saturating_mul(MS));
     context.last.set(context.last.get() + 1);
-    let part = |(shard, weight): &(u32, f64)| AskedPart { shard: *shard, weight: weight / sum, work: None };
-    let key = caller.header("idempotency-key").filter(|key| (1..=128).contains(&key.len()));
+    let part = |(shard, weight): &(u32, f64)| AskedPart {
+        shard: *shard,
+        weight: weight / sum,
+        work: None,
+    };
+    let key = caller
+        .header("idempotency-key")
+        .filter(|key| (1..=128).contains(&key.len()));
     Query {
         name: format!("{}-{}", context.run, context.last.get()),
         class: class as u16,
@@ -189,8 +306,10 @@
     if answer_bytes <= front.most_answer {
         return Ok(());
     }
-    let reason =
-        format!("the shards' answers hold {answer_bytes} bytes, and {} may be held", front.most_answer);
+    let reason = format!(
+        "the shards' answers hold {answer_bytes} bytes, and {} may be held",
+        front.most_answer
+    );
     let mut answer = shape::error(429, "circuit_breaking_exception", &reason);
     answer.body["error"]["durability"] = json!("PERMANENT");
     Err(answer)
@@ -198,15 +317,26 @@
 
 /// What became of each shard, the answers that can be used, and their share of the weight.
 fn read_answers(
-    chosen: &[(u32, f64)], hits: &[Hit], search: &Search,
+    chosen: &[(u32, f64)],
+    hits: &[Hit],
+    search: &Search,
 ) -> (Shards, Vec<(u32, merge::ShardAnswer)>, f64) {
     let sum = sum_of_weights(chosen);
-    let mut shards = Shards { total: chosen.len(), ..Shards::default() };
+    let mut shards = Shards {
+        total: chosen.len(),
+        ..Shards::default()
+    };
     let (mut answers, mut share) = (Vec::new(), 0.0);
     for (shard, weight) in chosen {
         let hit = hits.iter().find(|hit| hit.shard == *shard);
-        let late = || Unusable { kind: "timeout_exception".into(), reason: "no answer in time".into() };
-        match hit.ok_or_else(late).and_then(|hit| merge::read(&hit.doc, search)) {
+        let late = || Unusable {
+            kind: "timeout_exception".into(),
+            reason: "no answer in time".into(),
+        };
+        match hit
+            .ok_or_else(late)
+            .and_then(|hit| merge::read(&hit.doc, search))
+        {
             Ok(answer) => {
                 share += weight / sum;
                 answers.push((*shard, answer));
--- a/crates/opensearch/src/index.rs
+++ b/crates/opensearch/src/index.rs
@@ -57,9 +57,24 @@
     name: "index",
     named: true,
     keys: &[
-        key("class", Kind::Text, None, "The class of its searches, by the platform's name."),
-        key("shards", Kind::Text, None, "Its shards: numbers and ranges, as in 0-7,12."),
-        key("weights", Kind::Text, None, "Their weights in that order, adding up to 1; equal ones if unset."),
+        key(
+            "class",
+            Kind::Text,
+            None,
+            "The class of its searches, by the platform's name.",
+        ),
+        key(
+            "shards",
+            Kind::Text,
+            None,
+            "Its shards: numbers and ranges, as in 0-7,12.",
+        ),
+        key(
+            "weights",
+            Kind::Text,
+            None,
+            "Their weights in that order, adding up to 1; equal ones if unset.",
+        ),
     ],
 };
 
@@ -77,8 +92,19 @@
     ],
 };
 
-const fn key(name: &'static str, kind: Kind, default: Option<&'static str>, doc: &'static str) -> Key {
-    Key { name, kind, default, live: false, doc }
+const fn key(
+    name: &'static str,
+    kind: Kind,
+    default: Option<&'static str>,
+    doc: &'static str,
+) -> Key {
+    Key {
+        name,
+        kind,
+        default,
+        live: false,
+        doc,
+    }
 }
 
 /// One index.
@@ -127,8 +153,11 @@
     let mut all = Vec::new();
     for piece in text.split(',').map(str::trim) {
         let (from, to) = piece.split_once('-').unwrap_or((piece, piece));
-        let number =
-            |text: &str| text.trim().parse::<u32>().map_err(|_| format!("'{piece}' is no number or range"));
+        let number = |text: &str| {
+            text.trim()
+                .parse::<u32>()
+                .map_err(|_| format!("'{piece}' is no number or range"))
+        };
         let (from, to) = (number(from)?, number(to)?);
         if from > to || to - from > 100_000 {
             return Err(format!("'{piece}' is no range"));
@@ -155,17 +184,26 @@
         let network = settings.of(schema, NETWORK.name, name);
         let wrong = |key: &str, why: &str| settings.problem(NETWORK.name, name, key, why);
         if matches!(by, TenantBy::Header | TenantBy::Certificate) {
-            return Err(wrong("tenant", "is never used, as [opensearch] tenant-by does not go by networks"));
+            return Err(wrong(
+                "tenant",
+                "is never used, as [opensearch] tenant-by does not go by networks",
+            ));
         }
-        let tenant = network.text("tenant").ok_or_else(|| wrong("tenant", "is missing"))?;
-        let prefixes = network.text("prefixes").ok_or_else(|| wrong("prefixes", "is missing"))?;
+        let tenant = network
+            .text("tenant")
+            .ok_or_else(|| wrong("tenant", "is missing"))?;
+        let prefixes = network
+            .text("prefixes")
+            .ok_or_else(|| wrong("prefixes", "is missing"))?;
         let prefixes = networks(prefixes).map_err(|why| wrong("prefixes", &why))?;
         rules.extend(prefixes.into_iter().map(|net| (net, name, tenant)));
     }
     rules.sort_by_key(|(net, ..)| net.prefix_len());
     let mut table = Table::default();
     for (net, name, tenant) in rules {
-        table.insert(net, tenant).map_err(|why| settings.problem(NETWORK.name, name, "prefixes", &why))?;
+        table
+            .insert(net, tenant)
+            .map_err(|why| settings.problem(NETWORK.name, name, "prefixes", &why))?;
     }
     if table.is_empty() && matches!(by, TenantBy::Network | TenantBy::Either) {
         return Err(settings.problem(
@@ -185,40 +223,66 @@
     /// Values that contradict each other.
     pub fn read(settings: &Settings, schema: &Schema) -> Result<Option<Front>, Problems> {
         let values = settings.of(schema, FRONT.name, "");
-        let Some(listen) = values.address("listen") else { return Ok(None) };
+        let Some(listen) = values.address("listen") else {
+            return Ok(None);
+        };
         let mut indices = BTreeMap::new();
         for name in settings.names(INDEX.name) {
             let index = settings.of(schema, INDEX.name, name);
             let wrong = |key: &str, why: &str| settings.problem(INDEX.name, name, key, why);
             if !index_name(name) {
-                return Err(wrong("class", "an index's name has small letters, digits, '-', '_' and '.'"));
+                return Err(wrong(
+                    "class",
+                    "an index's name has small letters, digits, '-', '_' and '.'",
+                ));
             }
-            let class = index.text("class").ok_or_else(|| wrong("class", "is missing"))?.to_string();
-            let numbers = index.text("shards").ok_or_else(|| wrong("shards", "is missing"))?;
+            let class = index
+                .text("class")
+                .ok_or_else(|| wrong("class", "is missing"))?
+                .to_string();
+            let numbers = index
+                .text("shards")
+                .ok_or_else(|| wrong("shards", "is missing"))?;
             let numbers = shards(numbers).map_err(|why| wrong("shards", &why))?;
             let weights: Vec<f64> = match index.text("weights") {
                 None => vec![1.0 / numbers.len() as f64; numbers.len()],
                 Some(text) => {
-                    let weights: Result<Vec<f64>, _> =
-                        text.split(',').map(|weight| weight.trim().parse()).collect();
+                    let weights: Result<Vec<f64>, _> = text
+                        .split(',')
+                        .map(|weight| weight.trim().parse())
+                        .collect();
                     weights.map_err(|_| wrong("weights", "have to be numbers"))?
                 }
             };
             if weights.len() != numbers.len() {
-                let why = format!("are {}, and there are {} shards", weights.len(), numbers.len());
+                let why = format!(
+                    "are {}, and there are {} shards",
+                    weights.len(),
+                    numbers.len()
+                );
                 return Err(wrong("weights", &why));
             }
             let sum: f64 = weights.iter().sum();
-            if weights.iter().any(|weight| !(0.0..=1.0).contains(weight)) || (sum - 1.0).abs() > ROUNDING {
+            if weights.iter().any(|weight| !(0.0..=1.0).contains(weight))
+                || (sum - 1.0).abs() > ROUNDING
+            {
                 return Err(wrong("weights", "have to be shares that add up to 1"));
             }
             indices.insert(
                 name.to_string(),
-                Index { class, shards: numbers.into_iter().zip(weights).collect() },
+                Index {
+                    class,
+                    shards: numbers.into_iter().zip(weights).collect(),
+                },
             );
         }
         if indices.is_empty() {
-            return Err(settings.problem(FRONT.name, "", "listen", "there is no [index NAME] to search"));
+            return Err(settings.problem(
+                FRONT.name,
+                "",
+                "listen",
+                "there is no [index NAME] to search",
+            ));
         }
         let by = match values.text("tenant-by") {
             Some("network") => TenantBy::Network,
@@ -229,14 +293,23 @@
         let path = |key: &str| values.text(key).map(PathBuf::from);
         let wrong = |key: &str, why: &str| settings.problem(FRONT.name, "", key, why);
         let tls = match (path("certificate"), path("key"), path("client-ca")) {
-            (Some(certificate), Some(key), clients) => Some(Files { certificate, key, clients }),
+            (Some(certificate), Some(key), clients) => Some(Files {
+                certificate,
+                key,
+                clients,
+            }),
             (None, None, None) => None,
             (Some(_), None, _) => return Err(wrong("certificate", "needs 'key'")),
             (None, Some(_), _) => return Err(wrong("key", "needs 'certificate'")),
-            (None, None, Some(_)) => return Err(wrong("client-ca", "needs 'certificate' and 'key'")),
+            (None, None, Some(_)) => {
+                return Err(wrong("client-ca", "needs 'certificate' and 'key'"))
+            }
         };
         if by == TenantBy::Certificate && tls.as_ref().is_none_or(|tls| tls.clients.is_none()) {
-            return Err(wrong("tenant-by", "goes by certificates, and there is no 'client-ca'"));
+            return Err(wrong(
+                "tenant-by",
+                "goes by certificates, and there is no 'client-ca'",
+            ));
         }
         let mut proxies = Networks::default();
         let named = networks(values.text("proxies").unwrap_or_default());
@@ -253,7 +326,10 @@
             most_answer: values.bytes("answer").unwrap_or(8 << 20) as usize,
             idle: values.time("idle").unwrap_or(Duration::from_secs(60)),
             cluster: values.text("cluster").unwrap_or("cottonhill").to_string(),
-            tenant_header: values.text("tenant-header").unwrap_or("X-Tenant-Id").to_ascii_lowercase(),
+            tenant_header: values
+                .text("tenant-header")
+                .unwrap_or("X-Tenant-Id")
+                .to_ascii_lowercase(),
             tenant: values.text("tenant").map(str::to_string),
             indices,
         }))
--- a/crates/opensearch/src/merge.rs
+++ b/crates/opensearch/src/merge.rs
@@ -52,31 +52,67 @@
 /// # Errors
 /// It is no answer to the search.
 pub fn read(text: &str, search: &Search) -> Result<ShardAnswer, Unusable> {
-    let unusable = |kind: &str, reason: String| Unusable { kind: kind.into(), reason };
+    let unusable = |kind: &str, reason: String| Unusable {
+        kind: kind.into(),
+        reason,
+    };
     let answer: ShardAnswer = match serde_json::from_str(text) {
         Ok(answer) => answer,
         Err(e) => {
             let error: Option<Value> = serde_json::from_str(text).ok();
             let error = error.as_ref().and_then(|value| value.get("error"));
-            let word = |key: &str| error.and_then(|error| error.get(key)).and_then(Value::as_str);
+            let word = |key: &str| {
+                error
+                    .and_then(|error| error.get(key))
+                    .and_then(Value::as_str)
+            };
             return Err(match word("type") {
-                Some(kind) => unusable(kind, word("reason").unwrap_or("no reason given").to_string()),
+                Some(kind) => unusable(
+                    kind,
+                    word("reason").unwrap_or("no reason given").to_string(),
+                ),
                 None => unusable("json_parse_exception", e.to_string()),
             });
         }
     };
     if answer.timed_out {
-        return Err(unusable("timeout_exception", "the shard ran out of time".into()));
+        return Err(unusable(
+            "timeout_exception",
+            "the shard ran out of time".into(),
+        ));
     }
     let keys = search.sort.len();
-    if let Some(hit) = answer.hits.hits.iter().find(|hit| hit.sort.len() != keys && !search.by_score()) {
-        return Err(unusable("illegal_state_exception", format!("hit [{}] lacks its sort values", hit.id)));
+    if let Some(hit) = answer
+        .hits
+        .hits
+        .iter()
+        .find(|hit| hit.sort.len() != keys && !search.by_score())
+    {
+        return Err(unusable(
+            "illegal_state_exception",
+            format!("hit [{}] lacks its sort values", hit.id),
+        ));
     }
-    if answer.hits.hits.iter().any(|hit| hit.score.is_some_and(|score| !score.is_finite())) {
-        return Err(unusable("illegal_state_exception", "a score that is no number".into()));
+    if answer
+        .hits
+        .hits
+        .iter()
+        .any(|hit| hit.score.is_some_and(|score| !score.is_finite()))
+    {
+        return Err(unusable(
+            "illegal_state_exception",
+            "a score that is no number".into(),
+        ));
     }
-    if let Some(name) = search.aggs.keys().find(|name| !answer.aggregations.contains_key(*name)) {
-        return Err(unusable("illegal_state_exception", format!("the aggregation [{name}] is missing")));
+    if let Some(name) = search
+        .aggs
+        .keys()
+        .find(|name| !answer.aggregations.contains_key(*name))
+    {
+        return Err(unusable(
+            "illegal_state_exception",
+            format!("the aggregation [{name}] is missing"),
+        ));
     }
     Ok(answer)
 }
@@ -101,12 +137,22 @@
 
 /// Two values of one key.
 pub fn compare(a: &Value, b: &Value, order: Order) -> Ordering {
-    let turned = |ordering: Ordering| if order == Order::Desc { ordering.reverse() } else { ordering };
+    let turned = |ordering: Ordering| {
+        if order == Order::Desc {
+            ordering.reverse()
+        } else {
+            ordering
+        }
+    };
     rank(a).cmp(&rank(b)).then_with(|| match (a, b) {
         (Value::Number(a), Value::Number(b)) => {
             // Whole numbers as such: beyond 2^53 two of them may be one float.
             let whole = a.as_i64().zip(b.as_i64()).map(|(a, b)| a.cmp(&b));
-            let float = || a.as_f64().unwrap_or(f64::MAX).total_cmp(&b.as_f64().unwrap_or(f64::MAX));
+            let float = || {
+                a.as_f64()
+                    .unwrap_or(f64::MAX)
+                    .total_cmp(&b.as_f64().unwrap_or(f64::MAX))
+            };
             turned(whole.unwrap_or_else(float))
         }
         (Value::String(a), Value::String(b)) => turned(a.cmp(b)),
@@ -118,11 +164,19 @@
 fn before(search: &Search, (a_shard, a): (u32, &Hit), (b_shard, b): (u32, &Hit)) -> Ordering {
     let keys = || {
         let keys = search.sort.iter().zip(a.sort.iter().zip(&b.sort));
-        keys.map(|(key, (a, b))| compare(a, b, key.order)).find(|it| it.is_ne()).unwrap_or(Ordering::Equal)
+        keys.map(|(key, (a, b))| compare(a, b, key.order))
+            .find(|it| it.is_ne())
+            .unwrap_or(Ordering::Equal)
+    };
+    let scores = || {
+        b.score
+            .unwrap_or(f64::MIN)
+            .total_cmp(&a.score.unwrap_or(f64::MIN))
     };
-    let scores = || b.score.unwrap_or(f64::MIN).total_cmp(&a.score.unwrap_or(f64::MIN));
     let first = if search.by_score() { scores() } else { keys() };
-    first.then(a_shard.cmp(&b_shard)).then_with(|| a.id.cmp(&b.id))
+    first
+        .then(a_shard.cmp(&b_shard))
+        .then_with(|| a.id.cmp(&b.id))
 }
 
 /// Merges the answers of shards to `search`.
@@ -132,7 +186,10 @@
     let mut partial: BTreeMap<String, Vec<Value>> = BTreeMap::new();
     for (shard, answer) in answers {
         if let Some(total) = answer.hits.total {
-            let sum = merged.total.get_or_insert(Total { value: 0, relation: Relation::Eq });
+            let sum = merged.total.get_or_insert(Total {
+                value: 0,
+                relation: Relation::Eq,
+            });
             sum.value = sum.value.saturating_add(total.value);
             if total.relation == Relation::Gte {
                 sum.relation = Relation::Gte;
@@ -149,16 +206,25 @@
     }
     hits.sort_by(|(a_shard, a), (b_shard, b)| before(search, (*a_shard, a), (*b_shard, b)));
     let (from, size) = (search.from() as usize, search.size() as usize);
-    merged.hits = hits.into_iter().skip(from).take(size).map(|(_, hit)| hit).collect();
+    merged.hits = hits
+        .into_iter()
+        .skip(from)
+        .take(size)
+        .map(|(_, hit)| hit)
+        .collect();
     for (name, aggregation) in &search.aggs {
         let parts = partial.remove(name).unwrap_or_default();
-        merged.aggregations.insert(name.clone(), reduce(aggregation, &parts));
+        merged
+            .aggregations
+            .insert(name.clone(), reduce(aggregation, &parts));
     }
     merged
 }
 
 fn number(part: &Value, key: &str) -> Option<f64> {
-    part.get(key).and_then(Value::as_f64).filter(|number| number.is_finite())
+    part.get(key)
+        .and_then(Value::as_f64)
+        .filter(|number| number.is_finite())
 }
 
 fn whole(part: &Value, key: &str) -> u64 {
@@ -182,7 +248,10 @@
             if matches!(aggregation, Aggregation::Avg(_)) {
                 return json!({"value": average});
             }
-            let (least, most) = (values("min").min_by(f64::total_cmp), values("max").max_by(f64::total_cmp));
+            let (least, most) = (
+                values("min").min_by(f64::total_cmp),
+                values("max").max_by(f64::total_cmp),
+            );
             json!({"count": count, "min": least, "max": most, "avg": average, "sum": sum("sum")})
         }
         Aggregation::Terms(it) => terms(it.size as usize, parts),
@@ -196,7 +265,11 @@
 }
 
 fn buckets(part: &Value) -> impl Iterator<Item = (&Value, u64)> {
-    let buckets = part.get("buckets").and_then(Value::as_array).into_iter().flatten();
+    let buckets = part
+        .get("buckets")
+        .and_then(Value::as_array)
+        .into_iter()
+        .flatten();
     buckets.filter_map(|bucket| Some((bucket.get("key")?, bucket.get("doc_count")?.as_u64()?)))
 }
 
@@ -204,7 +277,9 @@
 fn counted(parts: &[Value]) -> BTreeMap<String, (Value, u64)> {
     let mut all: BTreeMap<String, (Value, u64)> = BTreeMap::new();
     for (key, count) in parts.iter().flat_map(buckets) {
-        let (_, sum) = all.entry(key.to_string()).or_insert_with(|| (key.clone(), 0));
+        let (_, sum) = all
+            .entry(key.to_string())
+            .or_insert_with(|| (key.clone(), 0));
         *sum = sum.saturating_add(count);
     }
     all
--- a/crates/opensearch/src/packed.rs
+++ b/crates/opensearch/src/packed.rs
@@ -15,7 +15,9 @@
 pub fn unpack(body: &[u8], most: usize) -> Result<Vec<u8>, String> {
     let mut plain = Vec::new();
     let mut reader = MultiGzDecoder::new(body).take(most as u64 + 1);
-    reader.read_to_end(&mut plain).map_err(|e| format!("the body is no gzip: {e}"))?;
+    reader
+        .read_to_end(&mut plain)
+        .map_err(|e| format!("the body is no gzip: {e}"))?;
     if plain.len() > most {
         return Err(format!("the body unpacks to more than {most} bytes"));
     }
--- a/crates/opensearch/src/shape.rs
+++ b/crates/opensearch/src/shape.rs
@@ -16,7 +16,11 @@
 
 impl Answer {
     pub fn ok(body: Value) -> Answer {
-        Answer { status: 200, body, retry_after: None }
+        Answer {
+            status: 200,
+            body,
+            retry_after: None,
+        }
     }
 }
 
@@ -24,17 +28,29 @@
 pub fn error(status: u16, kind: &str, reason: &str) -> Answer {
     let cause = json!({"type": kind, "reason": reason});
     let error = json!({"root_cause": [cause], "type": kind, "reason": reason});
-    Answer { status, body: json!({"error": error, "status": status}), retry_after: None }
+    Answer {
+        status,
+        body: json!({"error": error, "status": status}),
+        retry_after: None,
+    }
 }
 
 /// A search that can't be read or asks for too much.
 pub fn problem(problem: &Problem) -> Answer {
-    let kind = if problem.too_much { "illegal_argument_exception" } else { "parsing_exception" };
+    let kind = if problem.too_much {
+        "illegal_argument_exception"
+    } else {
+        "parsing_exception"
+    };
     error(400, kind, &problem.to_string())
 }
 
 pub fn no_index(name: &str) -> Answer {
-    let mut answer = error(404, "index_not_found_exception", &format!("no such index [{name}]"));
+    let mut answer = error(
+        404,
+        "index_not_found_exception",
+        &format!("no such index [{name}]"),
+    );
     for at in ["/error", "/error/root_cause/0"] {
         if let Some(error) = answer.body.pointer_mut(at) {
             error["index"] = json!(name);
@@ -47,7 +63,9 @@
 
 /// Refused: trying again is harmless, best not before a while has passed.
 pub fn refused(come_back: Option<Duration>) -> Answer {
-    let after = come_back.map_or(String::new(), |after| format!("; come back in {} ms", after.as_millis()));
+    let after = come_back.map_or(String::new(), |after| {
+        format!("; come back in {} ms", after.as_millis())
+    });
     let reason = format!("the search was refused, as it could not be answered in time{after}");
     let mut answer = error(429, "circuit_breaking_exception", &reason);
     answer.body["error"]["durability"] = json!("TRANSIENT");
@@ -125,16 +143,26 @@
     match search.track_total_hits {
         Some(Track::Flag(false)) => None,
         Some(Track::Flag(true)) => Some(counted),
-        Some(Track::UpTo(most)) if counted.value > most => {
-            Some(Total { value: most, relation: Relation::Gte })
-        }
-        None if counted.value > 10_000 => Some(Total { value: 10_000, relation: Relation::Gte }),
+        Some(Track::UpTo(most)) if counted.value > most => Some(Total {
+            value: most,
+            relation: Relation::Gte,
+        }),
+        None if counted.value > 10_000 => Some(Total {
+            value: 10_000,
+            relation: Relation::Gte,
+        }),
         _ => Some(counted),
     }
 }
 
 /// The answer to a search.
-pub fn found(index: &str, search: &Search, took: Duration, shards: &Shards, merged: &Merged) -> Vec<u8> {
+pub fn found(
+    index: &str,
+    search: &Search,
+    took: Duration,
+    shards: &Shards,
+    merged: &Merged,
+) -> Vec<u8> {
     let body = Body {
         took: took.as_millis() as u64,
         timed_out: shards.successful < shards.total,
@@ -142,7 +170,11 @@
         hits: Hits {
             total: total(search, merged.total),
             max_score: merged.max_score,
-            hits: merged.hits.iter().map(|hit| Indexed { index, hit }).collect(),
+            hits: merged
+                .hits
+                .iter()
+                .map(|hit| Indexed { index, hit })
+                .collect(),
         },
         aggregations: (!search.aggs.is_empty()).then_some(&merged.aggregations),
     };
--- a/crates/opensearch/src/tenant.rs
+++ b/crates/opensearch/src/tenant.rs
@@ -63,18 +63,26 @@
         let (same, around) = match net {
             IpNet::V4(net) => {
                 let net = net.trunc();
-                (self.four.get(&net).cloned(), self.four.get_lpm(&net).map(|(_, tenant)| tenant.clone()))
+                (
+                    self.four.get(&net).cloned(),
+                    self.four.get_lpm(&net).map(|(_, tenant)| tenant.clone()),
+                )
             }
             IpNet::V6(net) => {
                 let net = net.trunc();
-                (self.six.get(&net).cloned(), self.six.get_lpm(&net).map(|(_, tenant)| tenant.clone()))
+                (
+                    self.six.get(&net).cloned(),
+                    self.six.get_lpm(&net).map(|(_, tenant)| tenant.clone()),
+                )
             }
         };
         if let Some(other) = same {
             return Err(format!("{net} is given to '{other}' already"));
         }
         if around.as_deref() == Some(tenant) {
-            return Err(format!("{net} lies in a network of '{tenant}' already: the rule changes nothing"));
+            return Err(format!(
+                "{net} lies in a network of '{tenant}' already: the rule changes nothing"
+            ));
         }
         match net {
             IpNet::V4(net) => drop(self.four.insert(net.trunc(), tenant.into())),
@@ -104,28 +112,38 @@
     let net = |text: &str| {
         let net = match text.parse::<IpAddr>() {
             Ok(address) => IpNet::from(address),
-            Err(_) => {
-                text.parse::<IpNet>().map_err(|_| format!("'{text}' is no network, as in 10.1.0.0/16"))?
-            }
+            Err(_) => text
+                .parse::<IpNet>()
+                .map_err(|_| format!("'{text}' is no network, as in 10.1.0.0/16"))?,
         };
         let trunc = net.trunc();
         (net == trunc)
             .then_some(net)
             .ok_or_else(|| format!("'{text}' has bits past its prefix; is it {trunc}?"))
     };
-    text.split(',').map(str::trim).filter(|text| !text.is_empty()).map(net).collect()
+    text.split(',')
+        .map(str::trim)
+        .filter(|text| !text.is_empty())
+        .map(net)
+        .collect()
 }
 
 /// The client's own address: that of the connection, or where that is a trusted proxy's, the last one forwarded that is
 /// none. What can't be read ends the search at the proxy that said it.
 pub fn client(peer: IpAddr, forwarded: &[&str], proxies: &Networks) -> IpAddr {
     let mut client = peer;
-    let said = forwarded.iter().flat_map(|line| line.split(',')).map(str::trim).collect::<Vec<_>>();
+    let said = forwarded
+        .iter()
+        .flat_map(|line| line.split(','))
+        .map(str::trim)
+        .collect::<Vec<_>>();
     for address in said.into_iter().rev() {
         if !proxies.contains(client) {
             break;
         }
-        let Ok(address) = address.parse::<IpAddr>() else { break };
+        let Ok(address) = address.parse::<IpAddr>() else {
+            break;
+        };
         client = address;
     }
     plain(client)
--- a/crates/opensearch/src/tls.rs
+++ b/crates/opensearch/src/tls.rs
@@ -26,8 +26,10 @@
 
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, String> {
     let at = |e: rustls::pki_types::pem::Error| format!("{}: {e}", path.display());
-    let all: Vec<_> =
-        CertificateDer::pem_file_iter(path).map_err(at)?.collect::<Result<_, _>>().map_err(at)?;
+    let all: Vec<_> = CertificateDer::pem_file_iter(path)
+        .map_err(at)?
+        .collect::<Result<_, _>>()
+        .map_err(at)?;
     if all.is_empty() {
         return Err(format!("{}: there is no certificate in it", path.display()));
     }
@@ -36,9 +38,15 @@
 
 fn read(files: &Files) -> Result<ServerConfig, String> {
     let key = files.key.display();
-    let mode = std::fs::metadata(&files.key).map_err(|e| format!("{key}: {e}"))?.permissions().mode();
+    let mode = std::fs::metadata(&files.key)
+        .map_err(|e| format!("{key}: {e}"))?
+        .permissions()
+        .mode();
     if mode & 0o077 != 0 {
-        return Err(format!("{key}: others may read it (mode {:03o}); chmod 600 it", mode & 0o777));
+        return Err(format!(
+            "{key}: others may read it (mode {:03o}); chmod 600 it",
+            mode & 0o777
+        ));
     }
     let secret = PrivateKeyDer::from_pem_file(&files.key).map_err(|e| format!("{key}: {e}"))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -50,10 +58,15 @@
         Some(path) => {
             let mut roots = RootCertStore::empty();
             for certificate in certificates(path)? {
-                roots.add(certificate).map_err(|e| format!("{}: {e}", path.display()))?;
+                roots
+                    .add(certificate)
+                    .map_err(|e| format!("{}: {e}", path.display()))?;
             }
             let verifier = WebPkiClientVerifier::builder_with_provider(Arc::new(roots), provider);
-            let verifier = verifier.allow_unauthenticated().build().map_err(|e| e.to_string())?;
+            let verifier = verifier
+                .allow_unauthenticated()
+                .build()
+                .map_err(|e| e.to_string())?;
             builder.with_client_cert_verifier(verifier)
         }
     };
@@ -84,7 +97,12 @@
     }
 
     pub fn acceptor(&self) -> TlsAcceptor {
-        TlsAcceptor::from(self.config.lock().unwrap_or_else(PoisonError::into_inner).clone())
+        TlsAcceptor::from(
+            self.config
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .clone(),
+        )
     }
 }
 
--- a/crates/opensearch/tests/packed.rs
+++ b/crates/opensearch/tests/packed.rs
@@ -6,7 +6,12 @@
 fn what_unpacks_without_end_is_cut_at_the_bound() {
     let long = vec![b' '; 10_000_000];
     let packed = pack(&long).unwrap();
-    assert!(packed.len() < 100_000 && unpack(&packed, 65_536).unwrap_err().contains("more than 65536"));
+    assert!(
+        packed.len() < 100_000
+            && unpack(&packed, 65_536)
+                .unwrap_err()
+                .contains("more than 65536")
+    );
     // Many members in a row are one body; so is a bomb of them.
     let many = pack(&[b' '; 1000]).unwrap().repeat(1000);
     assert!(unpack(&many, 65_536).is_err());
--- a/crates/opensearch/tests/tenant.rs
+++ b/crates/opensearch/tests/tenant.rs
@@ -15,8 +15,12 @@
 
 #[test]
 fn the_longest_prefix_wins_and_rules_that_do_nothing_are_refused() {
-    let found =
-        table(&[("10.0.0.0/8", "a"), ("10.1.0.0/16", "b"), ("10.1.2.0/24", "a"), ("2001:db8::/32", "c")]);
+    let found = table(&[
+        ("10.0.0.0/8", "a"),
+        ("10.1.0.0/16", "b"),
+        ("10.1.2.0/24", "a"),
+        ("2001:db8::/32", "c"),
+    ]);
     let found = found.unwrap();
     let cases = [
         ("10.9.9.9", Some("a")),
@@ -30,21 +34,35 @@
     for (address, tenant) in cases {
         assert_eq!(found.find(address.parse().unwrap()), tenant, "{address}");
     }
-    assert!(table(&[("10.0.0.0/8", "a"), ("10.0.0.0/8", "b")]).unwrap_err().contains("already"));
-    assert!(table(&[("10.0.0.0/8", "a"), ("10.1.0.0/16", "a")]).unwrap_err().contains("changes nothing"));
-    assert!(networks("10.1.0.1/16").unwrap_err().contains("10.1.0.0/16") && networks("10.1.0.0/33").is_err());
+    assert!(table(&[("10.0.0.0/8", "a"), ("10.0.0.0/8", "b")])
+        .unwrap_err()
+        .contains("already"));
+    assert!(table(&[("10.0.0.0/8", "a"), ("10.1.0.0/16", "a")])
+        .unwrap_err()
+        .contains("changes nothing"));
+    assert!(
+        networks("10.1.0.1/16").unwrap_err().contains("10.1.0.0/16")
+            && networks("10.1.0.0/33").is_err()
+    );
     assert_eq!(networks("10.1.0.0/16, ::1").unwrap().len(), 2);
 }
 
 #[test]
 fn forwarded_addresses_are_believed_from_trusted_proxies_only() {
     let mut proxies = Networks::default();
-    networks("10.0.0.0/24, ::1").unwrap().into_iter().for_each(|net| proxies.insert(net));
+    networks("10.0.0.0/24, ::1")
+        .unwrap()
+        .into_iter()
+        .for_each(|net| proxies.insert(net));
     let cases: [(&str, &[&str], &str); 8] = [
         ("192.0.2.1", &["10.9.9.9"], "192.0.2.1"),
         ("10.0.0.1", &["192.0.2.7"], "192.0.2.7"),
         ("10.0.0.1", &["198.51.100.1, 192.0.2.7"], "192.0.2.7"),
-        ("10.0.0.1", &["198.51.100.1", "192.0.2.7, 10.0.0.2"], "192.0.2.7"),
+        (
+            "10.0.0.1",
+            &["198.51.100.1", "192.0.2.7, 10.0.0.2"],
+            "192.0.2.7",
+        ),
         ("10.0.0.1", &["10.0.0.3"], "10.0.0.3"),
         ("10.0.0.1", &["198.51.100.1, unknown"], "10.0.0.1"),
         ("10.0.0.1", &[], "10.0.0.1"),
@@ -52,7 +70,11 @@
     ];
     for (peer, forwarded, right) in cases {
         let got = client(peer.parse().unwrap(), forwarded, &proxies);
-        assert_eq!(got, right.parse::<IpAddr>().unwrap(), "{peer} {forwarded:?}");
+        assert_eq!(
+            got,
+            right.parse::<IpAddr>().unwrap(),
+            "{peer} {forwarded:?}"
+        );
     }
 }
 
--- a/crates/opensearch/tests/tls.rs
+++ b/crates/opensearch/tests/tls.rs
@@ -26,15 +26,21 @@
         let mut params = CertificateParams::new(vec![host.to_string()]).unwrap();
         params.distinguished_name.push(DnType::CommonName, name);
         let key = KeyPair::generate().unwrap();
-        (params.signed_by(&key, &self.0).unwrap().pem(), key.serialize_pem())
+        (
+            params.signed_by(&key, &self.0).unwrap().pem(),
+            key.serialize_pem(),
+        )
     }
 
     fn client(&self, identity: Option<(String, String)>) -> ClientConfig {
         let mut roots = RootCertStore::empty();
-        roots.add(CertificateDer::from_pem_slice(self.0.pem().as_bytes()).unwrap()).unwrap();
+        roots
+            .add(CertificateDer::from_pem_slice(self.0.pem().as_bytes()).unwrap())
+            .unwrap();
         let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let builder =
-            ClientConfig::builder_with_provider(provider).with_safe_default_protocol_versions().unwrap();
+        let builder = ClientConfig::builder_with_provider(provider)
+            .with_safe_default_protocol_versions()
+            .unwrap();
         let builder = builder.with_root_certificates(roots);
         match identity {
             None => builder.with_no_client_auth(),
@@ -52,14 +58,19 @@
     fs::set_permissions(path, fs::Permissions::from_mode(mode)).unwrap();
 }
 
-type Pair = (client::TlsStream<DuplexStream>, server::TlsStream<DuplexStream>);
+type Pair = (
+    client::TlsStream<DuplexStream>,
+    server::TlsStream<DuplexStream>,
+);
 
 async fn meet(tls: &Tls, client: ClientConfig, host: &'static str) -> std::io::Result<Pair> {
     let (near, far) = tokio::io::duplex(65_536);
     let acceptor = tls.acceptor();
     let server = tokio::spawn(async move { acceptor.accept(far).await });
     let connector = TlsConnector::from(Arc::new(client));
-    let client = connector.connect(ServerName::try_from(host).unwrap(), near).await;
+    let client = connector
+        .connect(ServerName::try_from(host).unwrap(), near)
+        .await;
     let server = server.await.unwrap();
     Ok((client?, server?))
 }
@@ -68,25 +79,46 @@
 async fn a_reload_changes_new_connections_only_and_bad_files_change_nothing() {
     let (folder, authority) = (tempfile::tempdir().unwrap(), Authority::new());
     let at = |name: &str| folder.path().join(name);
-    let files = Files { certificate: at("cert"), key: at("key"), clients: Some(at("ca")) };
+    let files = Files {
+        certificate: at("cert"),
+        key: at("key"),
+        clients: Some(at("ca")),
+    };
     let (certificate, key) = authority.issue("one.example", "one");
     put(&files.certificate, &certificate, 0o644);
     put(&at("ca"), &authority.0.pem(), 0o644);
     put(&files.key, &key, 0o640);
-    assert!(Tls::load(files.clone()).err().unwrap().contains("others may read it"));
+    assert!(Tls::load(files.clone())
+        .err()
+        .unwrap()
+        .contains("others may read it"));
     put(&files.key, &key, 0o600);
     let tls = Tls::load(files.clone()).unwrap();
-    let (mut client, mut server) = meet(&tls, authority.client(None), "one.example").await.unwrap();
-    assert!(server.get_ref().1.peer_certificates().is_none(), "a client's certificate is optional");
+    let (mut client, mut server) = meet(&tls, authority.client(None), "one.example")
+        .await
+        .unwrap();
+    assert!(
+        server.get_ref().1.peer_certificates().is_none(),
+        "a client's certificate is optional"
+    );
     // Another certificate; half of a new pair first.
     let (next, next_key) = authority.issue("two.example", "two");
     put(&files.certificate, &next, 0o644);
     assert!(tls.reload().is_err());
-    assert!(meet(&tls, authority.client(None), "one.example").await.is_ok(), "the old one stays in force");
+    assert!(
+        meet(&tls, authority.client(None), "one.example")
+            .await
+            .is_ok(),
+        "the old one stays in force"
+    );
     put(&files.key, &next_key, 0o600);
     tls.reload().unwrap();
-    assert!(meet(&tls, authority.client(None), "two.example").await.is_ok());
-    assert!(meet(&tls, authority.client(None), "one.example").await.is_err());
+    assert!(meet(&tls, authority.client(None), "two.example")
+        .await
+        .is_ok());
+    assert!(meet(&tls, authority.client(None), "one.example")
+        .await
+        .is_err());
     client.write_all(b"still here").await.unwrap();
     client.flush().await.unwrap();
     let mut said = [0; 10];
@@ -96,9 +128,17 @@
 
 #[tokio::test]
 async fn a_clients_certificate_names_it_and_a_strangers_is_refused() {
-    let (folder, authority, stranger) = (tempfile::tempdir().unwrap(), Authority::new(), Authority::new());
+    let (folder, authority, stranger) = (
+        tempfile::tempdir().unwrap(),
+        Authority::new(),
+        Authority::new(),
+    );
     let at = |name: &str| folder.path().join(name);
-    let files = Files { certificate: at("cert"), key: at("key"), clients: Some(at("ca")) };
+    let files = Files {
+        certificate: at("cert"),
+        key: at("key"),
+        clients: Some(at("ca")),
+    };
     let (certificate, key) = authority.issue("one.example", "one");
     put(&files.certificate, &certificate, 0o644);
     put(&files.key, &key, 0o600);
--- a/crates/standins/src/bin/cottonhill-bench-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-bench-ledger.rs
@@ -63,8 +63,12 @@
         };
         n += 1;
         let id = format!("b{client}-{n}-{:08x}", random.random::<u32>());
-        let attempt =
-            Attempt { id: &id, retry: false, wait: Duration::from_millis(1200), grace: Duration::ZERO };
+        let attempt = Attempt {
+            id: &id,
+            retry: false,
+            wait: Duration::from_millis(1200),
+            grace: Duration::ZERO,
+        };
         let began = Instant::now();
         if let Got::Answer(..) = connection.ask(&question, &attempt).await {
             let _ = latency.record(began.elapsed().as_micros() as u64);
@@ -76,17 +80,27 @@
 
 async fn slice(installation: &Installation, seconds: u64, gap: (u64, u64)) -> io::Result<Slice> {
     let used = || {
-        installation.mixers[0].process.as_ref().and_then(|process| process.used()).map_or(0.0, |used| used.0)
+        installation.mixers[0]
+            .process
+            .as_ref()
+            .and_then(|process| process.used())
+            .map_or(0.0, |used| used.0)
     };
     let (before, until) = (used(), Instant::now() + Duration::from_secs(seconds));
-    let clients =
-        (0..CLIENTS).map(|client| tokio::spawn(load(installation.mixers[0].address, client, gap, until)));
+    let clients = (0..CLIENTS)
+        .map(|client| tokio::spawn(load(installation.mixers[0].address, client, gap, until)));
     let mut latency = Histogram::new(3).map_err(io::Error::other)?;
     for client in clients.collect::<Vec<_>>() {
-        latency.add(client.await.map_err(io::Error::other)?).map_err(io::Error::other)?;
+        latency
+            .add(client.await.map_err(io::Error::other)?)
+            .map_err(io::Error::other)?;
     }
     let queries = latency.len();
-    Ok(Slice { queries, cpu_us: (used() - before) * 1e6 / queries.max(1) as f64, latency })
+    Ok(Slice {
+        queries,
+        cpu_us: (used() - before) * 1e6 / queries.max(1) as f64,
+        latency,
+    })
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
@@ -95,7 +109,13 @@
 }
 
 async fn serving(line: &Line) -> io::Result<()> {
-    let plan = |usage| Plan { seed: 1, work: Duration::from_millis(4), slots: 64, usage, ..Plan::default() };
+    let plan = |usage| Plan {
+        seed: 1,
+        work: Duration::from_millis(4),
+        slots: 64,
+        usage,
+        ..Plan::default()
+    };
     let folders = (tempfile::tempdir()?, tempfile::tempdir()?);
     let off = Installation::start(folders.0.path(), plan(false)).await?;
     let on = Installation::start(folders.1.path(), plan(true)).await?;
@@ -106,7 +126,11 @@
 }
 
 async fn under(
-    line: &Line, name: &str, gap: (u64, u64), off: &Installation, on: &Installation,
+    line: &Line,
+    name: &str,
+    gap: (u64, u64),
+    off: &Installation,
+    on: &Installation,
 ) -> io::Result<()> {
     let (mut ratios, mut p99, mut cpus) = (Vec::new(), Vec::new(), (Vec::new(), Vec::new()));
     let mut all = (
@@ -171,7 +195,11 @@
 
 fn record(random: &mut StdRng, sequence: u64, at: i64) -> Record {
     let repeat = random.random_bool(0.05);
-    let outcome = if random.random_bool(0.9) { Outcome::Whole } else { Outcome::Refused };
+    let outcome = if random.random_bool(0.9) {
+        Outcome::Whole
+    } else {
+        Outcome::Refused
+    };
     Record {
         sequence,
         tenant: random.random_range(0..40),
@@ -197,30 +225,55 @@
     // As long a period as it takes at 1,000 a second.
     let length = records as i64;
     let calendar = Calendar(Every::Ms(86_400_000));
-    let bounds = Bounds { horizon: 2000, skew: 100 };
+    let bounds = Bounds {
+        horizon: 2000,
+        skew: 100,
+    };
     let header = Header {
         version: 1,
         mixer: "n0".into(),
         incarnation: 1,
         first_sequence: 1,
-        classes: CLASSES.map(|(name, _, give_up_ms, _)| Class { name: name.into(), give_up_ms }).to_vec(),
+        classes: CLASSES
+            .map(|(name, _, give_up_ms, _)| Class {
+                name: name.into(),
+                give_up_ms,
+            })
+            .to_vec(),
         tenants: (0..40).map(|n| format!("library-{n}")).collect(),
     };
     let (mut spent, mut sequence) = (Duration::ZERO, 0);
     while sequence < records {
-        let mut batch = Batch { header: Some(header.clone()), ..Batch::default() };
+        let mut batch = Batch {
+            header: Some(header.clone()),
+            ..Batch::default()
+        };
         while batch.entries.len() < 4096 && sequence < records {
             sequence += 1;
             let at = START + sequence as i64 * length / records as i64;
-            batch.entries.push(Entry { what: Some(What::Record(record(&mut random, sequence, at))) });
+            batch.entries.push(Entry {
+                what: Some(What::Record(record(&mut random, sequence, at))),
+            });
         }
         let began = Instant::now();
-        store.ingest("n0", &batch, &calendar, bounds).map_err(other)?;
+        store
+            .ingest("n0", &batch, &calendar, bounds)
+            .map_err(other)?;
         spent += began.elapsed();
     }
     let ingest = records as f64 / spent.as_secs_f64();
-    let prices =
-        CLASSES.iter().map(|(name, ..)| (name.to_string(), Price { whole: 100, partial: 90 })).collect();
+    let prices = CLASSES
+        .iter()
+        .map(|(name, ..)| {
+            (
+                name.to_string(),
+                Price {
+                    whole: 100,
+                    partial: 90,
+                },
+            )
+        })
+        .collect();
     let terms = Terms {
         bounds,
         prices: &prices,
@@ -230,15 +283,23 @@
         now: START,
     };
     let began = Instant::now();
-    let period = Period { start: START, end: START + length + 1 };
+    let period = Period {
+        start: START,
+        end: START + length + 1,
+    };
     let statement = store.close(period, &terms).map_err(other)?;
     let settle = records as f64 / began.elapsed().as_secs_f64();
     let tries: i64 = statement.lines.iter().map(|line| line.counts.tries).sum();
     if tries as u64 != records {
-        return Err(io::Error::other(format!("{tries} tries settled of {records}")));
+        return Err(io::Error::other(format!(
+            "{tries} tries settled of {records}"
+        )));
     }
     let status = std::fs::read_to_string("/proc/self/status")?;
-    let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or_default();
+    let peak = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .unwrap_or_default();
     println!(
         "{records} records: ingest {ingest:.0} a second, settle {settle:.0} a second, peak memory{peak}"
     );
@@ -253,20 +314,27 @@
         let what = What::Record(record(&mut random, 1_000_000 + n, START + n as i64));
         put_frame(&mut bytes, &Entry { what: Some(what) });
     }
-    println!("log: {:.1} bytes a record", bytes.len() as f64 / count as f64);
+    println!(
+        "log: {:.1} bytes a record",
+        bytes.len() as f64 / count as f64
+    );
 }
 
 fn run(line: &Line) -> io::Result<()> {
     if let Some(records) = line.settle {
         return settle(records);
     }
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     runtime.block_on(serving(line))?;
     size();
     for records in [line.records / 10, line.records] {
         // Each in a process of its own: the most memory held is that of the whole process.
-        let child =
-            Command::new(std::env::current_exe()?).args(["--settle", &records.to_string()]).status()?;
+        let child = Command::new(std::env::current_exe()?)
+            .args(["--settle", &records.to_string()])
+            .status()?;
         if !child.success() {
             return Err(io::Error::other("the settlement failed"));
         }
--- a/crates/standins/src/bin/cottonhill-demo.rs
+++ b/crates/standins/src/bin/cottonhill-demo.rs
@@ -68,7 +68,12 @@
         };
         let id = format!("demo-{n}");
         let (wait, grace) = (Duration::from_millis(class.2), Duration::ZERO);
-        let attempt = Attempt { id: &id, retry: false, wait, grace };
+        let attempt = Attempt {
+            id: &id,
+            retry: false,
+            wait,
+            grace,
+        };
         let at = random.random_range(0..connections.len());
         let count = match connections[at].ask(&question, &attempt).await {
             Got::Answer(..) => &counts.answered,
@@ -97,7 +102,11 @@
     };
     let mut installation = Installation::start(folder.path(), plan).await?;
     installation.start_settlement()?;
-    let mixers: Vec<SocketAddr> = installation.mixers.iter().map(|mixer| mixer.address).collect();
+    let mixers: Vec<SocketAddr> = installation
+        .mixers
+        .iter()
+        .map(|mixer| mixer.address)
+        .collect();
     let counts = Arc::<Counts>::default();
     let clients = tokio::spawn(trickle(mixers.clone(), line.seed, counts.clone()));
     say("discovery, 12 leaf servers in three zones, three mixers and their ledger are up:");
@@ -123,7 +132,10 @@
     let program = cottonhill_standins::process::beside("cottonhill")?;
     say("\nWhat it was used for, by tenant, in periods of 10 s:");
     let settings = installation.settings.display();
-    say(&format!("  {} ledger statement --settings {settings}", program.display()));
+    say(&format!(
+        "  {} ledger statement --settings {settings}",
+        program.display()
+    ));
     say("\nCtrl-C ends it all.");
     let mut interrupt = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::interrupt())?;
     let mut terminate = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())?;
@@ -136,11 +148,17 @@
     clients.abort();
     let mut clean = true;
     for mixer in &mut installation.mixers {
-        clean &= mixer.process.as_mut().is_some_and(|process| process.end(Duration::from_secs(5)));
+        clean &= mixer
+            .process
+            .as_mut()
+            .is_some_and(|process| process.end(Duration::from_secs(5)));
     }
-    clean &= installation.settlement.as_mut().is_some_and(|process| process.end(Duration::from_secs(5)));
-    let [answered, refused, other] =
-        [&counts.answered, &counts.refused, &counts.other].map(|count| count.load(Ordering::Relaxed));
+    clean &= installation
+        .settlement
+        .as_mut()
+        .is_some_and(|process| process.end(Duration::from_secs(5)));
+    let [answered, refused, other] = [&counts.answered, &counts.refused, &counts.other]
+        .map(|count| count.load(Ordering::Relaxed));
     say(&format!(
         "\n{answered} answered, {refused} refused, {other} otherwise; all ended{}",
         if clean { "" } else { ", not all by themselves" }
@@ -149,7 +167,10 @@
 }
 
 fn main() -> ExitCode {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build();
     match runtime.and_then(|runtime| runtime.block_on(run(Line::parse()))) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
--- a/crates/standins/src/bin/cottonhill-prove-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-prove-ledger.rs
@@ -102,7 +102,12 @@
     let home = (number % 3) as usize;
     let mut connection = Connection::new(world.mixers[home]);
     for n in 0u64.. {
-        if world.left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(1)).is_err()
+        if world
+            .left
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
+                left.checked_sub(1)
+            })
+            .is_err()
         {
             return;
         }
@@ -117,12 +122,28 @@
             class: class.0.into(),
             tenant: TENANTS[tenant].into(),
             parts: spread(first, width, SHARDS),
-            text: if keyed { "the same text".into() } else { format!("{number}-{n}") },
+            text: if keyed {
+                "the same text".into()
+            } else {
+                format!("{number}-{n}")
+            },
             key: keyed.then(|| format!("use-{number}-{n}")),
         };
         away_from_the_edge(world.period_ms).await;
-        let used = ask(&world, &mut connection, &mut random, &question, (number, n, home), class).await;
-        world.used.lock().unwrap_or_else(PoisonError::into_inner).push(used);
+        let used = ask(
+            &world,
+            &mut connection,
+            &mut random,
+            &question,
+            (number, n, home),
+            class,
+        )
+        .await;
+        world
+            .used
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(used);
     }
 }
 
@@ -130,15 +151,34 @@
 
 /// One use, until it is answered or its time is up.
 async fn ask(
-    world: &World, connection: &mut Connection, random: &mut StdRng, question: &Question,
-    (number, n, home): (u64, u64, usize), class: Class,
+    world: &World,
+    connection: &mut Connection,
+    random: &mut StdRng,
+    question: &Question,
+    (number, n, home): (u64, u64, usize),
+    class: Class,
 ) -> Used {
     let key = match &question.key {
         Some(key) => key_of_client(&question.class, key),
-        None => key_of_query(&question.class, question.parts.iter().copied(), question.text.as_bytes()),
+        None => key_of_query(
+            &question.class,
+            question.parts.iter().copied(),
+            question.text.as_bytes(),
+        ),
+    };
+    let tenant = TENANTS
+        .iter()
+        .find(|name| **name == question.tenant)
+        .copied()
+        .unwrap_or_default();
+    let mut used = Used {
+        at_ms: now_ms(),
+        tenant,
+        class: class.0,
+        outcome: "refused",
+        tries: 0,
+        key,
     };
-    let tenant = TENANTS.iter().find(|name| **name == question.tenant).copied().unwrap_or_default();
-    let mut used = Used { at_ms: now_ms(), tenant, class: class.0, outcome: "refused", tries: 0, key };
     let (began, most) = (Instant::now(), Duration::from_millis(class.2));
     let mut mixer = home;
     let tally = &world.tally;
@@ -160,7 +200,12 @@
             false => (remaining, Duration::from_secs(3)),
         };
         let asked = Instant::now();
-        let attempt = Attempt { id: &id, retry, wait, grace };
+        let attempt = Attempt {
+            id: &id,
+            retry,
+            wait,
+            grace,
+        };
         let got = if leaves {
             let patience = Duration::from_millis(random.random_range(1..12));
             match tokio::time::timeout(patience, connection.ask(question, &attempt)).await {
@@ -176,10 +221,14 @@
         } else {
             connection.ask(question, &attempt).await
         };
-        tally.late.fetch_add(u64::from(asked.elapsed() > wait), Ordering::Relaxed);
+        tally
+            .late
+            .fetch_add(u64::from(asked.elapsed() > wait), Ordering::Relaxed);
         match got {
             Got::Answer(whole, hits) => {
-                let right = hits.iter().all(|(shard, doc)| *doc == value(*shard, &question.text));
+                let right = hits
+                    .iter()
+                    .all(|(shard, doc)| *doc == value(*shard, &question.text));
                 let share: f64 = hits
                     .iter()
                     .filter_map(|(s, _)| question.parts.iter().find(|p| p.0 == *s))
@@ -232,8 +281,8 @@
 
 fn output(command: &mut std::process::Command) -> io::Result<(bool, String)> {
     let output = command.output()?;
-    let text =
-        String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr);
+    let text = String::from_utf8_lossy(&output.stdout).into_owned()
+        + &String::from_utf8_lossy(&output.stderr);
     Ok((output.status.success(), text))
 }
 
@@ -280,7 +329,12 @@
         documents.display()
     );
     for (i, (class, ..)) in CLASSES.iter().enumerate() {
-        let _ = write!(ledger, "[price {class}]\nwhole = {}\npartial = {}\n\n", 100 * (i + 1), 90 * (i + 1));
+        let _ = write!(
+            ledger,
+            "[price {class}]\nwhole = {}\npartial = {}\n\n",
+            100 * (i + 1),
+            90 * (i + 1)
+        );
     }
     let plan = Plan {
         seed: line.seed,
@@ -293,15 +347,20 @@
     let mut installation = Installation::start(folder.path(), plan).await?;
     installation.start_settlement()?;
     let world = Arc::new(World {
-        mixers: installation.mixers.iter().map(|mixer| mixer.address).collect(),
+        mixers: installation
+            .mixers
+            .iter()
+            .map(|mixer| mixer.address)
+            .collect(),
         killed: Default::default(),
         period_ms,
         left: AtomicU64::new(line.queries),
         tally: Tally::default(),
         used: Mutex::new(Vec::new()),
     });
-    let clients: Vec<_> =
-        (0..line.clients).map(|number| tokio::spawn(client(world.clone(), number, line.seed))).collect();
+    let clients: Vec<_> = (0..line.clients)
+        .map(|number| tokio::spawn(client(world.clone(), number, line.seed)))
+        .collect();
 
     // What fails, in an order that has each meet the others' aftermath.
     into_next_period(period_ms, 40).await;
@@ -330,10 +389,17 @@
     // A correction, once its statement has gone out.
     let mut corrected = None;
     for _ in 0..300 {
-        let kept = kept.lock().unwrap_or_else(PoisonError::into_inner).documents.clone();
-        let sent = kept.values().filter_map(|(body, _)| serde_json::from_slice::<Value>(body).ok());
-        if let Some(sent) =
-            sent.into_iter().find(|sent| sent["tenant"] == "beta" && sent["kind"] == "statement")
+        let kept = kept
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .documents
+            .clone();
+        let sent = kept
+            .values()
+            .filter_map(|(body, _)| serde_json::from_slice::<Value>(body).ok());
+        if let Some(sent) = sent
+            .into_iter()
+            .find(|sent| sent["tenant"] == "beta" && sent["kind"] == "statement")
         {
             corrected = sent["period"].as_str().map(str::to_string);
             break;
@@ -370,7 +436,10 @@
     let asked_for = started.elapsed();
     let mut counters = Vec::new();
     for mixer in &installation.mixers {
-        let stats = get(mixer.address, "/-/stats").await.map(|(_, body)| body).unwrap_or_default();
+        let stats = get(mixer.address, "/-/stats")
+            .await
+            .map(|(_, body)| body)
+            .unwrap_or_default();
         let file = folder.path().join(format!("{}.stats", mixer.name));
         fs::write(&file, &stats)?;
         counters.push((
@@ -391,7 +460,9 @@
             .and_then(|end| end.parse::<jiff_ms::Ms>().ok());
         let waiting = json(&mut installation.ledger(&["export", "--list", "--format", "json"]))?;
         let sent = |it: &Value| it["posted"] == true && it["in_folder"] == true;
-        let all_sent = waiting.as_array().is_some_and(|all| !all.is_empty() && all.iter().all(sent));
+        let all_sent = waiting
+            .as_array()
+            .is_some_and(|all| !all.is_empty() && all.iter().all(sent));
         if over.is_some_and(|end| end.0 > last) && all_sent {
             break;
         }
@@ -402,16 +473,25 @@
     // What clients sent, beside what statements say: by code of its own.
     let used = std::mem::take(&mut *world.used.lock().unwrap_or_else(PoisonError::into_inner));
     let mut clients: Totals = BTreeMap::new();
-    let mut csv = csv::Writer::from_path(folder.path().join("clients.csv")).map_err(io::Error::other)?;
-    csv.write_record(["at_ms", "tenant", "class", "outcome", "tries", "key"]).map_err(io::Error::other)?;
+    let mut csv =
+        csv::Writer::from_path(folder.path().join("clients.csv")).map_err(io::Error::other)?;
+    csv.write_record(["at_ms", "tenant", "class", "outcome", "tries", "key"])
+        .map_err(io::Error::other)?;
     for it in &used {
         let period = jiff_ms::Ms(it.at_ms - it.at_ms % period_ms).to_string();
-        let total = clients.entry((period, it.tenant.into(), it.class.into())).or_default();
+        let total = clients
+            .entry((period, it.tenant.into(), it.class.into()))
+            .or_default();
         total[0] += 1;
         total[1] += i64::from(it.outcome == "whole");
         total[2] += i64::from(it.outcome == "partial");
-        let (at, tries, key) = (it.at_ms.to_string(), it.tries.to_string(), format!("{:016x}", it.key));
-        csv.write_record([&at, it.tenant, it.class, it.outcome, &tries, &key]).map_err(io::Error::other)?;
+        let (at, tries, key) = (
+            it.at_ms.to_string(),
+            it.tries.to_string(),
+            format!("{:016x}", it.key),
+        );
+        csv.write_record([&at, it.tenant, it.class, it.outcome, &tries, &key])
+            .map_err(io::Error::other)?;
     }
     csv.flush()?;
     let mut said: Totals = BTreeMap::new();
@@ -422,22 +502,39 @@
         total += statement["total"].as_i64().unwrap_or_default();
         for line in statement["lines"].as_array().into_iter().flatten() {
             let text = |key: &str| line[key].as_str().unwrap_or_default().to_string();
-            let sum = said.entry((text("period"), text("tenant"), text("class"))).or_default();
+            let sum = said
+                .entry((text("period"), text("tenant"), text("class")))
+                .or_default();
             for (i, key) in ["uses", "whole", "partial"].iter().enumerate() {
                 sum[i] += line[*key].as_i64().unwrap_or_default();
             }
             adjustments += i64::from(line["adjusts"] == true);
         }
         let members = statement["members"].as_array().cloned().unwrap_or_default();
-        missing += members.iter().filter(|member| member["missing"] == true).count();
-        lost = members.iter().filter_map(|member| member["lost"].as_i64()).sum();
+        missing += members
+            .iter()
+            .filter(|member| member["missing"] == true)
+            .count();
+        lost = members
+            .iter()
+            .filter_map(|member| member["lost"].as_i64())
+            .sum();
     }
-    let differ: Vec<_> =
-        clients.keys().chain(said.keys()).filter(|key| clients.get(*key) != said.get(*key)).collect();
+    let differ: Vec<_> = clients
+        .keys()
+        .chain(said.keys())
+        .filter(|key| clients.get(*key) != said.get(*key))
+        .collect();
     let shown: Vec<String> = differ
         .iter()
         .take(5)
-        .map(|key| format!("{key:?}: clients {:?}, ledger {:?}", clients.get(*key), said.get(*key)))
+        .map(|key| {
+            format!(
+                "{key:?}: clients {:?}, ledger {:?}",
+                clients.get(*key),
+                said.get(*key)
+            )
+        })
         .collect();
     let cells = clients.len();
     proof.check(
@@ -452,7 +549,11 @@
     );
     let tally = &world.tally;
     let count = |of: &AtomicU64| of.load(Ordering::Relaxed);
-    let (tries, unanswered, wrong) = (count(&tally.tries), count(&tally.unanswered), count(&tally.wrong));
+    let (tries, unanswered, wrong) = (
+        count(&tally.tries),
+        count(&tally.unanswered),
+        count(&tally.wrong),
+    );
     proof.check(
         "every query got one final answer",
         unanswered == 0 && wrong == 0,
@@ -491,7 +592,13 @@
         .filter_map(|(body, _)| serde_json::from_slice::<Value>(body).ok()?["amount"].as_i64())
         .sum();
     let files: BTreeSet<String> = fs::read_dir(&documents)?
-        .filter_map(|file| file.ok()?.file_name().to_str()?.strip_suffix(".json").map(str::to_string))
+        .filter_map(|file| {
+            file.ok()?
+                .file_name()
+                .to_str()?
+                .strip_suffix(".json")
+                .map(str::to_string)
+        })
         .collect();
     proof.check(
         "each document is received exactly once, unchanged",
@@ -518,16 +625,25 @@
         format!("{missing} members missing, {lost} records lost"),
     );
     for mixer in &mut installation.mixers {
-        let ended = mixer.process.as_mut().is_some_and(|process| process.end(Duration::from_secs(10)));
+        let ended = mixer
+            .process
+            .as_mut()
+            .is_some_and(|process| process.end(Duration::from_secs(10)));
         proof.check("a mixer ends by itself", ended, &mixer.name);
     }
     sleep(Duration::from_millis(500)).await;
-    let ended = installation.settlement.as_mut().is_some_and(|process| process.end(Duration::from_secs(10)));
+    let ended = installation
+        .settlement
+        .as_mut()
+        .is_some_and(|process| process.end(Duration::from_secs(10)));
     proof.check("the settlement ends by itself", ended, "SIGTERM");
     let clients_file = folder.path().join("clients.csv").display().to_string();
     let mut words = vec!["reconcile".to_string(), "--clients".into(), clients_file];
     for (name, file, _) in &counters {
-        words.extend(["--counters".to_string(), format!("{name}={}", file.display())]);
+        words.extend([
+            "--counters".to_string(),
+            format!("{name}={}", file.display()),
+        ]);
     }
     let (equal, said) =
         output(&mut installation.ledger(&words.iter().map(String::as_str).collect::<Vec<_>>()))?;
@@ -535,7 +651,11 @@
     proof.check(
         "ledger reconcile finds no difference",
         equal,
-        if equal { "use by use" } else { tail.last().unwrap_or(&"") },
+        if equal {
+            "use by use"
+        } else {
+            tail.last().unwrap_or(&"")
+        },
     );
     let mut words = vec!["verify".to_string()];
     for mixer in &installation.mixers {
@@ -543,7 +663,11 @@
     }
     let (sound, said) =
         output(&mut installation.ledger(&words.iter().map(String::as_str).collect::<Vec<_>>()))?;
-    proof.check("ledger verify finds nothing wrong", sound, said.trim().replace('\n', "; "));
+    proof.check(
+        "ledger verify finds nothing wrong",
+        sound,
+        said.trim().replace('\n', "; "),
+    );
     let rate = used.len() as f64 / asked_for.as_secs_f64();
     let answered: i64 = clients.values().map(|total| total[1] + total[2]).sum();
     println!(
@@ -590,7 +714,10 @@
 }
 
 fn main() -> ExitCode {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(3)
+        .enable_all()
+        .build();
     match runtime.and_then(|runtime| runtime.block_on(run(Line::parse()))) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
