--- a/crates/standins/src/bin/cottonhill-prove-opensearch.rs
+++ b/crates/standins/src/bin/cottonhill-prove-opensearch.rs
@@ -50,7 +50,9 @@
         5 => json!({"range": {"year": {"gte": year, "lt": year + 20}}}),
         6 => json!({"exists": {"field": "plays"}}),
         7 => json!({"prefix": {"genre": "f"}}),
-        8 => json!({"multi_match": {"query": format!("{word} jazz"), "fields": ["title", "genre"]}}),
+        8 => {
+            json!({"multi_match": {"query": format!("{word} jazz"), "fields": ["title", "genre"]}})
+        }
         9 => json!({"constant_score": {"filter": clause(random, depth - 1), "boost": 3.5}}),
         10 => json!({"function_score": {"query": clause(random, depth - 1), "weight": 0.5}}),
         _ => {
@@ -58,7 +60,10 @@
             for key in ["must", "filter", "should", "must_not"] {
                 if random.random_bool(0.4) {
                     let count = random.random_range(1..3);
-                    body.insert(key.into(), (0..count).map(|_| clause(random, depth - 1)).collect());
+                    body.insert(
+                        key.into(),
+                        (0..count).map(|_| clause(random, depth - 1)).collect(),
+                    );
                 }
             }
             json!({ "bool": body })
@@ -73,8 +78,12 @@
     }
     if random.random_bool(0.5) {
         // Sorts with a missing field, and one that is a text in one shard.
-        let keys =
-            [json!({"year": "desc"}), json!({"plays": {"order": "asc"}}), json!("genre"), json!("_score")];
+        let keys = [
+            json!({"year": "desc"}),
+            json!({"plays": {"order": "asc"}}),
+            json!("genre"),
+            json!("_score"),
+        ];
         let first = random.random_range(0..keys.len());
         search["sort"] = json!([keys[first], keys[(first + 1) % keys.len()]]);
     }
@@ -123,13 +132,19 @@
 fn same(a: &Value, b: &Value) -> bool {
     match (a, b) {
         (Value::Number(a), Value::Number(b)) => {
-            let (a, b) = (a.as_f64().unwrap_or_default(), b.as_f64().unwrap_or_default());
+            let (a, b) = (
+                a.as_f64().unwrap_or_default(),
+                b.as_f64().unwrap_or_default(),
+            );
             (a - b).abs() <= 1e-9 * a.abs().max(1.0)
         }
-        (Value::Array(a), Value::Array(b)) => a.len() == b.len() && a.iter().zip(b).all(|(a, b)| same(a, b)),
+        (Value::Array(a), Value::Array(b)) => {
+            a.len() == b.len() && a.iter().zip(b).all(|(a, b)| same(a, b))
+        }
         (Value::Object(a), Value::Object(b)) => {
             a.len() == b.len()
-                && a.iter().all(|(key, value)| b.get(key).is_some_and(|other| same(value, other)))
+                && a.iter()
+                    .all(|(key, value)| b.get(key).is_some_and(|other| same(value, other)))
         }
         _ => a == b,
     }
@@ -143,28 +158,42 @@
         .flatten()
         .filter_map(|failure| Some(failure["shard"].as_u64()? as u32))
         .collect();
-    let claimed: Vec<u32> = (0..SHARDS).filter(|shard| !failed.contains(shard)).collect();
-    if body["_shards"]["successful"] != json!(claimed.len()) || body["_shards"]["total"] != json!(SHARDS) {
+    let claimed: Vec<u32> = (0..SHARDS)
+        .filter(|shard| !failed.contains(shard))
+        .collect();
+    if body["_shards"]["successful"] != json!(claimed.len())
+        || body["_shards"]["total"] != json!(SHARDS)
+    {
         return Some(format!("_shards do not add up: {}", body["_shards"]));
     }
     if cue(search).is_some() && failed != [SICK] {
         return Some(format!("failed shards {failed:?} instead of the sick one"));
     }
     let found = all(search, &claimed);
-    let ids: Vec<&str> =
-        body["hits"]["hits"].as_array()?.iter().filter_map(|hit| hit["_id"].as_str()).collect();
+    let ids: Vec<&str> = body["hits"]["hits"]
+        .as_array()?
+        .iter()
+        .filter_map(|hit| hit["_id"].as_str())
+        .collect();
     let page = page(search, &found);
     let right: Vec<&str> = page.iter().map(|hit| hit.id.as_str()).collect();
     if ids != right {
         return Some(format!("hits {ids:?} instead of {right:?}"));
     }
-    let sources =
-        body["hits"]["hits"].as_array()?.iter().zip(&page).all(|(hit, it)| hit["_source"] == it.source);
+    let sources = body["hits"]["hits"]
+        .as_array()?
+        .iter()
+        .zip(&page)
+        .all(|(hit, it)| hit["_source"] == it.source);
     if !sources {
         return Some("a document is not as it is held".into());
     }
     if body["hits"]["total"] != json!({"value": found.len(), "relation": "eq"}) {
-        return Some(format!("total {} instead of {}", body["hits"]["total"], found.len()));
+        return Some(format!(
+            "total {} instead of {}",
+            body["hits"]["total"],
+            found.len()
+        ));
     }
     for (name, aggregation) in search["aggs"].as_object().into_iter().flatten() {
         let (got, right) = (&body["aggregations"][name], aggregate(aggregation, &found));
@@ -176,9 +205,13 @@
 }
 
 async fn client(
-    number: u64, line: Arc<Line>, mixers: Vec<(SocketAddr, SocketAddr)>, tally: Arc<Mutex<Tally>>,
+    number: u64,
+    line: Arc<Line>,
+    mixers: Vec<(SocketAddr, SocketAddr)>,
+    tally: Arc<Mutex<Tally>>,
 ) {
-    let mut random = StdRng::seed_from_u64(line.seed ^ (number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    let mut random =
+        StdRng::seed_from_u64(line.seed ^ (number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let (native_at, front_at) = mixers[number as usize % mixers.len()];
     let (mut native, mut front) = (Connection::new(native_at), Connection::new(front_at));
     for n in 0..line.queries / line.clients {
@@ -188,13 +221,26 @@
         let question = Question {
             class: class.into(),
             tenant: tenant.into(),
-            parts: (0..SHARDS).map(|shard| (shard, 1.0 / f64::from(SHARDS))).collect(),
+            parts: (0..SHARDS)
+                .map(|shard| (shard, 1.0 / f64::from(SHARDS)))
+                .collect(),
             text: search.to_string(),
             key: None,
         };
         let (id, wait) = (format!("p{number}-{n}"), Duration::from_millis(give_up));
-        let attempt = Attempt { id: &id, retry: false, wait, grace: Duration::from_secs(3) };
-        let (sick, floor) = (cue(&search), CLASSES.iter().find(|it| it.0 == class).map_or(1.0, |it| it.3));
+        let attempt = Attempt {
+            id: &id,
+            retry: false,
+            wait,
+            grace: Duration::from_secs(3),
+        };
+        let (sick, floor) = (
+            cue(&search),
+            CLASSES
+                .iter()
+                .find(|it| it.0 == class)
+                .map_or(1.0, |it| it.3),
+        );
         let native_first = random.random_bool(0.5);
         let mut outcome = ("", "");
         for turn in [native_first, !native_first] {
@@ -209,7 +255,9 @@
                     Got::Answer(whole, hits) => {
                         let right = |(shard, doc): &(u32, String)| *doc == words(*shard, &search);
                         if !hits.iter().all(right) {
-                            tally.wrong.push(format!("native: a value is not as it is held: {search}"));
+                            tally
+                                .wrong
+                                .push(format!("native: a value is not as it is held: {search}"));
                         }
                         if whole {
                             "whole"
@@ -233,7 +281,8 @@
                     .body(Full::new(Bytes::from(search.to_string())));
                 let Ok(request) = request else { continue };
                 let began = Instant::now();
-                let got = tokio::time::timeout(wait + Duration::from_secs(3), front.send(request)).await;
+                let got =
+                    tokio::time::timeout(wait + Duration::from_secs(3), front.send(request)).await;
                 let late = began.elapsed() > wait;
                 let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
                 tally.late += u64::from(late);
@@ -252,8 +301,11 @@
                     }
                     Ok(Some((429, body, after))) => {
                         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
-                        if after.is_none() || body["error"]["type"] != "circuit_breaking_exception" {
-                            tally.wrong.push(format!("a refusal without its form: {body}"));
+                        if after.is_none() || body["error"]["type"] != "circuit_breaking_exception"
+                        {
+                            tally
+                                .wrong
+                                .push(format!("a refusal without its form: {body}"));
                         }
                         "refused"
                     }
@@ -262,7 +314,9 @@
                         if body["status"] != status
                             || body["error"]["type"] != "search_phase_execution_exception"
                         {
-                            tally.wrong.push(format!("an error that is none: {status} {body}"));
+                            tally
+                                .wrong
+                                .push(format!("an error that is none: {status} {body}"));
                         }
                         "failed"
                     }
@@ -277,12 +331,16 @@
                 };
                 *tally.sick.entry((sick, outcome.1)).or_default() += 1;
                 // One shard of 16 may be missing where the floor allows it, and all never.
-                let due =
-                    if floor == 1.0 || sick == "an error for every shard" { "failed" } else { "partial" };
+                let due = if floor == 1.0 || sick == "an error for every shard" {
+                    "failed"
+                } else {
+                    "partial"
+                };
                 if outcome.1 != due && outcome.1 != "refused" {
-                    tally
-                        .wrong
-                        .push(format!("{sick}, floor {floor}: {} instead of {due}: {search}", outcome.1));
+                    tally.wrong.push(format!(
+                        "{sick}, floor {floor}: {} instead of {due}: {search}",
+                        outcome.1
+                    ));
                 }
             }
         }
@@ -293,16 +351,23 @@
 async fn raw(at: SocketAddr, request: Request<Full<Bytes>>) -> Option<(hyper::HeaderMap, Bytes)> {
     let exchange = async {
         let stream = tokio::net::TcpStream::connect(at).await.ok()?;
-        let (mut send, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
+        let (mut send, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+            .await
+            .ok()?;
         let task = tokio::spawn(connection);
-        let answer = send.send_request(request).await.ok().filter(|answer| answer.status() == 200)?;
+        let answer = send
+            .send_request(request)
+            .await
+            .ok()
+            .filter(|answer| answer.status() == 200)?;
         let headers = answer.headers().clone();
         let body = answer.into_body().collect().await.ok()?.to_bytes();
         task.abort();
         Some((headers, body))
     };
-    tokio::time::timeout(Duration::from_secs(5), exchange).await.ok()?
+    tokio::time::timeout(Duration::from_secs(5), exchange)
+        .await
+        .ok()?
 }
 
 /// One request of each form, and what it has to come to: what does not is named.
@@ -320,15 +385,64 @@
     let (q, none) = (query.to_string(), String::new());
     // Method, path, body, status, and a pointer into the answer with what has to stand there.
     let cases: Vec<(&str, &str, &str, u16, &str, Value)> = vec![
-        ("GET", "/", &none, 200, "/version/distribution", json!("opensearch")),
+        (
+            "GET",
+            "/",
+            &none,
+            200,
+            "/version/distribution",
+            json!("opensearch"),
+        ),
         ("HEAD", "/chart-ranking", &none, 200, "", Value::Null),
         ("HEAD", "/none", &none, 404, "", Value::Null),
-        ("GET", "/_cluster/health", &none, 200, "/status", json!("green")),
-        ("GET", "/_cat/indices", &none, 200, "/0/index", json!("catalogue-report")),
-        ("POST", "/none/_search", &q, 404, "/error/type", json!("index_not_found_exception")),
-        ("POST", "/_search", &q, 400, "/error/type", json!("illegal_argument_exception")),
-        ("POST", "/chart-ranking/_search", "{", 400, "/error/type", json!("parsing_exception")),
-        ("POST", "/chart-ranking/_search?routing=1", &q, 400, "/status", json!(400)),
+        (
+            "GET",
+            "/_cluster/health",
+            &none,
+            200,
+            "/status",
+            json!("green"),
+        ),
+        (
+            "GET",
+            "/_cat/indices",
+            &none,
+            200,
+            "/0/index",
+            json!("catalogue-report"),
+        ),
+        (
+            "POST",
+            "/none/_search",
+            &q,
+            404,
+            "/error/type",
+            json!("index_not_found_exception"),
+        ),
+        (
+            "POST",
+            "/_search",
+            &q,
+            400,
+            "/error/type",
+            json!("illegal_argument_exception"),
+        ),
+        (
+            "POST",
+            "/chart-ranking/_search",
+            "{",
+            400,
+            "/error/type",
+            json!("parsing_exception"),
+        ),
+        (
+            "POST",
+            "/chart-ranking/_search?routing=1",
+            &q,
+            400,
+            "/status",
+            json!(400),
+        ),
         (
             "POST",
             "/chart-ranking/_search?scroll=1m",
@@ -337,9 +451,30 @@
             "/error/type",
             json!("illegal_argument_exception"),
         ),
-        ("DELETE", "/chart-ranking", &none, 400, "/error/type", json!("illegal_argument_exception")),
-        ("POST", "/chart-ranking/_search?size=0", &q, 200, "/hits/total/value", json!(found.len())),
-        ("GET", "/chart-ranking/_count", &q, 200, "/count", json!(found.len())),
+        (
+            "DELETE",
+            "/chart-ranking",
+            &none,
+            400,
+            "/error/type",
+            json!("illegal_argument_exception"),
+        ),
+        (
+            "POST",
+            "/chart-ranking/_search?size=0",
+            &q,
+            200,
+            "/hits/total/value",
+            json!(found.len()),
+        ),
+        (
+            "GET",
+            "/chart-ranking/_count",
+            &q,
+            200,
+            "/count",
+            json!(found.len()),
+        ),
         (
             "POST",
             "/chart-ranking/_search?preference=_shards:3,14",
@@ -348,7 +483,14 @@
             "/hits/total/value",
             json!(some.len()),
         ),
-        ("POST", "/chart-ranking/_search?preference=_shards:3,99", &q, 400, "/status", json!(400)),
+        (
+            "POST",
+            "/chart-ranking/_search?preference=_shards:3,99",
+            &q,
+            400,
+            "/status",
+            json!(400),
+        ),
         (
             "POST",
             "/chart-ranking/_search?allow_partial_search_results=false",
@@ -365,7 +507,14 @@
             "/_shards/failures/0/reason/type",
             json!("query_shard_exception"),
         ),
-        ("POST", "/_msearch", &msearch, 200, "/responses/0/hits/total/value", json!(found.len())),
+        (
+            "POST",
+            "/_msearch",
+            &msearch,
+            200,
+            "/responses/0/hits/total/value",
+            json!(found.len()),
+        ),
         (
             "POST",
             "/chart-ranking/_msearch",
@@ -374,8 +523,22 @@
             "/responses/1/error/type",
             json!("parsing_exception"),
         ),
-        ("POST", "/_msearch", &msearch, 200, "/responses/2/status", json!(404)),
-        ("POST", "/_msearch", "{}\n", 400, "/error/type", json!("illegal_argument_exception")),
+        (
+            "POST",
+            "/_msearch",
+            &msearch,
+            200,
+            "/responses/2/status",
+            json!(404),
+        ),
+        (
+            "POST",
+            "/_msearch",
+            "{}\n",
+            400,
+            "/error/type",
+            json!("illegal_argument_exception"),
+        ),
     ];
     let mut ask = async |method: &str, path: &str, body: &str| {
         let request = Request::builder()
@@ -383,24 +546,40 @@
             .uri(path)
             .header("Host", "mixer")
             .header("X-Tenant-Id", "alpha");
-        let request = request.body(Full::new(Bytes::from(body.to_string()))).ok()?;
+        let request = request
+            .body(Full::new(Bytes::from(body.to_string())))
+            .ok()?;
         let (status, body, _) =
-            tokio::time::timeout(Duration::from_secs(5), connection.send(request)).await.ok()??;
-        Some((status, serde_json::from_slice::<Value>(&body).unwrap_or_default()))
+            tokio::time::timeout(Duration::from_secs(5), connection.send(request))
+                .await
+                .ok()??;
+        Some((
+            status,
+            serde_json::from_slice::<Value>(&body).unwrap_or_default(),
+        ))
     };
     for (method, path, body, status, pointer, value) in cases {
         match ask(method, path, body).await {
             Some((got, body))
-                if got == status && (method == "HEAD" || body.pointer(pointer) == Some(&value)) => {}
-            other => wrong.push(format!("{method} {path}: {other:?} instead of {status} {pointer} {value}")),
+                if got == status && (method == "HEAD" || body.pointer(pointer) == Some(&value)) => {
+            }
+            other => wrong.push(format!(
+                "{method} {path}: {other:?} instead of {status} {pointer} {value}"
+            )),
         }
     }
     // Packed both ways, told by its network alone, and known again by its own word.
     let mut packer = GzEncoder::new(Vec::new(), Compression::fast());
-    let packed = packer.write_all(br#"{"size": 100}"#).and_then(|()| packer.finish()).unwrap_or_default();
-    let request =
-        Request::post("/chart-ranking/_search").header("Host", "mixer").header("Content-Encoding", "gzip");
-    let request = request.header("Accept-Encoding", "gzip").header("X-Opaque-Id", "mine");
+    let packed = packer
+        .write_all(br#"{"size": 100}"#)
+        .and_then(|()| packer.finish())
+        .unwrap_or_default();
+    let request = Request::post("/chart-ranking/_search")
+        .header("Host", "mixer")
+        .header("Content-Encoding", "gzip");
+    let request = request
+        .header("Accept-Encoding", "gzip")
+        .header("X-Opaque-Id", "mine");
     let answer = match request.body(Full::new(Bytes::from(packed))) {
         Ok(request) => raw(at, request).await,
         Err(_) => None,
@@ -414,20 +593,25 @@
             && body["hits"]["hits"].as_array().map(Vec::len) == Some(100)
     });
     if !right {
-        wrong.push("a search under gzip, without a tenant's header, is not answered under gzip".into());
+        wrong.push(
+            "a search under gzip, without a tenant's header, is not answered under gzip".into(),
+        );
     }
     // All of it, page by page, each after the last hit of the one before.
-    let mut search =
-        json!({"query": {"match_all": {}}, "size": 37, "sort": [{"year": "desc"}, "released", "title"]});
+    let mut search = json!({"query": {"match_all": {}}, "size": 37, "sort": [{"year": "desc"}, "released", "title"]});
     let right: Vec<String> = all(&search, &every).into_iter().map(|hit| hit.id).collect();
     let mut paged: Vec<String> = Vec::new();
     while paged.len() < right.len() {
-        let Some((200, body)) = ask("POST", "/catalogue-report/_search", &search.to_string()).await else {
+        let Some((200, body)) = ask("POST", "/catalogue-report/_search", &search.to_string()).await
+        else {
             break;
         };
         let hits = body["hits"]["hits"].as_array().cloned().unwrap_or_default();
         let Some(last) = hits.last() else { break };
-        paged.extend(hits.iter().filter_map(|hit| hit["_id"].as_str().map(str::to_string)));
+        paged.extend(
+            hits.iter()
+                .filter_map(|hit| hit["_id"].as_str().map(str::to_string)),
+        );
         search["search_after"] = last["sort"].clone();
     }
     if paged != right {
@@ -443,15 +627,24 @@
 async fn run(line: Line) -> io::Result<bool> {
     let started = Instant::now();
     let folder = tempfile::tempdir()?;
-    let plan =
-        Plan { seed: line.seed, work: Duration::from_millis(4), slots: 64, search: true, ..Plan::default() };
+    let plan = Plan {
+        seed: line.seed,
+        work: Duration::from_millis(4),
+        slots: 64,
+        search: true,
+        ..Plan::default()
+    };
     let mut installation = Installation::start(folder.path(), plan).await?;
-    let mixers: Vec<_> = installation.mixers.iter().map(|mixer| (mixer.address, mixer.search)).collect();
+    let mixers: Vec<_> = installation
+        .mixers
+        .iter()
+        .map(|mixer| (mixer.address, mixer.search))
+        .collect();
     let formed = forms(mixers[0].1).await;
     formed.iter().for_each(|wrong| println!("WRONG {wrong}"));
     let (line, tally) = (Arc::new(line), Arc::<Mutex<Tally>>::default());
-    let clients =
-        (0..line.clients).map(|n| tokio::spawn(client(n, line.clone(), mixers.clone(), tally.clone())));
+    let clients = (0..line.clients)
+        .map(|n| tokio::spawn(client(n, line.clone(), mixers.clone(), tally.clone())));
     let clients: Vec<_> = clients.collect();
     tokio::time::sleep(Duration::from_secs(2)).await;
     installation.lose_zone(2);
@@ -462,11 +655,18 @@
     }
     let mut ended = true;
     for mixer in &mut installation.mixers {
-        ended &= mixer.process.as_mut().is_some_and(|process| process.end(Duration::from_secs(10)));
+        ended &= mixer
+            .process
+            .as_mut()
+            .is_some_and(|process| process.end(Duration::from_secs(10)));
     }
     let tally = std::mem::take(&mut *tally.lock().unwrap_or_else(PoisonError::into_inner));
     let sum = |served: &Served, how: &str| -> u64 {
-        served.iter().filter(|(key, _)| key.1 == how).map(|it| it.1).sum()
+        served
+            .iter()
+            .filter(|(key, _)| key.1 == how)
+            .map(|it| it.1)
+            .sum()
     };
     let asked = |served: &Served| -> u64 { served.values().sum() };
     for (class, ..) in CLASSES {
@@ -479,7 +679,11 @@
                 .collect::<Vec<_>>()
                 .join(", ")
         };
-        println!("{class}: native {}; front {}", of(&tally.native), of(&tally.front));
+        println!(
+            "{class}: native {}; front {}",
+            of(&tally.native),
+            of(&tally.front)
+        );
     }
     for ((sick, how), count) in &tally.sick {
         println!("a shard {sick}: {count} {how}");
@@ -491,7 +695,12 @@
     let (native, front) = (answered(&tally.native), answered(&tally.front));
     let asked = (asked(&tally.native), asked(&tally.front));
     let sick: u64 = tally.sick.values().sum();
-    let partial: u64 = tally.sick.iter().filter(|(key, _)| key.1 == "partial").map(|it| it.1).sum();
+    let partial: u64 = tally
+        .sick
+        .iter()
+        .filter(|(key, _)| key.1 == "partial")
+        .map(|it| it.1)
+        .sum();
     // The two are asked one after the other: what a lost zone costs one query it need not cost the other.
     let near = native.abs_diff(front) * 100 <= 3 * asked.0;
     let holds = tally.wrong.is_empty()
@@ -515,7 +724,10 @@
 }
 
 fn main() -> ExitCode {
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build();
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(3)
+        .enable_all()
+        .build();
     match runtime.and_then(|runtime| runtime.block_on(run(Line::parse()))) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -26,7 +26,9 @@
 
 /// Parts over `width` shards in a row from `first`, of equal weight, wrapping at `shards`.
 pub fn spread(first: u32, width: u32, shards: u32) -> Vec<(u32, f64)> {
-    (0..width).map(|i| ((first + i) % shards, 1.0 / f64::from(width))).collect()
+    (0..width)
+        .map(|i| ((first + i) % shards, 1.0 / f64::from(width)))
+        .collect()
 }
 
 /// One try of a question.
@@ -96,7 +98,12 @@
 
     /// Asks once. A connection that the mixer has closed before it took anything is opened anew.
     pub async fn ask(&mut self, question: &Question, attempt: &Attempt<'_>) -> Got {
-        match timeout(attempt.wait + attempt.grace, self.exchange(question, attempt)).await {
+        match timeout(
+            attempt.wait + attempt.grace,
+            self.exchange(question, attempt),
+        )
+        .await
+        {
             Ok(Some((200, body, _))) => answer(&body).unwrap_or(Got::Failed(200)),
             Ok(Some((429 | 503, _, after))) => Got::Refused(after),
             Ok(Some((status, ..))) => Got::Failed(status),
@@ -145,17 +152,32 @@
         let send = &mut self.open.as_mut()?.send;
         send.ready().await.ok()?;
         let answer = send.send_request(request).await.ok()?;
-        let after =
-            answer.headers().get("retry-after").and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
+        let after = answer
+            .headers()
+            .get("retry-after")
+            .and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
         let status = answer.status().as_u16();
         let body = answer.into_body().collect().await.ok()?.to_bytes();
-        Some((status, body, after.map(|after| Duration::from_secs_f64(after.clamp(0.0, 60.0)))))
+        Some((
+            status,
+            body,
+            after.map(|after| Duration::from_secs_f64(after.clamp(0.0, 60.0))),
+        ))
     }
 }
 
 fn answer(body: &[u8]) -> Option<Got> {
     let body: Value = serde_json::from_slice(body).ok()?;
-    let hit = |hit: &Value| Some((hit["shard"].as_u64()? as u32, hit["doc"].as_str()?.to_string()));
-    let hits = body["hits"].as_array()?.iter().map(hit).collect::<Option<_>>()?;
+    let hit = |hit: &Value| {
+        Some((
+            hit["shard"].as_u64()? as u32,
+            hit["doc"].as_str()?.to_string(),
+        ))
+    };
+    let hits = body["hits"]
+        .as_array()?
+        .iter()
+        .map(hit)
+        .collect::<Option<_>>()?;
     Some(Got::Answer(body["complete"].as_bool()?, hits))
 }
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -72,9 +72,21 @@
         let (changed, _) = watch::channel(());
         let (reset, resets) = watch::channel(());
         let (present, presence) = watch::channel(true);
-        let serving = Serving { list: list.clone(), changed: changed.clone(), counters: counters.clone() };
+        let serving = Serving {
+            list: list.clone(),
+            changed: changed.clone(),
+            counters: counters.clone(),
+        };
         let task = tokio::spawn(serving.serve(listener, address, resets, presence)).abort_handle();
-        Ok(Discovery { address, list, changed, reset, present, counters, task })
+        Ok(Discovery {
+            address,
+            list,
+            changed,
+            reset,
+            present,
+            counters,
+            task,
+        })
     }
 
     fn with_list<T>(&self, read: impl FnOnce(&mut List) -> T) -> T {
@@ -94,9 +106,14 @@
     /// Tells of what `next` returns, `per_second` times a second for as long as `lasting`; a change that is late is
     /// made up for. Nothing is told at a rate that is not above zero.
     pub async fn tell_steadily(
-        &self, per_second: f64, lasting: Duration, mut next: impl FnMut() -> Vec<Value>,
+        &self,
+        per_second: f64,
+        lasting: Duration,
+        mut next: impl FnMut() -> Vec<Value>,
     ) {
-        let Ok(apart) = Duration::try_from_secs_f64(1.0 / per_second) else { return };
+        let Ok(apart) = Duration::try_from_secs_f64(1.0 / per_second) else {
+            return;
+        };
         if apart.is_zero() {
             return;
         }
@@ -188,7 +205,10 @@
 
 impl Serving {
     async fn serve(
-        self, mut listener: TcpListener, address: SocketAddr, mut resets: watch::Receiver<()>,
+        self,
+        mut listener: TcpListener,
+        address: SocketAddr,
+        mut resets: watch::Receiver<()>,
         mut presence: watch::Receiver<bool>,
     ) {
         let mut connections = JoinSet::new();
@@ -221,7 +241,9 @@
             });
             let counted = InspectWriter::new(stream, move |bytes| counters.sent(bytes.len()));
             let io = TokioIo::new(counted);
-            let _ = hyper::server::conn::http1::Builder::new().serve_connection(io, answer).await;
+            let _ = hyper::server::conn::http1::Builder::new()
+                .serve_connection(io, answer)
+                .await;
         }
     }
 
@@ -239,9 +261,15 @@
         }
     }
 
-    async fn body(&self, request: &Request<Incoming>, number: u64) -> UnsyncBoxBody<Bytes, Infallible> {
+    async fn body(
+        &self,
+        request: &Request<Incoming>,
+        number: u64,
+    ) -> UnsyncBoxBody<Bytes, Infallible> {
         let query = request.uri().query().unwrap_or_default();
-        let from = query.split('&').find_map(|pair| pair.strip_prefix("from=")?.parse::<Version>().ok());
+        let from = query
+            .split('&')
+            .find_map(|pair| pair.strip_prefix("from=")?.parse::<Version>().ok());
         let watch = query.contains("watch=1");
         self.counters.call(watch);
         if !watch {
@@ -249,16 +277,22 @@
             self.counters.message(&whole);
             return Full::new(whole.text).boxed_unsync();
         }
-        let objects = stream::unfold((self.clone(), from, true), move |(serving, held, first)| async move {
-            // The first object comes in any case; it may hold nothing new.
-            let first = serving.say(number, |list| first.then(|| list.table.since(held)));
-            let message = match first.await {
-                Some(message) => Some(message),
-                None => serving.news(number, held).await,
-            };
-            let (text, held) = serving.counted(message, held);
-            Some((Ok::<_, Infallible>(Frame::data(text)), (serving, held, false)))
-        });
+        let objects = stream::unfold(
+            (self.clone(), from, true),
+            move |(serving, held, first)| async move {
+                // The first object comes in any case; it may hold nothing new.
+                let first = serving.say(number, |list| first.then(|| list.table.since(held)));
+                let message = match first.await {
+                    Some(message) => Some(message),
+                    None => serving.news(number, held).await,
+                };
+                let (text, held) = serving.counted(message, held);
+                Some((
+                    Ok::<_, Infallible>(Frame::data(text)),
+                    (serving, held, false),
+                ))
+            },
+        );
         BodyExt::boxed_unsync(StreamBody::new(Box::pin(objects)))
     }
 
@@ -281,8 +315,9 @@
         let mut changed = self.changed.subscribe();
         let news = async {
             loop {
-                let news =
-                    |list: &mut List| (Some(list.table.version()) != held).then(|| list.table.since(held));
+                let news = |list: &mut List| {
+                    (Some(list.table.version()) != held).then(|| list.table.since(held))
+                };
                 if let Some(message) = self.say(number, news).await {
                     return message;
                 }
--- a/crates/standins/src/discovery/table.rs
+++ b/crates/standins/src/discovery/table.rs
@@ -91,8 +91,14 @@
     pub fn whole(&mut self) -> Message {
         let (version, indented) = (self.version, self.indented);
         let entries = &self.entries;
-        let text = self.whole.get_or_insert_with(|| render(entries.values(), version, true, indented));
-        Message { text: text.clone(), whole: true, version }
+        let text = self
+            .whole
+            .get_or_insert_with(|| render(entries.values(), version, true, indented));
+        Message {
+            text: text.clone(),
+            whole: true,
+            version,
+        }
     }
 
     /// What one who holds `held` has yet to hear: the complete list where that is no version that changes are kept for.
@@ -103,13 +109,23 @@
         };
         let (version, indented) = (self.version, self.indented);
         let changes = self.changes.range((held - oldest) as usize..);
-        let text = self.since.entry(held).or_insert_with(|| render(changes, version, false, indented));
-        Message { text: text.clone(), whole: false, version }
+        let text = self
+            .since
+            .entry(held)
+            .or_insert_with(|| render(changes, version, false, indented));
+        Message {
+            text: text.clone(),
+            whole: false,
+            version,
+        }
     }
 }
 
 fn render<'a>(
-    entries: impl Iterator<Item = &'a Bytes>, version: Version, snapshot: bool, indented: bool,
+    entries: impl Iterator<Item = &'a Bytes>,
+    version: Version,
+    snapshot: bool,
+    indented: bool,
 ) -> Bytes {
     let mut text = BytesMut::from(&b"{\"endpoints\":["[..]);
     for (number, entry) in entries.enumerate() {
--- a/crates/standins/src/discovery/traffic.rs
+++ b/crates/standins/src/discovery/traffic.rs
@@ -68,7 +68,11 @@
     }
 
     pub fn call(&self, watch: bool) {
-        let calls = if watch { &self.watch_calls } else { &self.list_calls };
+        let calls = if watch {
+            &self.watch_calls
+        } else {
+            &self.list_calls
+        };
         calls.fetch_add(1, Ordering::SeqCst);
     }
 
--- a/crates/standins/src/installation.rs
+++ b/crates/standins/src/installation.rs
@@ -51,7 +51,16 @@
     /// A small one that keeps no log and serves nothing but the native front.
     fn default() -> Plan {
         let (work, ledger) = (Duration::from_millis(5), String::new());
-        Plan { seed: 0, fleet: 3, sockets: 1024, work, slots: 16, usage: false, search: false, ledger }
+        Plan {
+            seed: 0,
+            fleet: 3,
+            sockets: 1024,
+            work,
+            slots: 16,
+            usage: false,
+            search: false,
+            ledger,
+        }
     }
 }
 
@@ -107,7 +116,12 @@
 /// A loopback address of this process's own, so that ports freed for a moment are not taken by another one.
 pub fn own_ip() -> IpAddr {
     let id = std::process::id();
-    IpAddr::V4(Ipv4Addr::new(127, 20 + (id >> 16) as u8 % 100, (id >> 8) as u8, (id as u8).max(1)))
+    IpAddr::V4(Ipv4Addr::new(
+        127,
+        20 + (id >> 16) as u8 % 100,
+        (id >> 8) as u8,
+        (id as u8).max(1),
+    ))
 }
 
 /// A port that is free now.
@@ -120,11 +134,19 @@
 
 /// Unix milliseconds.
 pub fn now_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 fn platform(
-    name: &str, zone: usize, listen: SocketAddr, discovery: SocketAddr, plan: &Plan, known: &Value,
+    name: &str,
+    zone: usize,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    plan: &Plan,
+    known: &Value,
 ) -> Value {
     let (seed, fleet, sockets) = (plan.seed ^ (zone as u64 + 1), plan.fleet, plan.sockets);
     let class = |(name, aim, give_up, _): &(&str, u64, u64, f64)| {
@@ -163,7 +185,13 @@
         let discovery = Discovery::start(ip).await?;
         let mut slots = Vec::new();
         for zone in 0..ZONES.len() {
-            slots.extend((0..CELLS).map(|cell| Slot { zone, cell, leaf: None, starts: 0, since: 0 }));
+            slots.extend((0..CELLS).map(|cell| Slot {
+                zone,
+                cell,
+                leaf: None,
+                starts: 0,
+                since: 0,
+            }));
         }
         let mut installation = Installation {
             folder: folder.into(),
@@ -185,10 +213,16 @@
             let file = |what: &str| folder.join(format!("{name}.{what}"));
             let (address, collect, search) = (free_port(ip)?, free_port(ip)?, free_port(ip)?);
             let (config, settings, usage) = (file("json"), file("ini"), file("usage"));
-            let (at, known) = (installation.discovery.address, installation.discovery.known());
+            let (at, known) = (
+                installation.discovery.address,
+                installation.discovery.known(),
+            );
             fs::write(
                 &config,
-                format!("{:#}", platform(&name, zone, address, at, &installation.plan, &known)),
+                format!(
+                    "{:#}",
+                    platform(&name, zone, address, at, &installation.plan, &known)
+                ),
             )?;
             let shown = usage.display();
             let mut own = if installation.plan.usage {
@@ -197,10 +231,17 @@
                 String::new()
             };
             if installation.plan.search {
-                let _ = write!(own, "\n[opensearch]\nlisten = {search}\ntenant-by = header-or-network\n");
+                let _ = write!(
+                    own,
+                    "\n[opensearch]\nlisten = {search}\ntenant-by = header-or-network\n"
+                );
                 own += "\n[network loopback]\nprefixes = 127.0.0.0/8, ::1\ntenant = delta\n";
                 for (class, ..) in CLASSES {
-                    let _ = write!(own, "\n[index {class}]\nclass = {class}\nshards = 0-{}\n", SHARDS - 1);
+                    let _ = write!(
+                        own,
+                        "\n[index {class}]\nclass = {class}\nshards = 0-{}\n",
+                        SHARDS - 1
+                    );
                 }
             }
             fs::write(&settings, own)?;
@@ -219,8 +260,11 @@
             installation.start_mixer(zone).await?;
         }
         let store = folder.join("ledger.sqlite");
-        let ledger =
-            format!("[settlement]\nstore = {}\n\n{members}{}", store.display(), installation.plan.ledger);
+        let ledger = format!(
+            "[settlement]\nstore = {}\n\n{members}{}",
+            store.display(),
+            installation.plan.ledger
+        );
         fs::write(&installation.settings, ledger)?;
         Ok(installation)
     }
@@ -233,9 +277,19 @@
         let mixer = &mut self.mixers[at];
         // The limit holds for the process alone, which the shell becomes.
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", "ulimit -n \"$0\" && exec \"$@\""]).arg(self.plan.sockets.to_string());
-        command.arg(&self.program).arg("--config").arg(&mixer.config).arg("--settings").arg(&mixer.settings);
-        command.env_remove("BALANCER_CONFIG").env_remove("COTTONHILL_SETTINGS").env_remove("COTTONHILL_LOG");
+        command
+            .args(["-c", "ulimit -n \"$0\" && exec \"$@\""])
+            .arg(self.plan.sockets.to_string());
+        command
+            .arg(&self.program)
+            .arg("--config")
+            .arg(&mixer.config)
+            .arg("--settings")
+            .arg(&mixer.settings);
+        command
+            .env_remove("BALANCER_CONFIG")
+            .env_remove("COTTONHILL_SETTINGS")
+            .env_remove("COTTONHILL_LOG");
         mixer.process = Some(Process::start(&mut command, &mixer.log)?);
         Ok(())
     }
@@ -248,13 +302,20 @@
         self.launch_mixer(at)?;
         let mixer = &self.mixers[at];
         for _ in 0..500 {
-            if get(mixer.address, "/-/ready").await.is_some_and(|(status, _)| status == 200) {
+            if get(mixer.address, "/-/ready")
+                .await
+                .is_some_and(|(status, _)| status == 200)
+            {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let log = fs::read_to_string(&mixer.log).unwrap_or_default();
-        Err(io::Error::other(format!("mixer {} does not come up: {}", mixer.name, log.trim())))
+        Err(io::Error::other(format!(
+            "mixer {} does not come up: {}",
+            mixer.name,
+            log.trim()
+        )))
     }
 
     /// Ends a mixer as a crash does.
@@ -264,7 +325,10 @@
 
     /// Ends a mixer as a rolling change does, by SIGTERM: true if it ended with success within `most`.
     pub fn stop_mixer(&mut self, at: usize, most: Duration) -> bool {
-        let ended = self.mixers[at].process.as_mut().is_some_and(|process| process.end(most));
+        let ended = self.mixers[at]
+            .process
+            .as_mut()
+            .is_some_and(|process| process.end(most));
         self.mixers[at].process = None;
         ended
     }
@@ -276,7 +340,12 @@
     /// There is no port, or a configuration can't be rewritten.
     pub async fn move_discovery(&mut self) -> io::Result<()> {
         let moved = Discovery::start(self.ip).await?;
-        moved.tell(self.discovery.known()["endpoints"].as_array().cloned().unwrap_or_default());
+        moved.tell(
+            self.discovery.known()["endpoints"]
+                .as_array()
+                .cloned()
+                .unwrap_or_default(),
+        );
         for mixer in &self.mixers {
             mixer.reconfigure("discovery", json!(moved.address))?;
             if let Some(process) = &mixer.process {
@@ -295,22 +364,37 @@
     /// A configuration can't be rewritten.
     pub fn remember(&self) -> io::Result<()> {
         let known = self.discovery.known();
-        self.mixers.iter().try_for_each(|mixer| mixer.reconfigure("known", known.clone()))
+        self.mixers
+            .iter()
+            .try_for_each(|mixer| mixer.reconfigure("known", known.clone()))
     }
 
     /// A zone is dark: its leaf servers are gone without a word from discovery.
     pub fn lose_zone(&mut self, zone: usize) {
-        self.slots.iter_mut().filter(|slot| slot.zone == zone).for_each(|slot| slot.leaf = None);
+        self.slots
+            .iter_mut()
+            .filter(|slot| slot.zone == zone)
+            .for_each(|slot| slot.leaf = None);
     }
 
     /// A zone's leaf servers begin to drain, as discovery tells; they stay up. Returns what each of them sees.
     pub fn drain_zone(&self, zone: usize) -> Vec<Arc<Seen>> {
-        let of_zone = self.slots.iter().enumerate().filter(|(_, slot)| slot.zone == zone);
-        let leaving: Vec<_> = of_zone.filter_map(|(i, slot)| Some((i, slot, slot.leaf.as_ref()?))).collect();
-        let line =
-            |(i, slot, leaf): &(usize, &Slot, &Leaf)| slot.line(*i, slot.starts, "draining", leaf.address);
+        let of_zone = self
+            .slots
+            .iter()
+            .enumerate()
+            .filter(|(_, slot)| slot.zone == zone);
+        let leaving: Vec<_> = of_zone
+            .filter_map(|(i, slot)| Some((i, slot, slot.leaf.as_ref()?)))
+            .collect();
+        let line = |(i, slot, leaf): &(usize, &Slot, &Leaf)| {
+            slot.line(*i, slot.starts, "draining", leaf.address)
+        };
         self.discovery.tell(leaving.iter().map(line).collect());
-        leaving.iter().map(|(_, _, leaf)| leaf.seen.clone()).collect()
+        leaving
+            .iter()
+            .map(|(_, _, leaf)| leaf.seen.clone())
+            .collect()
     }
 
     /// A zone's leaf servers start, at other addresses than before, and discovery tells.
@@ -343,13 +427,19 @@
     /// Parts that the leaf servers now up were sent.
     pub fn parts_seen(&self) -> u64 {
         let leaves = self.slots.iter().filter_map(|slot| slot.leaf.as_ref());
-        leaves.map(|leaf| leaf.seen.parts.load(std::sync::atomic::Ordering::Relaxed)).sum()
+        leaves
+            .map(|leaf| leaf.seen.parts.load(std::sync::atomic::Ordering::Relaxed))
+            .sum()
     }
 
     /// The command line of the ledger, with its settings.
     pub fn ledger(&self, words: &[&str]) -> Command {
         let mut command = Command::new(&self.program);
-        command.arg("ledger").args(words).arg("--settings").arg(&self.settings);
+        command
+            .arg("ledger")
+            .args(words)
+            .arg("--settings")
+            .arg(&self.settings);
         command.env_remove("COTTONHILL_LOG");
         command
     }
@@ -377,12 +467,19 @@
         let io = hyper_util::rt::TokioIo::new(stream);
         let (mut send, connection) = hyper::client::conn::http1::handshake(io).await.ok()?;
         let task = tokio::spawn(connection);
-        let request = hyper::Request::get(path).header("Host", "mixer").header("Connection", "close");
-        let answer = send.send_request(request.body(Empty::<bytes::Bytes>::new()).ok()?).await.ok()?;
+        let request = hyper::Request::get(path)
+            .header("Host", "mixer")
+            .header("Connection", "close");
+        let answer = send
+            .send_request(request.body(Empty::<bytes::Bytes>::new()).ok()?)
+            .await
+            .ok()?;
         let status = answer.status().as_u16();
         let body = answer.into_body().collect().await.ok()?.to_bytes();
         task.abort();
         Some((status, body.to_vec()))
     };
-    tokio::time::timeout(Duration::from_secs(2), exchange).await.ok()?
+    tokio::time::timeout(Duration::from_secs(2), exchange)
+        .await
+        .ok()?
 }
--- a/crates/standins/src/leaf.rs
+++ b/crates/standins/src/leaf.rs
@@ -51,7 +51,11 @@
         let address = listener.local_addr()?;
         let seen = Arc::<Seen>::default();
         let task = tokio::spawn(accept(listener, (work, slots), seed, seen.clone())).abort_handle();
-        Ok(Leaf { address, seen, task })
+        Ok(Leaf {
+            address,
+            seen,
+            task,
+        })
     }
 }
 
@@ -59,7 +63,9 @@
     // Ends with this task: what is accepted lives no longer than the server.
     let mut connections = JoinSet::new();
     for n in 0u64.. {
-        let Ok((stream, _)) = listener.accept().await else { return };
+        let Ok((stream, _)) = listener.accept().await else {
+            return;
+        };
         seen.connections.fetch_add(1, Ordering::Relaxed);
         let random = StdRng::seed_from_u64(seed ^ n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         connections.spawn(serve(stream, power, random, seen.clone()));
@@ -84,7 +90,12 @@
     Some(frame)
 }
 
-async fn serve(stream: TcpStream, (work, slots): (Duration, usize), mut random: StdRng, seen: Arc<Seen>) {
+async fn serve(
+    stream: TcpStream,
+    (work, slots): (Duration, usize),
+    mut random: StdRng,
+    seen: Arc<Seen>,
+) {
     let _ = stream.set_nodelay(true);
     let (mut read, mut write) = stream.into_split();
     let (answers, mut ready) = mpsc::channel::<Vec<u8>>(1024);
@@ -100,7 +111,9 @@
         match frame_in[0] {
             b'Q' => {
                 let Some(asked) = read_parts(&frame_in[1..]) else {
-                    let _ = answers.send(frame(b'E', b"a call that can't be read")).await;
+                    let _ = answers
+                        .send(frame(b'E', b"a call that can't be read"))
+                        .await;
                     return;
                 };
                 for (id, shard, text) in asked {
@@ -110,7 +123,9 @@
                     if seen.under_way.fetch_add(1, Ordering::Relaxed) >= slots {
                         seen.under_way.fetch_sub(1, Ordering::Relaxed);
                         seen.busy.fetch_add(1, Ordering::Relaxed);
-                        let _ = answers.send(frame(b'A', format!("{id} busy - -\n").as_bytes())).await;
+                        let _ = answers
+                            .send(frame(b'A', format!("{id} busy - -\n").as_bytes()))
+                            .await;
                         continue;
                     }
                     parts.spawn(async move {
@@ -156,10 +171,16 @@
         let end = rest.iter().position(|b| *b == b'\n')?;
         let line = std::str::from_utf8(&rest[..end]).ok()?;
         let words: Vec<&str> = line.split(' ').collect();
-        let [id, shard, _, length] = words[..] else { return None };
+        let [id, shard, _, length] = words[..] else {
+            return None;
+        };
         let length: usize = length.parse().ok()?;
         let text = rest.get(end + 1..end + 1 + length)?;
-        parts.push((id.to_string(), shard.parse().ok()?, String::from_utf8(text.to_vec()).ok()?));
+        parts.push((
+            id.to_string(),
+            shard.parse().ok()?,
+            String::from_utf8(text.to_vec()).ok()?,
+        ));
         rest = &rest[end + 1 + length..];
     }
     Some(parts)
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -26,8 +26,12 @@
     let own = std::env::current_exe()?;
     // Tests run from a folder below.
     let folders = own.ancestors().skip(1).take(2);
-    let found = folders.map(|folder| folder.join(name)).find(|path| path.is_file());
-    found.ok_or_else(|| io::Error::other(format!("{name} has not been built: run cargo build first")))
+    let found = folders
+        .map(|folder| folder.join(name))
+        .find(|path| path.is_file());
+    found.ok_or_else(|| {
+        io::Error::other(format!("{name} has not been built: run cargo build first"))
+    })
 }
 
 impl Process {
@@ -37,8 +41,15 @@
     /// It can't be started.
     pub fn start(command: &mut Command, log: &Path) -> io::Result<Process> {
         let file = File::options().create(true).append(true).open(log)?;
-        let child = command.stdin(Stdio::null()).stdout(file.try_clone()?).stderr(file).spawn()?;
-        Ok(Process { child, log: log.into() })
+        let child = command
+            .stdin(Stdio::null())
+            .stdout(file.try_clone()?)
+            .stderr(file)
+            .spawn()?;
+        Ok(Process {
+            child,
+            log: log.into(),
+        })
     }
 
     /// Ends it as a crash does: nothing of it runs again.
@@ -56,11 +67,16 @@
     /// # Errors
     /// There is no such process any more.
     pub fn signal(&self, signal: &str) -> io::Result<()> {
-        let done = Command::new("kill").args([signal, &self.child.id().to_string()]).status()?;
+        let done = Command::new("kill")
+            .args([signal, &self.child.id().to_string()])
+            .status()?;
         if done.success() {
             Ok(())
         } else {
-            Err(io::Error::other(format!("process {} is over", self.child.id())))
+            Err(io::Error::other(format!(
+                "process {} is over",
+                self.child.id()
+            )))
         }
     }
 
@@ -90,7 +106,9 @@
         let words: Vec<&str> = after.split_whitespace().collect();
         let ticks = words.get(11)?.parse::<f64>().ok()? + words.get(12)?.parse::<f64>().ok()?;
         let status = std::fs::read_to_string(folder.join("status")).ok()?;
-        let peak = status.lines().find_map(|line| line.strip_prefix("VmHWM:"))?;
+        let peak = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))?;
         Some((ticks / 100.0, peak.split_whitespace().next()?.parse().ok()?))
     }
 }
--- a/crates/standins/src/receiver.rs
+++ b/crates/standins/src/receiver.rs
@@ -40,7 +40,11 @@
     ///
     /// # Errors
     /// The address is taken.
-    pub async fn start(address: SocketAddr, kept: Arc<Mutex<Kept>>, hostile: bool) -> io::Result<Receiver> {
+    pub async fn start(
+        address: SocketAddr,
+        kept: Arc<Mutex<Kept>>,
+        hostile: bool,
+    ) -> io::Result<Receiver> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
@@ -54,12 +58,14 @@
 async fn serve(listener: TcpListener, kept: Arc<Mutex<Kept>>, hostile: bool) {
     let mut connections = JoinSet::new();
     loop {
-        let Ok((stream, _)) = listener.accept().await else { return };
+        let Ok((stream, _)) = listener.accept().await else {
+            return;
+        };
         let kept = kept.clone();
         connections.spawn(async move {
             let answer = service_fn(move |request| receive(request, kept.clone(), hostile));
-            let serve =
-                hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), answer);
+            let serve = hyper::server::conn::http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), answer);
             let _ = serve.await;
         });
         while connections.try_join_next().is_some() {}
@@ -67,19 +73,35 @@
 }
 
 async fn receive(
-    request: Request<Incoming>, kept: Arc<Mutex<Kept>>, hostile: bool,
+    request: Request<Incoming>,
+    kept: Arc<Mutex<Kept>>,
+    hostile: bool,
 ) -> Result<Response<Empty<Bytes>>, io::Error> {
-    let id = request.headers().get("idempotency-key").and_then(|id| id.to_str().ok()).map(str::to_string);
+    let id = request
+        .headers()
+        .get("idempotency-key")
+        .and_then(|id| id.to_str().ok())
+        .map(str::to_string);
     let status = |status: StatusCode| {
         let mut response = Response::new(Empty::new());
         *response.status_mut() = status;
         Ok(response)
     };
-    let Some(id) = id else { return status(StatusCode::BAD_REQUEST) };
-    let body = request.into_body().collect().await.map_err(io::Error::other)?.to_bytes();
+    let Some(id) = id else {
+        return status(StatusCode::BAD_REQUEST);
+    };
+    let body = request
+        .into_body()
+        .collect()
+        .await
+        .map_err(io::Error::other)?
+        .to_bytes();
     let offers = {
         let mut kept = kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let (first, offers) = kept.documents.entry(id.clone()).or_insert_with(|| (body.clone(), 0));
+        let (first, offers) = kept
+            .documents
+            .entry(id.clone())
+            .or_insert_with(|| (body.clone(), 0));
         *offers += 1;
         let (same, offers) = (*first == body, *offers);
         kept.changed += u32::from(!same);
--- a/crates/standins/src/search.rs
+++ b/crates/standins/src/search.rs
@@ -5,11 +5,17 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-pub const WORDS: [&str; 8] = ["raga", "tala", "drum", "song", "night", "river", "gold", "road"];
+pub const WORDS: [&str; 8] = [
+    "raga", "tala", "drum", "song", "night", "river", "gold", "road",
+];
 pub const GENRES: [&str; 5] = ["baila", "film", "folk", "jazz", "pop"];
 /// Documents of a shard; later shards have fewer, the last ones hardly any.
 pub fn documents(shard: u32) -> u64 {
-    u64::from(if shard >= 14 { shard - 13 } else { 40 - 2 * shard })
+    u64::from(if shard >= 14 {
+        shard - 13
+    } else {
+        40 - 2 * shard
+    })
 }
 
 fn dice(shard: u32, at: u64, what: u64) -> u64 {
@@ -31,7 +37,11 @@
     });
     if !dice(shard, at, 7).is_multiple_of(4) {
         let plays = dice(shard, at, 8) % 500;
-        fields["plays"] = if shard == 5 { json!(plays.to_string()) } else { json!(plays) };
+        fields["plays"] = if shard == 5 {
+            json!(plays.to_string())
+        } else {
+            json!(plays)
+        };
     }
     (format!("s{shard}-{at}"), fields)
 }
@@ -49,7 +59,9 @@
 }
 
 fn words_of(value: &Value) -> Vec<String> {
-    let text = value.as_str().map_or_else(|| value.to_string(), str::to_string);
+    let text = value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_string);
     text.split_whitespace().map(str::to_lowercase).collect()
 }
 
@@ -58,9 +70,17 @@
     let (kind, body) = query.as_object()?.iter().next()?;
     let boost = body.get("boost").map_or(1.0, number);
     let matches = |field: &str, text: &Value, all: bool| {
-        let (wanted, has) = (words_of(text), document.get(field).map(words_of).unwrap_or_default());
+        let (wanted, has) = (
+            words_of(text),
+            document.get(field).map(words_of).unwrap_or_default(),
+        );
         let found = wanted.iter().filter(|word| has.contains(word)).count();
-        (if all { found == wanted.len() && found > 0 } else { found > 0 }).then_some(found as f64)
+        (if all {
+            found == wanted.len() && found > 0
+        } else {
+            found > 0
+        })
+        .then_some(found as f64)
     };
     match kind.as_str() {
         "match_all" => Some(boost),
@@ -71,7 +91,9 @@
         }
         "multi_match" => {
             let fields = body["fields"].as_array()?.iter().filter_map(Value::as_str);
-            fields.filter_map(|field| matches(field, &body["query"], false)).max_by(f64::total_cmp)
+            fields
+                .filter_map(|field| matches(field, &body["query"], false))
+                .max_by(f64::total_cmp)
         }
         "term" => {
             let (field, value) = told(body, "value");
@@ -79,45 +101,77 @@
         }
         "terms" => {
             let (field, values) = told(body, "");
-            values.as_array()?.contains(document.get(field)?).then_some(1.0)
+            values
+                .as_array()?
+                .contains(document.get(field)?)
+                .then_some(1.0)
         }
         "range" => {
             let (field, bounds) = told(body, "");
             let value = document.get(field)?.as_f64()?;
-            let holds = bounds.as_object()?.iter().all(|(key, bound)| match key.as_str() {
-                "gt" => value > number(bound),
-                "gte" => value >= number(bound),
-                "lt" => value < number(bound),
-                "lte" => value <= number(bound),
-                _ => true,
-            });
+            let holds = bounds
+                .as_object()?
+                .iter()
+                .all(|(key, bound)| match key.as_str() {
+                    "gt" => value > number(bound),
+                    "gte" => value >= number(bound),
+                    "lt" => value < number(bound),
+                    "lte" => value <= number(bound),
+                    _ => true,
+                });
             holds.then(|| bounds.get("boost").map_or(1.0, number))
         }
         "exists" => document.get(body["field"].as_str()?).map(|_| 1.0),
-        "ids" => body["values"].as_array()?.iter().any(|value| value == id).then_some(1.0),
+        "ids" => body["values"]
+            .as_array()?
+            .iter()
+            .any(|value| value == id)
+            .then_some(1.0),
         "prefix" => {
             let (field, value) = told(body, "value");
-            document.get(field)?.as_str()?.starts_with(value.as_str()?).then_some(1.0)
+            document
+                .get(field)?
+                .as_str()?
+                .starts_with(value.as_str()?)
+                .then_some(1.0)
         }
         "bool" => {
-            let clauses = |key: &str| body.get(key).and_then(Value::as_array).cloned().unwrap_or_default();
+            let clauses = |key: &str| {
+                body.get(key)
+                    .and_then(Value::as_array)
+                    .cloned()
+                    .unwrap_or_default()
+            };
             let (must, filter, should) = (clauses("must"), clauses("filter"), clauses("should"));
-            if clauses("must_not").iter().any(|clause| score(clause, id, document).is_some())
-                || filter.iter().any(|clause| score(clause, id, document).is_none())
+            if clauses("must_not")
+                .iter()
+                .any(|clause| score(clause, id, document).is_some())
+                || filter
+                    .iter()
+                    .any(|clause| score(clause, id, document).is_none())
             {
                 return None;
             }
-            let needed: Option<Vec<f64>> = must.iter().map(|clause| score(clause, id, document)).collect();
-            let found: Vec<f64> = should.iter().filter_map(|clause| score(clause, id, document)).collect();
+            let needed: Option<Vec<f64>> = must
+                .iter()
+                .map(|clause| score(clause, id, document))
+                .collect();
+            let found: Vec<f64> = should
+                .iter()
+                .filter_map(|clause| score(clause, id, document))
+                .collect();
             let otherwise = u64::from(must.is_empty() && filter.is_empty() && !should.is_empty());
-            let least = body.get("minimum_should_match").and_then(Value::as_u64).unwrap_or(otherwise);
+            let least = body
+                .get("minimum_should_match")
+                .and_then(Value::as_u64)
+                .unwrap_or(otherwise);
             let sum = needed?.iter().sum::<f64>() + found.iter().sum::<f64>();
             (found.len() as u64 >= least).then_some(sum * boost)
         }
         "constant_score" => score(&body["filter"], id, document).map(|_| boost),
-        "function_score" => {
-            Some(score(&body["query"], id, document)? * body.get("weight").map_or(1.0, number) * boost)
-        }
+        "function_score" => Some(
+            score(&body["query"], id, document)? * body.get("weight").map_or(1.0, number) * boost,
+        ),
         _ => None,
     }
 }
@@ -169,12 +223,20 @@
 
 fn ranked(keys: &[(String, bool)], a: &Found, b: &Found) -> Ordering {
     let by_keys = || {
-        let each =
-            keys.iter().enumerate().map(|(i, (_, falling))| in_order(&a.sort[i], &b.sort[i], *falling));
+        let each = keys
+            .iter()
+            .enumerate()
+            .map(|(i, (_, falling))| in_order(&a.sort[i], &b.sort[i], *falling));
         each.fold(Ordering::Equal, Ordering::then)
     };
-    let first = if keys.is_empty() { b.score.total_cmp(&a.score) } else { by_keys() };
-    first.then_with(|| a.shard.cmp(&b.shard)).then_with(|| a.id.cmp(&b.id))
+    let first = if keys.is_empty() {
+        b.score.total_cmp(&a.score)
+    } else {
+        by_keys()
+    };
+    first
+        .then_with(|| a.shard.cmp(&b.shard))
+        .then_with(|| a.id.cmp(&b.id))
 }
 
 /// All documents of `shards` that fit, in their order, without regard to pages.
@@ -185,10 +247,14 @@
     for shard in shards {
         for at in 0..documents(*shard) {
             let (id, source) = document(*shard, at);
-            let Some(score) = score(search.get("query").unwrap_or(&everything), &id, &source) else {
+            let Some(score) = score(search.get("query").unwrap_or(&everything), &id, &source)
+            else {
                 continue;
             };
-            if search.get("min_score").is_some_and(|least| score < number(least)) {
+            if search
+                .get("min_score")
+                .is_some_and(|least| score < number(least))
+            {
                 continue;
             }
             let value = |(field, _): &(String, bool)| match field.as_str() {
@@ -196,7 +262,13 @@
                 field => source.get(field).cloned().unwrap_or(Value::Null),
             };
             let sort = keys.iter().map(value).collect();
-            found.push(Found { shard: *shard, id, score, sort, source });
+            found.push(Found {
+                shard: *shard,
+                id,
+                score,
+                sort,
+                source,
+            });
         }
     }
     found.sort_by(|a, b| ranked(&keys, a, b));
@@ -214,9 +286,16 @@
             order.fold(Ordering::Equal, Ordering::then) == Ordering::Greater
         }
     };
-    let count =
-        |key: &str, otherwise: u64| search.get(key).and_then(Value::as_u64).unwrap_or(otherwise) as usize;
-    found.iter().filter(after).skip(count("from", 0)).take(count("size", 10)).cloned().collect()
+    let count = |key: &str, otherwise: u64| {
+        search.get(key).and_then(Value::as_u64).unwrap_or(otherwise) as usize
+    };
+    found
+        .iter()
+        .filter(after)
+        .skip(count("from", 0))
+        .take(count("size", 10))
+        .cloned()
+        .collect()
 }
 
 /// One aggregation over documents; terms without their bounds.
@@ -228,8 +307,10 @@
     let values: Vec<&Value> = found.iter().filter_map(|it| it.source.get(field)).collect();
     let numbers: Vec<f64> = values.iter().filter_map(|value| value.as_f64()).collect();
     let sum: f64 = numbers.iter().sum();
-    let (least, most) =
-        (numbers.iter().copied().min_by(f64::total_cmp), numbers.iter().copied().max_by(f64::total_cmp));
+    let (least, most) = (
+        numbers.iter().copied().min_by(f64::total_cmp),
+        numbers.iter().copied().max_by(f64::total_cmp),
+    );
     let average = (!numbers.is_empty()).then(|| sum / numbers.len() as f64);
     let buckets = |keys: Vec<Value>| {
         let mut counts: BTreeMap<String, (Value, u64)> = BTreeMap::new();
@@ -239,7 +320,9 @@
         counts.into_values().collect::<Vec<_>>()
     };
     let shown = |all: &[(Value, u64)]| -> Value {
-        all.iter().map(|(key, count)| json!({"key": key, "doc_count": count})).collect()
+        all.iter()
+            .map(|(key, count)| json!({"key": key, "doc_count": count}))
+            .collect()
     };
     match kind.as_str() {
         "min" => json!({"value": least}),
@@ -247,7 +330,9 @@
         "sum" => json!({"value": sum}),
         "avg" => json!({"value": average}),
         "value_count" => json!({"value": values.len()}),
-        "stats" => json!({"count": numbers.len(), "min": least, "max": most, "avg": average, "sum": sum}),
+        "stats" => {
+            json!({"count": numbers.len(), "min": least, "max": most, "avg": average, "sum": sum})
+        }
         "terms" => {
             let mut all = buckets(values.into_iter().cloned().collect());
             all.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| in_order(&a.0, &b.0, false)));
@@ -314,7 +399,8 @@
     let found = all(search, &[shard]);
     let sorted = search.get("sort").is_some();
     let hit = |it: &Found| {
-        let mut hit = json!({"_id": it.id, "_score": if sorted { Value::Null } else { json!(it.score) }});
+        let mut hit =
+            json!({"_id": it.id, "_score": if sorted { Value::Null } else { json!(it.score) }});
         if search.get("_source") != Some(&json!(false)) {
             hit["_source"] = it.source.clone();
         }
@@ -325,7 +411,12 @@
     };
     let hits: Vec<Value> = page(search, &found).iter().map(hit).collect();
     let mut aggregations = Map::new();
-    for (name, aggregation) in search.get("aggs").and_then(Value::as_object).into_iter().flatten() {
+    for (name, aggregation) in search
+        .get("aggs")
+        .and_then(Value::as_object)
+        .into_iter()
+        .flatten()
+    {
         aggregations.insert(name.clone(), aggregate(aggregation, &found));
     }
     json!({"took": 1, "timed_out": false, "hits": {"total": {"value": found.len(), "relation": "eq"}, "hits": hits},
--- a/crates/standins/tests/descriptors.rs
+++ b/crates/standins/tests/descriptors.rs
@@ -18,7 +18,9 @@
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
 fn held(process: u32) -> usize {
-    std::fs::read_dir(format!("/proc/{process}/fd")).unwrap().count()
+    std::fs::read_dir(format!("/proc/{process}/fd"))
+        .unwrap()
+        .count()
 }
 
 /// A client that is served once, if it is let in, and then rests.
@@ -32,7 +34,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn idle_clients_that_fill_the_descriptors_do_not_cost_the_watch_its_place() {
     let folder = tempfile::tempdir().unwrap();
-    let plan = Plan { seed: 29, fleet: 300, sockets: DESCRIPTORS, slots: 32, ..Plan::default() };
+    let plan = Plan {
+        seed: 29,
+        fleet: 300,
+        sockets: DESCRIPTORS,
+        slots: 32,
+        ..Plan::default()
+    };
     let mut it = Installation::start(folder.path(), plan).await.unwrap();
     let load = Load::start(&it);
     sleep(MS(300)).await;
@@ -49,13 +57,21 @@
         for mixer in &it.mixers {
             let held = held(mixer.process.as_ref().unwrap().id());
             assert!(held <= DESCRIPTORS, "{held} descriptors");
-            assert!(round > 0 || held > DESCRIPTORS / 3, "the clients are there: {held}");
+            assert!(
+                round > 0 || held > DESCRIPTORS / 3,
+                "the clients are there: {held}"
+            );
         }
     }
     let leaving = it.drain_zone(0);
     it.discovery.set_down(false);
     sleep(GRACE + SLACK).await;
-    let parts = || -> u64 { leaving.iter().map(|seen| seen.parts.load(Ordering::SeqCst)).sum() };
+    let parts = || -> u64 {
+        leaving
+            .iter()
+            .map(|seen| seen.parts.load(Ordering::SeqCst))
+            .sum()
+    };
     let (before, all) = (parts(), it.parts_seen());
     for mixer in &it.mixers {
         for _ in 0..10 {
@@ -64,14 +80,24 @@
     }
     sleep(MS(800)).await;
     assert_eq!(parts() - before, 0, "parts came to servers that leave");
-    assert!(it.parts_seen() > all + 100, "the others are asked meanwhile");
+    assert!(
+        it.parts_seen() > all + 100,
+        "the others are asked meanwhile"
+    );
     for mixer in &it.mixers {
         let log = std::fs::read_to_string(&mixer.log).unwrap();
-        assert!(!log.contains("Too many open files"), "{}: {log}", mixer.name);
+        assert!(
+            !log.contains("Too many open files"),
+            "{}: {log}",
+            mixer.name
+        );
     }
     for at in 0..it.mixers.len() {
         load.serving[at].store(false, Ordering::SeqCst);
-        assert!(tokio::task::block_in_place(|| it.stop_mixer(at, MS(6_000))), "mixer {at} ends well");
+        assert!(
+            tokio::task::block_in_place(|| it.stop_mixer(at, MS(6_000))),
+            "mixer {at} ends well"
+        );
     }
     drop(idle);
     load.end().await.check(500, 80);
--- a/crates/standins/tests/load/mod.rs
+++ b/crates/standins/tests/load/mod.rs
@@ -17,7 +17,10 @@
 type Tally = BTreeMap<&'static str, u64>;
 
 async fn client(
-    number: usize, mixers: Vec<SocketAddr>, serving: Arc<Vec<AtomicBool>>, over: Arc<AtomicBool>,
+    number: usize,
+    mixers: Vec<SocketAddr>,
+    serving: Arc<Vec<AtomicBool>>,
+    over: Arc<AtomicBool>,
     tally: Arc<Mutex<Tally>>,
 ) {
     for n in 0..MOST_TRIES {
@@ -57,7 +60,11 @@
             Got::Lost => "lost",
             Got::TimedOut => "timed out",
         };
-        *tally.lock().unwrap_or_else(PoisonError::into_inner).entry(ended).or_default() += 1;
+        *tally
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .entry(ended)
+            .or_default() += 1;
         tokio::time::sleep(Duration::from_millis(4)).await;
     }
 }
@@ -76,16 +83,29 @@
 
 impl Load {
     pub fn start(installation: &Installation) -> Load {
-        let mixers: Vec<SocketAddr> = installation.mixers.iter().map(|mixer| mixer.address).collect();
-        let serving: Arc<Vec<AtomicBool>> = Arc::new(mixers.iter().map(|_| AtomicBool::new(true)).collect());
-        let (over, tally) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Tally::new())));
+        let mixers: Vec<SocketAddr> = installation
+            .mixers
+            .iter()
+            .map(|mixer| mixer.address)
+            .collect();
+        let serving: Arc<Vec<AtomicBool>> =
+            Arc::new(mixers.iter().map(|_| AtomicBool::new(true)).collect());
+        let (over, tally) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(Mutex::new(Tally::new())),
+        );
         let clients = (0..CLIENTS)
             .map(|number| {
                 let shared = (serving.clone(), over.clone(), tally.clone());
                 tokio::spawn(client(number, mixers.clone(), shared.0, shared.1, shared.2))
             })
             .collect();
-        Load { serving, over, tally, clients }
+        Load {
+            serving,
+            over,
+            tally,
+            clients,
+        }
     }
 
     pub async fn end(self) -> Tries {
@@ -93,7 +113,11 @@
         for client in self.clients {
             client.await.unwrap();
         }
-        let tally = self.tally.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let tally = self
+            .tally
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone();
         Tries(tally)
     }
 }
@@ -105,9 +129,19 @@
         let tries: u64 = self.0.values().sum();
         let said = format!("{tries} tries: {:?}", self.0);
         eprintln!("{said}");
-        assert!(tries >= least, "the clients asked throughout the change: {said}");
-        assert_eq!(count("lost") + count("timed out"), 0, "every try got its one final answer: {said}");
+        assert!(
+            tries >= least,
+            "the clients asked throughout the change: {said}"
+        );
+        assert_eq!(
+            count("lost") + count("timed out"),
+            0,
+            "every try got its one final answer: {said}"
+        );
         let served = count("whole") + count("partial");
-        assert!(served * 100 >= tries * hundredths, "nearly all were served through the change: {said}");
+        assert!(
+            served * 100 >= tries * hundredths,
+            "nearly all were served through the change: {said}"
+        );
     }
 }
--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -53,7 +53,7 @@
     ("crates/mixer/src/routing", r"SILENT: Duration = Duration::from_secs\(3\)", "silence is noticed after 3 s"),
     ("crates/mixer/src/routing", r"PUSHED_ANSWER: Duration = Duration::from_secs\(1\)", "a new watch is given 1 s"),
     ("crates/mixer/src/routing", r"Effect::Watch \{ address, from \}", "a reload opens the watch anew"),
-    ("crates/mixer/src/config.rs", r'"settings", self\.site != next\.site', "settings wait for a restart"),
+    ("crates/mixer/src/config.rs", r'"settings",\s+self\.site != next\.site', "settings wait for a restart"),
     ("crates/mixer/src/settings.rs", r"OPEN_CAP: usize = 4096", "4,096 queries and parts may be open"),
     ("crates/mixer/src/transport/pool.rs", r"BUFFER: usize = 16 \* 1024", "a connection holds two of 16 KiB"),
     ("crates/decisions/src", r"FADE\w*: f64 = 5\.0", "what was learned fades over five targets"),
