--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -70,7 +70,7 @@
         };
         let mut actions = Vec::new();
         let done = catch_unwind(AssertUnwindSafe(|| {
-            instance.handle(batch.clock, events, &mut actions)
+            instance.process_batch(batch.clock, events, &mut actions)
         }));
         match done {
             Ok(()) => actions
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -1,6 +1,8 @@
 //! The layout of batches and replies, byte by byte.
 
-use cottonhill_decisions::interface::*;
+use cottonhill_decisions::{
+    Action, Endpoint, EndpointStatus, EndpointUpdateKind, Event, LoadReport, Outcome, ReplicaId,
+};
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read};
 
@@ -9,7 +11,7 @@
 const ACTION: usize = 32;
 const ENTRY: usize = 25;
 
-pub type Roster = Vec<Member>;
+pub type Roster = Vec<Endpoint>;
 
 /// One frame from the simulator: its records and its tail.
 pub struct Batch {
@@ -105,10 +107,10 @@
         Ok(match self.u16(at) {
             0 => Outcome::Ok,
             255 => Outcome::Error,
-            254 => Outcome::Refused,
+            254 => Outcome::Rejected,
             253 => Outcome::TimedOut,
-            252 => Outcome::Unreachable,
-            251 => Outcome::Broken,
+            252 => Outcome::ConnectFailed,
+            251 => Outcome::ConnectionReset,
             250 => Outcome::Cancelled,
             249 => Outcome::NotSent,
             other => return Err(format!("unknown outcome {other}")),
@@ -138,8 +140,8 @@
         if record.u8(0) == 3 {
             let bytes = (record.u32(9) as usize).saturating_mul(ENTRY);
             let bytes = slice(&batch.tail, record.u32(5), bytes).map_err(place)?;
-            let members: Result<Roster, String> = bytes.chunks_exact(ENTRY).map(member).collect();
-            rosters.insert(record.u32(1), members.map_err(place)?);
+            let endpoints: Result<Roster, String> = bytes.chunks_exact(ENTRY).map(member).collect();
+            rosters.insert(record.u32(1), endpoints.map_err(place)?);
         } else {
             found.push((
                 record.u16(1),
@@ -150,21 +152,21 @@
     Ok(found)
 }
 
-fn member(bytes: &[u8]) -> Result<Member, String> {
+fn member(bytes: &[u8]) -> Result<Endpoint, String> {
     let entry = Fields(bytes);
-    let standing = match entry.u8(24) {
-        0 => Standing::Gone,
-        1 => Standing::Ready,
-        2 => Standing::Draining,
+    let status = match entry.u8(24) {
+        0 => EndpointStatus::Gone,
+        1 => EndpointStatus::Ready,
+        2 => EndpointStatus::Draining,
         other => return Err(format!("unknown standing {other} of a replica")),
     };
     let (cell, zone, started) = (entry.u16(0), entry.u16(8), entry.u64(14));
-    Ok(Member {
+    Ok(Endpoint {
         replica: entry.replica(2),
         cell,
         zone,
         started,
-        standing,
+        status,
     })
 }
 
@@ -180,15 +182,15 @@
             });
         }
         4 => return Ok(Input::Stop),
-        2 => Event::Began {
+        2 => Event::StreamStarted {
             part: record.u64(3),
             attempt: record.u8(17),
             replica: record.replica(11),
         },
-        5 => Event::Timer {
+        5 => Event::TimerFired {
             token: record.u64(3),
         },
-        6 => Event::Ended {
+        6 => Event::AttemptEnded {
             part: record.u64(3),
             attempt: record.u8(11),
             replica: record.replica(12),
@@ -199,13 +201,13 @@
         8 => list(record, rosters)?,
         9 => {
             let bytes = slice(tail, record.u32(7), record.u32(11) as usize)?.to_vec();
-            Event::Message {
+            Event::DatagramReceived {
                 from: record.u32(3),
                 bytes,
             }
         }
-        10 => Event::ClientGone { id: record.u64(3) },
-        11 => Event::Probed {
+        10 => Event::ClientDisconnected { id: record.u64(3) },
+        11 => Event::ProbeEnded {
             replica: record.replica(13),
             outcome: record.outcome(3)?,
             latency: record.u64(5),
@@ -219,44 +221,44 @@
 fn arrival(record: &Fields) -> Event {
     let (id, group, shard) = (record.u64(3), record.f32(33) as u32, record.f32(11));
     if shard >= 0.0 {
-        return Event::Part {
+        return Event::PartReceived {
             id,
             group,
             shard: shard as u32,
             weight: f64::from(record.f32(50)),
         };
     }
-    Event::Query {
+    Event::QueryReceived {
         id,
         group,
         class: record.u16(31),
         tenant: record.u32(37),
-        patience: record.u64(15),
-        lag: 0,
+        client_timeout: record.u64(15),
+        network_delay: 0,
         work: (record.u8(49) & 1 != 0).then(|| record.u64(23)),
-        repeat: record.u8(49) & 2 != 0,
+        client_retry: record.u8(49) & 2 != 0,
     }
 }
 
 fn list(record: &Fields, rosters: &BTreeMap<u32, Roster>) -> Result<Event, String> {
     let kind = match record.u8(15) {
-        0 => ListKind::Changes,
-        1 => ListKind::Full,
-        2 => ListKind::Remembered,
+        0 => EndpointUpdateKind::Delta,
+        1 => EndpointUpdateKind::Snapshot,
+        2 => EndpointUpdateKind::CachedSnapshot,
         3 => {
-            return Ok(Event::List {
-                kind: ListKind::Failed,
-                members: Vec::new(),
+            return Ok(Event::EndpointsUpdated {
+                kind: EndpointUpdateKind::RequestFailed,
+                endpoints: Vec::new(),
             })
         }
         other => return Err(format!("unknown scope {other} of a list")),
     };
     let number = record.u32(3);
-    let members = rosters
+    let endpoints = rosters
         .get(&number)
         .cloned()
         .ok_or(format!("list {number} was never sent"))?;
-    Ok(Event::List { kind, members })
+    Ok(Event::EndpointsUpdated { kind, endpoints })
 }
 
 /// A reply in the making.
@@ -315,7 +317,7 @@
         Action::Send {
             part,
             replica,
-            until,
+            expires_at,
         } => {
             reply.record(
                 1,
@@ -323,27 +325,30 @@
                 &[
                     &part.to_le_bytes(),
                     &address(*replica),
-                    &until.to_le_bytes(),
+                    &expires_at.to_le_bytes(),
                 ],
             );
         }
-        Action::Refuse { query, come_back } => {
+        Action::Reject { query, retry_after } => {
             reply.record(
                 2,
                 who,
-                &[&query.to_le_bytes(), &come_back.unwrap_or(0).to_le_bytes()],
+                &[
+                    &query.to_le_bytes(),
+                    &retry_after.unwrap_or(0).to_le_bytes(),
+                ],
             );
         }
         Action::Fail { query } => reply.record(3, who, &[&query.to_le_bytes()]),
         Action::Cancel { part, attempt } => {
             reply.record(4, who, &[&part.to_le_bytes(), &[*attempt]])
         }
-        Action::Wake { token, after } => {
-            reply.record(5, who, &[&token.to_le_bytes(), &after.to_le_bytes()]);
+        Action::SetTimer { token, delay } => {
+            reply.record(5, who, &[&token.to_le_bytes(), &delay.to_le_bytes()]);
         }
         Action::Probe { replica } => reply.record(6, who, &[&address(*replica)]),
-        Action::CloseIdle { replica } => reply.record(7, who, &[&address(*replica)]),
-        Action::Tell { to, bytes } => {
+        Action::CloseIdleConnections { replica } => reply.record(7, who, &[&address(*replica)]),
+        Action::SendDatagram { to, bytes } => {
             let bytes = reply.keep(bytes);
             reply.record(8, who, &[&to.unwrap_or(u32::MAX).to_le_bytes(), &bytes]);
         }
@@ -351,10 +356,10 @@
             let text = reply.keep(text.as_bytes());
             reply.record(9, who, &[&text]);
         }
-        Action::Subscribe { on } => reply.record(11, who, &[&[u8::from(*on)]]),
-        Action::FetchList => reply.record(12, who, &[]),
-        Action::Answer { query, whole } => {
-            reply.record(13, who, &[&query.to_le_bytes(), &[u8::from(*whole)]]);
+        Action::SubscribeEndpoints { enabled } => reply.record(11, who, &[&[u8::from(*enabled)]]),
+        Action::FetchEndpoints => reply.record(12, who, &[]),
+        Action::Answer { query, complete } => {
+            reply.record(13, who, &[&query.to_le_bytes(), &[u8::from(*complete)]]);
         }
     }
 }
--- a/crates/decisions/src/coordinator/admission.rs
+++ b/crates/decisions/src/coordinator/admission.rs
@@ -1,9 +1,9 @@
 //! Admission: whether a query is served, and load shedding.
 
 use super::{Coordinator, SMOOTHING_ALL};
-use crate::interface::*;
 use crate::query::{Part, Query};
 use crate::replica_table::Replica;
+use crate::{Action, RequestId};
 
 /// Share of the time left to the target past which a query's slowest part has it refused.
 const REFUSE_AT: f64 = 0.5;
@@ -61,16 +61,19 @@
             .all_latencies
             .mean()
             .unwrap_or(0.0)
-            .min(REFUSE_AT * class.aim as f64);
-        if query.past_target && class.late_worth <= 0.0 || query.gives_up_early || left < usual {
+            .min(REFUSE_AT * class.latency_objective as f64);
+        if query.past_target && class.late_weight_fraction <= 0.0
+            || query.gives_up_early
+            || left < usual
+        {
             return true;
         }
-        let least = class.floor.min(class.need);
+        let least = class.minimum_coverage.min(class.completeness_threshold);
         let slow: Vec<usize> = (0..query.parts.len())
             .filter(|i| self.best_latency(&query.parts[*i]) > limit)
             .collect();
         let left = 1.0 - slow.iter().map(|i| query.parts[*i].weight).sum::<f64>();
-        if left + 1e-4 >= least && least < class.need {
+        if left + 1e-4 >= least && least < class.completeness_threshold {
             slow.into_iter().for_each(|i| query.parts[i].dropped = true);
         }
         left + 1e-4 < least
@@ -78,7 +81,9 @@
 
     /// Worth of a part against the usual: queries that earn much for little work may wait in longer queues.
     fn worth_density(&mut self, query: &Query) -> f64 {
-        let worth = self.settings.classes[query.class].worth.unwrap_or(1.0);
+        let worth = self.settings.classes[query.class]
+            .priority_weight
+            .unwrap_or(1.0);
         let own = worth / query.parts.len().max(1) as f64;
         let usual = self.usual_worth_density.add(own, SMOOTHING_ALL);
         (own / usual.max(f64::MIN_POSITIVE)).clamp(DENSITY_LEAST, DENSITY_MOST)
--- a/crates/decisions/src/coordinator/answering.rs
+++ b/crates/decisions/src/coordinator/answering.rs
@@ -3,8 +3,8 @@
 use super::admission::SHED_ON_LOSS;
 use super::retries::COPY_DELAY_LEAST;
 use super::{Coordinator, LATE_AT};
-use crate::interface::*;
 use crate::query::{Part, Query};
+use crate::{Action, Idempotency, Nanos, ReplicaId, RequestId};
 use std::collections::BTreeSet;
 
 /// Timer intervals kept free before a moment that must not be missed.
@@ -25,22 +25,25 @@
         let open = |p: &&Part| !p.landed && !p.dropped && self.may_be_answered(p, &query);
         let open: Vec<f64> = query.in_step().filter(open).map(|p| p.weight).collect();
         let waiting = !open.is_empty();
-        let (need, floor) = (class.need, class.floor.min(class.need));
+        let (need, floor) = (
+            class.completeness_threshold,
+            class.minimum_coverage.min(class.completeness_threshold),
+        );
         let least = if floor < need || query.step == 1 {
             floor
         } else {
             1.0
         };
-        let whole = if query.step == 1 {
+        let complete = if query.step == 1 {
             all_in || landed + 1e-6 >= need
         } else {
             all_in && query.first_whole
         };
-        let enough = whole || landed > 0.0 && landed + 1e-6 >= least;
+        let enough = complete || landed > 0.0 && landed + 1e-6 >= least;
         let begun = query.in_step().next().is_some();
         let end = self.answer_time(&query);
-        if begun && enough && (whole || all_in || !waiting || self.now >= end) {
-            return self.answer(query, whole, actions);
+        if begun && enough && (complete || all_in || !waiting || self.now >= end) {
+            return self.answer(query, complete, actions);
         }
         let crashes = Self::crashes_replicas(&query);
         let idle = query.parts.iter().all(|p| !p.is_out());
@@ -65,16 +68,16 @@
         self.queries.put_back(query, due);
     }
 
-    fn answer(&mut self, mut query: Query, whole: bool, actions: &mut Vec<Action>) {
+    fn answer(&mut self, mut query: Query, complete: bool, actions: &mut Vec<Action>) {
         actions.push(Action::Answer {
             query: query.id,
-            whole,
+            complete,
         });
         if query.step < self.steps_of(&query) as u8 {
             self.withdraw(&mut query, actions);
             query.step = 2;
             query.step_began = self.now;
-            query.first_whole = whole;
+            query.first_whole = complete;
             self.keep(query);
         } else {
             self.close(query, actions);
@@ -89,13 +92,13 @@
             .iter()
             .flat_map(|p| &p.attempts)
             .any(|a| !a.never_ran);
-        if class.effect == Effect::Unsafe && may_have_run {
+        if class.idempotency == Idempotency::NonIdempotent && may_have_run {
             actions.push(Action::Fail { query: query.id });
         } else {
-            let advice = Some(self.settings.longest_retry_advice).filter(|longest| *longest > 0);
-            actions.push(Action::Refuse {
+            let advice = Some(self.settings.max_retry_after).filter(|longest| *longest > 0);
+            actions.push(Action::Reject {
                 query: query.id,
-                come_back: advice,
+                retry_after: advice,
             });
         }
         self.close(query, actions);
@@ -109,7 +112,7 @@
 
     fn withdraw(&self, query: &mut Query, actions: &mut Vec<Action>) {
         for part in &mut query.parts {
-            part.withdraw(self.settings.may_cancel, actions);
+            part.withdraw(self.settings.cancellation_enabled, actions);
         }
     }
 
@@ -158,7 +161,8 @@
     /// When the query is answered from what is in, if that is enough.
     fn answer_time(&self, query: &Query) -> Nanos {
         let class = &self.settings.classes[query.class];
-        let late_earns = class.late_worth > class.partial_earns * query.landed() / class.need;
+        let late_earns = class.late_weight_fraction
+            > class.partial_answer_value * query.landed() / class.completeness_threshold;
         if late_earns {
             self.last_moment(query)
         } else {
@@ -168,7 +172,7 @@
 
     /// When the query is given up if it is not answered.
     fn give_up_time(&self, query: &Query) -> Nanos {
-        let late_worth = self.settings.classes[query.class].late_worth;
+        let late_worth = self.settings.classes[query.class].late_weight_fraction;
         let target = query.target.saturating_sub(self.timing.timer_interval);
         self.last_moment(query)
             .min(if late_worth > 0.0 { Nanos::MAX } else { target })
--- a/crates/decisions/src/coordinator/cutoff.rs
+++ b/crates/decisions/src/coordinator/cutoff.rs
@@ -1,8 +1,8 @@
 //! Under pressure, light parts are left out.
 
 use super::{Coordinator, SECOND};
-use crate::interface::*;
 use crate::query::Query;
+use crate::Nanos;
 
 /// Share of a step's weight: as far as the cutoff climbs (the design's v / n, 50 of 400 documents).
 const CUTOFF_TOP: f64 = 0.125;
@@ -19,7 +19,7 @@
     /// The design's cutoff: parts lighter than it stay unsent, lightest first, never below the class's floor.
     /// Each step lets go a share of what may go, or one bad second would take a hundred light parts at once.
     pub(super) fn leave_out_light_parts(&self, query: &mut Query) {
-        let floor = self.settings.classes[query.class].floor;
+        let floor = self.settings.classes[query.class].minimum_coverage;
         if self.cutoff <= 0.0 || floor >= 1.0 {
             return;
         }
--- a/crates/decisions/src/coordinator/events.rs
+++ b/crates/decisions/src/coordinator/events.rs
@@ -3,9 +3,12 @@
 use super::admission::{SHED_DECAY, SHED_ON_REFUSAL};
 use super::health::FADE_TARGETS;
 use super::{Coordinator, SECOND};
-use crate::interface::*;
 use crate::query::Query;
 use crate::replica_table::{Connection, Slot};
+use crate::{
+    Action, DiscoveryMode, Endpoint, EndpointUpdateKind, Event, Nanos, Outcome, ReplicaId,
+    RequestId,
+};
 use std::collections::BTreeSet;
 
 /// Share of a class's target latency by which two client timeouts may differ and count as the same: one in so many.
@@ -26,9 +29,9 @@
         actions: &mut Vec<Action>,
     ) {
         match event {
-            Event::List { kind, members } => self.take_list(*kind, members),
-            Event::Query { .. } => self.take_query(event),
-            Event::Part {
+            Event::EndpointsUpdated { kind, endpoints } => self.take_list(*kind, endpoints),
+            Event::QueryReceived { .. } => self.take_query(event),
+            Event::PartReceived {
                 id,
                 group,
                 shard,
@@ -42,26 +45,26 @@
                 };
                 with_new_parts.extend(self.queries.add_part(*id, *group, *shard, weight));
             }
-            Event::Ended {
+            Event::AttemptEnded {
                 part,
                 attempt,
                 outcome,
                 ..
             } => self.take_outcome(*part, *attempt, *outcome),
-            Event::ClientGone { id } => {
+            Event::ClientDisconnected { id } => {
                 if let Some(query) = self.queries.take(*id) {
                     self.close(query, actions);
                     with_new_parts.remove(id);
                 }
             }
-            Event::Began { replica, .. } => self.take_probe(*replica, Outcome::Ok, 0),
-            Event::Probed {
+            Event::StreamStarted { replica, .. } => self.take_probe(*replica, Outcome::Ok, 0),
+            Event::ProbeEnded {
                 replica,
                 outcome,
                 latency,
                 ..
             } => self.take_probe(*replica, *outcome, *latency),
-            Event::Timer { .. } | Event::Message { .. } => {}
+            Event::TimerFired { .. } | Event::DatagramReceived { .. } => {}
         }
     }
 
@@ -71,7 +74,7 @@
             return;
         };
         match outcome {
-            Outcome::TimedOut | Outcome::Unreachable | Outcome::Broken => {
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionReset => {
                 self.note_outcome(
                     slot,
                     self.now.saturating_sub(latency),
@@ -84,16 +87,17 @@
         }
     }
 
-    fn take_list(&mut self, kind: ListKind, members: &[Member]) {
-        if kind == ListKind::Failed {
+    fn take_list(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
+        if kind == EndpointUpdateKind::RequestFailed {
             return self.schedule_list_request();
         }
-        self.list_requests_failed = if kind == ListKind::Remembered {
+        self.list_requests_failed = if kind == EndpointUpdateKind::CachedSnapshot {
             self.list_requests_failed
         } else {
             0
         };
-        self.replicas.list(members, kind != ListKind::Changes);
+        self.replicas
+            .list(endpoints, kind != EndpointUpdateKind::Delta);
         let faded = (FADE_TARGETS * self.timing.shortest_target) as Nanos;
         self.replicas.forget_gone(self.now.saturating_sub(faded));
     }
@@ -101,11 +105,11 @@
     /// The list is one service for all: those that fail and ask again at once keep it so busy that most never
     /// get an answer, and go on without the list. Each waits, at a moment of its own, longer each time.
     fn schedule_list_request(&mut self) {
-        if self.list_request_at.is_some() || !self.settings.list_on_request {
+        if self.list_request_at.is_some() || self.settings.discovery_mode == DiscoveryMode::Push {
             return;
         }
-        let within =
-            (self.settings.list_within as f64).max(FADE_TARGETS * self.timing.shortest_target);
+        let within = (self.settings.max_list_staleness as f64)
+            .max(FADE_TARGETS * self.timing.shortest_target);
         let most = (LIST_RETRY_FIRST * f64::from(1u32 << self.list_requests_failed.min(16)))
             .min(LIST_RETRY_MOST);
         self.list_request_at =
@@ -114,28 +118,29 @@
     }
 
     fn take_query(&mut self, event: &Event) {
-        let Event::Query {
+        let Event::QueryReceived {
             id,
             group,
             class,
             tenant,
-            patience: timeout,
-            lag,
+            client_timeout: timeout,
+            network_delay,
             work,
-            repeat,
+            client_retry,
         } = *event
         else {
             return;
         };
         self.arrivals.push(self.now);
         let class = class as usize;
-        let spent = self.spent((class, tenant as usize), timeout, repeat);
+        let spent = self.spent((class, tenant as usize), timeout, client_retry);
         let Some(kind) = self.settings.classes.get(class) else {
             return;
         };
-        let stretch = kind.aim_stretch.unwrap_or(0.0) * work.unwrap_or(0) as f64;
+        let stretch = kind.objective_per_expected_work.unwrap_or(0.0) * work.unwrap_or(0) as f64;
         let deadline = self.now + timeout;
-        let target = (self.now + kind.aim + stretch as Nanos).saturating_sub(spent.max(lag));
+        let target = (self.now + kind.latency_objective + stretch as Nanos)
+            .saturating_sub(spent.max(network_delay));
         let query = Query {
             id,
             group,
@@ -147,7 +152,7 @@
                 deadline
             },
             past_target: target <= self.now,
-            gives_up_early: repeat && spent == 0 && timeout < kind.aim,
+            gives_up_early: client_retry && spent == 0 && timeout < kind.latency_objective,
             deadline,
             step: 1,
             step_began: self.now,
@@ -156,18 +161,23 @@
         self.queries.open(query);
     }
 
-    /// How much of its target latency a repeat has spent: its timeout ends with the first try's deadline. First
+    /// How much of its target latency a client_retry has spent: its timeout ends with the first try's deadline. First
     /// tries set by majority what is usual for a class and tenant, so that some clients do not mislead another's.
-    fn spent(&mut self, (class, tenant): (usize, usize), timeout: Nanos, repeat: bool) -> Nanos {
+    fn spent(
+        &mut self,
+        (class, tenant): (usize, usize),
+        timeout: Nanos,
+        client_retry: bool,
+    ) -> Nanos {
         let Some(kind) = self.settings.classes.get(class) else {
             return 0;
         };
-        let tolerance = kind.aim / TIMEOUT_TOLERANCE;
+        let tolerance = kind.latency_objective / TIMEOUT_TOLERANCE;
         let usual = self.client_timeouts.entry((class, tenant)).or_default();
-        if !repeat {
+        if !client_retry {
             usual.vote(timeout, tolerance, TIMEOUT_VOTES);
         }
-        let first_try = self.settings.repeats_marked && !repeat;
+        let first_try = self.settings.client_retries_marked && !client_retry;
         let unspent = first_try || usual.is_like(timeout, tolerance) || !usual.is_known();
         kind.deadline
             .saturating_sub(if unspent { kind.deadline } else { timeout })
@@ -182,7 +192,7 @@
         let slot = self.replicas.slot(attempt.replica);
         let heard = |slot: Slot| self.replicas.at(slot).traffic().heard;
         let known = slot.is_some_and(|slot| self.news_age(heard(slot)) < 1.0);
-        let pressing = known || self.settings.budget.is_some();
+        let pressing = known || self.settings.retry_budget.is_some();
         if let Some(slot) = slot {
             self.note_outcome(slot, attempt.sent, attempt.connection, outcome);
         }
@@ -200,12 +210,12 @@
             self.races_lost += RACE_SMOOTHING * (f64::from(u8::from(first)) - self.races_lost);
         }
         part.landed |= outcome == Outcome::Ok;
-        let bad = outcome == Outcome::Refused || outcome == Outcome::Unreachable && pressing;
+        let bad = outcome == Outcome::Rejected || outcome == Outcome::ConnectFailed && pressing;
         if (part.landed || bad) && !part.counted {
             part.counted = true;
             self.judged.push(self.now, bad);
         }
-        if outcome == Outcome::Refused && number > 0 {
+        if outcome == Outcome::Rejected && number > 0 {
             self.shed_more(SHED_ON_REFUSAL);
         } else if outcome == Outcome::Ok {
             self.shed_share *= 1.0 - SHED_DECAY;
@@ -216,9 +226,9 @@
     pub(super) fn forget_expired(&mut self) {
         let span = self
             .settings
-            .budget
+            .retry_budget
             .as_ref()
-            .map_or(0, |b| b.span)
+            .map_or(0, |b| b.window)
             .max(2 * SECOND);
         let (window, span) = (
             self.now.saturating_sub(SECOND),
--- a/crates/decisions/src/coordinator/health.rs
+++ b/crates/decisions/src/coordinator/health.rs
@@ -1,8 +1,8 @@
 //! Health of replicas: smoothed latency, silence, backoff, probes.
 
 use super::{Coordinator, LATE_AT, SMOOTHING_ALL};
-use crate::interface::*;
 use crate::replica_table::{Connection, Replica, Slot, Traffic};
+use crate::{Action, Nanos, Outcome};
 
 /// Weight of a new sample in a replica's smoothed latency: about the last five answers count.
 const SMOOTHING: f64 = 0.2;
@@ -50,7 +50,7 @@
             age > self.copy_delay(self.timing.shortest_target) && replica.traffic().heard <= sent;
         let full_until = self.now + (FULL_BACKOFF * self.timing.shortest_target) as Nanos;
         let traffic = self.replicas.traffic_mut(slot);
-        if outcome == Outcome::Refused {
+        if outcome == Outcome::Rejected {
             traffic.full_until = full_until;
         }
         if outcome == Outcome::Ok {
@@ -65,7 +65,7 @@
             let weight = if failed { SMOOTHING_FAILED } else { SMOOTHING };
             traffic.latency = Some(faded + weight * (sample - faded));
             traffic.learned = self.now;
-            if failed && !matches!(outcome, Outcome::Error | Outcome::Refused) {
+            if failed && !matches!(outcome, Outcome::Error | Outcome::Rejected) {
                 traffic.lost.push(connection);
             }
         }
@@ -77,8 +77,8 @@
                 self.note_alive(slot);
                 self.note_connection(connection, false);
             }
-            Outcome::Error | Outcome::Refused => self.note_alive(slot),
-            Outcome::Unreachable | Outcome::Broken | Outcome::TimedOut => {
+            Outcome::Error | Outcome::Rejected => self.note_alive(slot),
+            Outcome::ConnectFailed | Outcome::ConnectionReset | Outcome::TimedOut => {
                 self.note_silence(slot, sent)
             }
             Outcome::Cancelled | Outcome::NotSent => {}
@@ -107,7 +107,7 @@
     pub(super) fn probe_silent(&mut self, actions: &mut Vec<Action>) {
         let target = self.timing.shortest_target;
         let too_early = self.news_age(self.last_probed) < 1.0;
-        if !self.settings.may_probe || too_early || !std::mem::take(&mut self.newly_silent) {
+        if !self.settings.probing_enabled || too_early || !std::mem::take(&mut self.newly_silent) {
             return;
         }
         if self.replicas.suspected_and_ready() as f64 >= PROBE_SHARE * self.replicas.ready() as f64
--- a/crates/decisions/src/coordinator/mod.rs
+++ b/crates/decisions/src/coordinator/mod.rs
@@ -11,13 +11,13 @@
 mod replica_choice;
 mod retries;
 
-use crate::interface::*;
 use crate::judged_parts::JudgedParts;
 use crate::open_queries::OpenQueries;
 use crate::query::{InFlight, Query};
 use crate::replica_table::ReplicaTable;
 use crate::statistics::{FadingCount, MeanAndDeviation, SmoothedMean, TimeWindow, UsualTimeout};
 use crate::timing::Timing;
+use crate::{Action, DiscoveryMode, Event, Nanos, RequestId, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The window over which parts are judged, and the cutoff's least time between two steps (design: the last second), ns.
@@ -85,11 +85,11 @@
     /// One that has seen nothing yet; `seed` decides where chance does.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Coordinator {
-            list_request_at: settings.list_on_request.then_some(0),
+            list_request_at: (settings.discovery_mode == DiscoveryMode::Poll).then_some(0),
             replicas: ReplicaTable::new(
                 settings.cells,
-                settings.reach,
-                settings.call_parts.unwrap_or(1),
+                settings.replication_factor,
+                settings.max_parts_per_call.unwrap_or(1),
             ),
             timing: Timing::new(&settings),
             settings,
@@ -100,7 +100,7 @@
     }
 
     /// How much is kept of queries, attempts and replicas.
-    pub fn held(&self) -> usize {
+    pub fn retained_entries(&self) -> usize {
         let open = self.queries.held() + self.in_flight.len();
         open + self.arrivals.len() + self.client_timeouts.len() + self.replicas.len()
     }
@@ -111,18 +111,18 @@
     }
 
     /// How many times a query was advanced so far: a count for tests of scale.
-    pub fn queries_advanced(&self) -> u64 {
+    pub fn queries_processed(&self) -> u64 {
         self.advanced
     }
 
     /// Advances all queries in every batch from now on, due or not: the actions are the same, for tests to compare.
     #[doc(hidden)]
-    pub fn advance_all(&mut self) {
+    pub fn process_all_queries(&mut self) {
         self.advances_all = true;
     }
 
     /// Takes what happened at `now`, in order, and appends what to do about it to `actions`.
-    pub fn handle(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
+    pub fn process_batch(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now;
         self.first_batch = if self.first_batch == 0 {
             now
@@ -131,7 +131,7 @@
         };
         if self.list_request_at.is_some_and(|at| at <= now) {
             self.list_request_at = None;
-            actions.push(Action::Subscribe { on: true });
+            actions.push(Action::SubscribeEndpoints { enabled: true });
         }
         let mut with_new_parts = BTreeSet::new();
         for event in events {
@@ -162,9 +162,9 @@
             next.filter(|next| self.wake_at.is_none_or(|at| at <= now || *next < at))
         {
             self.wake_at = Some(next);
-            actions.push(Action::Wake {
+            actions.push(Action::SetTimer {
                 token: 0,
-                after: next.saturating_sub(now),
+                delay: next.saturating_sub(now),
             });
         }
     }
@@ -179,6 +179,6 @@
 
     /// How many steps the query has.
     fn steps_of(&self, query: &Query) -> u64 {
-        1 + u64::from(self.settings.classes[query.class].second_step > 0)
+        1 + u64::from(self.settings.classes[query.class].second_phase_parts > 0)
     }
 }
--- a/crates/decisions/src/coordinator/replica_choice.rs
+++ b/crates/decisions/src/coordinator/replica_choice.rs
@@ -2,9 +2,9 @@
 
 use super::health::FADE_TARGETS;
 use super::{Coordinator, FIRST_LATENCY, SECOND};
-use crate::interface::*;
 use crate::query::Part;
 use crate::replica_table::{Replica, Slot, Turn};
+use crate::Nanos;
 
 /// Target latencies by which an answer from another zone counts as later, times the stated price of crossing: the
 /// price is the same at any load, so it weighs most where time is plenty.
@@ -31,7 +31,7 @@
             }
             let tried = part.attempts.iter().any(|a| a.replica == id) as u32;
             let rank = 2 * self.suspect(replica) as u32 + tried;
-            let price = self.settings.zone_price
+            let price = self.settings.cross_zone_cost
                 * f64::from(u8::from(replica.zone() != self.settings.zone));
             let queue =
                 self.latency(replica) * f64::from(self.replicas.open_calls(replica, self.now) + 1);
@@ -73,7 +73,7 @@
         if !replica.is_ready() || room == f64::INFINITY {
             return replica.is_ready();
         }
-        let since = self.now.saturating_sub(self.settings.fall_time);
+        let since = self.now.saturating_sub(self.settings.overload_window);
         (replica.traffic().sends.count_from(since) as f64) < room
     }
 
@@ -81,9 +81,9 @@
     /// they all to end at one moment, those of this one and of the next would meet in one such time.
     fn renew_turns(&mut self, shard: u32) {
         let (span, now, cold_time) = (
-            self.settings.fall_time.max(1),
+            self.settings.overload_window.max(1),
             self.now,
-            self.settings.cold_time,
+            self.settings.slow_start_duration,
         );
         let cold = |r: &Replica| r.started() > 0 && now.saturating_sub(r.started()) < cold_time;
         let due = |r: &Replica| cold(r) && now >= r.traffic().turn.since + span;
@@ -111,19 +111,20 @@
         };
         let traffic = replica.traffic();
         let age = self.now.saturating_sub(replica.started());
-        if replica.started() == 0 || age >= self.settings.cold_time {
+        if replica.started() == 0 || age >= self.settings.slow_start_duration {
             return f64::INFINITY;
         }
-        let span = self.settings.fall_time.max(1);
+        let span = self.settings.overload_window.max(1);
         // The sends of a whole such time count, and it bore less at the beginning of that.
         let warmth = from
-            + (1.0 - from) * age.saturating_sub(span / 2) as f64 / self.settings.cold_time as f64;
+            + (1.0 - from) * age.saturating_sub(span / 2) as f64
+                / self.settings.slow_start_duration as f64;
         let ready = self.replicas.ready().max(1);
         let counted = self
             .memory()
-            .min((self.now - self.first_batch).max(self.settings.cold_time) as f64);
-        let mixers = f64::from(self.settings.coordinators.max(1));
-        let announced = self.settings.allowance * self.mean_parts.mean().unwrap_or(0.0)
+            .min((self.now - self.first_batch).max(self.settings.slow_start_duration) as f64);
+        let mixers = f64::from(self.settings.fleet_size.max(1));
+        let announced = self.settings.fleet_rate_limit * self.mean_parts.mean().unwrap_or(0.0)
             / mixers
             / SECOND as f64;
         let answers = traffic.answered > 0 && self.now >= traffic.full_until;
@@ -141,10 +142,12 @@
 
     /// With what share of its capacity a replica starts, and sent how much of it a cold one falls over.
     pub(super) fn slow_start_limits(&self) -> Option<(f64, f64)> {
-        self.settings.cold_from.zip(self.settings.fall_multiple)
+        self.settings
+            .slow_start_initial_capacity
+            .zip(self.settings.overload_multiple)
     }
 
     pub(super) fn memory(&self) -> f64 {
-        COLD_MEMORY * self.settings.cold_time.max(1) as f64
+        COLD_MEMORY * self.settings.slow_start_duration.max(1) as f64
     }
 }
--- a/crates/decisions/src/coordinator/retries.rs
+++ b/crates/decisions/src/coordinator/retries.rs
@@ -1,9 +1,9 @@
 //! Attempts: sending a part, retries of what failed, second copies, their budget, and stale connections.
 
 use super::{Coordinator, FIRST_LATENCY, LATE_AT};
-use crate::interface::*;
 use crate::query::{Attempt, InFlight, Part, Query};
 use crate::replica_table::{Connection, Slot};
+use crate::{Action, Idempotency, Nanos};
 
 /// Deviations above the mean latency past which an attempt is waited for in vain.
 const SLOW_DEVIATIONS: f64 = 4.0;
@@ -29,14 +29,14 @@
 impl Coordinator {
     /// Sends part `i` of the query to the best replica that may have it; false where there is none.
     pub(super) fn send(&mut self, query: &mut Query, i: usize, actions: &mut Vec<Action>) -> bool {
-        let late_worth = self.settings.classes[query.class].late_worth;
-        let until = if late_worth > 0.0 {
+        let late_worth = self.settings.classes[query.class].late_weight_fraction;
+        let expires_at = if late_worth > 0.0 {
             query.deadline
         } else {
             query.target
         };
         let part = &mut query.parts[i];
-        if until <= self.now || !self.may_try(part, query.class) {
+        if expires_at <= self.now || !self.may_try(part, query.class) {
             return false;
         }
         let Some(slot) = self.choose(part) else {
@@ -64,13 +64,13 @@
         );
         self.replicas.open_part(slot, self.now);
         if self.slow_start_limits().is_some() {
-            let window = self.now.saturating_sub(self.settings.fall_time);
+            let window = self.now.saturating_sub(self.settings.overload_window);
             self.replicas.note_send(slot, self.now, window);
         }
         actions.push(Action::Send {
             part: part.id,
             replica: id,
-            until,
+            expires_at,
         });
         true
     }
@@ -78,7 +78,7 @@
     /// On what connection a send goes out. Something on the way may drop a long unused one unseen: while that
     /// shows, it is closed first, so that a new one is opened.
     fn connection(&mut self, slot: Slot, actions: &mut Vec<Action>) -> Connection {
-        let long = (LONG_IDLE * self.settings.idle_time as f64) as Nanos;
+        let long = (LONG_IDLE * self.settings.connection_idle_timeout as f64) as Nanos;
         if long == 0 {
             return Connection::InUse;
         }
@@ -95,7 +95,7 @@
             };
             if unused && self.now < self.renewing_until {
                 traffic.connection = Connection::Renewed;
-                actions.push(Action::CloseIdle { replica: id });
+                actions.push(Action::CloseIdleConnections { replica: id });
             }
         }
         traffic.connection
@@ -103,7 +103,7 @@
 
     /// Where many attempts are lost on unused connections and few on used ones, renewing is tried; where it
     /// does not help, since all are lost alike (hang, cut or slow link), it ends, and is left for as long. A
-    /// loss counts once the replica is heard again: until then it may be dead.
+    /// loss counts once the replica is heard again: expires_at then it may be dead.
     pub(super) fn note_connection(&mut self, connection: Connection, lost: bool) {
         let share = &mut self.lost_shares[connection as usize];
         *share += LOSS_SMOOTHING * (f64::from(u8::from(lost)) - *share);
@@ -133,34 +133,36 @@
                 .attempts
                 .iter()
                 .find(|a| !a.never_ran)
-                .is_none_or(|first| match class.effect {
-                    Effect::Unsafe => false,
-                    Effect::Keyed => self.now <= first.sent + class.repeat_window,
-                    Effect::Safe => true,
+                .is_none_or(|first| match class.idempotency {
+                    Idempotency::NonIdempotent => false,
+                    Idempotency::IdempotencyKey => {
+                        self.now <= first.sent + class.idempotency_window
+                    }
+                    Idempotency::Idempotent => true,
                 })
     }
 
     fn may_try(&self, part: &Part, class: usize) -> bool {
-        let copy_allowed = self.settings.second_copies || !part.is_out();
+        let copy_allowed = self.settings.hedging_enabled || !part.is_out();
         self.may_repeat(part, class)
             && (part.attempts.is_empty() || copy_allowed && self.budget_left(class, self.now))
     }
 
     /// Within a tight budget, classes that need every part come first: others may leave half of it at most.
     pub(super) fn budget_left(&self, class: usize, at: Nanos) -> bool {
-        let Some(budget) = &self.settings.budget else {
+        let Some(budget) = &self.settings.retry_budget else {
             return true;
         };
-        let since = at.saturating_sub(budget.span);
+        let since = at.saturating_sub(budget.window);
         let used = self.further_attempts.count_from(since) as f64;
         let arrived = self.arrivals.count_from(since.saturating_add(1)) as f64;
         let class = &self.settings.classes[class];
-        let part = if class.floor < class.need {
+        let part = if class.minimum_coverage < class.completeness_threshold {
             BUDGET_PARTIAL
         } else {
             1.0
         };
-        used + 1.0 <= part * (budget.floor + budget.share * arrived)
+        used + 1.0 <= part * (budget.minimum + budget.ratio * arrived)
     }
 
     /// Second copies feed an overload: a cap, nearly all gone where they lose races. Open parts count too.
@@ -180,7 +182,7 @@
 
     /// The time that one step of the query has, ns.
     pub(super) fn step_time(&self, query: &Query) -> f64 {
-        self.settings.classes[query.class].aim as f64 / self.steps_of(query) as f64
+        self.settings.classes[query.class].latency_objective as f64 / self.steps_of(query) as f64
     }
 
     /// Judges lateness, and sends again what failed or has been out too long.
@@ -192,7 +194,7 @@
         for i in 0..query.parts.len() {
             let part = &mut query.parts[i];
             if part.landed {
-                part.withdraw(self.settings.may_cancel, actions);
+                part.withdraw(self.settings.cancellation_enabled, actions);
             }
             if part.landed || part.dropped || part.step != query.step {
                 continue;
--- a/crates/decisions/src/due_queue.rs
+++ b/crates/decisions/src/due_queue.rs
@@ -2,7 +2,7 @@
 //!
 //! Finding the ones due costs as much as there are of them, not as all that are open. The queue decides nothing.
 
-use crate::interface::{Nanos, RequestId};
+use crate::{Nanos, RequestId};
 use std::collections::{BTreeSet, HashMap};
 
 /// Deadlines of requests, one each.
--- a/crates/decisions/src/judged_parts.rs
+++ b/crates/decisions/src/judged_parts.rs
@@ -1,6 +1,6 @@
 //! The parts that were judged lately, good or bad, with a running count of the bad ones.
 
-use crate::interface::Nanos;
+use crate::Nanos;
 use std::collections::VecDeque;
 
 /// Verdicts on parts, oldest first.
--- a/crates/decisions/src/open_parts.rs
+++ b/crates/decisions/src/open_parts.rs
@@ -1,7 +1,7 @@
 //! The parts of ours that are out at one replica, and the calls that they share. Its totals are kept as parts go
 //! out and come back, so that a look costs the same however many are out. It decides nothing.
 
-use crate::interface::Nanos;
+use crate::Nanos;
 use std::collections::VecDeque;
 
 /// Parts that were sent to one replica at one time and share its calls.
--- a/crates/decisions/src/open_queries.rs
+++ b/crates/decisions/src/open_queries.rs
@@ -1,8 +1,8 @@
 //! The queries that are open, by id, group and part, and when each is next due. Nothing here decides anything.
 
 use crate::due_queue::DueQueue;
-use crate::interface::{Nanos, RequestId};
 use crate::query::{Part, Query};
+use crate::{Nanos, RequestId};
 use std::collections::BTreeMap;
 
 /// A due time that has always passed.
--- a/crates/decisions/src/query.rs
+++ b/crates/decisions/src/query.rs
@@ -1,7 +1,7 @@
 //! What is kept of an open query, its parts and their attempts. Nothing here decides anything.
 
-use crate::interface::{Action, Nanos, Outcome, ReplicaId, RequestId};
 use crate::replica_table::Connection;
+use crate::{Action, Nanos, Outcome, ReplicaId, RequestId};
 
 /// One attempt of a part at a replica.
 #[derive(Clone, Debug, Default)]
@@ -18,8 +18,8 @@
     /// Takes its end down.
     pub fn end(&mut self, outcome: Outcome) {
         self.out = false;
-        self.broke = outcome == Outcome::Broken;
-        self.never_ran = outcome.never_ran();
+        self.broke = outcome == Outcome::ConnectionReset;
+        self.never_ran = outcome.did_not_execute();
     }
 }
 
--- a/crates/decisions/src/replica_table.rs
+++ b/crates/decisions/src/replica_table.rs
@@ -4,9 +4,9 @@
 //! as much as a shard has holders and a change as much as it has entries, however large the fleet is. It
 //! decides nothing.
 
-use crate::interface::{Member, Nanos, ReplicaId, Standing};
 use crate::open_parts::OpenParts;
 use crate::statistics::{SmoothedMean, TimeWindow};
+use crate::{Endpoint, EndpointStatus, Nanos, ReplicaId};
 use std::borrow::Cow;
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -90,7 +90,7 @@
     traffic: Option<Box<Traffic>>,
     cell: u16,
     zone: u16,
-    standing: Standing,
+    status: EndpointStatus,
     suspected: bool,
     /// It is in the queue of those that may be forgotten.
     expiring: bool,
@@ -114,12 +114,12 @@
         self.cell
     }
 
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn status(&self) -> EndpointStatus {
+        self.status
     }
 
     pub fn is_ready(&self) -> bool {
-        self.standing == Standing::Ready
+        self.status == EndpointStatus::Ready
     }
 
     /// It was silent when it should have answered, and was not heard since.
@@ -294,34 +294,34 @@
     }
 
     /// Takes lines of the list, in order; of a whole list, those that it does not name have gone.
-    pub fn list(&mut self, members: &[Member], whole: bool) {
+    pub fn list(&mut self, endpoints: &[Endpoint], whole: bool) {
         if whole {
             self.replicas
-                .reserve_exact(members.len().saturating_sub(self.replicas.len()));
+                .reserve_exact(endpoints.len().saturating_sub(self.replicas.len()));
             self.slots
-                .reserve(members.len().saturating_sub(self.slots.len()));
+                .reserve(endpoints.len().saturating_sub(self.slots.len()));
         }
         let mut listed = Vec::new();
-        for member in members {
+        for member in endpoints {
             let slot = self.take(member);
             if whole {
                 listed.resize(self.replicas.len(), false);
                 listed[slot.0 as usize] = true;
             }
         }
-        self.visit(members.len());
+        self.visit(endpoints.len());
         if whole {
             self.visit(self.replicas.len());
             listed.resize(self.replicas.len(), false);
             for (slot, _) in listed.iter().enumerate().filter(|(_, listed)| !**listed) {
                 self.change(Slot(slot as u32), |replica| {
-                    replica.standing = Standing::Gone
+                    replica.status = EndpointStatus::Gone
                 });
             }
         }
     }
 
-    fn take(&mut self, member: &Member) -> Slot {
+    fn take(&mut self, member: &Endpoint) -> Slot {
         let slot = self
             .slot(member.replica)
             .unwrap_or_else(|| self.add(member));
@@ -331,8 +331,8 @@
             self.join_cell(slot);
         }
         self.change(slot, |replica| {
-            (replica.zone, replica.standing) = (member.zone, member.standing);
-            if member.standing == Standing::Ready && replica.started != member.started {
+            (replica.zone, replica.status) = (member.zone, member.status);
+            if member.status == EndpointStatus::Ready && replica.started != member.started {
                 replica.restart(member.started);
             }
         });
@@ -341,14 +341,14 @@
     }
 
     /// Adds a replica that counts as gone until its line is taken.
-    fn add(&mut self, member: &Member) -> Slot {
+    fn add(&mut self, member: &Endpoint) -> Slot {
         let replica = Replica {
             id: member.replica,
             started: member.started,
             traffic: None,
             cell: member.cell,
             zone: member.zone,
-            standing: Standing::Gone,
+            status: EndpointStatus::Gone,
             suspected: false,
             expiring: false,
         };
@@ -365,14 +365,14 @@
     /// Changes a replica's standing or suspicion and keeps the counts and the queue of expiry true.
     fn change(&mut self, slot: Slot, change: impl FnOnce(&mut Replica)) {
         let replica = &mut self.replicas[slot.0 as usize];
-        let before = (replica.standing, replica.suspected_and_ready());
+        let before = (replica.status, replica.suspected_and_ready());
         change(replica);
-        let after = (replica.standing, replica.suspected_and_ready());
-        self.ready += usize::from(after.0 == Standing::Ready);
-        self.ready -= usize::from(before.0 == Standing::Ready);
+        let after = (replica.status, replica.suspected_and_ready());
+        self.ready += usize::from(after.0 == EndpointStatus::Ready);
+        self.ready -= usize::from(before.0 == EndpointStatus::Ready);
         self.suspected_and_ready += usize::from(after.1);
         self.suspected_and_ready -= usize::from(before.1);
-        if before.0 != Standing::Gone && after.0 == Standing::Gone {
+        if before.0 != EndpointStatus::Gone && after.0 == EndpointStatus::Gone {
             self.expire_later(slot);
         }
     }
@@ -417,7 +417,7 @@
             self.visit(1);
             let replica = &mut self.replicas[slot.0 as usize];
             replica.expiring = false;
-            if replica.standing != Standing::Gone || !replica.traffic().open.is_empty() {
+            if replica.status != EndpointStatus::Gone || !replica.traffic().open.is_empty() {
                 continue;
             }
             if replica.traffic().learned > faded {
@@ -431,7 +431,8 @@
     /// Puts one that is gone into the queue of expiry, unless it is there.
     fn expire_later(&mut self, slot: Slot) {
         let replica = &mut self.replicas[slot.0 as usize];
-        if replica.standing == Standing::Gone && !std::mem::replace(&mut replica.expiring, true) {
+        if replica.status == EndpointStatus::Gone && !std::mem::replace(&mut replica.expiring, true)
+        {
             self.expiring
                 .push(Reverse((replica.traffic().learned, slot)));
         }
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/statistics.rs
@@ -1,7 +1,7 @@
 //! Running figures: times in a window, a count that fades, a mean with its deviation, what is usual. They decide
 //! nothing.
 
-use crate::interface::Nanos;
+use crate::Nanos;
 use std::collections::VecDeque;
 
 /// Times of the latest events, oldest first.
--- a/crates/decisions/src/timing.rs
+++ b/crates/decisions/src/timing.rs
@@ -1,6 +1,6 @@
 //! Lengths of time that follow from the settings.
 
-use crate::interface::{Nanos, Settings};
+use crate::{Nanos, Settings};
 
 /// The target latency that is assumed where the settings name no class, ns.
 const NO_CLASS: Nanos = 1_000_000_000;
@@ -23,10 +23,12 @@
         let shortest = settings
             .classes
             .iter()
-            .map(|class| class.aim)
+            .map(|class| class.latency_objective)
             .min()
             .unwrap_or(NO_CLASS);
-        let timer_interval = (BATCHES * settings.tick).max(shortest / INTERVALS).max(1);
+        let timer_interval = (BATCHES * settings.batch_interval)
+            .max(shortest / INTERVALS)
+            .max(1);
         Timing {
             shortest_target: shortest as f64,
             timer_interval,
--- a/crates/decisions/tests/due_queries.rs
+++ b/crates/decisions/tests/due_queries.rs
@@ -2,7 +2,7 @@
 
 mod random_events;
 
-use cottonhill_decisions::interface::*;
+use cottonhill_decisions::Action;
 use cottonhill_decisions::Coordinator;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -16,27 +16,31 @@
     let mut script = Script::new(seed);
     let mut normal = Coordinator::new(script.settings(), seed);
     let mut thorough = Coordinator::new(script.settings(), seed);
-    thorough.advance_all();
+    thorough.process_all_queries();
     let (mut actions, mut kinds) = (Vec::new(), BTreeMap::new());
     for batch in 0..BATCHES {
         let (now, events) = script.batch(&actions);
         let mut other = Vec::new();
         actions.clear();
-        normal.handle(now, &events, &mut actions);
-        thorough.handle(now, &events, &mut other);
+        normal.process_batch(now, &events, &mut actions);
+        thorough.process_batch(now, &events, &mut other);
         assert_eq!(
             actions, other,
             "seed {seed}, batch {batch}: due queries only against all queries"
         );
-        assert_eq!(normal.held(), thorough.held(), "seed {seed}, batch {batch}");
+        assert_eq!(
+            normal.retained_entries(),
+            thorough.retained_entries(),
+            "seed {seed}, batch {batch}"
+        );
         for action in &actions {
             *kinds.entry(kind(action)).or_default() += 1;
         }
     }
     (
         kinds,
-        normal.queries_advanced(),
-        thorough.queries_advanced(),
+        normal.queries_processed(),
+        thorough.queries_processed(),
     )
 }
 
@@ -44,12 +48,14 @@
     match action {
         Action::Send { .. } => "send",
         Action::Cancel { .. } => "cancel",
-        Action::Answer { whole: true, .. } => "whole",
-        Action::Answer { whole: false, .. } => "partial",
-        Action::Refuse { .. } => "refuse",
+        Action::Answer { complete: true, .. } => "whole",
+        Action::Answer {
+            complete: false, ..
+        } => "partial",
+        Action::Reject { .. } => "refuse",
         Action::Fail { .. } => "fail",
         Action::Probe { .. } => "probe",
-        Action::CloseIdle { .. } => "close",
+        Action::CloseIdleConnections { .. } => "close",
         Action::Log(text) if text.starts_with("cutoff off") => "cutoff",
         _ => "other",
     }
--- a/crates/decisions/tests/module.rs
+++ b/crates/decisions/tests/module.rs
@@ -1,19 +1,22 @@
 //! The decision module with hand-made events: the design's ordinary path, the six rules, and one test for
 //! each failure found, named for the danger.
 
-use cottonhill_decisions::interface::*;
 use cottonhill_decisions::Coordinator;
+use cottonhill_decisions::{
+    Action, Class, DiscoveryMode, Endpoint, EndpointStatus, EndpointUpdateKind, Event, Idempotency,
+    Outcome, ReplicaId, RetryBudget, Settings,
+};
 
 const MS: u64 = 1_000_000;
 const START: u64 = 100_000 * MS;
 
 fn class(aim: u64, floor: f64) -> Class {
     Class {
-        aim: aim * MS,
+        latency_objective: aim * MS,
         deadline: 3 * aim * MS,
-        need: 1.0,
-        floor,
-        partial_earns: 0.9,
+        completeness_threshold: 1.0,
+        minimum_coverage: floor,
+        partial_answer_value: 0.9,
         ..Class::default()
     }
 }
@@ -22,14 +25,14 @@
     Settings {
         classes,
         cells: 1,
-        reach: 1,
-        call_parts: Some(16),
-        coordinators: 2,
-        tick: 5 * MS,
+        replication_factor: 1,
+        max_parts_per_call: Some(16),
+        fleet_size: 2,
+        batch_interval: 5 * MS,
         max_attempts: Some(4),
-        may_cancel: true,
-        second_copies: true,
-        longest_retry_advice: 1000 * MS,
+        cancellation_enabled: true,
+        hedging_enabled: true,
+        max_retry_after: 1000 * MS,
         ..Settings::default()
     }
 }
@@ -37,18 +40,18 @@
 /// One class that needs every part, and clients that mark their repeats.
 fn marked() -> Settings {
     Settings {
-        repeats_marked: true,
+        client_retries_marked: true,
         ..settings(vec![class(2000, 1.0)])
     }
 }
 
-fn member(replica: u64) -> Member {
-    Member {
+fn member(replica: u64) -> Endpoint {
+    Endpoint {
         replica: ReplicaId(replica),
         cell: 0,
         zone: 0,
         started: 0,
-        standing: Standing::Ready,
+        status: EndpointStatus::Ready,
     }
 }
 
@@ -66,27 +69,30 @@
             now: START,
             next: 1,
         };
-        bed.list(ListKind::Remembered, (1..=replicas).map(member).collect());
+        bed.list(
+            EndpointUpdateKind::CachedSnapshot,
+            (1..=replicas).map(member).collect(),
+        );
         bed
     }
 
     fn at(&mut self, ms: u64, events: &[Event]) -> Vec<Action> {
         self.now = START + ms * MS;
         let mut actions = Vec::new();
-        self.module.handle(self.now, events, &mut actions);
+        self.module.process_batch(self.now, events, &mut actions);
         actions
     }
 
-    fn list(&mut self, kind: ListKind, members: Vec<Member>) {
+    fn list(&mut self, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) {
         let ms = (self.now - START) / MS;
-        self.at(ms, &[Event::List { kind, members }]);
+        self.at(ms, &[Event::EndpointsUpdated { kind, endpoints }]);
     }
 
     /// A query of class 0 with parts of these weights, at shards 0, 1, ...; its id and the actions. The
     /// parts' ids follow the query's.
     fn query(&mut self, ms: u64, class: u16, weights: &[f64]) -> (u64, Vec<Action>) {
-        let patience = 6000 * MS;
-        self.query_with_patience(ms, class, weights, patience)
+        let client_timeout = 6000 * MS;
+        self.query_with_patience(ms, class, weights, client_timeout)
     }
 
     fn query_with_patience(
@@ -94,9 +100,9 @@
         ms: u64,
         class: u16,
         weights: &[f64],
-        patience: u64,
+        client_timeout: u64,
     ) -> (u64, Vec<Action>) {
-        self.ask(ms, class, weights, patience, false)
+        self.ask(ms, class, weights, client_timeout, false)
     }
 
     fn ask(
@@ -104,23 +110,23 @@
         ms: u64,
         class: u16,
         weights: &[f64],
-        patience: u64,
-        repeat: bool,
+        client_timeout: u64,
+        client_retry: bool,
     ) -> (u64, Vec<Action>) {
         let (id, group) = (self.next * 100, self.next as u32);
         self.next += 1;
-        let mut events = vec![Event::Query {
+        let mut events = vec![Event::QueryReceived {
             id,
             group,
             class,
             tenant: 0,
-            patience,
-            lag: 0,
+            client_timeout,
+            network_delay: 0,
             work: None,
-            repeat,
+            client_retry,
         }];
         for (i, weight) in weights.iter().enumerate() {
-            events.push(Event::Part {
+            events.push(Event::PartReceived {
                 id: id + 1 + i as u64,
                 group,
                 shard: i as u32,
@@ -142,7 +148,7 @@
     }
 
     fn tick(&mut self, ms: u64) -> Vec<Action> {
-        self.at(ms, &[Event::Timer { token: 0 }])
+        self.at(ms, &[Event::TimerFired { token: 0 }])
     }
 
     /// Ticks every 10 ms from one time to another and gathers what is done.
@@ -162,7 +168,7 @@
 }
 
 fn ended(part: u64, attempt: u8, replica: ReplicaId, outcome: Outcome) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         part,
         attempt,
         replica,
@@ -190,9 +196,11 @@
 /// Final words on queries: "whole", "partial", "refused" or "failed".
 fn finals(actions: &[Action]) -> Vec<&'static str> {
     let word = |a: &Action| match a {
-        Action::Answer { whole: true, .. } => Some("whole"),
-        Action::Answer { whole: false, .. } => Some("partial"),
-        Action::Refuse { .. } => Some("refused"),
+        Action::Answer { complete: true, .. } => Some("whole"),
+        Action::Answer {
+            complete: false, ..
+        } => Some("partial"),
+        Action::Reject { .. } => Some("refused"),
         Action::Fail { .. } => Some("failed"),
         _ => None,
     };
@@ -217,7 +225,7 @@
 #[test]
 fn parts_spread_where_calls_are_not_shared() {
     let mut alone = settings(vec![class(2000, 1.0)]);
-    alone.call_parts = None;
+    alone.max_parts_per_call = None;
     let mut bed = Bed::new(alone, 3);
     let (_, actions) = bed.query(0, 0, &[1.0 / 3.0; 3]);
     let used: std::collections::BTreeSet<_> = sends(&actions).into_iter().map(|(_, r)| r).collect();
@@ -352,7 +360,7 @@
 fn every_query_ends_once_and_before_the_deadline() {
     for late_worth in [0.0, 0.3] {
         let mut kind = class(2000, 1.0);
-        kind.late_worth = late_worth;
+        kind.late_weight_fraction = late_worth;
         let mut bed = Bed::new(settings(vec![kind]), 3);
         bed.query(0, 0, &[0.5, 0.5]);
         let actions = bed.run(0, 7000);
@@ -367,17 +375,17 @@
     let mut bed = Bed::new(settings(vec![class(2000, 1.0)]), 3);
     let (id, actions) = bed.query(0, 0, &[1.0]);
     let (part, replica) = sends(&actions)[0];
-    let lost = Event::Ended {
+    let lost = Event::AttemptEnded {
         part,
         attempt: 0,
         replica,
-        outcome: Outcome::Broken,
+        outcome: Outcome::ConnectionReset,
         report: vec![],
     };
-    let after = bed.at(50, &[lost, Event::ClientGone { id }]);
+    let after = bed.at(50, &[lost, Event::ClientDisconnected { id }]);
     assert!(sends(&after).is_empty() && finals(&after).is_empty());
     let (id, _) = bed.query(60, 0, &[1.0]);
-    let gone = bed.at(100, &[Event::ClientGone { id }]);
+    let gone = bed.at(100, &[Event::ClientDisconnected { id }]);
     assert!(
         gone.contains(&Action::Cancel {
             part: id + 1,
@@ -410,8 +418,8 @@
 #[test]
 fn whole_answer_leaves_when_all_is_in_and_the_rest_is_withdrawn() {
     let mut kind = class(2000, 1.0);
-    kind.need = 0.5;
-    kind.floor = 0.5;
+    kind.completeness_threshold = 0.5;
+    kind.minimum_coverage = 0.5;
     let mut bed = Bed::new(settings(vec![kind]), 3);
     let (id, actions) = bed.query(0, 0, &[0.5, 0.5]);
     let done = bed.end(100, id + 1, 0, sends(&actions)[0].1, Outcome::Ok);
@@ -426,7 +434,7 @@
 fn second_step_is_whole_only_if_the_first_was() {
     for (landing, word) in [(2, "whole"), (1, "partial")] {
         let mut kind = class(2000, 0.4);
-        kind.second_step = 1;
+        kind.second_phase_parts = 1;
         let mut bed = Bed::new(settings(vec![kind]), 3);
         let (id, actions) = bed.query(0, 0, &[0.5, 0.5]);
         let replica = sends(&actions)[0].1;
@@ -440,7 +448,7 @@
         );
         let second = bed.at(
             1010,
-            &[Event::Part {
+            &[Event::PartReceived {
                 id: id + 50,
                 group: 1,
                 shard: 0,
@@ -458,20 +466,20 @@
 #[test]
 fn a_query_of_two_steps_that_comes_right_before_its_target_is_refused() {
     let mut kind = class(2000, 0.4);
-    kind.second_step = 1;
+    kind.second_phase_parts = 1;
     let mut bed = Bed::new(settings(vec![kind]), 3);
-    let (id, group, patience, lag) = (100, 1, 3000 * MS, 1995 * MS);
-    let query = Event::Query {
+    let (id, group, client_timeout, network_delay) = (100, 1, 3000 * MS, 1995 * MS);
+    let query = Event::QueryReceived {
         id,
         group,
         class: 0,
         tenant: 0,
-        patience,
-        lag,
+        client_timeout,
+        network_delay,
         work: None,
-        repeat: false,
+        client_retry: false,
     };
-    let parts = (1..=2).map(|i| Event::Part {
+    let parts = (1..=2).map(|i| Event::PartReceived {
         id: id + i,
         group,
         shard: i as u32,
@@ -485,13 +493,13 @@
 #[test]
 fn an_unsafe_part_that_may_have_run_is_neither_resent_nor_refused() {
     let mut kind = class(2000, 1.0);
-    kind.effect = Effect::Unsafe;
+    kind.idempotency = Idempotency::NonIdempotent;
     let mut bed = Bed::new(settings(vec![kind]), 3);
     let (id, actions) = bed.query(0, 0, &[1.0]);
     let replica = sends(&actions)[0].1;
-    let again = bed.end(10, id + 1, 0, replica, Outcome::Unreachable);
+    let again = bed.end(10, id + 1, 0, replica, Outcome::ConnectFailed);
     assert_eq!(sends(&again).len(), 1, "it never ran, so it may go again");
-    let lost = bed.end(20, id + 1, 1, sends(&again)[0].1, Outcome::Broken);
+    let lost = bed.end(20, id + 1, 1, sends(&again)[0].1, Outcome::ConnectionReset);
     assert!(sends(&lost).is_empty());
     assert_eq!(finals(&lost), ["failed"]);
 }
@@ -500,17 +508,23 @@
 fn a_keyed_part_is_resent_only_inside_its_window() {
     for (at, resent) in [(300, 1), (900, 0)] {
         let mut kind = class(2000, 1.0);
-        kind.effect = Effect::Keyed;
-        kind.repeat_window = 500 * MS;
+        kind.idempotency = Idempotency::IdempotencyKey;
+        kind.idempotency_window = 500 * MS;
         let mut bed = Bed::new(
             Settings {
-                second_copies: false,
+                hedging_enabled: false,
                 ..settings(vec![kind])
             },
             3,
         );
         let (id, actions) = bed.query(0, 0, &[1.0]);
-        let after = bed.end(at, id + 1, 0, sends(&actions)[0].1, Outcome::Broken);
+        let after = bed.end(
+            at,
+            id + 1,
+            0,
+            sends(&actions)[0].1,
+            Outcome::ConnectionReset,
+        );
         assert_eq!(sends(&after).len(), resent);
     }
 }
@@ -518,16 +532,16 @@
 #[test]
 fn a_draining_replica_gets_nothing_new() {
     let mut bed = Bed::new(settings(vec![class(2000, 1.0)]), 2);
-    let drains = Member {
-        standing: Standing::Draining,
+    let drains = Endpoint {
+        status: EndpointStatus::Draining,
         ..member(1)
     };
-    bed.list(ListKind::Changes, vec![drains]);
+    bed.list(EndpointUpdateKind::Delta, vec![drains]);
     for i in 0..20 {
         let (_, actions) = bed.query(i * 20, 0, &[1.0]);
         assert!(sends(&actions).iter().all(|(_, r)| *r == ReplicaId(2)));
     }
-    bed.list(ListKind::Full, vec![]);
+    bed.list(EndpointUpdateKind::Snapshot, vec![]);
     assert!(
         sends(&bed.query(500, 0, &[1.0]).1).is_empty(),
         "all have left the list"
@@ -537,10 +551,10 @@
 #[test]
 fn the_budget_holds_up_to_the_edge_of_its_window() {
     let mut tight = settings(vec![class(2000, 1.0)]);
-    tight.budget = Some(Budget {
-        floor: 1.0,
-        share: 0.0,
-        span: 1000 * MS,
+    tight.retry_budget = Some(RetryBudget {
+        minimum: 1.0,
+        ratio: 0.0,
+        window: 1000 * MS,
     });
     let mut bed = Bed::new(tight, 3);
     let (first, actions) = bed.query(0, 0, &[1.0]);
@@ -585,11 +599,11 @@
 
 fn cold() -> Settings {
     let mut cold = settings(vec![class(2000, 1.0)]);
-    cold.coordinators = 1;
-    cold.cold_from = Some(0.2);
-    cold.cold_time = 10_000 * MS;
-    cold.fall_multiple = Some(4.0);
-    cold.fall_time = 1000 * MS;
+    cold.fleet_size = 1;
+    cold.slow_start_initial_capacity = Some(0.2);
+    cold.slow_start_duration = 10_000 * MS;
+    cold.overload_multiple = Some(4.0);
+    cold.overload_window = 1000 * MS;
     cold
 }
 
@@ -597,8 +611,8 @@
 fn a_cold_replica_is_not_pushed_over_by_a_burst() {
     let mut bed = Bed::new(cold(), 0);
     bed.list(
-        ListKind::Full,
-        vec![Member {
+        EndpointUpdateKind::Snapshot,
+        vec![Endpoint {
             started: START - MS,
             ..member(1)
         }],
@@ -613,8 +627,8 @@
 fn slow_start_lets_go_as_time_passes() {
     let mut bed = Bed::new(cold(), 0);
     bed.list(
-        ListKind::Full,
-        vec![Member {
+        EndpointUpdateKind::Snapshot,
+        vec![Endpoint {
             started: START - MS,
             ..member(1)
         }],
@@ -672,9 +686,9 @@
         bed.query(400 + i, 0, &[1.0]);
     }
     let (query, actions) = bed.query(450, 0, &[1.0]);
-    assert!(actions.contains(&Action::Refuse {
+    assert!(actions.contains(&Action::Reject {
         query,
-        come_back: Some(1000 * MS)
+        retry_after: Some(1000 * MS)
     }));
     assert!(sends(&actions).is_empty());
 }
@@ -687,10 +701,10 @@
     };
     let mut bed = Bed::new(two_cells, 0);
     bed.list(
-        ListKind::Full,
+        EndpointUpdateKind::Snapshot,
         vec![
             member(1),
-            Member {
+            Endpoint {
                 cell: 1,
                 ..member(2)
             },
@@ -735,7 +749,7 @@
     let mut bed = Bed::new(settings(vec![class(2000, 1.0)]), 2);
     let (id, actions) = bed.query(0, 0, &[1.0]);
     let full = sends(&actions)[0].1;
-    bed.end(1, id + 1, 0, full, Outcome::Refused);
+    bed.end(1, id + 1, 0, full, Outcome::Rejected);
     for i in 0..10 {
         let (_, actions) = bed.query(10 + i, 0, &[1.0]);
         assert_ne!(sends(&actions)[0].1, full);
@@ -747,7 +761,7 @@
     let mut bed = Bed::new(settings(vec![class(2000, 1.0)]), 1);
     bed.served(0, 100);
     let (lost, _) = bed.query(200, 0, &[0.5, 0.5]);
-    bed.list(ListKind::Changes, vec![member(2)]);
+    bed.list(EndpointUpdateKind::Delta, vec![member(2)]);
     bed.end(300, lost + 1, 0, ReplicaId(1), Outcome::Ok);
     let copies = sends(&bed.run(310, 900));
     assert_eq!(copies, [(lost + 2, ReplicaId(2))]);
@@ -773,7 +787,7 @@
             }
             (true, None) => {
                 broken = Some(ms);
-                bed.end(ms + 1, id + 1, 0, replica, Outcome::Broken);
+                bed.end(ms + 1, id + 1, 0, replica, Outcome::ConnectionReset);
             }
             (false, _) => drop(bed.end(ms + 1, id + 1, 0, replica, Outcome::Error)),
         }
@@ -801,10 +815,16 @@
 fn odd_events_do_no_harm() {
     let mut bed = Bed::new(settings(vec![class(2000, 0.5)]), 2);
     bed.end(0, 9, 3, ReplicaId(77), Outcome::Ok);
-    bed.at(1, &[Event::ClientGone { id: 5 }, Event::Timer { token: 9 }]);
+    bed.at(
+        1,
+        &[
+            Event::ClientDisconnected { id: 5 },
+            Event::TimerFired { token: 9 },
+        ],
+    );
     bed.at(
         2,
-        &[Event::Part {
+        &[Event::PartReceived {
             id: 3,
             group: 99,
             shard: 0,
@@ -815,7 +835,7 @@
     assert_eq!(sends(&actions).len(), 3);
     let (_, unknown_class) = bed.query(4, 9, &[1.0]);
     assert!(sends(&unknown_class).is_empty());
-    bed.list(ListKind::Full, vec![]);
+    bed.list(EndpointUpdateKind::Snapshot, vec![]);
     assert_eq!(
         finals(&bed.query(5, 0, &[1.0]).1),
         ["refused"],
@@ -828,8 +848,8 @@
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_again_after_a_failure_but_not_at_once() {
     let on_request = Settings {
-        list_on_request: true,
-        list_within: 20_000 * MS,
+        discovery_mode: DiscoveryMode::Poll,
+        max_list_staleness: 20_000 * MS,
         ..settings(vec![class(2000, 1.0)])
     };
     let mut bed = Bed {
@@ -837,18 +857,19 @@
         now: START,
         next: 1,
     };
-    let asked = |actions: &[Action]| actions.contains(&Action::Subscribe { on: true });
+    let asked =
+        |actions: &[Action]| actions.contains(&Action::SubscribeEndpoints { enabled: true });
     assert!(asked(&bed.at(0, &[])));
     assert!(!asked(&bed.at(10, &[])));
     let mut last = 0;
     for failure in 0..4 {
         let at = last + 20;
-        let failed = Event::List {
-            kind: ListKind::Failed,
-            members: vec![],
+        let failed = Event::EndpointsUpdated {
+            kind: EndpointUpdateKind::RequestFailed,
+            endpoints: vec![],
         };
         let actions = bed.at(at, &[failed]);
-        let woken = actions.iter().any(|a| matches!(a, Action::Wake { .. }));
+        let woken = actions.iter().any(|a| matches!(a, Action::SetTimer { .. }));
         assert!(
             woken && !asked(&actions),
             "a timer, no call, though no query is open"
@@ -864,7 +885,7 @@
         );
         last = again;
     }
-    bed.list(ListKind::Changes, vec![member(1)]);
+    bed.list(EndpointUpdateKind::Delta, vec![member(1)]);
     assert!(
         (0..300).all(|t| !asked(&bed.tick(last + 100 + t * 100))),
         "subscribed"
@@ -877,7 +898,7 @@
     let mut bed = Bed::new(settings(vec![class(2000, 1.0)]), 2);
     let (id, actions) = bed.query(0, 0, &[1.0]);
     let (_, dead) = sends(&actions)[0];
-    let again = bed.end(250, id + 1, 0, dead, Outcome::Unreachable);
+    let again = bed.end(250, id + 1, 0, dead, Outcome::ConnectFailed);
     bed.end(1000, id + 1, 1, sends(&again)[0].1, Outcome::Ok);
     for at in [6000, 7000, 8000] {
         assert_ne!(bed.served(at, 700), dead);
@@ -951,7 +972,7 @@
 fn a_lone_long_query_gets_copies_late() {
     let mut bed = Bed::new(
         Settings {
-            call_parts: None,
+            max_parts_per_call: None,
             ..settings(vec![class(4000, 1.0)])
         },
         200,
@@ -994,12 +1015,12 @@
 #[test]
 fn half_of_the_budget_is_kept_for_classes_that_need_every_part() {
     let mut tight = settings(vec![class(2000, 0.5), class(2000, 1.0)]);
-    tight.budget = Some(Budget {
-        floor: 4.0,
-        share: 0.0,
-        span: 1000 * MS,
+    tight.retry_budget = Some(RetryBudget {
+        minimum: 4.0,
+        ratio: 0.0,
+        window: 1000 * MS,
     });
-    tight.call_parts = None;
+    tight.max_parts_per_call = None;
     let mut bed = Bed::new(tight, 20);
     let again: Vec<usize> = [0, 1]
         .map(|class| {
@@ -1026,14 +1047,14 @@
     };
     for may_probe in [false, true] {
         let kind = Settings {
-            may_probe,
-            call_parts: None,
+            probing_enabled: may_probe,
+            max_parts_per_call: None,
             ..settings(vec![class(2000, 1.0)])
         };
         let mut bed = Bed::new(kind, 20);
         let (_, actions) = bed.query(0, 0, &[0.25; 4]);
         let sent = sends(&actions);
-        let asked = probes(&bed.at(250, &all_end(&sent, Outcome::Unreachable)));
+        let asked = probes(&bed.at(250, &all_end(&sent, Outcome::ConnectFailed)));
         assert_eq!(asked.is_empty(), !may_probe);
         assert!(
             sent.iter().all(|(_, failed)| !asked.contains(failed)),
@@ -1044,7 +1065,7 @@
         let (latency, report) = (250 * MS, vec![]);
         bed.at(
             1010,
-            &[Event::Probed {
+            &[Event::ProbeEnded {
                 replica: *bad,
                 outcome: Outcome::TimedOut,
                 latency,
@@ -1071,7 +1092,7 @@
         for i in 0..12 {
             let (_, actions) = bed.query(at + i * 10, 0, &[1.0]);
             let (part, replica) = sends(&actions)[0];
-            seen.extend(bed.end(at + i * 10 + 5, part, 0, replica, Outcome::Unreachable));
+            seen.extend(bed.end(at + i * 10 + 5, part, 0, replica, Outcome::ConnectFailed));
         }
         assert_eq!(logs(&seen, "cutoff off zero"), heard);
     }
@@ -1081,7 +1102,7 @@
 #[test]
 fn many_co_ordinators_share_what_a_cold_replica_bears() {
     let crowd = Settings {
-        coordinators: 50,
+        fleet_size: 50,
         ..cold()
     };
     let mut together = 0;
@@ -1092,8 +1113,8 @@
             next: 1,
         };
         bed.list(
-            ListKind::Full,
-            vec![Member {
+            EndpointUpdateKind::Snapshot,
+            vec![Endpoint {
                 started: START - MS,
                 ..member(1)
             }],
@@ -1110,18 +1131,24 @@
 /// What a cold replica bears was reckoned from sends kept for the span of a budget: five times too many.
 #[test]
 fn a_long_budget_span_does_not_swell_what_a_cold_replica_may_get() {
-    let budget = Some(Budget {
-        floor: 10.0,
-        share: 0.2,
-        span: 10_000 * MS,
+    let budget = Some(RetryBudget {
+        minimum: 10.0,
+        ratio: 0.2,
+        window: 10_000 * MS,
     });
-    let mut bed = Bed::new(Settings { budget, ..cold() }, 1);
+    let mut bed = Bed::new(
+        Settings {
+            retry_budget: budget,
+            ..cold()
+        },
+        1,
+    );
     (0..100).for_each(|i| {
         bed.served(i * 100, 50);
     });
     bed.list(
-        ListKind::Changes,
-        vec![Member {
+        EndpointUpdateKind::Delta,
+        vec![Endpoint {
             started: START + 9_990 * MS,
             ..member(2)
         }],
@@ -1144,7 +1171,7 @@
 fn unused_connections_break(rounds: u64, renewed_break: bool) -> Vec<bool> {
     let mut bed = Bed::new(
         Settings {
-            idle_time: 15_000 * MS,
+            connection_idle_timeout: 15_000 * MS,
             ..settings(vec![class(2000, 1.0)])
         },
         2,
@@ -1157,13 +1184,13 @@
         let closes = |actions: &[Action]| {
             actions
                 .iter()
-                .any(|a| matches!(a, Action::CloseIdle { .. }))
+                .any(|a| matches!(a, Action::CloseIdleConnections { .. }))
         };
         renewed.push(closes(&actions));
         let mut number = 0;
         if renewed_break || !closes(&actions) {
             let (_, replica) = sends(&actions)[0];
-            actions = bed.end(at + 5, id + 1, 0, replica, Outcome::Broken);
+            actions = bed.end(at + 5, id + 1, 0, replica, Outcome::ConnectionReset);
             number = 1;
         }
         bed.end(at + 200, id + 1, number, sends(&actions)[0].1, Outcome::Ok);
@@ -1193,14 +1220,14 @@
 fn a_query_that_breaks_every_replica_goes_out_once() {
     let mut bed = Bed::new(
         Settings {
-            call_parts: None,
+            max_parts_per_call: None,
             ..settings(vec![class(2000, 1.0)])
         },
         12,
     );
     let (_, actions) = bed.query(0, 0, &[0.25; 4]);
     let sent = sends(&actions);
-    let broken = all_end(&sent, Outcome::Broken);
+    let broken = all_end(&sent, Outcome::ConnectionReset);
     let last = bed.at(10, &broken);
     assert!(sends(&last).is_empty(), "no replica more");
     assert_eq!(finals(&last), ["refused"], "at once");
@@ -1210,14 +1237,14 @@
 fn a_query_that_met_dying_replicas_by_chance_is_asked_again() {
     let mut bed = Bed::new(
         Settings {
-            call_parts: None,
+            max_parts_per_call: None,
             ..settings(vec![class(2000, 1.0)])
         },
         12,
     );
     let (_, actions) = bed.query(0, 0, &[0.2; 5]);
     let sent = sends(&actions);
-    let first = bed.at(10, &all_end(&sent[..4], Outcome::Broken));
+    let first = bed.at(10, &all_end(&sent[..4], Outcome::ConnectionReset));
     assert!(
         sends(&first).is_empty() && finals(&first).is_empty(),
         "held while a part may still land"
@@ -1235,32 +1262,32 @@
     };
     let mut bed = Bed::new(once, 4);
     let (id, actions) = bed.query(0, 0, &[0.5, 0.5]);
-    let after = bed.end(20, id + 1, 0, sends(&actions)[0].1, Outcome::Unreachable);
+    let after = bed.end(20, id + 1, 0, sends(&actions)[0].1, Outcome::ConnectFailed);
     assert_eq!(finals(&after), ["refused"]);
 }
 
 /// No budget before the aim, or no holder left: waiting for a repeat that can't be sent is holding the query.
 #[test]
 fn a_query_whose_repeat_can_not_be_sent_is_refused_at_once() {
-    let spent = Budget {
-        floor: 0.0,
-        share: 0.0,
-        span: 10_000 * MS,
+    let spent = RetryBudget {
+        minimum: 0.0,
+        ratio: 0.0,
+        window: 10_000 * MS,
     };
     let mut bed = Bed::new(
         Settings {
-            budget: Some(spent),
+            retry_budget: Some(spent),
             ..settings(vec![class(2000, 1.0)])
         },
         4,
     );
     let (id, actions) = bed.query(0, 0, &[1.0]);
-    let after = bed.end(20, id + 1, 0, sends(&actions)[0].1, Outcome::Unreachable);
+    let after = bed.end(20, id + 1, 0, sends(&actions)[0].1, Outcome::ConnectFailed);
     assert_eq!(finals(&after), ["refused"], "no budget");
     let mut bed = Bed::new(settings(vec![class(2000, 1.0)]), 1);
     let (id, actions) = bed.query(0, 0, &[1.0]);
-    bed.list(ListKind::Full, vec![]);
-    let after = bed.end(20, id + 1, 0, sends(&actions)[0].1, Outcome::Unreachable);
+    bed.list(EndpointUpdateKind::Snapshot, vec![]);
+    let after = bed.end(20, id + 1, 0, sends(&actions)[0].1, Outcome::ConnectFailed);
     assert_eq!(finals(&after), ["refused"], "no holder");
 }
 
@@ -1270,16 +1297,16 @@
 fn a_replica_in_the_own_zone_is_preferred_while_its_queue_is_short() {
     let priced = Settings {
         zone: 1,
-        zone_price: 0.04,
-        call_parts: None,
+        cross_zone_cost: 0.04,
+        max_parts_per_call: None,
         ..settings(vec![class(2000, 1.0)])
     };
     let mut bed = Bed::new(priced, 0);
     bed.list(
-        ListKind::Full,
+        EndpointUpdateKind::Snapshot,
         vec![
             member(1),
-            Member {
+            Endpoint {
                 zone: 1,
                 ..member(2)
             },
@@ -1304,7 +1331,7 @@
     let copies = |first_lands: bool| {
         let mut bed = Bed::new(
             Settings {
-                call_parts: None,
+                max_parts_per_call: None,
                 ..settings(vec![class(2000, 1.0)])
             },
             24,
@@ -1357,20 +1384,20 @@
 /// the aim as they come off the patience. Answers went out milliseconds too late for their full worth.
 #[test]
 fn an_answer_at_the_last_moment_leaves_time_for_its_way_back() {
-    let answered = |lag: u64| {
+    let answered = |network_delay: u64| {
         let mut bed = Bed::new(settings(vec![class(600, 0.5)]), 2);
         let (id, group) = (100, 1);
-        let query = Event::Query {
+        let query = Event::QueryReceived {
             id,
             group,
             class: 0,
             tenant: 0,
-            patience: 1600 * MS,
-            lag: lag * MS,
+            client_timeout: 1600 * MS,
+            network_delay: network_delay * MS,
             work: None,
-            repeat: false,
+            client_retry: false,
         };
-        let part = |i| Event::Part {
+        let part = |i| Event::PartReceived {
             id: id + i,
             group,
             shard: i as u32,
@@ -1402,13 +1429,13 @@
             let (id, actions) = bed.query(from + i, 0, &weights);
             let sent = sends(&actions);
             count += usize::from(!sent.is_empty());
-            bed.at(from + i, &[Event::ClientGone { id }]);
+            bed.at(from + i, &[Event::ClientDisconnected { id }]);
             bed.at(from + i, &all_end(&sent, Outcome::Cancelled));
         }
         count
     };
     let (id, actions) = bed.query(0, 0, &weights);
-    let again = bed.at(2, &all_end(&sends(&actions), Outcome::Refused));
+    let again = bed.at(2, &all_end(&sends(&actions), Outcome::Rejected));
     let second = sends(&again);
     assert!(second.len() > 10, "each part asks a second holder");
     assert_eq!(
@@ -1417,10 +1444,10 @@
     );
     let refused: Vec<_> = second
         .iter()
-        .map(|(part, replica)| ended(*part, 1, *replica, Outcome::Refused))
+        .map(|(part, replica)| ended(*part, 1, *replica, Outcome::Rejected))
         .collect();
     bed.at(4, &refused);
-    bed.at(5, &[Event::ClientGone { id }]);
+    bed.at(5, &[Event::ClientDisconnected { id }]);
     // The holders' own rest after a refusal is over by then.
     let few = let_in(&mut bed, 600);
     assert!(
@@ -1440,14 +1467,14 @@
 fn sent_to_a_cold_one(allowance: f64, took: Option<u64>) -> usize {
     let mut bed = Bed::new(
         Settings {
-            allowance,
+            fleet_rate_limit: allowance,
             ..cold()
         },
         0,
     );
     bed.list(
-        ListKind::Full,
-        vec![Member {
+        EndpointUpdateKind::Snapshot,
+        vec![Endpoint {
             started: START - MS,
             ..member(1)
         }],
@@ -1490,15 +1517,15 @@
     (0..100).for_each(|i| {
         bed.served(i * 100, 50);
     });
-    let gone = Member {
-        standing: Standing::Gone,
+    let gone = Endpoint {
+        status: EndpointStatus::Gone,
         ..member(1)
     };
     bed.list(
-        ListKind::Changes,
+        EndpointUpdateKind::Delta,
         vec![
             gone,
-            Member {
+            Endpoint {
                 started: START + 9_990 * MS,
                 ..member(2)
             },
@@ -1527,7 +1554,7 @@
         for i in 0..40 {
             let (id, actions) = bed.query(from + i, 0, &[1.0]);
             count += usize::from(finals(&actions) == ["refused"]);
-            bed.at(from + i, &[Event::ClientGone { id }]);
+            bed.at(from + i, &[Event::ClientDisconnected { id }]);
             bed.at(from + i, &all_end(&sends(&actions), Outcome::Cancelled));
         }
         count
--- a/crates/decisions/tests/ramp.rs
+++ b/crates/decisions/tests/ramp.rs
@@ -1,8 +1,11 @@
 //! The ramp of a cold replica holds for the fleet: many modules side by side, with uneven load, and what they send to
 //! one cold replica together, over any window, against what the settings allow it.
 
-use cottonhill_decisions::interface::*;
 use cottonhill_decisions::Coordinator;
+use cottonhill_decisions::{
+    Action, Class, Endpoint, EndpointStatus, EndpointUpdateKind, Event, LoadReport, Outcome,
+    ReplicaId, Settings,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 const MS: u64 = 1_000_000;
@@ -31,37 +34,37 @@
 fn settings(fleet: Fleet) -> Settings {
     Settings {
         classes: vec![Class {
-            aim: 2000 * MS,
+            latency_objective: 2000 * MS,
             deadline: 4000 * MS,
-            need: 1.0,
-            floor: 1.0,
+            completeness_threshold: 1.0,
+            minimum_coverage: 1.0,
             ..Class::default()
         }],
         cells: 2,
-        reach: 1,
-        call_parts: Some(1),
-        coordinators: fleet.modules,
-        tick: 5 * MS,
+        replication_factor: 1,
+        max_parts_per_call: Some(1),
+        fleet_size: fleet.modules,
+        batch_interval: 5 * MS,
         max_attempts: Some(4),
-        may_cancel: true,
-        second_copies: true,
-        longest_retry_advice: 500 * MS,
-        cold_from: Some(0.25),
-        cold_time: 6000 * MS,
-        fall_multiple: Some(2.0),
-        fall_time: 1500 * MS,
-        allowance: fleet.told * CAPACITY * REPLICAS as f64,
+        cancellation_enabled: true,
+        hedging_enabled: true,
+        max_retry_after: 500 * MS,
+        slow_start_initial_capacity: Some(0.25),
+        slow_start_duration: 6000 * MS,
+        overload_multiple: Some(2.0),
+        overload_window: 1500 * MS,
+        fleet_rate_limit: fleet.told * CAPACITY * REPLICAS as f64,
         ..Settings::default()
     }
 }
 
-fn member(replica: ReplicaId, cell: u16, standing: Standing, started: u64) -> Member {
-    Member {
+fn member(replica: ReplicaId, cell: u16, status: EndpointStatus, started: u64) -> Endpoint {
+    Endpoint {
         replica,
         cell,
         zone: 0,
         started,
-        standing,
+        status,
     }
 }
 
@@ -83,15 +86,15 @@
     // Attempts made so far, by part: each ends under its own number.
     let mut attempts: BTreeMap<u64, u8> = BTreeMap::new();
     // One replica in cell 0, the rest in cell 1: nobody else holds the shard of the one that is replaced.
-    let list: Vec<Member> = (1..=REPLICAS)
-        .map(|r| member(ReplicaId(r), u16::from(r > 1), Standing::Ready, 0))
+    let list: Vec<Endpoint> = (1..=REPLICAS)
+        .map(|r| member(ReplicaId(r), u16::from(r > 1), EndpointStatus::Ready, 0))
         .collect();
     for module in &mut modules {
-        module.handle(
+        module.process_batch(
             START,
-            &[Event::List {
-                kind: ListKind::Full,
-                members: list.clone(),
+            &[Event::EndpointsUpdated {
+                kind: EndpointUpdateKind::Snapshot,
+                endpoints: list.clone(),
             }],
             &mut Vec::new(),
         );
@@ -102,21 +105,21 @@
         let now = START + ms * MS;
         let mut events: Vec<Vec<Event>> = modules.iter().map(|_| Vec::new()).collect();
         if ms == start {
-            let members = vec![
-                member(ReplicaId(1), 0, Standing::Gone, 0),
-                member(COLD, 0, Standing::Ready, now - MS),
+            let endpoints = vec![
+                member(ReplicaId(1), 0, EndpointStatus::Gone, 0),
+                member(COLD, 0, EndpointStatus::Ready, now - MS),
             ];
             events.iter_mut().for_each(|e| {
-                e.push(Event::List {
-                    kind: ListKind::Changes,
-                    members: members.clone(),
+                e.push(Event::EndpointsUpdated {
+                    kind: EndpointUpdateKind::Delta,
+                    endpoints: endpoints.clone(),
                 });
             });
         }
         while due.front().is_some_and(|(at, ..)| *at <= ms) {
             let (_, i, part, attempt, replica) = due.pop_front().unwrap();
             let report = LoadReport::new();
-            events[i].push(Event::Ended {
+            events[i].push(Event::AttemptEnded {
                 part,
                 attempt,
                 replica,
@@ -139,18 +142,18 @@
                 next += 2;
                 let (id, group) = (next, next as u32);
                 let shard = u32::from(n < others);
-                let patience = 4000 * MS;
-                events[i].push(Event::Query {
+                let client_timeout = 4000 * MS;
+                events[i].push(Event::QueryReceived {
                     id,
                     group,
                     class: 0,
                     tenant: 0,
-                    patience,
-                    lag: 0,
+                    client_timeout,
+                    network_delay: 0,
                     work: None,
-                    repeat: false,
+                    client_retry: false,
                 });
-                events[i].push(Event::Part {
+                events[i].push(Event::PartReceived {
                     id: id + 1,
                     group,
                     shard,
@@ -161,9 +164,9 @@
         for (i, module) in modules.iter_mut().enumerate() {
             let mut actions = Vec::new();
             if events[i].is_empty() {
-                events[i].push(Event::Timer { token: 0 });
+                events[i].push(Event::TimerFired { token: 0 });
             }
-            module.handle(now, &events[i], &mut actions);
+            module.process_batch(now, &events[i], &mut actions);
             for action in actions {
                 if let Action::Send { part, replica, .. } = action {
                     let attempt = attempts.entry(part).or_default();
@@ -182,9 +185,12 @@
 /// By how much the worst window exceeds its budget, in what is put down to chance; up to 1 is chance.
 fn worst(fleet: Fleet) -> (f64, usize, f64) {
     let all = settings(fleet);
-    let (span, cold) = (all.fall_time / MS, all.cold_time / MS);
+    let (span, cold) = (all.overload_window / MS, all.slow_start_duration / MS);
     let sent = sent_to_the_cold_one(fleet);
-    let (from, multiple) = (all.cold_from.unwrap(), all.fall_multiple.unwrap());
+    let (from, multiple) = (
+        all.slow_start_initial_capacity.unwrap(),
+        all.overload_multiple.unwrap(),
+    );
     let mut worst = (f64::MIN, 0, 0.0);
     for end in (STEP..cold).step_by(STEP as usize) {
         let since = (end + STEP).saturating_sub(span);
--- a/crates/decisions/tests/random_events/mod.rs
+++ b/crates/decisions/tests/random_events/mod.rs
@@ -1,7 +1,10 @@
 //! Random deployments and random events: lists, queries, parts, outcomes and departures that follow from what a
 //! coordinator has asked for. The same seed and actions give the same batches.
 
-use cottonhill_decisions::interface::*;
+use cottonhill_decisions::{
+    Action, Class, DiscoveryMode, Endpoint, EndpointStatus, EndpointUpdateKind, Event, Idempotency,
+    LoadReport, Outcome, ReplicaId, RequestId, RetryBudget, Settings,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 const MS: u64 = 1_000_000;
@@ -16,51 +19,60 @@
     Settings {
         classes,
         cells,
-        reach: random.u32(1..=cells + 1),
+        replication_factor: random.u32(1..=cells + 1),
         zone: 0,
-        zone_price: *pick(random, &[0.0, 0.1, 0.5]),
-        call_parts: *pick(random, &[None, Some(1), Some(4), Some(16)]),
-        coordinators: *pick(random, &[1, 2, 20]),
-        tick: *pick(random, &[1, 5]) * MS,
+        cross_zone_cost: *pick(random, &[0.0, 0.1, 0.5]),
+        max_parts_per_call: *pick(random, &[None, Some(1), Some(4), Some(16)]),
+        fleet_size: *pick(random, &[1, 2, 20]),
+        batch_interval: *pick(random, &[1, 5]) * MS,
         max_attempts: *pick(random, &[None, Some(1), Some(2), Some(4)]),
-        may_cancel: random.bool(),
-        repeats_marked: random.bool(),
-        second_copies: random.u32(..4) > 0,
-        may_probe: random.bool(),
-        longest_retry_advice: *pick(random, &[0, 500 * MS]),
-        cold_from: cold.then_some(0.25),
-        cold_time: if cold { 3000 * MS } else { 0 },
-        fall_multiple: cold.then_some(2.0),
-        fall_time: if cold { 500 * MS } else { 0 },
-        budget: random.bool().then(|| Budget {
-            floor: f64::from(random.u32(..10)),
-            share: *pick(random, &[0.0, 0.1, 0.5]),
-            span: *pick(random, &[500, 5000]) * MS,
+        cancellation_enabled: random.bool(),
+        client_retries_marked: random.bool(),
+        hedging_enabled: random.u32(..4) > 0,
+        probing_enabled: random.bool(),
+        max_retry_after: *pick(random, &[0, 500 * MS]),
+        slow_start_initial_capacity: cold.then_some(0.25),
+        slow_start_duration: if cold { 3000 * MS } else { 0 },
+        overload_multiple: cold.then_some(2.0),
+        overload_window: if cold { 500 * MS } else { 0 },
+        retry_budget: random.bool().then(|| RetryBudget {
+            minimum: f64::from(random.u32(..10)),
+            ratio: *pick(random, &[0.0, 0.1, 0.5]),
+            window: *pick(random, &[500, 5000]) * MS,
         }),
-        allowance: *pick(random, &[0.0, 200.0]),
-        idle_time: *pick(random, &[0, 5000]) * MS,
-        list_on_request: random.bool(),
-        list_within: 2000 * MS,
+        fleet_rate_limit: *pick(random, &[0.0, 200.0]),
+        connection_idle_timeout: *pick(random, &[0, 5000]) * MS,
+        discovery_mode: if random.bool() {
+            DiscoveryMode::Poll
+        } else {
+            DiscoveryMode::Push
+        },
+        max_list_staleness: 2000 * MS,
     }
 }
 
 fn class(random: &mut fastrand::Rng) -> Class {
     let aim = *pick(random, &[200, 1000, 2000]) * MS;
     Class {
-        aim,
-        aim_stretch: random.bool().then_some(2.0),
+        latency_objective: aim,
+        objective_per_expected_work: random.bool().then_some(2.0),
         deadline: aim * random.u64(1..=3),
-        effect: *pick(
+        idempotency: *pick(
             random,
-            &[Effect::Safe, Effect::Safe, Effect::Keyed, Effect::Unsafe],
+            &[
+                Idempotency::Idempotent,
+                Idempotency::Idempotent,
+                Idempotency::IdempotencyKey,
+                Idempotency::NonIdempotent,
+            ],
         ),
-        repeat_window: *pick(random, &[0, 300]) * MS,
-        worth: random.bool().then(|| f64::from(random.u32(1..5))),
-        late_worth: *pick(random, &[0.0, 0.0, 0.3, 0.95]),
-        need: *pick(random, &[1.0, 0.9]),
-        floor: *pick(random, &[0.0, 0.5, 0.8, 1.0]),
-        partial_earns: 0.9,
-        second_step: *pick(random, &[0, 0, 3]),
+        idempotency_window: *pick(random, &[0, 300]) * MS,
+        priority_weight: random.bool().then(|| f64::from(random.u32(1..5))),
+        late_weight_fraction: *pick(random, &[0.0, 0.0, 0.3, 0.95]),
+        completeness_threshold: *pick(random, &[1.0, 0.9]),
+        minimum_coverage: *pick(random, &[0.0, 0.5, 0.8, 1.0]),
+        partial_answer_value: 0.9,
+        second_phase_parts: *pick(random, &[0, 0, 3]),
     }
 }
 
@@ -69,8 +81,8 @@
 }
 
 /// A random line of the list, of few replicas, so that they go, return, restart and move.
-pub fn member(random: &mut fastrand::Rng, now: u64, cells: u32, replicas: u64) -> Member {
-    Member {
+pub fn member(random: &mut fastrand::Rng, now: u64, cells: u32, replicas: u64) -> Endpoint {
+    Endpoint {
         replica: ReplicaId(random.u64(1..=replicas)),
         cell: random.u16(..cells as u16 + 2),
         zone: random.u16(..3),
@@ -79,14 +91,14 @@
         } else {
             0
         },
-        standing: *pick(
+        status: *pick(
             random,
             &[
-                Standing::Ready,
-                Standing::Ready,
-                Standing::Ready,
-                Standing::Draining,
-                Standing::Gone,
+                EndpointStatus::Ready,
+                EndpointStatus::Ready,
+                EndpointStatus::Ready,
+                EndpointStatus::Draining,
+                EndpointStatus::Gone,
             ],
         ),
     }
@@ -169,10 +181,10 @@
         };
         let mut events = Vec::new();
         if self.last == 0 {
-            let members = (0..3 * self.replicas).map(|_| self.member()).collect();
-            events.push(Event::List {
-                kind: ListKind::Full,
-                members,
+            let endpoints = (0..3 * self.replicas).map(|_| self.member()).collect();
+            events.push(Event::EndpointsUpdated {
+                kind: EndpointUpdateKind::Snapshot,
+                endpoints,
             });
             self.number();
         }
@@ -190,7 +202,7 @@
         (self.now, events)
     }
 
-    fn member(&mut self) -> Member {
+    fn member(&mut self) -> Endpoint {
         member(
             &mut self.random,
             self.now,
@@ -221,20 +233,20 @@
             return;
         }
         let kind = match self.random.u32(..8) {
-            0 => ListKind::Full,
-            1 => ListKind::Remembered,
-            2 => ListKind::Failed,
-            _ => ListKind::Changes,
+            0 => EndpointUpdateKind::Snapshot,
+            1 => EndpointUpdateKind::CachedSnapshot,
+            2 => EndpointUpdateKind::RequestFailed,
+            _ => EndpointUpdateKind::Delta,
         };
         let most = match kind {
-            ListKind::Failed => 0,
-            ListKind::Changes => 4,
+            EndpointUpdateKind::RequestFailed => 0,
+            EndpointUpdateKind::Delta => 4,
             _ => 2 * self.replicas,
         };
-        let members = (0..self.random.u64(..=most))
+        let endpoints = (0..self.random.u64(..=most))
             .map(|_| self.member())
             .collect();
-        events.push(Event::List { kind, members });
+        events.push(Event::EndpointsUpdated { kind, endpoints });
     }
 
     fn queries(&mut self, events: &mut Vec<Event>) {
@@ -245,19 +257,19 @@
                 id: self.number(),
                 group: self.last as u32,
             };
-            events.push(Event::Query {
+            events.push(Event::QueryReceived {
                 id: query.id,
                 group: query.group,
                 class: class as u16,
                 tenant: self.random.u32(..2),
-                patience: if self.random.u32(..10) == 0 {
+                client_timeout: if self.random.u32(..10) == 0 {
                     deadline / 4
                 } else {
                     deadline
                 },
-                lag: self.random.u64(..3) * 20 * MS,
+                network_delay: self.random.u64(..3) * 20 * MS,
                 work: self.random.bool().then_some(50 * MS),
-                repeat: self.random.u32(..8) == 0,
+                client_retry: self.random.u32(..8) == 0,
             });
             self.open.push(query);
             if self.random.u32(..20) > 0 {
@@ -280,7 +292,7 @@
             } else {
                 self.random.f64() * 0.3
             };
-            events.push(Event::Part {
+            events.push(Event::PartReceived {
                 id: self.number(),
                 group,
                 shard,
@@ -292,7 +304,7 @@
     fn departures(&mut self, events: &mut Vec<Event>) {
         if !self.open.is_empty() && self.random.u32(..30) == 0 {
             let gone = self.open.swap_remove(self.random.usize(..self.open.len()));
-            events.push(Event::ClientGone { id: gone.id });
+            events.push(Event::ClientDisconnected { id: gone.id });
         }
     }
 
@@ -306,8 +318,8 @@
             Action::Send {
                 part,
                 replica,
-                until,
-            } => self.follow_send(part, replica, until),
+                expires_at,
+            } => self.follow_send(part, replica, expires_at),
             Action::Cancel { part, attempt } if self.random.bool() => {
                 let after = self.random.u64(..3) * 5 * MS;
                 self.later(
@@ -326,7 +338,7 @@
                 let report = LoadReport::new();
                 self.later(
                     latency,
-                    Event::Probed {
+                    Event::ProbeEnded {
                         replica,
                         outcome,
                         latency,
@@ -335,7 +347,7 @@
                 );
             }
             Action::Answer { query, .. } => self.follow_answer(query),
-            Action::Refuse { query, .. } | Action::Fail { query } => {
+            Action::Reject { query, .. } | Action::Fail { query } => {
                 self.open.retain(|q| q.id != query)
             }
             _ => {}
@@ -348,18 +360,21 @@
         *attempt += 1;
         let left = until.saturating_sub(self.now);
         let outcome = if self.silent.contains(&replica) {
-            *pick(&mut self.random, &[Outcome::TimedOut, Outcome::Unreachable])
+            *pick(
+                &mut self.random,
+                &[Outcome::TimedOut, Outcome::ConnectFailed],
+            )
         } else if self.breaking.contains(&replica) {
-            Outcome::Broken
+            Outcome::ConnectionReset
         } else if self.full.contains(&replica) {
-            Outcome::Refused
+            Outcome::Rejected
         } else if self.random.u32(..12) == 0 {
             *pick(
                 &mut self.random,
                 &[
                     Outcome::Error,
                     Outcome::NotSent,
-                    Outcome::Refused,
+                    Outcome::Rejected,
                     Outcome::TimedOut,
                 ],
             )
@@ -375,7 +390,7 @@
         if self.random.u32(..10) == 0 {
             self.later(
                 after / 2,
-                Event::Began {
+                Event::StreamStarted {
                     part,
                     attempt: number,
                     replica,
@@ -394,7 +409,7 @@
             .settings
             .classes
             .iter()
-            .any(|class| class.second_step > 0);
+            .any(|class| class.second_phase_parts > 0);
         if !two_steps || self.random.u32(..4) == 0 {
             self.open.swap_remove(i);
             return;
@@ -405,7 +420,7 @@
             let id = self.number();
             self.later(
                 5 * MS,
-                Event::Part {
+                Event::PartReceived {
                     id,
                     group,
                     shard,
@@ -417,7 +432,7 @@
 }
 
 fn ended(part: RequestId, attempt: u8, replica: ReplicaId, outcome: Outcome) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         part,
         attempt,
         replica,
--- a/crates/decisions/tests/replica_table.rs
+++ b/crates/decisions/tests/replica_table.rs
@@ -1,7 +1,7 @@
 //! The replica table against a plain walk over all replicas, and what it visits.
 
-use cottonhill_decisions::interface::*;
 use cottonhill_decisions::replica_table::{Replica, ReplicaTable, Slot};
+use cottonhill_decisions::{Endpoint, EndpointStatus, ReplicaId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,7 +24,7 @@
     cell: u16,
     zone: u16,
     started: u64,
-    standing: Standing,
+    status: EndpointStatus,
     suspected: bool,
     learned: u64,
     latency: Option<f64>,
@@ -32,24 +32,24 @@
 }
 
 impl Walk {
-    fn list(&mut self, members: &[Member], whole: bool) {
-        let listed: BTreeSet<ReplicaId> = members.iter().map(|m| m.replica).collect();
+    fn list(&mut self, endpoints: &[Endpoint], whole: bool) {
+        let listed: BTreeSet<ReplicaId> = endpoints.iter().map(|m| m.replica).collect();
         for (_, replica) in self
             .replicas
             .iter_mut()
             .filter(|(id, _)| whole && !listed.contains(id))
         {
-            replica.standing = Standing::Gone;
+            replica.status = EndpointStatus::Gone;
         }
-        for member in members {
+        for member in endpoints {
             let new = Plain {
                 started: member.started,
                 ..Plain::default()
             };
             let replica = self.replicas.entry(member.replica).or_insert(new);
-            (replica.cell, replica.zone, replica.standing) =
-                (member.cell, member.zone, member.standing);
-            if member.standing == Standing::Ready && replica.started != member.started {
+            (replica.cell, replica.zone, replica.status) =
+                (member.cell, member.zone, member.status);
+            if member.status == EndpointStatus::Ready && replica.started != member.started {
                 (replica.started, replica.suspected, replica.latency) =
                     (member.started, false, None);
             }
@@ -58,7 +58,7 @@
 
     fn forget_gone(&mut self, faded: u64) {
         let kept =
-            |r: &Plain| r.standing != Standing::Gone || !r.open.is_empty() || r.learned > faded;
+            |r: &Plain| r.status != EndpointStatus::Gone || !r.open.is_empty() || r.learned > faded;
         self.replicas.retain(|_, replica| kept(replica));
     }
 
@@ -95,7 +95,7 @@
         let ready = self
             .replicas
             .iter()
-            .filter(|(_, r)| r.standing == Standing::Ready);
+            .filter(|(_, r)| r.status == EndpointStatus::Ready);
         ready.map(|(id, _)| *id).collect()
     }
 }
@@ -104,7 +104,7 @@
 enum Step {
     Time(u64),
     List {
-        members: Vec<Member>,
+        endpoints: Vec<Endpoint>,
         whole: bool,
     },
     Open(u64),
@@ -114,16 +114,16 @@
     Suspect(u64, bool),
 }
 
-fn a_member() -> impl Strategy<Value = Member> {
+fn a_member() -> impl Strategy<Value = Endpoint> {
     let cell = prop_oneof![8 => 0u16..10, 1 => 0..=u16::MAX];
-    let standing = prop_oneof![2 => Just(Standing::Ready), 1 => Just(Standing::Draining), 1 => Just(Standing::Gone)];
-    (1..=REPLICAS, cell, 0u16..3, 0u64..3, standing).prop_map(
-        |(replica, cell, zone, started, standing)| Member {
+    let status = prop_oneof![2 => Just(EndpointStatus::Ready), 1 => Just(EndpointStatus::Draining), 1 => Just(EndpointStatus::Gone)];
+    (1..=REPLICAS, cell, 0u16..3, 0u64..3, status).prop_map(
+        |(replica, cell, zone, started, status)| Endpoint {
             replica: ReplicaId(replica),
             cell,
             zone,
             started,
-            standing,
+            status,
         },
     )
 }
@@ -132,8 +132,8 @@
     let replica = 1..=REPLICAS;
     prop_oneof![
         2 => prop_oneof![Just(0u64), 1u64..30, Just(FADE)].prop_map(Step::Time),
-        2 => prop::collection::vec(a_member(), 0..4).prop_map(|members| Step::List { members, whole: false }),
-        1 => prop::collection::vec(a_member(), 0..16).prop_map(|members| Step::List { members, whole: true }),
+        2 => prop::collection::vec(a_member(), 0..4).prop_map(|endpoints| Step::List { endpoints, whole: false }),
+        1 => prop::collection::vec(a_member(), 0..16).prop_map(|endpoints| Step::List { endpoints, whole: true }),
         2 => replica.clone().prop_map(Step::Open),
         2 => replica.clone().prop_map(Step::Close),
         1 => replica.clone().prop_map(Step::Learn),
@@ -152,9 +152,9 @@
 fn take(step: Step, now: &mut u64, table: &mut ReplicaTable, walk: &mut Walk) {
     match step {
         Step::Time(by) => *now += by,
-        Step::List { members, whole } => {
-            table.list(&members, whole);
-            walk.list(&members, whole);
+        Step::List { endpoints, whole } => {
+            table.list(&endpoints, whole);
+            walk.list(&endpoints, whole);
             table.forget_gone(now.saturating_sub(FADE));
             walk.forget_gone(now.saturating_sub(FADE));
         }
@@ -210,7 +210,7 @@
         cell: replica.cell(),
         zone: replica.zone(),
         started: replica.started(),
-        standing: replica.standing(),
+        status: replica.status(),
         suspected: replica.suspected(),
         learned: replica.traffic().learned,
         latency: replica.traffic().latency,
@@ -260,14 +260,14 @@
     }
 }
 
-fn fleet(replicas: u64) -> Vec<Member> {
+fn fleet(replicas: u64) -> Vec<Endpoint> {
     (0..replicas)
-        .map(|r| Member {
+        .map(|r| Endpoint {
             replica: ReplicaId(r + 1),
             cell: (r / 3) as u16,
             zone: 0,
             started: 0,
-            standing: Standing::Ready,
+            status: EndpointStatus::Ready,
         })
         .collect()
 }
@@ -284,8 +284,8 @@
         let mut table = ReplicaTable::new(replicas.div_ceil(3) as u32, 1, 1);
         table.list(&fleet(replicas), true);
         let lookup = visits(&mut table, |table| drop(table.holders(7)));
-        let gone = Member {
-            standing: Standing::Gone,
+        let gone = Endpoint {
+            status: EndpointStatus::Gone,
             ..fleet(replicas)[10].clone()
         };
         let change = visits(&mut table, |table| {
@@ -307,8 +307,8 @@
 fn one_that_goes_and_returns_again_and_again_is_queued_once() {
     let mut table = ReplicaTable::new(1, 1, 1);
     let ready = fleet(1);
-    let gone = [Member {
-        standing: Standing::Gone,
+    let gone = [Endpoint {
+        status: EndpointStatus::Gone,
         ..ready[0].clone()
     }];
     table.list(&ready, false);
--- a/crates/decisions/tests/scale.rs
+++ b/crates/decisions/tests/scale.rs
@@ -1,8 +1,11 @@
 //! What a batch costs, in operations: it depends on the parts of its queries and their holders, not on the size of
 //! the fleet or on all that is open.
 
-use cottonhill_decisions::interface::*;
 use cottonhill_decisions::Coordinator;
+use cottonhill_decisions::{
+    Action, Class, Endpoint, EndpointStatus, EndpointUpdateKind, Event, LoadReport, Outcome,
+    ReplicaId, Settings,
+};
 
 const MS: u64 = 1_000_000;
 const START: u64 = 100_000 * MS;
@@ -11,41 +14,41 @@
 
 fn settings(replicas: u64) -> Settings {
     let class = Class {
-        aim: 2000 * MS,
+        latency_objective: 2000 * MS,
         deadline: 6000 * MS,
-        need: 1.0,
-        floor: 1.0,
+        completeness_threshold: 1.0,
+        minimum_coverage: 1.0,
         ..Class::default()
     };
     Settings {
         classes: vec![class],
         cells: replicas.div_ceil(COPIES) as u32,
-        reach: 1,
-        coordinators: 1,
-        tick: 5 * MS,
+        replication_factor: 1,
+        fleet_size: 1,
+        batch_interval: 5 * MS,
         max_attempts: Some(4),
-        may_cancel: true,
-        second_copies: true,
-        may_probe: true,
+        cancellation_enabled: true,
+        hedging_enabled: true,
+        probing_enabled: true,
         // So that the room of cold servers is worked out, too.
-        cold_from: Some(0.25),
-        cold_time: 6000 * MS,
-        fall_multiple: Some(2.0),
-        fall_time: 1500 * MS,
+        slow_start_initial_capacity: Some(0.25),
+        slow_start_duration: 6000 * MS,
+        overload_multiple: Some(2.0),
+        overload_window: 1500 * MS,
         ..Settings::default()
     }
 }
 
-fn member(replica: u64) -> Member {
+fn member(replica: u64) -> Endpoint {
     // The third holder of each shard has just started.
     let started = if replica % COPIES == 2 { START - MS } else { 0 };
     let cell = (replica / COPIES) as u16;
-    Member {
+    Endpoint {
         replica: ReplicaId(replica + 1),
         cell,
         zone: 0,
         started,
-        standing: Standing::Ready,
+        status: EndpointStatus::Ready,
     }
 }
 
@@ -65,9 +68,9 @@
         };
         fleet.batch(
             0,
-            &[Event::List {
-                kind: ListKind::Full,
-                members: (0..replicas).map(member).collect(),
+            &[Event::EndpointsUpdated {
+                kind: EndpointUpdateKind::Snapshot,
+                endpoints: (0..replicas).map(member).collect(),
             }],
         );
         fleet
@@ -78,7 +81,8 @@
         self.now += after * MS;
         self.actions.clear();
         let before = self.module.replicas_visited();
-        self.module.handle(self.now, events, &mut self.actions);
+        self.module
+            .process_batch(self.now, events, &mut self.actions);
         self.module.replicas_visited() - before
     }
 
@@ -93,7 +97,7 @@
     /// The end of the parts sent last.
     fn outcomes(&self, outcome: Outcome) -> Vec<Event> {
         let ended = |action: &Action| match *action {
-            Action::Send { part, replica, .. } => Some(Event::Ended {
+            Action::Send { part, replica, .. } => Some(Event::AttemptEnded {
                 part,
                 attempt: 0,
                 replica,
@@ -108,18 +112,18 @@
 
 /// A query with its parts.
 fn query(id: u64) -> Vec<Event> {
-    let (group, patience) = (id as u32, 6000 * MS);
-    let mut events = vec![Event::Query {
+    let (group, client_timeout) = (id as u32, 6000 * MS);
+    let mut events = vec![Event::QueryReceived {
         id,
         group,
         class: 0,
         tenant: 0,
-        patience,
-        lag: 0,
+        client_timeout,
+        network_delay: 0,
         work: None,
-        repeat: false,
+        client_retry: false,
     }];
-    let part = |i| Event::Part {
+    let part = |i| Event::PartReceived {
         id: id + 1 + i,
         group,
         shard: i as u32,
@@ -136,22 +140,22 @@
     let answers = fleet.outcomes(Outcome::Ok);
     visits.push(fleet.batch(60, &answers));
     visits.push(fleet.query(2000));
-    let failures = fleet.outcomes(Outcome::Broken);
+    let failures = fleet.outcomes(Outcome::ConnectionReset);
     visits.push(fleet.batch(60, &failures[..5]));
     visits.push(fleet.batch(400, &[]));
-    let gone = Member {
-        standing: Standing::Gone,
+    let gone = Endpoint {
+        status: EndpointStatus::Gone,
         ..member(0)
     };
-    let new = Member {
+    let new = Endpoint {
         replica: ReplicaId(replicas + 1),
         ..member(0)
     };
     visits.push(fleet.batch(
         5,
-        &[Event::List {
-            kind: ListKind::Changes,
-            members: vec![gone, new],
+        &[Event::EndpointsUpdated {
+            kind: EndpointUpdateKind::Delta,
+            endpoints: vec![gone, new],
         }],
     ));
     visits
@@ -172,9 +176,9 @@
     }
     let mut tended = Vec::new();
     let mut batch = |fleet: &mut Fleet, events: &[Event]| {
-        let before = fleet.module.queries_advanced();
+        let before = fleet.module.queries_processed();
         fleet.batch(5, events);
-        tended.push(fleet.module.queries_advanced() - before);
+        tended.push(fleet.module.queries_processed() - before);
     };
     batch(&mut fleet, &query(1000));
     for answer in fleet.outcomes(Outcome::Ok) {
--- a/crates/lab/src/hollow/mixer.rs
+++ b/crates/lab/src/hollow/mixer.rs
@@ -5,7 +5,7 @@
 use super::settings::Way;
 use crate::Failure;
 use cottonhill_mixer::config::Config;
-use cottonhill_mixer::protocol::discovery::Listing;
+use cottonhill_mixer::protocol::discovery::EndpointUpdate;
 use cottonhill_mixer::routing::{Effect, Input, State};
 use cottonhill_mixer::transport::{follow_list, Clock, MOST_LISTS};
 use serde_json::json;
@@ -97,7 +97,7 @@
         site,
         settings,
         seed,
-        &Listing::default(),
+        &EndpointUpdate::default(),
         descriptors,
     );
     let (lists, mut listed) = mpsc::channel(MOST_LISTS);
--- a/crates/lab/src/scale/driver.rs
+++ b/crates/lab/src/scale/driver.rs
@@ -3,7 +3,7 @@
 use super::fleet::Fleet;
 use crate::meter::Stopwatch;
 use bytes::Bytes;
-use cottonhill_mixer::protocol::discovery::Listing;
+use cottonhill_mixer::protocol::discovery::EndpointUpdate;
 use cottonhill_mixer::protocol::leaf::{CallPart, End, FromLeaf, ToLeaf};
 use cottonhill_mixer::protocol::query::{Asked, AskedPart, Query, Reply};
 use cottonhill_mixer::routing::{Effect, Input, State};
@@ -95,7 +95,14 @@
     pub fn new(fleet: Fleet, seed: u64) -> Result<Driver, String> {
         let text = fleet.mixer_settings();
         let (site, rules) = (settings::site(&text)?, settings::parse(&text)?);
-        let state = State::new(BEGIN, site, rules, seed, &Listing::default(), DESCRIPTORS);
+        let state = State::new(
+            BEGIN,
+            site,
+            rules,
+            seed,
+            &EndpointUpdate::default(),
+            DESCRIPTORS,
+        );
         Ok(Driver {
             state,
             now: BEGIN,
@@ -126,7 +133,7 @@
     }
 
     /// Takes a list or a change into the reducer, and decides.
-    pub fn take(&mut self, listing: Listing) {
+    pub fn take(&mut self, listing: EndpointUpdate) {
         self.inputs.push(Input::Listed(listing));
         self.turn();
     }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -15,7 +15,7 @@
 
 /// What an entry says of its leaf server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointStatus {
     Up,
     Draining,
 }
@@ -33,10 +33,10 @@
     }
 
     /// The entry of leaf server `number`, as JSON.
-    pub fn write_entry(self, number: u64, standing: Standing, out: &mut String) {
+    pub fn write_entry(self, number: u64, standing: EndpointStatus, out: &mut String) {
         let status = match standing {
-            Standing::Up => "up",
-            Standing::Draining => "draining",
+            EndpointStatus::Up => "up",
+            EndpointStatus::Draining => "draining",
         };
         let (zone, group) = (number % self.zones, number / self.copies);
         let [_, high, middle, low] = (number as u32).to_be_bytes();
@@ -65,7 +65,7 @@
                 if next > 0 {
                     piece.push(',');
                 }
-                self.write_entry(next, Standing::Up, &mut piece);
+                self.write_entry(next, EndpointStatus::Up, &mut piece);
                 next += 1;
             }
             if next == self.servers {
@@ -77,7 +77,13 @@
     }
 
     /// A message that changes `entries` leaf servers from number `first` on.
-    pub fn change(self, version: u64, first: u64, entries: u64, standing: Standing) -> String {
+    pub fn change(
+        self,
+        version: u64,
+        first: u64,
+        entries: u64,
+        standing: EndpointStatus,
+    ) -> String {
         let mut text = format!("{{\"index\":{version},\"snapshot\":false,\"endpoints\":[");
         for at in 0..entries {
             if at > 0 {
--- a/crates/lab/src/scale/point.rs
+++ b/crates/lab/src/scale/point.rs
@@ -1,7 +1,7 @@
 //! One point of a series, measured in a process of its own.
 
 use super::driver::{Counts, Driver, Workload};
-use super::fleet::{Fleet, Standing};
+use super::fleet::{EndpointStatus, Fleet};
 use super::watch::{read_whole, ReadList, Unmeasured};
 use crate::fit::median;
 use crate::meter::{peak_resident_bytes, resident_bytes, Stopwatch};
@@ -258,9 +258,9 @@
     while done < messages && Instant::now() < until {
         // Each pair of messages takes the same leaf servers out and brings them back.
         let standing = if done % 2 == 0 {
-            Standing::Draining
+            EndpointStatus::Draining
         } else {
-            Standing::Up
+            EndpointStatus::Up
         };
         let text = spec
             .fleet
--- a/crates/lab/src/scale/watch.rs
+++ b/crates/lab/src/scale/watch.rs
@@ -3,7 +3,7 @@
 use super::fleet::Fleet;
 use crate::meter::Stopwatch;
 use bytes::BytesMut;
-use cottonhill_mixer::protocol::discovery::{self, Listing};
+use cottonhill_mixer::protocol::discovery::{self, EndpointUpdate};
 use cottonhill_mixer::protocol::http::WatchCodec;
 use tokio_util::codec::Decoder;
 
@@ -11,7 +11,7 @@
 
 /// A list that was read.
 pub struct ReadList {
-    pub listing: Listing,
+    pub listing: EndpointUpdate,
     pub bytes: usize,
     /// Processor time of framing and parsing, in nanoseconds.
     pub processor_ns: f64,
@@ -65,7 +65,10 @@
 }
 
 /// The next list in what has come, if it is whole.
-fn next_listing(codec: &mut WatchCodec, buffer: &mut BytesMut) -> Result<Option<Listing>, String> {
+fn next_listing(
+    codec: &mut WatchCodec,
+    buffer: &mut BytesMut,
+) -> Result<Option<EndpointUpdate>, String> {
     while let Some(object) = codec.decode(buffer).map_err(|error| error.to_string())? {
         let listing = discovery::read(&object).map_err(|error| error.to_string())?;
         if listing.is_some() {
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -3,7 +3,7 @@
 use cottonhill_ini::Settings;
 use cottonhill_lab::report::{Measure, Outcome, Point, Report, Values};
 use cottonhill_lab::scale::driver::{Driver, Workload};
-use cottonhill_lab::scale::fleet::{Fleet, Standing};
+use cottonhill_lab::scale::fleet::{EndpointStatus, Fleet};
 use cottonhill_lab::scale::point::{measure, Spec, Work};
 use cottonhill_lab::scale::settings::Scale;
 use cottonhill_lab::scale::{child, watch};
@@ -274,7 +274,7 @@
     );
     let change = discovery::read(
         fleet(1_000)
-            .change(10, 998, 4, Standing::Draining)
+            .change(10, 998, 4, EndpointStatus::Draining)
             .as_bytes(),
     );
     let change = change.expect("a change").expect("one that says something");
--- a/crates/mixer/src/config.rs
+++ b/crates/mixer/src/config.rs
@@ -1,11 +1,11 @@
 //! The configuration: one JSON file, with the settings flattened to the text of the simulator's wire so that
 //! one parser serves both.
 
-use crate::interface::Settings;
-use crate::protocol::discovery::Listing;
+use crate::protocol::discovery::EndpointUpdate;
 use crate::protocol::query::Names;
 use crate::settings::{self, Site};
 use crate::transport::Addresses;
+use cottonhill_decisions::Settings;
 use serde::Deserialize;
 use serde_json::Value;
 use std::fmt::Write;
@@ -44,7 +44,7 @@
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
     #[serde(default)]
-    known: Listing,
+    known: EndpointUpdate,
     settings: Value,
 }
 
@@ -61,7 +61,7 @@
     /// Bytes of memory that the process may use, where that is stated.
     pub memory: Option<usize>,
     /// The list of leaf servers that was in force before the start; it may be old.
-    pub known: Listing,
+    pub known: EndpointUpdate,
     pub addresses: Addresses,
     pub names: Names,
 }
--- a/crates/mixer/src/lib.rs
+++ b/crates/mixer/src/lib.rs
@@ -7,4 +7,4 @@
 pub mod settings;
 pub mod transport;
 
-pub use cottonhill_decisions::{interface, Coordinator};
+pub use cottonhill_decisions::Coordinator;
--- a/crates/mixer/src/protocol/discovery.rs
+++ b/crates/mixer/src/protocol/discovery.rs
@@ -57,7 +57,7 @@
 
 /// One leaf server as listed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Endpoint {
+pub struct EndpointEntry {
     /// Identical at every mixer, and for as long as the leaf server lives.
     pub name: Box<str>,
     /// None where the entry states none that can be used.
@@ -86,11 +86,11 @@
 /// A message of discovery: with `snapshot` the complete list, else the changes since the one before, in their order.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(try_from = "Message")]
-pub struct Listing {
+pub struct EndpointUpdate {
     /// The version of the list once this is applied.
     pub index: u64,
     pub snapshot: bool,
-    pub endpoints: Vec<Endpoint>,
+    pub endpoints: Vec<EndpointEntry>,
     /// Entries that could not be used as they are.
     pub unusable: usize,
 }
@@ -187,7 +187,7 @@
 /// The entries of a message. They are read before it is known to which version they belong.
 #[derive(Default)]
 struct Entries {
-    endpoints: Vec<Endpoint>,
+    endpoints: Vec<EndpointEntry>,
     zones: HashSet<Arc<str>>,
     /// How many there were, read or not.
     count: usize,
@@ -252,7 +252,7 @@
             why,
         });
         let status = Status::Draining;
-        self.endpoints.push(Endpoint {
+        self.endpoints.push(EndpointEntry {
             name,
             address: None,
             zone,
@@ -282,7 +282,7 @@
                 why,
             });
         }
-        self.endpoints.push(Endpoint {
+        self.endpoints.push(EndpointEntry {
             name,
             address,
             zone,
@@ -328,11 +328,11 @@
     }
 }
 
-impl TryFrom<Message> for Listing {
+impl TryFrom<Message> for EndpointUpdate {
     type Error = Refused;
 
     /// Where an entry names nobody, a whole list is still right without it; of changes nobody knows what they lack.
-    fn try_from(message: Message) -> Result<Listing, Refused> {
+    fn try_from(message: Message) -> Result<EndpointUpdate, Refused> {
         let Message {
             index,
             snapshot,
@@ -347,7 +347,7 @@
         entries.log_faults(index);
         match entries.nameless {
             Some((entry, why)) if !snapshot => Err(Refused::Nameless { index, entry, why }),
-            _ => Ok(Listing {
+            _ => Ok(EndpointUpdate {
                 index,
                 snapshot,
                 endpoints: entries.endpoints,
@@ -361,7 +361,7 @@
 ///
 /// # Errors
 /// It is no list that can be taken.
-pub fn read(object: &[u8]) -> Result<Option<Listing>, Refused> {
+pub fn read(object: &[u8]) -> Result<Option<EndpointUpdate>, Refused> {
     if object.is_empty() {
         return Ok(None);
     }
--- a/crates/mixer/src/protocol/http.rs
+++ b/crates/mixer/src/protocol/http.rs
@@ -2,8 +2,8 @@
 //! have a length or come in chunks.
 
 use super::discovery::{Objects, Refused, MOST_OBJECT};
-use crate::interface::Nanos;
 use bytes::{Buf, Bytes, BytesMut};
+use cottonhill_decisions::Nanos;
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 use tokio_util::codec::{Decoder, Encoder};
--- a/crates/mixer/src/protocol/query.rs
+++ b/crates/mixer/src/protocol/query.rs
@@ -2,8 +2,8 @@
 //! makes the same [`Asked`] from its own requests and renders the same [`Reply`].
 
 use super::http::{bad, Rejection, Request, Response};
-use crate::interface::Nanos;
 use bytes::Bytes;
+use cottonhill_decisions::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
--- a/crates/mixer/src/routing/link.rs
+++ b/crates/mixer/src/routing/link.rs
@@ -3,7 +3,7 @@
 //!
 //! Times are Unix nanoseconds by the mixer's clock ([`Nanos`]).
 
-use crate::interface::Nanos;
+use cottonhill_decisions::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
--- a/crates/mixer/src/routing/messages.rs
+++ b/crates/mixer/src/routing/messages.rs
@@ -2,11 +2,11 @@
 
 use super::counters::Counters;
 use super::usage::{Mark, Usage};
-use crate::interface::Nanos;
-use crate::protocol::discovery::Listing;
+use crate::protocol::discovery::EndpointUpdate;
 use crate::protocol::http::Rejection;
 use crate::protocol::leaf::{FromLeaf, ToLeaf};
 use crate::protocol::query::{Asked, Reply};
+use cottonhill_decisions::Nanos;
 use std::net::SocketAddr;
 
 /// A client's connection and a connection to a leaf server, each by a number that is never used again.
@@ -68,7 +68,7 @@
     LinkClosed {
         link: LinkId,
     },
-    Listed(Listing),
+    Listed(EndpointUpdate),
     /// The watch on discovery was asked for, showed a sign of life, or ended.
     Watch(WatchNews),
     Datagram {
--- a/crates/mixer/src/routing/replica_table.rs
+++ b/crates/mixer/src/routing/replica_table.rs
@@ -1,7 +1,7 @@
 //! The table of replicas: compact records, found by number and by name. It decides nothing.
 
-use crate::interface::{Nanos, ReplicaId, Standing};
 use crate::protocol::discovery::Address;
+use cottonhill_decisions::{EndpointStatus, Nanos, ReplicaId};
 use hashbrown::HashTable;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
     /// Its zone's number in the settings.
     pub zone: u16,
     /// What may be sent to it.
-    pub standing: Standing,
+    pub status: EndpointStatus,
     /// Its last entry stated an earlier start than `started`.
     pub(super) started_earlier: bool,
 }
--- a/crates/mixer/src/routing/replicas.rs
+++ b/crates/mixer/src/routing/replicas.rs
@@ -3,8 +3,8 @@
 
 use super::messages::LinkId;
 use super::replica_table::{Replica, ReplicaTable, Slot};
-use crate::interface::{Member, Nanos, ReplicaId, Standing};
-use crate::protocol::discovery::{Address, Endpoint, Listing, Status};
+use crate::protocol::discovery::{Address, EndpointEntry, EndpointUpdate, Status};
+use cottonhill_decisions::{Endpoint, EndpointStatus, Nanos, ReplicaId};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 pub struct Change {
     /// The entries of changes; of a whole list those that differ from what was in force, and what it leaves out as
     /// gone.
-    pub members: Vec<Member>,
+    pub members: Vec<Endpoint>,
     /// The replicas that may get nothing new from now on.
     pub leaving: Vec<ReplicaId>,
     /// Connections to addresses that replicas have left.
@@ -65,13 +65,13 @@
     cell: u16,
     zone: u16,
     started: Nanos,
-    standing: Standing,
+    status: EndpointStatus,
 }
 
 /// An entry that was applied.
 struct Put {
     slot: Slot,
-    member: Member,
+    member: Endpoint,
     /// Something that the decision module knows has changed.
     differs: bool,
 }
@@ -151,8 +151,8 @@
     }
 
     /// Applies a list, whole or changed.
-    pub fn take(&mut self, now: Nanos, listing: Listing) -> Change {
-        let Listing {
+    pub fn take(&mut self, now: Nanos, listing: EndpointUpdate) -> Change {
+        let EndpointUpdate {
             index,
             snapshot,
             endpoints,
@@ -162,7 +162,7 @@
     }
 
     /// The same with a list that is kept elsewhere.
-    pub fn take_copy(&mut self, now: Nanos, listing: &Listing) -> Change {
+    pub fn take_copy(&mut self, now: Nanos, listing: &EndpointUpdate) -> Change {
         self.apply(
             now,
             listing.index,
@@ -176,7 +176,7 @@
         now: Nanos,
         index: u64,
         whole: bool,
-        entries: impl ExactSizeIterator<Item = Endpoint>,
+        entries: impl ExactSizeIterator<Item = EndpointEntry>,
     ) -> Change {
         self.forget(now);
         if self.table.is_empty() {
@@ -217,14 +217,14 @@
             if !listed.insert(slot) {
                 change.repeated += 1;
                 if change.repeated <= MOST_LOGGED {
-                    let (name, standing) = (
+                    let (name, status) = (
                         self.table.at(slot).map(|replica| &*replica.name),
-                        member.standing,
+                        member.status,
                     );
                     tracing::warn!(
                         index,
                         name,
-                        ?standing,
+                        standing = ?status,
                         "listed twice in one list: the last entry holds"
                     );
                 }
@@ -237,9 +237,9 @@
             self.remove_unlisted(now, &listed, &mut change.members);
         }
         self.index = index;
-        let leaves = |member: &&Member| {
+        let leaves = |member: &&Endpoint| {
             self.get(member.replica)
-                .is_some_and(|r| r.standing != Standing::Ready)
+                .is_some_and(|r| r.status != EndpointStatus::Ready)
         };
         change.leaving = change
             .members
@@ -263,19 +263,19 @@
     }
 
     /// What an entry states, given the record of its name; none where nobody knows its address.
-    fn stated(&self, now: Nanos, entry: Endpoint, known: Option<Slot>) -> Option<Stated> {
+    fn stated(&self, now: Nanos, entry: EndpointEntry, known: Option<Slot>) -> Option<Stated> {
         let known = known.and_then(|slot| self.table.at(slot));
         let started = entry.since_ms.saturating_mul(1_000_000);
         let behind = now < self.behind_until;
         let leaving =
-            known.filter(|r| behind && r.standing != Standing::Ready && started <= r.started);
-        let standing = match entry.status {
+            known.filter(|r| behind && r.status != EndpointStatus::Ready && started <= r.started);
+        let status = match entry.status {
             // What is up can't be reached without an address; it may have left where it was.
             Status::Up if entry.address.is_some() => {
-                leaving.map_or(Standing::Ready, |r| r.standing)
+                leaving.map_or(EndpointStatus::Ready, |r| r.status)
             }
-            Status::Up | Status::Draining => Standing::Draining,
-            Status::Removed => Standing::Gone,
+            Status::Up | Status::Draining => EndpointStatus::Draining,
+            Status::Removed => EndpointStatus::Gone,
         };
         let address = entry.address.or_else(|| known.map(|r| r.address.clone()))?;
         let zone = self.zones.iter().position(|zone| **zone == *entry.zone);
@@ -286,7 +286,7 @@
             cell: entry.group,
             zone,
             started,
-            standing,
+            status,
         })
     }
 
@@ -304,26 +304,26 @@
             cell,
             zone,
             started,
-            standing,
+            status,
         } = stated;
         let slot = known.unwrap_or_else(|| self.add(name, address.clone(), started));
         let replica = self.table.at_mut(slot)?;
         let id = replica.id;
-        let member = Member {
+        let member = Endpoint {
             replica: id,
             cell,
             zone,
             started,
-            standing,
+            status,
         };
-        let same = (replica.cell, replica.zone, replica.standing) == (cell, zone, standing)
+        let same = (replica.cell, replica.zone, replica.status) == (cell, zone, status)
             && replica.started == started
             && !replica.started_earlier;
         let moved = replica.address != address;
         replica.started_earlier = started < replica.started;
         replica.started = started.max(replica.started);
         (replica.address, replica.cell, replica.zone) = (address, cell, zone);
-        self.stand(now, slot, standing);
+        self.stand(now, slot, status);
         if moved {
             left.extend(self.take_links(id));
         }
@@ -340,7 +340,7 @@
         let id = ReplicaId(self.last);
         // Numbers are this process's own: the name is what ties the logs of a fleet together.
         tracing::debug!(replica = id.0, name, address = %SocketAddr::from(&address), "replica numbered");
-        let (cell, zone, standing) = (0, NO_ZONE, Standing::Draining);
+        let (cell, zone, status) = (0, NO_ZONE, EndpointStatus::Draining);
         self.table.insert(Replica {
             id,
             name,
@@ -348,23 +348,20 @@
             started,
             cell,
             zone,
-            standing,
+            status,
             started_earlier: false,
         })
     }
 
     /// Sets how a replica stands, with all that is counted by it.
-    fn stand(&mut self, now: Nanos, slot: Slot, standing: Standing) {
+    fn stand(&mut self, now: Nanos, slot: Slot, status: EndpointStatus) {
         let Some(replica) = self.table.at_mut(slot) else {
             return;
         };
-        let (id, before) = (
-            replica.id,
-            std::mem::replace(&mut replica.standing, standing),
-        );
-        self.ready -= usize::from(before == Standing::Ready);
-        self.ready += usize::from(standing == Standing::Ready);
-        if standing != Standing::Gone {
+        let (id, before) = (replica.id, std::mem::replace(&mut replica.status, status));
+        self.ready -= usize::from(before == EndpointStatus::Ready);
+        self.ready += usize::from(status == EndpointStatus::Ready);
+        if status != EndpointStatus::Gone {
             if let Some(since) = self.gone.remove(&id) {
                 self.expiry.remove(&(since + LATE, id));
             }
@@ -375,10 +372,11 @@
     }
 
     /// Whom a whole list leaves out is gone.
-    fn remove_unlisted(&mut self, now: Nanos, listed: &HashSet<Slot>, members: &mut Vec<Member>) {
+    fn remove_unlisted(&mut self, now: Nanos, listed: &HashSet<Slot>, members: &mut Vec<Endpoint>) {
         self.visited += self.table.len() as u64;
-        let unlisted =
-            |(slot, r): &(Slot, &Replica)| r.standing != Standing::Gone && !listed.contains(slot);
+        let unlisted = |(slot, r): &(Slot, &Replica)| {
+            r.status != EndpointStatus::Gone && !listed.contains(slot)
+        };
         let mut unlisted: Vec<(ReplicaId, Slot)> = self
             .table
             .iter()
@@ -387,30 +385,30 @@
             .collect();
         unlisted.sort_unstable();
         for (replica, slot) in unlisted {
-            self.stand(now, slot, Standing::Gone);
+            self.stand(now, slot, EndpointStatus::Gone);
             let Some(&Replica {
                 cell,
                 zone,
                 started,
-                standing,
+                status,
                 ..
             }) = self.table.at(slot)
             else {
                 continue;
             };
-            members.push(Member {
+            members.push(Endpoint {
                 replica,
                 cell,
                 zone,
                 started,
-                standing,
+                status,
             });
         }
     }
 }
 
 /// Whether an entry only takes away: of a name that is not known it changes nothing that was in force.
-fn takes_away(entry: &Endpoint, whole: bool) -> bool {
+fn takes_away(entry: &EndpointEntry, whole: bool) -> bool {
     match entry.status {
         Status::Up => false,
         Status::Draining => !whole,
--- a/crates/mixer/src/routing/state/attempts.rs
+++ b/crates/mixer/src/routing/state/attempts.rs
@@ -1,10 +1,12 @@
 //! Attempts and probes, from the decision to the one end of each.
 
 use super::{Alarm, Attempt, Part, Probe, State, IDLE_TENTHS, MS};
-use crate::interface::*;
 use crate::protocol::leaf::{CallPart, ToLeaf};
 use crate::routing::link::{AttemptId, Job};
 use crate::routing::messages::{Effect, LinkId};
+use cottonhill_decisions::{
+    EndpointStatus, Event, LoadReport, Nanos, Outcome, ReplicaId, RequestId,
+};
 use std::rc::Rc;
 
 impl State {
@@ -36,13 +38,13 @@
         let ready = self
             .replicas
             .get(replica)
-            .is_some_and(|r| r.standing == Standing::Ready);
+            .is_some_and(|r| r.status == EndpointStatus::Ready);
         let allowed = usize::from(attempt.1) < self.site.max_attempts && until > now;
         if !ready || !allowed {
             return self.not_placed(attempt, replica, Outcome::NotSent);
         }
         let Some(link) = self.link_for(now, replica, &wire) else {
-            return self.not_placed(attempt, replica, Outcome::Unreachable);
+            return self.not_placed(attempt, replica, Outcome::ConnectFailed);
         };
         if let Some((_, it)) = self.links.get_mut(&link) {
             it.queue(
@@ -74,7 +76,7 @@
         outcome: Outcome,
     ) {
         self.count(outcome);
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             part,
             attempt,
             replica,
@@ -89,7 +91,11 @@
             return;
         };
         self.alarms.remove(&(attempt.until, Alarm::Attempt(id)));
-        if let Some(part) = self.parts.get_mut(&id.0).filter(|_| outcome.never_ran()) {
+        if let Some(part) = self
+            .parts
+            .get_mut(&id.0)
+            .filter(|_| outcome.did_not_execute())
+        {
             part.begun.retain(|(number, _)| *number != id.1);
         }
         self.count(outcome);
@@ -101,7 +107,7 @@
             ?outcome,
             "attempt ended"
         );
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             part,
             attempt,
             replica,
@@ -115,10 +121,10 @@
         *match outcome {
             Outcome::Ok => &mut ended.ok,
             Outcome::Error => &mut ended.error,
-            Outcome::Refused => &mut ended.refused,
+            Outcome::Rejected => &mut ended.refused,
             Outcome::TimedOut => &mut ended.timed_out,
-            Outcome::Unreachable => &mut ended.unreachable,
-            Outcome::Broken => &mut ended.broken,
+            Outcome::ConnectFailed => &mut ended.unreachable,
+            Outcome::ConnectionReset => &mut ended.broken,
             Outcome::Cancelled => &mut ended.cancelled,
             Outcome::NotSent => &mut ended.not_sent,
         } += 1;
@@ -226,7 +232,7 @@
                 let wanted = self
                     .replicas
                     .get(id)
-                    .filter(|r| r.standing == Standing::Ready);
+                    .filter(|r| r.status == EndpointStatus::Ready);
                 if wanted.is_none() || !self.replicas.links(id).contains(&link) {
                     self.close_link(now, link);
                 } else {
@@ -285,7 +291,7 @@
         let listed = self
             .replicas
             .get(replica)
-            .is_some_and(|r| r.standing != Standing::Gone);
+            .is_some_and(|r| r.status != EndpointStatus::Gone);
         let link = if listed && self.site.may_probe {
             self.link_for(now, replica, "")
         } else {
@@ -293,7 +299,7 @@
         };
         let Some(link) = link else {
             let (outcome, report) = (Outcome::NotSent, LoadReport::new());
-            return self.events.push(Event::Probed {
+            return self.events.push(Event::ProbeEnded {
                 replica,
                 outcome,
                 latency: 0,
@@ -332,7 +338,7 @@
             it.drop_probe(probe);
         }
         let report = self.report(report);
-        self.events.push(Event::Probed {
+        self.events.push(Event::ProbeEnded {
             replica,
             outcome,
             latency: now.saturating_sub(asked),
--- a/crates/mixer/src/routing/state/clients.rs
+++ b/crates/mixer/src/routing/state/clients.rs
@@ -4,13 +4,13 @@
     Alarm, Attempt, Client, Part, Query, State, CLIENT_IDLE, CLOSED_AT_ONCE, GONE_BEGINS, MARGIN,
     MS,
 };
-use crate::interface::{Event, Nanos, RequestId};
 use crate::protocol::http::Rejection;
 use crate::protocol::query::{Asked, Query as AskedQuery, Reply};
 use crate::routing::counters::Stats;
 use crate::routing::link::AttemptId;
 use crate::routing::messages::{ClientId, Effect};
 use crate::routing::usage::Outcome;
+use cottonhill_decisions::{Event, Nanos, RequestId};
 use std::rc::Rc;
 
 impl State {
@@ -155,15 +155,15 @@
         }
         let work = asked.parts.iter().map(|p| p.work).sum();
         let (class, tenant) = (asked.class, asked.tenant);
-        self.events.push(Event::Query {
+        self.events.push(Event::QueryReceived {
             id,
             group,
             class,
             tenant,
-            patience,
-            lag: spent,
+            client_timeout: patience,
+            network_delay: spent,
             work,
-            repeat: asked.repeat,
+            client_retry: asked.repeat,
         });
         let mut parts = Vec::with_capacity(asked.parts.len());
         for part in &asked.parts {
@@ -180,7 +180,7 @@
             };
             self.parts.insert(part_id, new);
             self.open_parts += 1;
-            self.events.push(Event::Part {
+            self.events.push(Event::PartReceived {
                 id: part_id,
                 group,
                 shard,
@@ -227,7 +227,7 @@
         };
         if let Some(id) = client.query {
             self.counters.answered.client_gone += 1;
-            self.events.push(Event::ClientGone { id });
+            self.events.push(Event::ClientDisconnected { id });
             if let Some((query, parts)) = self.end_query(now, id) {
                 self.expect_taken(now, &query);
                 self.record(&query, &parts, Outcome::Left);
@@ -275,7 +275,7 @@
                     .then_some(*id)
             };
             for waiting in attempts.filter_map(waits).collect::<Vec<_>>() {
-                self.end_attempt(now, waiting, crate::interface::Outcome::Cancelled);
+                self.end_attempt(now, waiting, cottonhill_decisions::Outcome::Cancelled);
             }
         }
         self.alarms.remove(&(query.deadline, Alarm::LastMoment(id)));
--- a/crates/mixer/src/routing/state/links.rs
+++ b/crates/mixer/src/routing/state/links.rs
@@ -1,12 +1,14 @@
 //! Leaf servers: the list, the connections and what comes in on them.
 
 use super::{Alarm, State, MS};
-use crate::interface::*;
-use crate::protocol::discovery::Listing;
+use crate::protocol::discovery::EndpointUpdate;
 use crate::protocol::leaf::{End, FromLeaf};
 use crate::routing::link::{Answered, Link, Phase};
 use crate::routing::messages::{Effect, LinkId, ListFault, WatchNews};
 use crate::routing::replicas::Change;
+use cottonhill_decisions::{
+    EndpointUpdateKind, Event, LoadReport, Nanos, Outcome, ReplicaId, RequestId,
+};
 use std::net::SocketAddr;
 
 /// The same where the settings leave no grace: half of what the protocol adds to each time limit.
@@ -14,7 +16,7 @@
 
 impl State {
     /// Puts a list in force.
-    pub(super) fn take_list(&mut self, now: Nanos, listing: Listing) {
+    pub(super) fn take_list(&mut self, now: Nanos, listing: EndpointUpdate) {
         let (index, lines, whole) = (listing.index, listing.endpoints.len(), listing.snapshot);
         let unusable = listing.unusable as u64;
         let Change {
@@ -42,9 +44,9 @@
         self.heard = now;
         self.listed |= self.replicas.any_ready();
         // A whole list comes as what it changes too: whom it leaves out is among its members as gone.
-        self.events.push(Event::List {
-            kind: ListKind::Changes,
-            members,
+        self.events.push(Event::EndpointsUpdated {
+            kind: EndpointUpdateKind::Delta,
+            endpoints: members,
         });
         // What waits for a replica that drains or is gone never goes out: the rule counts its first byte. Nor does
         // what waits for an address that was left; others go on at the new one.
@@ -119,8 +121,11 @@
     pub(super) fn hear_first(&mut self, now: Nanos) {
         self.unheard = false;
         for event in &mut self.events {
-            let Event::Query {
-                id, patience, lag, ..
+            let Event::QueryReceived {
+                id,
+                client_timeout,
+                network_delay,
+                ..
             } = event
             else {
                 continue;
@@ -129,8 +134,8 @@
                 .queries
                 .get(id)
                 .map_or(0, |query| query.deadline.saturating_sub(now));
-            *lag += patience.saturating_sub(left);
-            *patience = left;
+            *network_delay += client_timeout.saturating_sub(left);
+            *client_timeout = left;
         }
     }
 
@@ -175,7 +180,7 @@
                 let outcome = match end {
                     End::Ok => Outcome::Ok,
                     End::Err => Outcome::Error,
-                    End::Busy => Outcome::Refused,
+                    End::Busy => Outcome::Rejected,
                 };
                 if outcome == Outcome::Ok {
                     self.keep_value(attempt.0, &value);
@@ -263,14 +268,14 @@
         let (attempts, probes) = it.end();
         for (attempt, may_have_run) in attempts {
             let outcome = if may_have_run {
-                Outcome::Broken
+                Outcome::ConnectionReset
             } else {
-                Outcome::Unreachable
+                Outcome::ConnectFailed
             };
             self.ended(attempt, outcome, LoadReport::new());
         }
         for probe in probes {
-            self.probe_ended(now, probe, Outcome::Unreachable, "");
+            self.probe_ended(now, probe, Outcome::ConnectFailed, "");
         }
     }
 
--- a/crates/mixer/src/routing/state/mod.rs
+++ b/crates/mixer/src/routing/state/mod.rs
@@ -12,11 +12,14 @@
 use super::replicas::Replicas;
 use super::usage::JoinKey;
 use super::watching::{Watching, Way};
-use crate::interface::{Effect as ClassEffect, *};
-use crate::protocol::discovery::Listing;
+use crate::protocol::discovery::EndpointUpdate;
 use crate::settings::Site;
 use crate::Coordinator;
 use bytes::Bytes;
+use cottonhill_decisions::{
+    Class, DiscoveryMode, EndpointUpdateKind, Event, Idempotency, Nanos, ReplicaId, RequestId,
+    Settings,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -202,8 +205,8 @@
 
 /// How discovery announces changes, as the settings state it.
 fn way(site: &Site, settings: &Settings) -> Way {
-    if settings.list_on_request {
-        let within = Duration::from_nanos(settings.list_within);
+    if settings.discovery_mode == DiscoveryMode::Poll {
+        let within = Duration::from_nanos(settings.max_list_staleness);
         Way::Asked {
             within: Some(within).filter(|within| !within.is_zero()),
         }
@@ -221,18 +224,19 @@
         site: Site,
         settings: Settings,
         seed: u64,
-        known: &Listing,
+        known: &EndpointUpdate,
         descriptors: usize,
     ) -> State {
         let window = |class: &Class| {
-            Some(class.repeat_window).filter(|_| class.effect == ClassEffect::Keyed)
+            Some(class.idempotency_window)
+                .filter(|_| class.idempotency == Idempotency::IdempotencyKey)
         };
         let mut state = State {
             repeat_windows: settings.classes.iter().map(window).collect(),
             room: Room::of(descriptors),
             listening: true,
             replicas: Replicas::new(site.zones.clone()),
-            watching: Watching::new(way(&site, &settings), seed, settings.coordinators),
+            watching: Watching::new(way(&site, &settings), seed, settings.fleet_size),
             site,
             module: Coordinator::new(settings, seed),
             events: Vec::new(),
@@ -261,9 +265,9 @@
         };
         let members = state.replicas.take_copy(now, known).members;
         state.listed = state.replicas.any_ready();
-        state.events.push(Event::List {
-            kind: ListKind::Remembered,
-            members,
+        state.events.push(Event::EndpointsUpdated {
+            kind: EndpointUpdateKind::CachedSnapshot,
+            endpoints: members,
         });
         state.turn(now);
         state.unheard = true;
@@ -306,7 +310,7 @@
     pub fn held(&self) -> usize {
         let open = self.queries.len() + self.parts.len() + self.names.len() + self.attempts.len();
         let sockets = self.clients.len() + self.links.len() + self.probes.len();
-        open + sockets + self.alarms.len() + self.replicas.known() + self.module.held()
+        open + sockets + self.alarms.len() + self.replicas.known() + self.module.retained_entries()
     }
 
     pub fn counters(&self) -> &Counters {
@@ -348,7 +352,9 @@
             }
             Input::Listed(listing) => self.take_list(now, listing),
             Input::Watch(news) => self.watched(now, news),
-            Input::Datagram { from, bytes } => self.events.push(Event::Message { from, bytes }),
+            Input::Datagram { from, bytes } => {
+                self.events.push(Event::DatagramReceived { from, bytes })
+            }
             Input::Reloaded { discovery } => self.reloaded(now, discovery),
             Input::Terminate => self.terminate(now),
             Input::StoppedListening => self.listening = false,
--- a/crates/mixer/src/routing/state/turns.rs
+++ b/crates/mixer/src/routing/state/turns.rs
@@ -4,10 +4,10 @@
     usage, Alarm, Part, Query, State, GRACE, IDLE_TENTHS, KILL, LAST_WORDS, LONGEST_DEADLINE,
 };
 use super::{MOST_DATAGRAM, MS};
-use crate::interface::*;
 use crate::protocol::query::{Hit, Reply};
 use crate::routing::link::Phase;
 use crate::routing::messages::Effect;
+use cottonhill_decisions::{Action, Event, Nanos, Outcome, RequestId};
 
 impl State {
     pub(super) fn turn(&mut self, now: Nanos) {
@@ -20,7 +20,7 @@
         }
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
-        self.module.handle(now, &events, &mut actions);
+        self.module.process_batch(now, &events, &mut actions);
         for action in actions {
             self.act(now, action);
         }
@@ -29,7 +29,7 @@
 
     pub(super) fn ring(&mut self, now: Nanos, alarm: Alarm) {
         match alarm {
-            Alarm::Wake(token) => self.events.push(Event::Timer { token }),
+            Alarm::Wake(token) => self.events.push(Event::TimerFired { token }),
             Alarm::Attempt(id) => self.end_attempt(now, id, Outcome::TimedOut),
             Alarm::Connect(link) => {
                 if self
@@ -61,7 +61,7 @@
                 // Guards the rule that every query taken is answered in time, should the module miss one.
                 self.counters.faults.last_moment += 1;
                 tracing::error!(id, "query still open at the last moment");
-                self.events.push(Event::ClientGone { id });
+                self.events.push(Event::ClientDisconnected { id });
                 self.fail(now, id);
             }
             Alarm::Mark => self.mark(now),
@@ -82,7 +82,7 @@
             Alarm::GraceOver => self.wind_down(),
             Alarm::End => {
                 for id in self.queries.keys().copied().collect::<Vec<_>>() {
-                    self.events.push(Event::ClientGone { id });
+                    self.events.push(Event::ClientDisconnected { id });
                     self.fail(now, id);
                 }
                 (self.closing, self.listening) = (true, false);
@@ -96,33 +96,35 @@
             Action::Send {
                 part,
                 replica,
-                until,
-            } => self.send(now, part, replica, until),
+                expires_at,
+            } => self.send(now, part, replica, expires_at),
             Action::Cancel { part, attempt } => {
                 self.end_attempt(now, (part, attempt), Outcome::Cancelled)
             }
-            Action::Answer { query, whole } => {
-                self.finish(now, query, |state, query| state.answer(query, whole));
+            Action::Answer { query, complete } => {
+                self.finish(now, query, |state, query| state.answer(query, complete));
             }
-            Action::Refuse { query, come_back } => self.finish(now, query, |state, _| {
+            Action::Reject { query, retry_after } => self.finish(now, query, |state, _| {
                 state.counters.answered.refused += 1;
-                Reply::Refused { come_back }
+                Reply::Refused {
+                    come_back: retry_after,
+                }
             }),
             Action::Fail { query } => self.fail(now, query),
-            Action::Wake { token, after } => {
-                self.alarms.insert((now + after, Alarm::Wake(token)));
+            Action::SetTimer { token, delay } => {
+                self.alarms.insert((now + delay, Alarm::Wake(token)));
             }
             // Discovery pushes its list here, and the watch asks again by itself.
-            Action::Subscribe { .. } | Action::FetchList => {}
+            Action::SubscribeEndpoints { .. } | Action::FetchEndpoints => {}
             Action::Probe { replica } => self.probe(now, replica),
-            Action::CloseIdle { replica } => {
+            Action::CloseIdleConnections { replica } => {
                 for link in self.replicas.links(replica).to_vec() {
                     if self.links.get(&link).is_some_and(|(_, it)| it.is_idle()) {
                         self.close_link(now, link);
                     }
                 }
             }
-            Action::Tell { to, bytes } => {
+            Action::SendDatagram { to, bytes } => {
                 if self.site.peers && bytes.len() <= MOST_DATAGRAM {
                     self.counters.sent.datagrams += 1;
                     self.effects.push(Effect::Datagram { to, bytes });
--- a/crates/mixer/src/routing/state/usage.rs
+++ b/crates/mixer/src/routing/state/usage.rs
@@ -1,10 +1,10 @@
 //! The ledger's hook: a record for each query that ends, and marks that say up to when the records are complete.
 
 use super::{Alarm, Part, Query, State};
-use crate::interface::{Nanos, RequestId};
 use crate::protocol::query::{Query as AskedQuery, Reply};
 use crate::routing::messages::Effect;
 use crate::routing::usage::{self, JoinKey, Mark, Outcome, Usage};
+use cottonhill_decisions::{Nanos, RequestId};
 use std::collections::BTreeSet;
 
 #[derive(Debug)]
--- a/crates/mixer/src/routing/usage.rs
+++ b/crates/mixer/src/routing/usage.rs
@@ -1,6 +1,6 @@
 //! Usage records, as the ledger counts them: one for each query that ended.
 
-use crate::interface::Nanos;
+use cottonhill_decisions::Nanos;
 use xxhash_rust::xxh3::Xxh3;
 
 /// The key that joins the tries of one use: the same at every mixer and in every run, so that a retry at another mixer
--- a/crates/mixer/src/settings.rs
+++ b/crates/mixer/src/settings.rs
@@ -2,7 +2,7 @@
 //! Keys that are not known are skipped; a key that is missing where it is needed, or out of range, is named
 //! in the error. The simulator's wire carries this text; a real mixer's JSON is flattened to it first.
 
-use crate::interface::{Budget, Class, Effect, Settings};
+use cottonhill_decisions::{Class, DiscoveryMode, Idempotency, RetryBudget, Settings};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
@@ -101,28 +101,28 @@
     Ok(Settings {
         classes,
         zone: pairs.get("my_zone")?.unwrap_or_default(),
-        zone_price: pairs.number("tariffs.cross_zone")?.unwrap_or_default(),
+        cross_zone_cost: pairs.number("tariffs.cross_zone")?.unwrap_or_default(),
         cells: number32(&pairs, "extra.places")?,
-        reach: number32(&pairs, "extra.reach")?,
-        call_parts: pairs.get("extra.bundle_max")?,
-        coordinators: number32(&pairs, "replicas_of_me")?,
-        tick: pairs.positive("tick_ns")?,
+        replication_factor: number32(&pairs, "extra.reach")?,
+        max_parts_per_call: pairs.get("extra.bundle_max")?,
+        fleet_size: number32(&pairs, "replicas_of_me")?,
+        batch_interval: pairs.positive("tick_ns")?,
         max_attempts: pairs.get("limits.max_attempts")?,
-        may_cancel: pairs.flag("limits.cancelling")?,
-        repeats_marked: pairs.flag("callers.marks_retry")?,
-        second_copies: pairs.flag("limits.may_duplicate")?,
-        may_probe: pairs.flag("limits.may_probe")?,
+        cancellation_enabled: pairs.flag("limits.cancelling")?,
+        client_retries_marked: pairs.flag("callers.marks_retry")?,
+        hedging_enabled: pairs.flag("limits.may_duplicate")?,
+        probing_enabled: pairs.flag("limits.may_probe")?,
         // Whatever `limits.retry_after` says: who is given up on is told at once, and when to come back.
-        longest_retry_advice: pairs.time("limits.max_retry_after_ns")?,
-        cold_from: pairs.number("guarantees.cold_from")?,
-        cold_time: pairs.time("guarantees.cold_ns")?,
-        fall_multiple: pairs.number("guarantees.fall_multiple")?,
-        fall_time: pairs.time("guarantees.fall_ns")?,
-        budget: budget(&pairs)?,
-        allowance: allowance(&pairs)?,
-        idle_time: pairs.time("limits.conn_idle_ns")?,
-        list_on_request: pairs.0.get("discovery") == Some(&"on_request"),
-        list_within: pairs.time("guarantees.ask_within_ns")?,
+        max_retry_after: pairs.time("limits.max_retry_after_ns")?,
+        slow_start_initial_capacity: pairs.number("guarantees.cold_from")?,
+        slow_start_duration: pairs.time("guarantees.cold_ns")?,
+        overload_multiple: pairs.number("guarantees.fall_multiple")?,
+        overload_window: pairs.time("guarantees.fall_ns")?,
+        retry_budget: budget(&pairs)?,
+        fleet_rate_limit: allowance(&pairs)?,
+        connection_idle_timeout: pairs.time("limits.conn_idle_ns")?,
+        discovery_mode: discovery_mode(&pairs),
+        max_list_staleness: pairs.time("guarantees.ask_within_ns")?,
     })
 }
 
@@ -133,27 +133,34 @@
 fn class(pairs: &Pairs, i: usize) -> Result<Class, String> {
     let key = |name: &str| format!("classes.{i}.{name}");
     let effect = match pairs.need::<String>(&key("semantics"))?.as_str() {
-        "read_like" => Effect::Safe,
-        "idempotency_key" => Effect::Keyed,
-        "non_idempotent" => Effect::Unsafe,
+        "read_like" => Idempotency::Idempotent,
+        "idempotency_key" => Idempotency::IdempotencyKey,
+        "non_idempotent" => Idempotency::NonIdempotent,
         other => return Err(format!("setting {}: bad value '{other}'", key("semantics"))),
     };
     let late_worth = pairs.number(&key("late_value"))?.unwrap_or_default();
     Ok(Class {
-        aim: pairs.positive(&key("aim_ns"))?,
-        aim_stretch: pairs.number(&key("aim_stretch"))?,
+        latency_objective: pairs.positive(&key("aim_ns"))?,
+        objective_per_expected_work: pairs.number(&key("aim_stretch"))?,
         deadline: pairs.positive(&key("give_up_ns"))?,
-        effect,
-        repeat_window: pairs.time(&key("dedup_window_ns"))?,
-        worth: pairs.number(&key("importance"))?,
-        late_worth,
-        need: pairs.share("extra.class_need", i)?,
-        floor: pairs.share("extra.least_share", i)?,
-        partial_earns: pairs.share("extra.partial_earns", i)?,
-        second_step: pairs.item("extra.second_step", i)?,
+        idempotency: effect,
+        idempotency_window: pairs.time(&key("dedup_window_ns"))?,
+        priority_weight: pairs.number(&key("importance"))?,
+        late_weight_fraction: late_worth,
+        completeness_threshold: pairs.share("extra.class_need", i)?,
+        minimum_coverage: pairs.share("extra.least_share", i)?,
+        partial_answer_value: pairs.share("extra.partial_earns", i)?,
+        second_phase_parts: pairs.item("extra.second_step", i)?,
     })
 }
 
+fn discovery_mode(pairs: &Pairs) -> DiscoveryMode {
+    match pairs.0.get("discovery") {
+        Some(&"on_request") => DiscoveryMode::Poll,
+        _ => DiscoveryMode::Push,
+    }
+}
+
 /// A tenant that states none adds nothing.
 fn allowance(pairs: &Pairs) -> Result<f64, String> {
     let count = pairs.get::<usize>("orgs.count")?.unwrap_or_default();
@@ -163,16 +170,16 @@
         .try_fold(0.0, |sum, one| Ok(sum + one?.unwrap_or_default()))
 }
 
-fn budget(pairs: &Pairs) -> Result<Option<Budget>, String> {
+fn budget(pairs: &Pairs) -> Result<Option<RetryBudget>, String> {
     let floor = pairs.number("guarantees.extra_floor")?;
     let share = pairs.number("guarantees.budget_share")?;
     let span = pairs.get("guarantees.budget_span_ns")?;
     Ok(match (floor, share, span) {
         (None, None, _) | (_, _, None) => None,
-        (floor, share, Some(span)) => Some(Budget {
-            floor: floor.unwrap_or_default(),
-            share: share.unwrap_or_default(),
-            span,
+        (floor, share, Some(span)) => Some(RetryBudget {
+            minimum: floor.unwrap_or_default(),
+            ratio: share.unwrap_or_default(),
+            window: span,
         }),
     })
 }
--- a/crates/mixer/src/transport/clock.rs
+++ b/crates/mixer/src/transport/clock.rs
@@ -1,6 +1,6 @@
 //! The mixer's one clock: Unix time as read at the start, plus the monotonic time since.
 
-use crate::interface::Nanos;
+use cottonhill_decisions::Nanos;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/crates/mixer/src/transport/query_client.rs
+++ b/crates/mixer/src/transport/query_client.rs
@@ -2,9 +2,9 @@
 
 use super::clients::Command;
 use super::{Shared, MOST_COMMANDS};
-use crate::interface::Nanos;
 use crate::protocol::query::{Asked, Names, Query, Reply};
 use crate::routing::{ClientId, Input};
+use cottonhill_decisions::Nanos;
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
--- a/crates/mixer/src/transport/watch.rs
+++ b/crates/mixer/src/transport/watch.rs
@@ -1,7 +1,7 @@
 //! The watch on discovery: one long answer, asked for again whenever it ends or falls silent.
 
 use super::pool::Pool;
-use crate::protocol::discovery::{self, Listing, Refused};
+use crate::protocol::discovery::{self, EndpointUpdate, Refused};
 use crate::protocol::http::{TurnedAway, WatchCodec, WatchRequest};
 use crate::routing::messages::{ListFault, WatchNews};
 use crate::routing::watching::Ended;
@@ -111,7 +111,7 @@
     }
 
     /// The list in a message; none where it is a sign of life alone.
-    async fn listing(&mut self, message: io::Result<Bytes>) -> io::Result<Option<Listing>> {
+    async fn listing(&mut self, message: io::Result<Bytes>) -> io::Result<Option<EndpointUpdate>> {
         let read = match message {
             Ok(object) => discovery::read(&object),
             Err(error) => match error
@@ -133,7 +133,7 @@
 
     /// Refuses changes whose version is below the one in force. A whole list is right whatever its version: discovery
     /// may have begun anew.
-    async fn check_version(&mut self, listing: &Listing) -> io::Result<()> {
+    async fn check_version(&mut self, listing: &EndpointUpdate) -> io::Result<()> {
         let (index, address) = (listing.index, self.address);
         let Some(in_force) = self.index.filter(|in_force| index < *in_force) else {
             return Ok(());
--- a/crates/mixer/tests/bed/mod.rs
+++ b/crates/mixer/tests/bed/mod.rs
@@ -4,7 +4,7 @@
 #![allow(dead_code)] // Each test file uses its own part of it.
 
 use bytes::Bytes;
-use cottonhill_mixer::protocol::discovery::Listing;
+use cottonhill_mixer::protocol::discovery::EndpointUpdate;
 use cottonhill_mixer::protocol::leaf::{End, FromLeaf, ToLeaf};
 use cottonhill_mixer::protocol::query::{Asked, AskedPart, Query, Reply};
 use cottonhill_mixer::routing::usage::{Mark, Usage};
@@ -82,7 +82,7 @@
     format!("127.0.{}.{}:7070", replica / 256, replica % 256)
 }
 
-fn listing(index: u64, snapshot: bool, lines: &[(u64, &str, u64)]) -> Listing {
+fn listing(index: u64, snapshot: bool, lines: &[(u64, &str, u64)]) -> EndpointUpdate {
     let line = |(replica, status, since): &(u64, &str, u64)| {
         serde_json::json!({"name": format!("s-{replica}"), "address": address(*replica), "zone": "north",
             "type": "m", "group": 0, "status": status, "weight": 1.0, "since_ms": since / MS})
--- a/crates/mixer/tests/lists.rs
+++ b/crates/mixer/tests/lists.rs
@@ -8,7 +8,7 @@
 use bytes::BytesMut;
 use cottonhill_mixer::config::Config;
 use cottonhill_mixer::protocol::discovery::{
-    self, Listing, Objects, Refused, Status, MOST_ENTRIES, MOST_OBJECT,
+    self, EndpointUpdate, Objects, Refused, Status, MOST_ENTRIES, MOST_OBJECT,
 };
 use cottonhill_mixer::protocol::http::WatchCodec;
 use cottonhill_mixer::protocol::query::Reply;
@@ -183,7 +183,10 @@
     assert_eq!(read(last_first), want);
     let value: Value = serde_json::from_str(plain).unwrap();
     assert_eq!(read(&serde_json::to_string_pretty(&value).unwrap()), want);
-    assert_eq!(serde_json::from_value::<Listing>(value).unwrap(), want);
+    assert_eq!(
+        serde_json::from_value::<EndpointUpdate>(value).unwrap(),
+        want
+    );
 }
 
 // ---- Entries that are wrong ---------------------------------------------------------------------------
@@ -209,7 +212,7 @@
     let Input::Listed(change) = change else {
         panic!("{change:?}")
     };
-    bed.put(Input::Listed(Listing {
+    bed.put(Input::Listed(EndpointUpdate {
         endpoints: listing.endpoints,
         unusable: 40,
         ..change
--- a/crates/mixer/tests/protocol.rs
+++ b/crates/mixer/tests/protocol.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use cottonhill_mixer::config::Config;
-use cottonhill_mixer::protocol::discovery::{self, Listing};
+use cottonhill_mixer::protocol::discovery::{self, EndpointUpdate};
 use cottonhill_mixer::protocol::http;
 use cottonhill_mixer::protocol::http::{
     Rejection, Request, Response, ServerCodec, TurnedAway, WatchCodec,
@@ -358,7 +358,7 @@
 }
 
 /// The lists in a watch's answer that comes in pieces of these sizes.
-fn lists(answer: &[u8], sizes: &[usize]) -> Vec<Listing> {
+fn lists(answer: &[u8], sizes: &[usize]) -> Vec<EndpointUpdate> {
     let objects = feed(&mut WatchCodec::default(), answer, sizes);
     objects
         .iter()
@@ -385,7 +385,7 @@
     );
     let indented = serde_json::to_string_pretty(&first).unwrap() + "\n";
     let plain = first.to_string() + "\n";
-    let want: Vec<Listing> = [&first, &second]
+    let want: Vec<EndpointUpdate> = [&first, &second]
         .map(|list| serde_json::from_value(list.clone()).unwrap())
         .into();
     for (name, answer) in [
@@ -493,7 +493,7 @@
     assert!(read(&endless).contains("over 33554432 bytes"));
 }
 
-fn lists_or_why(text: &str) -> Result<Vec<Listing>, String> {
+fn lists_or_why(text: &str) -> Result<Vec<EndpointUpdate>, String> {
     let (mut codec, mut bytes, mut lists) = (
         WatchCodec::default(),
         BytesMut::from(&watched(&[text])[..]),
@@ -524,7 +524,7 @@
         (2, "a_b")
     );
     assert_eq!(
-        (read.settings.classes[0].floor, read.seed),
+        (read.settings.classes[0].minimum_coverage, read.seed),
         (0.6, 0x8c1f_30d2_7a5b_e964)
     );
     let mut broken = settings.clone();
--- a/crates/mixer/tests/replicas.rs
+++ b/crates/mixer/tests/replicas.rs
@@ -2,10 +2,10 @@
 
 mod bed;
 
-use cottonhill_mixer::interface::{
-    Action, Event, ListKind, Member, Outcome, ReplicaId, Settings, Standing,
+use cottonhill_decisions::{
+    Action, Endpoint, EndpointStatus, EndpointUpdateKind, Event, Outcome, ReplicaId, Settings,
 };
-use cottonhill_mixer::protocol::discovery::{self, Endpoint, Listing, Status};
+use cottonhill_mixer::protocol::discovery::{self, EndpointEntry, EndpointUpdate, Status};
 use cottonhill_mixer::routing::replica_table::Replica;
 use cottonhill_mixer::routing::replicas::{Change, Replicas, LATE};
 use cottonhill_mixer::routing::LinkId;
@@ -24,7 +24,7 @@
 struct Plain {
     address: SocketAddr,
     zone: u16,
-    standing: Standing,
+    status: EndpointStatus,
     links: Vec<LinkId>,
     started: u64,
     gone: Option<u64>,
@@ -40,8 +40,8 @@
 }
 
 struct Expected {
-    kind: ListKind,
-    members: Vec<Member>,
+    kind: EndpointUpdateKind,
+    members: Vec<Endpoint>,
     /// Every replica that may get nothing new, whether or not it may have before.
     leaving: BTreeSet<ReplicaId>,
     /// Those of them that were leaving before.
@@ -52,7 +52,7 @@
 }
 
 impl Oracle {
-    fn take(&mut self, now: u64, listing: &Listing) -> Expected {
+    fn take(&mut self, now: u64, listing: &EndpointUpdate) -> Expected {
         self.known
             .retain(|_, r| r.gone.is_none_or(|gone| now < gone + LATE) || !r.links.is_empty());
         let known = &self.known;
@@ -77,14 +77,14 @@
         if listing.snapshot {
             let listed: BTreeSet<ReplicaId> = members.iter().map(|m| m.replica).collect();
             for (_, replica) in self.known.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                replica.standing = Standing::Gone;
+                replica.status = EndpointStatus::Gone;
                 replica.gone.get_or_insert(now);
             }
         }
         let kind = if listing.snapshot {
-            ListKind::Full
+            EndpointUpdateKind::Snapshot
         } else {
-            ListKind::Changes
+            EndpointUpdateKind::Delta
         };
         Expected {
             kind,
@@ -101,23 +101,28 @@
         let leaving = self
             .known
             .iter()
-            .filter(|(_, r)| r.standing != Standing::Ready);
+            .filter(|(_, r)| r.status != EndpointStatus::Ready);
         leaving.map(|(id, _)| *id).collect()
     }
 
-    fn member(&mut self, now: u64, endpoint: &Endpoint, left: &mut Vec<LinkId>) -> Option<Member> {
+    fn member(
+        &mut self,
+        now: u64,
+        endpoint: &EndpointEntry,
+        left: &mut Vec<LinkId>,
+    ) -> Option<Endpoint> {
         let number = self.numbers.get(&*endpoint.name).copied();
         let known = number.and_then(|id| self.known.get(&id));
         let started = endpoint.since_ms * MS;
-        let leaving = known.filter(|r| r.standing != Standing::Ready && started <= r.started);
+        let leaving = known.filter(|r| r.status != EndpointStatus::Ready && started <= r.started);
         let leaving = leaving
             .filter(|_| now < self.behind_until)
-            .map(|r| r.standing);
+            .map(|r| r.status);
         let stated = endpoint.address.as_ref().map(SocketAddr::from);
-        let standing = match endpoint.status {
-            Status::Up if stated.is_some() => leaving.unwrap_or(Standing::Ready),
-            Status::Up | Status::Draining => Standing::Draining,
-            Status::Removed => Standing::Gone,
+        let status = match endpoint.status {
+            Status::Up if stated.is_some() => leaving.unwrap_or(EndpointStatus::Ready),
+            Status::Up | Status::Draining => EndpointStatus::Draining,
+            Status::Removed => EndpointStatus::Gone,
         };
         let address = stated.or(known.map(|r| r.address))?;
         let id = *self
@@ -134,7 +139,7 @@
         let new = Plain {
             address,
             zone,
-            standing,
+            status,
             links: Vec::new(),
             started,
             gone: None,
@@ -143,15 +148,15 @@
         if replica.address != address {
             left.append(&mut replica.links);
         }
-        let gone = (standing == Standing::Gone).then(|| replica.gone.unwrap_or(now));
-        (replica.address, replica.zone, replica.standing) = (address, zone, standing);
+        let gone = (status == EndpointStatus::Gone).then(|| replica.gone.unwrap_or(now));
+        (replica.address, replica.zone, replica.status) = (address, zone, status);
         (replica.started, replica.gone) = (started.max(replica.started), gone);
-        Some(Member {
+        Some(Endpoint {
             replica: id,
             cell: endpoint.group,
             zone,
             started,
-            standing,
+            status,
         })
     }
 }
@@ -162,7 +167,7 @@
 struct Heard {
     cell: u16,
     zone: u16,
-    standing: Standing,
+    status: EndpointStatus,
     started: u64,
     restarts: u32,
 }
@@ -173,37 +178,37 @@
 
 impl View {
     fn take(&mut self, event: &Event) {
-        let Event::List { kind, members } = event else {
+        let Event::EndpointsUpdated { kind, endpoints } = event else {
             panic!("{event:?}")
         };
-        if *kind == ListKind::Full {
+        if *kind == EndpointUpdateKind::Snapshot {
             self.0
-                .retain(|id, _| members.iter().any(|member| member.replica == *id));
+                .retain(|id, _| endpoints.iter().any(|member| member.replica == *id));
         }
-        for &Member {
+        for &Endpoint {
             replica,
             cell,
             zone,
             started,
-            standing,
-        } in members
+            status,
+        } in endpoints
         {
             let new = Heard {
                 cell,
                 zone,
-                standing,
+                status,
                 started,
                 restarts: 0,
             };
             let heard = self.0.entry(replica).or_insert(new);
-            (heard.cell, heard.zone, heard.standing) = (cell, zone, standing);
-            if standing == Standing::Ready && heard.started != started {
+            (heard.cell, heard.zone, heard.status) = (cell, zone, status);
+            if status == EndpointStatus::Ready && heard.started != started {
                 heard.started = started;
                 heard.restarts += 1;
             }
             // Of those gone it keeps what it has yet to end, which no list changes; of others there is nothing learned
             // that a new start could drop.
-            if standing == Standing::Gone {
+            if status == EndpointStatus::Gone {
                 self.0.remove(&replica);
             }
         }
@@ -271,13 +276,13 @@
         let expected = self.oracle.take(self.now, &listing);
         let change = self.replicas.take(self.now, listing);
         self.compare(&change, &expected);
-        let list = Event::List {
-            kind: ListKind::Changes,
-            members: change.members,
+        let list = Event::EndpointsUpdated {
+            kind: EndpointUpdateKind::Delta,
+            endpoints: change.members,
         };
-        let oracle_list = Event::List {
+        let oracle_list = Event::EndpointsUpdated {
             kind: expected.kind,
-            members: expected.members,
+            endpoints: expected.members,
         };
         self.view.take(&list);
         self.oracle_view.take(&oracle_list);
@@ -314,7 +319,7 @@
             .oracle
             .known
             .values()
-            .any(|r| r.standing == Standing::Ready);
+            .any(|r| r.status == EndpointStatus::Ready);
         assert_eq!(self.replicas.any_ready(), ready);
         for name in (0..4).map(|name| format!("s-{name}")) {
             assert_eq!(
@@ -325,8 +330,8 @@
         }
         for (id, plain) in &self.oracle.known {
             let replica = self.replicas.get(*id).expect("known to the oracle");
-            let found = (replica.address(), replica.zone, replica.standing);
-            assert_eq!(found, (plain.address, plain.zone, plain.standing), "{id:?}");
+            let found = (replica.address(), replica.zone, replica.status);
+            assert_eq!(found, (plain.address, plain.zone, plain.status), "{id:?}");
             assert_eq!(self.replicas.links(*id), plain.links, "{id:?}");
         }
     }
@@ -335,18 +340,18 @@
     fn decide(&mut self, list: Event, oracle_list: Event) {
         self.next += 10;
         let id = self.next;
-        let lag = 0;
-        let query = Event::Query {
+        let network_delay = 0;
+        let query = Event::QueryReceived {
             id,
             group: id as u32,
             class: 0,
             tenant: 0,
-            patience: 3000 * MS,
-            lag,
+            client_timeout: 3000 * MS,
+            network_delay,
             work: None,
-            repeat: false,
+            client_retry: false,
         };
-        let part = |shard: u32| Event::Part {
+        let part = |shard: u32| Event::PartReceived {
             id: id + 1 + u64::from(shard),
             group: id as u32,
             shard,
@@ -358,14 +363,14 @@
         let decide = |module: &mut Coordinator, list: Event| {
             let mut actions = Vec::new();
             let events: Vec<Event> = std::iter::once(list).chain(rest.iter().cloned()).collect();
-            module.handle(self.now, &events, &mut actions);
+            module.process_batch(self.now, &events, &mut actions);
             actions
         };
         let actions = decide(&mut self.module, list);
         assert_eq!(actions, decide(&mut self.oracle_module, oracle_list));
         assert_eq!(
-            self.module.held(),
-            self.oracle_module.held(),
+            self.module.retained_entries(),
+            self.oracle_module.retained_entries(),
             "the same is kept"
         );
         let mut attempts: BTreeMap<u64, u8> = BTreeMap::new();
@@ -377,10 +382,10 @@
             let outcome = [
                 Outcome::Ok,
                 Outcome::Ok,
-                Outcome::Refused,
+                Outcome::Rejected,
                 Outcome::TimedOut,
             ][part as usize % 4];
-            self.ends.push(Event::Ended {
+            self.ends.push(Event::AttemptEnded {
                 part,
                 attempt,
                 replica,
@@ -489,7 +494,7 @@
     )
 }
 
-fn listing(index: u64, snapshot: bool, entries: &[String]) -> Listing {
+fn listing(index: u64, snapshot: bool, entries: &[String]) -> EndpointUpdate {
     let text = format!(
         "{{\"index\":{index},\"snapshot\":{snapshot},\"endpoints\":[{}]}}",
         entries.join(",")
@@ -551,7 +556,11 @@
         "an empty slot costs no more"
     );
     // As read: before, 88 bytes and three texts on the heap.
-    assert!(size_of::<Endpoint>() <= 64, "{}", size_of::<Endpoint>());
+    assert!(
+        size_of::<EndpointEntry>() <= 64,
+        "{}",
+        size_of::<EndpointEntry>()
+    );
     let read = listing(1, true, &[entry(1, "up"), entry(2, "up")]);
     assert!(
         std::sync::Arc::ptr_eq(&read.endpoints[0].zone, &read.endpoints[1].zone),
@@ -569,14 +578,14 @@
     let found: Vec<_> = change
         .members
         .iter()
-        .map(|m| (m.replica.0, m.standing))
+        .map(|m| (m.replica.0, m.status))
         .collect();
     assert_eq!(
         found,
         [
-            (6, Standing::Draining),
-            (101, Standing::Ready),
-            (100, Standing::Gone)
+            (6, EndpointStatus::Draining),
+            (101, EndpointStatus::Ready),
+            (100, EndpointStatus::Gone)
         ]
     );
     assert_eq!(change.leaving, [ReplicaId(6), ReplicaId(100)]);
