--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -50,7 +50,10 @@
     for (who, input) in wire::inputs(batch, rosters)? {
         match input {
             Input::Start { seed, settings } => {
-                instances.insert(who, Coordinator::new(settings::parse(&settings)?, seed));
+                instances.insert(
+                    who,
+                    Coordinator::new(settings::parse_decisions(&settings)?, seed),
+                );
                 pending.insert(who, Vec::new());
             }
             Input::Stop => {
--- a/crates/cottonhill/src/check.rs
+++ b/crates/cottonhill/src/check.rs
@@ -33,43 +33,43 @@
         row("peers", &addresses.peers.len().to_string(), &from, true);
         row(
             "limits.sockets",
-            &config.descriptors.to_string(),
+            &config.max_descriptors.to_string(),
             &from,
             false,
         );
         row(
             "known",
-            &format!("{} endpoints", config.known.endpoints.len()),
+            &format!("{} endpoints", config.cached_endpoints.entries.len()),
             &from,
             false,
         );
         row(
             "settings.classes",
-            &config.site.classes.join(" "),
+            &config.mixer_settings.classes.join(" "),
             &from,
             false,
         );
         row(
             "settings.orgs",
-            &config.site.tenants.join(" "),
+            &config.mixer_settings.tenants.join(" "),
             &from,
             false,
         );
         row(
             "settings.localities",
-            &config.site.zones.join(" "),
+            &config.mixer_settings.zones.join(" "),
             &from,
             false,
         );
         row(
             "settings.extra.ranges",
-            &config.site.shards.to_string(),
+            &config.mixer_settings.shards.to_string(),
             &from,
             false,
         );
         row(
             "settings.limits.open_cap",
-            &config.site.open_cap.to_string(),
+            &config.mixer_settings.max_open_requests.to_string(),
             &from,
             false,
         );
--- a/crates/cottonhill/src/commands.rs
+++ b/crates/cottonhill/src/commands.rs
@@ -14,7 +14,7 @@
 use cottonhill_ledger::settlement::{self, Control};
 use cottonhill_ledger::store::{digest, CorrectionLine, Store};
 use cottonhill_ledger::{export, wire};
-use cottonhill_mixer::routing::usage;
+use cottonhill_mixer::reducer::usage;
 use indicatif::{ProgressBar, ProgressDrawTarget};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cottonhill/src/logs.rs
+++ b/crates/cottonhill/src/logs.rs
@@ -27,7 +27,7 @@
             kind: Kind::Text,
             default: Some(""),
             live: true,
-            doc: "Levels of single targets, as in cottonhill_mixer::routing=debug,cottonhill_ledger=warn.",
+            doc: "Levels of single targets, as in cottonhill_mixer::reducer=debug,cottonhill_ledger=warn.",
         },
         Key {
             name: "format",
--- a/crates/cottonhill/src/program.rs
+++ b/crates/cottonhill/src/program.rs
@@ -8,7 +8,7 @@
 use cottonhill_ledger::settings::UsageLog;
 use cottonhill_ledger::writer;
 use cottonhill_mixer::config::Config;
-use cottonhill_mixer::routing::State;
+use cottonhill_mixer::reducer::Reducer;
 use cottonhill_mixer::transport::{self, Addresses, Clock, Control};
 use cottonhill_opensearch::tls::Tls;
 use std::path::Path;
@@ -47,7 +47,7 @@
     let text = std::fs::read_to_string(path).map_err(|e| {
         Failure::configuration(format!("cannot read the configuration {shown}: {e}"))
     })?;
-    Config::read(&text).map_err(|e| Failure::configuration(format!("{shown}: {e}")))
+    Config::parse(&text).map_err(|e| Failure::configuration(format!("{shown}: {e}")))
 }
 
 /// What a running mixer was started with.
@@ -106,17 +106,17 @@
 async fn serve(mut running: Running, usage: Option<UsageLog>) -> Done {
     let (sender, controls) = mpsc::channel(1);
     // A list may be large, and only the start needs this one.
-    let known = std::mem::take(&mut running.config.known);
+    let cached_endpoints = std::mem::take(&mut running.config.cached_endpoints);
     let Config {
         name,
         listen,
-        site,
+        mixer_settings,
         settings,
         seed,
-        descriptors,
-        memory,
+        max_descriptors,
+        memory_limit,
         addresses,
-        names,
+        query_schema,
         ..
     } = running.config.clone();
     let fronts = fronts::open(&running.own).await?;
@@ -142,15 +142,15 @@
             }
         });
     }
-    tracing::info!(name, %listen, known = known.endpoints.len(), open_cap = site.open_cap, "starting");
+    tracing::info!(name, %listen, known = cached_endpoints.entries.len(), open_cap = mixer_settings.max_open_requests, "starting");
     tracing::debug!(?settings, "settings in force");
     let clock = Clock::start();
     let recorder = match &usage {
         Some(usage) => {
             let (classes, give_up, tenants) = (
-                site.classes.clone(),
-                site.deadlines.clone(),
-                site.tenants.clone(),
+                mixer_settings.classes.clone(),
+                mixer_settings.deadlines.clone(),
+                mixer_settings.tenants.clone(),
             );
             let names = writer::Names {
                 mixer: name.clone(),
@@ -163,9 +163,16 @@
         }
         None => None,
     };
-    let mut state = State::new(clock.now(), site, settings, seed, &known, descriptors);
-    drop(known);
-    if let Some(memory) = memory {
+    let mut state = Reducer::new(
+        clock.now(),
+        mixer_settings,
+        settings,
+        seed,
+        &cached_endpoints,
+        max_descriptors,
+    );
+    drop(cached_endpoints);
+    if let Some(memory) = memory_limit {
         state.limit_memory(memory);
     }
     if let Some(usage) = &usage {
@@ -179,7 +186,7 @@
     let served = transport::serve(
         state,
         clock,
-        names,
+        query_schema,
         listener,
         addresses,
         controls,
--- a/crates/cottonhill/src/recorder.rs
+++ b/crates/cottonhill/src/recorder.rs
@@ -3,7 +3,7 @@
 use cottonhill_ledger::wire::entry::What;
 use cottonhill_ledger::wire::{Outcome as WireOutcome, Record};
 use cottonhill_ledger::writer::{self, Writer};
-use cottonhill_mixer::routing::usage::{Mark, Outcome, Usage};
+use cottonhill_mixer::reducer::usage::{QueryOutcome, UsageRecord, Watermark};
 use cottonhill_mixer::transport::Recorder;
 use std::time::Duration;
 use tokio::sync::watch;
@@ -13,13 +13,13 @@
 pub struct UsageLogRecorder(pub Writer);
 
 impl Recorder for UsageLogRecorder {
-    fn record(&mut self, usage: Usage) -> bool {
+    fn record(&mut self, usage: UsageRecord) -> bool {
         let (outcome, share) = match usage.outcome {
-            Outcome::Whole => (WireOutcome::Whole, 0),
-            Outcome::Partial(share) => (WireOutcome::Partial, share),
-            Outcome::Refused => (WireOutcome::Refused, 0),
-            Outcome::Failed => (WireOutcome::Failed, 0),
-            Outcome::Left => (WireOutcome::Left, 0),
+            QueryOutcome::Complete => (WireOutcome::Whole, 0),
+            QueryOutcome::Partial(share) => (WireOutcome::Partial, share),
+            QueryOutcome::Rejected => (WireOutcome::Refused, 0),
+            QueryOutcome::Failed => (WireOutcome::Failed, 0),
+            QueryOutcome::ClientDisconnected => (WireOutcome::Left, 0),
         };
         let taken = self.0.offer(What::Record(Record {
             sequence: usage.sequence,
@@ -30,10 +30,10 @@
             share,
             parts: usage.parts,
             attempts: usage.attempts,
-            crossed: usage.crossed,
-            repeat: usage.repeat,
+            crossed: usage.cross_zone_attempts,
+            repeat: usage.client_retry,
             key: usage.key,
-            keyed: usage.keyed,
+            keyed: usage.key_from_client,
         }));
         if !taken {
             self.0.note_lost();
@@ -42,9 +42,12 @@
     }
 
     /// A mark that is lost is made good by the next one.
-    fn mark(&mut self, mark: Mark) {
-        self.0
-            .offer(writer::mark(mark.sequence, mark.complete / MS, mark.end));
+    fn mark(&mut self, mark: Watermark) {
+        self.0.offer(writer::mark(
+            mark.sequence,
+            mark.complete_until / MS,
+            mark.last,
+        ));
     }
 
     fn written(&self) -> watch::Receiver<u64> {
--- a/crates/lab/src/hollow/mixer.rs
+++ b/crates/lab/src/hollow/mixer.rs
@@ -5,8 +5,8 @@
 use super::settings::Way;
 use crate::Failure;
 use cottonhill_mixer::config::Config;
-use cottonhill_mixer::protocol::discovery::EndpointUpdate;
-use cottonhill_mixer::routing::{Effect, Input, State};
+use cottonhill_mixer::protocol::endpoint_updates::EndpointUpdate;
+use cottonhill_mixer::reducer::{Effect, Input, Reducer};
 use cottonhill_mixer::transport::{follow_list, Clock, MOST_LISTS};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -46,12 +46,12 @@
             "guarantees": {"stop_sending_within_ns": DRAIN_GRACE, "ask_within_ns": ASK_WITHIN},
         }
     });
-    Config::read(&text.to_string()).map_err(Failure::running)
+    Config::parse(&text.to_string()).map_err(Failure::running)
 }
 
 /// A running mixer's state with the task that follows the list for it.
 struct Hollow {
-    state: State,
+    state: Reducer,
     clock: Clock,
     lists: mpsc::Sender<Input>,
     watch: AbortHandle,
@@ -61,9 +61,13 @@
     fn put(&mut self, input: Input) {
         for effect in self.state.apply(self.clock.now(), input) {
             // Without clients nothing else is asked for but connections to leaf servers, which are not there.
-            if let Effect::Watch { address, from } = effect {
+            if let Effect::WatchEndpoints {
+                address,
+                from_version,
+            } = effect
+            {
                 self.watch.abort();
-                self.watch = follow(&self.lists, &self.state, address, from);
+                self.watch = follow(&self.lists, &self.state, address, from_version);
             }
         }
     }
@@ -71,11 +75,11 @@
 
 fn follow(
     lists: &mpsc::Sender<Input>,
-    state: &State,
+    state: &Reducer,
     address: SocketAddr,
-    from: Option<u64>,
+    from_version: Option<u64>,
 ) -> AbortHandle {
-    let following = follow_list(lists.clone(), state.watching(), address, from);
+    let following = follow_list(lists.clone(), state.watch_policy(), address, from_version);
     tokio::task::spawn_local(following).abort_handle()
 }
 
@@ -84,21 +88,21 @@
     let started = std::time::Instant::now();
     let clock = Clock::start();
     let Config {
-        site,
+        mixer_settings,
         settings,
         seed,
-        descriptors,
+        max_descriptors,
         addresses,
         ..
     } = (*config).clone();
     let seed = seed.wrapping_add(number as u64);
-    let state = State::new(
+    let state = Reducer::new(
         clock.now(),
-        site,
+        mixer_settings,
         settings,
         seed,
         &EndpointUpdate::default(),
-        descriptors,
+        max_descriptors,
     );
     let (lists, mut listed) = mpsc::channel(MOST_LISTS);
     let watch = follow(&lists, &state, addresses.discovery, None);
@@ -116,8 +120,8 @@
             Some(input) = listed.recv() => mixer.put(input),
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {}
         }
-        mixer.put(Input::Turn);
-        let version = mixer.state.list_index();
+        mixer.put(Input::ProcessBatch);
+        let version = mixer.state.endpoint_list_version();
         if version != held {
             held = version;
             progress.in_force(number, version, started);
--- a/crates/lab/src/scale/driver.rs
+++ b/crates/lab/src/scale/driver.rs
@@ -3,10 +3,10 @@
 use super::fleet::Fleet;
 use crate::meter::Stopwatch;
 use bytes::Bytes;
-use cottonhill_mixer::protocol::discovery::EndpointUpdate;
-use cottonhill_mixer::protocol::leaf::{CallPart, End, FromLeaf, ToLeaf};
-use cottonhill_mixer::protocol::query::{Asked, AskedPart, Query, Reply};
-use cottonhill_mixer::routing::{Effect, Input, State};
+use cottonhill_mixer::protocol::endpoint_updates::EndpointUpdate;
+use cottonhill_mixer::protocol::leaf_frames::{CallPart, LeafRequest, LeafResponse, PartStatus};
+use cottonhill_mixer::protocol::query_json::{ClientRequest, PartRequest, QueryRequest, Reply};
+use cottonhill_mixer::reducer::{Effect, Input, Reducer};
 use cottonhill_mixer::settings;
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -67,13 +67,13 @@
 /// An attempt at a leaf server, until it is answered.
 struct Due {
     at: u64,
-    link: u64,
+    connection: u64,
     id: String,
 }
 
 /// A reducer with everything around it played.
 pub struct Driver {
-    state: State,
+    state: Reducer,
     now: u64,
     inputs: Vec<Input>,
     due: VecDeque<Due>,
@@ -94,8 +94,11 @@
     /// Settings that the mixer does not take.
     pub fn new(fleet: Fleet, seed: u64) -> Result<Driver, String> {
         let text = fleet.mixer_settings();
-        let (site, rules) = (settings::site(&text)?, settings::parse(&text)?);
-        let state = State::new(
+        let (site, rules) = (
+            settings::parse_mixer(&text)?,
+            settings::parse_decisions(&text)?,
+        );
+        let state = Reducer::new(
             BEGIN,
             site,
             rules,
@@ -129,12 +132,12 @@
 
     /// Version of the list in force.
     pub fn list_version(&self) -> u64 {
-        self.state.list_index()
+        self.state.endpoint_list_version()
     }
 
     /// Takes a list or a change into the reducer, and decides.
     pub fn take(&mut self, listing: EndpointUpdate) {
-        self.inputs.push(Input::Listed(listing));
+        self.inputs.push(Input::EndpointsUpdated(listing));
         self.turn();
     }
 
@@ -190,28 +193,28 @@
         if let Some(waiting) = self.waiting.get_mut(client as usize) {
             *waiting = true;
         }
-        let asked = Asked::Query(query(self.counts.asked, workload.parts, shards));
-        self.inputs.push(Input::Asked {
+        let asked = ClientRequest::Query(query(self.counts.asked, workload.parts, shards));
+        self.inputs.push(Input::RequestReceived {
             client,
-            arrived: self.now,
-            asked: Ok(asked),
+            received_at: self.now,
+            request: Ok(asked),
         });
     }
 
     /// Puts in the answers that are due, decides once, and lets `pace` pass.
     fn step(&mut self, pace: u64) {
         while self.due.front().is_some_and(|due| due.at <= self.now) {
-            let Some(Due { link, id, .. }) = self.due.pop_front() else {
+            let Some(Due { connection, id, .. }) = self.due.pop_front() else {
                 break;
             };
             let value = Bytes::from_static(b"doc");
-            let frame = FromLeaf::Answer {
+            let frame = LeafResponse::Answer {
                 id,
-                end: End::Ok,
+                status: PartStatus::Ok,
                 report: "-".into(),
                 value,
             };
-            self.inputs.push(Input::LinkHeard { link, frame });
+            self.inputs.push(Input::FrameReceived { connection, frame });
         }
         self.turn();
         self.now += pace;
@@ -220,7 +223,7 @@
     /// Puts in what has come, then the turn that decides; and again what the effects bring back at once.
     fn turn(&mut self) {
         self.counts.turns += 1;
-        self.inputs.push(Input::Turn);
+        self.inputs.push(Input::ProcessBatch);
         while !self.inputs.is_empty() {
             for effect in self.apply() {
                 self.play(effect);
@@ -243,13 +246,13 @@
     fn play(&mut self, effect: Effect) {
         match effect {
             Effect::Reply { client, reply, .. } => self.replied(client, &reply),
-            Effect::Connect { link, .. } => {
+            Effect::Connect { connection, .. } => {
                 self.counts.connections += 1;
-                self.inputs.push(Input::LinkOpened { link });
+                self.inputs.push(Input::ConnectionOpened { connection });
             }
-            Effect::Write { link, frame } => {
-                self.written(link, frame);
-                self.inputs.push(Input::LinkWrote { link });
+            Effect::WriteFrame { connection, frame } => {
+                self.written(connection, frame);
+                self.inputs.push(Input::FrameWritten { connection });
             }
             // Nothing else of the reducer's concerns clients or leaf servers.
             _ => {}
@@ -269,9 +272,9 @@
         self.free.push(client);
     }
 
-    fn written(&mut self, link: u64, frame: ToLeaf) {
+    fn written(&mut self, connection: u64, frame: LeafRequest) {
         match frame {
-            ToLeaf::Call(parts) => {
+            LeafRequest::Call(parts) => {
                 self.counts.calls += 1;
                 self.counts.attempts += parts.len() as u64;
                 if self.silent {
@@ -280,38 +283,38 @@
                 let at = self.now + self.answer_ns;
                 let due = |part: CallPart| Due {
                     at,
-                    link,
+                    connection,
                     id: part.id.to_string(),
                 };
                 self.due.extend(parts.into_iter().map(due));
             }
-            ToLeaf::Probe | ToLeaf::ProbeLoad => {
-                let frame = FromLeaf::Probed {
+            LeafRequest::Probe | LeafRequest::ProbeLoad => {
+                let frame = LeafResponse::ProbeAnswer {
                     ok: true,
                     report: "-".into(),
                 };
-                self.inputs.push(Input::LinkHeard { link, frame });
+                self.inputs.push(Input::FrameReceived { connection, frame });
             }
             // The answer may be on its way already; it comes all the same.
-            ToLeaf::GiveUp(_) => {}
+            LeafRequest::Cancel(_) => {}
         }
     }
 }
 
 /// Query `number`, over different shards of the first `shards`, evenly apart.
-fn query(number: u64, parts: u64, shards: u64) -> Query {
+fn query(number: u64, parts: u64, shards: u64) -> QueryRequest {
     let apart = (shards / parts).max(1);
-    let part = |at: u64| AskedPart {
+    let part = |at: u64| PartRequest {
         shard: ((number * STRIDE + at * apart) % shards) as u32,
         weight: 1.0 / parts as f64,
         work: None,
     };
-    Query {
-        name: format!("q{number}"),
+    QueryRequest {
+        request_id: format!("q{number}"),
         class: 0,
         tenant: 0,
         timeout: CLIENT_TIMEOUT_NS,
-        repeat: false,
+        client_retry: false,
         idempotency_key: None,
         parts: (0..parts).map(part).collect(),
         text: Bytes::from_static(b"c41e77d0"),
--- a/crates/lab/src/scale/point.rs
+++ b/crates/lab/src/scale/point.rs
@@ -6,7 +6,7 @@
 use crate::fit::median;
 use crate::meter::{peak_resident_bytes, resident_bytes, Stopwatch};
 use crate::report::{Measure, Outcome, Values};
-use cottonhill_mixer::protocol::discovery;
+use cottonhill_mixer::protocol::endpoint_updates;
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
@@ -268,7 +268,7 @@
         bytes += text.len();
         let watch = Stopwatch::start();
         driver.take(
-            discovery::read(text.as_bytes())
+            endpoint_updates::parse(text.as_bytes())
                 .map_err(|why| why.to_string())?
                 .ok_or("an empty change")?,
         );
--- a/crates/lab/src/scale/watch.rs
+++ b/crates/lab/src/scale/watch.rs
@@ -3,7 +3,7 @@
 use super::fleet::Fleet;
 use crate::meter::Stopwatch;
 use bytes::BytesMut;
-use cottonhill_mixer::protocol::discovery::{self, EndpointUpdate};
+use cottonhill_mixer::protocol::endpoint_updates::{self, EndpointUpdate};
 use cottonhill_mixer::protocol::http::WatchCodec;
 use tokio_util::codec::Decoder;
 
@@ -70,7 +70,7 @@
     buffer: &mut BytesMut,
 ) -> Result<Option<EndpointUpdate>, String> {
     while let Some(object) = codec.decode(buffer).map_err(|error| error.to_string())? {
-        let listing = discovery::read(&object).map_err(|error| error.to_string())?;
+        let listing = endpoint_updates::parse(&object).map_err(|error| error.to_string())?;
         if listing.is_some() {
             return Ok(listing);
         }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -9,7 +9,7 @@
 use cottonhill_lab::scale::{child, watch};
 use cottonhill_lab::settings::SCHEMA;
 use cottonhill_lab::{machine, output, Failure};
-use cottonhill_mixer::protocol::discovery::{self, MOST_OBJECT};
+use cottonhill_mixer::protocol::endpoint_updates::{self, MAX_UPDATE_BYTES};
 use std::path::Path;
 use std::process::{Command, Output};
 use std::time::{Duration, Instant};
@@ -255,30 +255,30 @@
 #[test]
 fn the_list_that_a_fleet_writes_is_what_the_watch_reads() {
     let whole = watch::read_whole(fleet(1_000), 9).expect("a list");
-    assert_eq!((whole.listing.index, whole.listing.snapshot), (9, true));
+    assert_eq!((whole.listing.version, whole.listing.snapshot), (9, true));
     let pieces: String = fleet(1_000).whole_list(9).collect();
     assert_eq!(pieces.len(), whole.bytes);
     assert_eq!(
-        discovery::read(pieces.as_bytes()),
+        endpoint_updates::parse(pieces.as_bytes()),
         Ok(Some(whole.listing.clone()))
     );
     let groups: Vec<u16> = whole
         .listing
-        .endpoints
+        .entries
         .iter()
-        .map(|entry| entry.group)
+        .map(|entry| entry.cell)
         .collect();
     assert_eq!(
         groups,
         (0..1_000).map(|number| number / 3).collect::<Vec<u16>>()
     );
-    let change = discovery::read(
+    let change = endpoint_updates::parse(
         fleet(1_000)
             .change(10, 998, 4, EndpointStatus::Draining)
             .as_bytes(),
     );
     let change = change.expect("a change").expect("one that says something");
-    let names: Vec<&str> = change.endpoints.iter().map(|entry| &*entry.name).collect();
+    let names: Vec<&str> = change.entries.iter().map(|entry| &*entry.name).collect();
     assert_eq!(
         names,
         [
@@ -293,7 +293,7 @@
 #[test]
 fn a_list_over_the_watchs_bound_is_reported_as_refused_with_its_figures() {
     const LEAST_ENTRY: u64 = 120;
-    let servers = MOST_OBJECT as u64 / LEAST_ENTRY + 1;
+    let servers = MAX_UPDATE_BYTES as u64 / LEAST_ENTRY + 1;
     let fleet = Fleet {
         servers,
         copies: 64,
@@ -311,7 +311,7 @@
         "{}",
         sample.note
     );
-    assert!(sample.values[&Measure::ListBytes] > MOST_OBJECT as f64);
+    assert!(sample.values[&Measure::ListBytes] > MAX_UPDATE_BYTES as f64);
 }
 
 #[test]
--- a/crates/mixer/src/config.rs
+++ b/crates/mixer/src/config.rs
@@ -1,9 +1,9 @@
 //! The configuration: one JSON file, with the settings flattened to the text of the simulator's wire so that
 //! one parser serves both.
 
-use crate::protocol::discovery::EndpointUpdate;
-use crate::protocol::query::Names;
-use crate::settings::{self, Site};
+use crate::protocol::endpoint_updates::EndpointUpdate;
+use crate::protocol::query_json::QuerySchema;
+use crate::settings::{self, MixerSettings};
 use crate::transport::Addresses;
 use cottonhill_decisions::Settings;
 use serde::Deserialize;
@@ -53,17 +53,17 @@
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    pub site: Site,
+    pub mixer_settings: MixerSettings,
     pub settings: Settings,
     pub seed: u64,
     /// File descriptors that may be open.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// Bytes of memory that the process may use, where that is stated.
-    pub memory: Option<usize>,
+    pub memory_limit: Option<usize>,
     /// The list of leaf servers that was in force before the start; it may be old.
-    pub known: EndpointUpdate,
+    pub cached_endpoints: EndpointUpdate,
     pub addresses: Addresses,
-    pub names: Names,
+    pub query_schema: QuerySchema,
 }
 
 impl Config {
@@ -71,47 +71,52 @@
     ///
     /// # Errors
     /// It is no JSON of that form, or a setting or the seed can't be used; says which.
-    pub fn read(text: &str) -> Result<Config, String> {
+    pub fn parse(text: &str) -> Result<Config, String> {
         let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let text = flatten(&file.settings)?;
-        let (settings, site) = (settings::parse(&text)?, settings::site(&text)?);
+        let (settings, mixer_settings) = (
+            settings::parse_decisions(&text)?,
+            settings::parse_mixer(&text)?,
+        );
         let seed =
             u64::from_str_radix(&file.seed, 16).map_err(|_| format!("bad seed '{}'", file.seed))?;
-        let names = Names {
-            classes: site.classes.clone(),
-            tenants: site.tenants.clone(),
-            deadlines: site.deadlines.clone(),
-            floors: site.floors.clone(),
-            shards: site.shards,
+        let query_schema = QuerySchema {
+            classes: mixer_settings.classes.clone(),
+            tenants: mixer_settings.tenants.clone(),
+            default_timeouts: mixer_settings.deadlines.clone(),
+            minimum_coverages: mixer_settings.minimum_coverages.clone(),
+            shards: mixer_settings.shards,
         };
         let addresses = Addresses {
             discovery: file.discovery,
-            peer_listen: file.peer_listen.filter(|_| site.peers),
+            peer_listen: file
+                .peer_listen
+                .filter(|_| mixer_settings.peer_messages_enabled),
             peers: file.peers,
             peers_all: file.peers_all,
         };
-        let descriptors = file
+        let max_descriptors = file
             .limits
             .as_ref()
             .map_or(SOCKETS, |limits| limits.sockets.min(SOCKETS));
-        let memory = file.limits.as_ref().and_then(Limits::memory);
+        let memory_limit = file.limits.as_ref().and_then(Limits::memory);
         let File {
             name,
             listen,
-            known,
+            known: cached_endpoints,
             ..
         } = file;
         Ok(Config {
             name,
             listen,
-            site,
+            mixer_settings,
             settings,
             seed,
-            descriptors,
-            memory,
-            known,
+            max_descriptors,
+            memory_limit,
+            cached_endpoints,
             addresses,
-            names,
+            query_schema,
         })
     }
 }
@@ -124,7 +129,8 @@
             ("listen", self.listen != next.listen),
             (
                 "limits",
-                (self.descriptors, self.memory) != (next.descriptors, next.memory),
+                (self.max_descriptors, self.memory_limit)
+                    != (next.max_descriptors, next.memory_limit),
             ),
             (
                 "peer_listen",
@@ -132,7 +138,7 @@
             ),
             (
                 "settings",
-                self.site != next.site || self.settings != next.settings,
+                self.mixer_settings != next.mixer_settings || self.settings != next.settings,
             ),
         ];
         changed
--- a/crates/mixer/src/lib.rs
+++ b/crates/mixer/src/lib.rs
@@ -2,8 +2,9 @@
 //! holds all its state, and the sockets.
 
 pub mod config;
+mod log_targets;
 pub mod protocol;
-pub mod routing;
+pub mod reducer;
 pub mod settings;
 pub mod transport;
 
--- a/crates/mixer/src/protocol/discovery.rs
+++ b/crates/mixer/src/protocol/endpoint_updates.rs
@@ -1,5 +1,6 @@
 //! The list of leaf servers as discovery writes it: a whole list, or the entries that have changed.
 
+use crate::log_targets;
 use bytes::{Buf, Bytes, BytesMut};
 use serde::de::{IgnoredAny, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
@@ -11,12 +12,12 @@
 use std::sync::Arc;
 
 /// The most entries of one list: the 110,000 leaf servers to plan for, and a fifth more for growth.
-pub const MOST_ENTRIES: usize = 131_072;
+pub const MAX_ENTRIES: usize = 131_072;
 /// What an entry may take on the mean in a list of that length, in bytes: 132 as measured without blanks, about 230
 /// when indented. Entries of a shorter list may take more.
 const MEAN_ENTRY: usize = 256;
 /// The most bytes of one message of discovery, where the memory limit leaves room for it: 32 MiB.
-pub const MOST_OBJECT: usize = MOST_ENTRIES * MEAN_ENTRY;
+pub const MAX_UPDATE_BYTES: usize = MAX_ENTRIES * MEAN_ENTRY;
 /// The share of the memory limit that the text of one message may take: as much again goes to what is read from it,
 /// and half is left for all else.
 const MEMORY_SHARE: usize = 4;
@@ -26,8 +27,8 @@
 const MOST_LOGGED: usize = 16;
 
 /// The most bytes that one message of discovery may take where the process may use `memory` bytes.
-pub fn most_object(memory: usize) -> usize {
-    (memory / MEMORY_SHARE).clamp(LEAST_BOUND, MOST_OBJECT)
+pub fn max_update_bytes(memory: usize) -> usize {
+    (memory / MEMORY_SHARE).clamp(LEAST_BOUND, MAX_UPDATE_BYTES)
 }
 
 /// A socket address in 16 bytes. A list has many of them and nearly all are IPv4; one of IPv6 is on the heap.
@@ -65,10 +66,10 @@
     /// Shared by all entries of a list that name the same zone; empty where none is stated.
     pub zone: Arc<str>,
     /// The cell that it holds.
-    pub group: u16,
+    pub cell: u16,
     pub status: Status,
     /// Its last start, in Unix milliseconds; 0 means long ago.
-    pub since_ms: u64,
+    pub started_ms: u64,
 }
 
 /// What discovery announces of a leaf server.
@@ -88,61 +89,63 @@
 #[serde(try_from = "Message")]
 pub struct EndpointUpdate {
     /// The version of the list once this is applied.
-    pub index: u64,
+    pub version: u64,
     pub snapshot: bool,
-    pub endpoints: Vec<EndpointEntry>,
+    pub entries: Vec<EndpointEntry>,
     /// Entries that could not be used as they are.
-    pub unusable: usize,
+    pub invalid_entries: usize,
 }
 
 /// Why a message of discovery is refused. The list in force stays as it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum UpdateError {
     /// The text of the message goes over so many bytes.
     TooManyBytes { most: usize },
-    /// The list has so many entries, over [`MOST_ENTRIES`].
+    /// The list has so many entries, over [`MAX_ENTRIES`].
     TooManyEntries { index: u64, entries: usize },
     /// An entry of changes names nobody, so what it changes is not known.
-    Nameless {
+    UnnamedEntry {
         index: u64,
         entry: usize,
         why: String,
     },
     /// Not the JSON of a list, in a message of so many bytes.
-    Unreadable { bytes: usize, why: String },
+    Malformed { bytes: usize, why: String },
 }
 
-impl Refused {
+impl UpdateError {
     /// The list is longer than the mixer takes.
     pub fn is_over_bound(&self) -> bool {
         matches!(
             self,
-            Refused::TooManyBytes { .. } | Refused::TooManyEntries { .. }
+            UpdateError::TooManyBytes { .. } | UpdateError::TooManyEntries { .. }
         )
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for UpdateError {}
 
-impl fmt::Display for Refused {
+impl fmt::Display for UpdateError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Refused::TooManyBytes { most } => {
+            UpdateError::TooManyBytes { most } => {
                 write!(
                     f,
                     "a list of over {most} bytes, the most that is accepted in one message"
                 )
             }
-            Refused::TooManyEntries { index, entries } => {
+            UpdateError::TooManyEntries { index, entries } => {
                 write!(
                     f,
-                    "{entries} entries in version {index}, {MOST_ENTRIES} at most are accepted"
+                    "{entries} entries in version {index}, {MAX_ENTRIES} at most are accepted"
                 )
             }
-            Refused::Nameless { index, entry, why } => {
+            UpdateError::UnnamedEntry { index, entry, why } => {
                 write!(f, "entry {entry} of version {index} names nobody: {why}")
             }
-            Refused::Unreadable { bytes, why } => write!(f, "{why}, in an object of {bytes} bytes"),
+            UpdateError::Malformed { bytes, why } => {
+                write!(f, "{why}, in an object of {bytes} bytes")
+            }
         }
     }
 }
@@ -217,7 +220,7 @@
         // No more than one entry's text is copied at a time.
         while let Some(text) = seq.next_element::<Box<RawValue>>()? {
             entries.add(text.get());
-            if entries.count == MOST_ENTRIES {
+            if entries.count == MAX_ENTRIES {
                 while seq.next_element::<IgnoredAny>()?.is_some() {
                     entries.count += 1;
                 }
@@ -256,9 +259,9 @@
             name,
             address: None,
             zone,
-            group: 0,
+            cell: 0,
             status,
-            since_ms: 0,
+            started_ms: 0,
         });
     }
 
@@ -267,9 +270,9 @@
             name,
             address: stated,
             zone,
-            group,
+            group: cell,
             status,
-            since_ms,
+            since_ms: started_ms,
         } = written;
         let (name, zone): (Box<str>, _) = (name.into(), self.zone(&zone));
         let address = stated.parse::<SocketAddr>().ok().map(Address::from);
@@ -286,9 +289,9 @@
             name,
             address,
             zone,
-            group,
+            cell,
             status,
-            since_ms,
+            started_ms,
         });
     }
 
@@ -312,15 +315,17 @@
         for Fault { entry, name, why } in &self.faults {
             match name {
                 Some(name) => {
-                    tracing::warn!(index, entry, name, "listed with what can't be used: {why}")
+                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index, entry, name, "listed with what can't be used: {why}")
+                }
+                None => {
+                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index, entry, "listed without a name: {why}")
                 }
-                None => tracing::warn!(index, entry, "listed without a name: {why}"),
             }
         }
         let more = self.faulty - self.faults.len();
         if more > 0 {
             tracing::warn!(
-                index,
+                target: log_targets::ENDPOINT_UPDATES, index,
                 more,
                 "further entries were listed with what can't be used"
             );
@@ -329,29 +334,33 @@
 }
 
 impl TryFrom<Message> for EndpointUpdate {
-    type Error = Refused;
+    type Error = UpdateError;
 
     /// Where an entry names nobody, a whole list is still right without it; of changes nobody knows what they lack.
-    fn try_from(message: Message) -> Result<EndpointUpdate, Refused> {
+    fn try_from(message: Message) -> Result<EndpointUpdate, UpdateError> {
         let Message {
-            index,
+            index: version,
             snapshot,
             endpoints: entries,
         } = message;
-        if entries.count > MOST_ENTRIES {
-            return Err(Refused::TooManyEntries {
-                index,
+        if entries.count > MAX_ENTRIES {
+            return Err(UpdateError::TooManyEntries {
+                index: version,
                 entries: entries.count,
             });
         }
-        entries.log_faults(index);
+        entries.log_faults(version);
         match entries.nameless {
-            Some((entry, why)) if !snapshot => Err(Refused::Nameless { index, entry, why }),
+            Some((entry, why)) if !snapshot => Err(UpdateError::UnnamedEntry {
+                index: version,
+                entry,
+                why,
+            }),
             _ => Ok(EndpointUpdate {
-                index,
+                version,
                 snapshot,
-                endpoints: entries.endpoints,
-                unusable: entries.faulty,
+                entries: entries.endpoints,
+                invalid_entries: entries.faulty,
             }),
         }
     }
@@ -361,11 +370,11 @@
 ///
 /// # Errors
 /// It is no list that can be taken.
-pub fn read(object: &[u8]) -> Result<Option<EndpointUpdate>, Refused> {
+pub fn parse(object: &[u8]) -> Result<Option<EndpointUpdate>, UpdateError> {
     if object.is_empty() {
         return Ok(None);
     }
-    let unreadable = |why: serde_json::Error| Refused::Unreadable {
+    let unreadable = |why: serde_json::Error| UpdateError::Malformed {
         bytes: object.len(),
         why: why.to_string(),
     };
@@ -376,7 +385,7 @@
 /// Finds where objects end in what comes piece by piece, each byte looked at once. Lines and pieces may end anywhere;
 /// whether an object is right is for [`read`] to say.
 #[derive(Default)]
-pub struct Objects {
+pub struct JsonObjectSplitter {
     buffer: BytesMut,
     seen: usize,
     depth: usize,
@@ -384,7 +393,7 @@
     escaped: bool,
 }
 
-impl Objects {
+impl JsonObjectSplitter {
     /// Where what comes is put.
     pub fn buffer(&mut self) -> &mut BytesMut {
         &mut self.buffer
--- a/crates/mixer/src/protocol/http.rs
+++ b/crates/mixer/src/protocol/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 with clients and with discovery: a server codec for whole requests and a client codec for one watch. Bodies
 //! have a length or come in chunks.
 
-use super::discovery::{Objects, Refused, MOST_OBJECT};
+use super::endpoint_updates::{JsonObjectSplitter, UpdateError, MAX_UPDATE_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
 use cottonhill_decisions::Nanos;
 use std::io::{self, ErrorKind};
@@ -19,16 +19,19 @@
 
 /// Why a request can't be used, and the status of the response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Rejection {
+pub struct RequestError {
     /// The HTTP status.
     pub status: u16,
     /// The reason in the response's body; with 405, the method that is allowed.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
 /// A rejection with status 400.
-pub const fn bad(why: &'static str) -> Rejection {
-    Rejection { status: 400, why }
+pub const fn bad(reason: &'static str) -> RequestError {
+    RequestError {
+        status: 400,
+        reason,
+    }
 }
 
 /// One whole request; the last byte of its body has been read.
@@ -208,16 +211,16 @@
         self.dead = true;
     }
 
-    fn read_head(src: &mut BytesMut) -> Result<Option<(Request, Body)>, Rejection> {
+    fn read_head(src: &mut BytesMut) -> Result<Option<(Request, Body)>, RequestError> {
         let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
         let length = match parsed.parse(&src[..src.len().min(MOST_HEAD)]) {
             Ok(httparse::Status::Complete(length)) => length,
             Ok(httparse::Status::Partial) if src.len() < MOST_HEAD => return Ok(None),
             Ok(httparse::Status::Partial) | Err(httparse::Error::TooManyHeaders) => {
-                return Err(Rejection {
+                return Err(RequestError {
                     status: 431,
-                    why: "head too large",
+                    reason: "head too large",
                 });
             }
             Err(_) => return Err(bad("not an HTTP/1.1 request")),
@@ -226,9 +229,9 @@
             .map_err(bad)?
             .unwrap_or(Body::Length(0));
         if matches!(body, Body::Length(n) if n > MOST_BODY) {
-            return Err(Rejection {
+            return Err(RequestError {
                 status: 413,
-                why: "body too large",
+                reason: "body too large",
             });
         }
         let headers: Vec<(String, String)> = parsed
@@ -238,7 +241,7 @@
                 let value = std::str::from_utf8(h.value).map_err(|_| bad("header is not UTF-8"))?;
                 Ok((h.name.to_ascii_lowercase(), value.trim().to_string()))
             })
-            .collect::<Result<_, Rejection>>()?;
+            .collect::<Result<_, RequestError>>()?;
         let connection = headers
             .iter()
             .find(|(n, _)| n == "connection")
@@ -266,7 +269,7 @@
         )))
     }
 
-    fn read(&mut self, src: &mut BytesMut) -> Result<Option<Request>, Rejection> {
+    fn read(&mut self, src: &mut BytesMut) -> Result<Option<Request>, RequestError> {
         if self.head.is_none() {
             self.head = Self::read_head(src)?;
         }
@@ -277,9 +280,9 @@
             .read(src, &mut self.body, MOST_BODY)
             .map_err(|broken| match broken {
                 Broken::Chunk => bad("bad chunk"),
-                Broken::TooLarge => Rejection {
+                Broken::TooLarge => RequestError {
                     status: 413,
-                    why: "body too large",
+                    reason: "body too large",
                 },
             })?;
         if !whole {
@@ -291,7 +294,7 @@
 }
 
 impl Decoder for ServerCodec {
-    type Item = Result<Request, Rejection>;
+    type Item = Result<Request, RequestError>;
     type Error = io::Error;
 
     fn decode(&mut self, src: &mut BytesMut) -> io::Result<Option<Self::Item>> {
@@ -371,14 +374,14 @@
 /// The client's side of one watch: sends one request, then reads JSON objects as they come.
 pub struct WatchCodec {
     body: Option<Body>,
-    objects: Objects,
+    objects: JsonObjectSplitter,
     /// The most bytes of one object.
     most: usize,
 }
 
 impl Default for WatchCodec {
     fn default() -> WatchCodec {
-        WatchCodec::new(MOST_OBJECT)
+        WatchCodec::new(MAX_UPDATE_BYTES)
     }
 }
 
@@ -398,16 +401,16 @@
 
 /// Discovery answered with a status other than 200.
 #[derive(Debug, PartialEq)]
-pub struct TurnedAway {
+pub struct WatchRejected {
     /// The HTTP status.
     pub status: u16,
     /// The least wait before the next try, where discovery states one.
     pub retry_after: Option<Duration>,
 }
 
-impl std::error::Error for TurnedAway {}
+impl std::error::Error for WatchRejected {}
 
-impl std::fmt::Display for TurnedAway {
+impl std::fmt::Display for WatchRejected {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "discovery answered {}", self.status)?;
         self.retry_after.map_or(Ok(()), |after| {
@@ -438,7 +441,7 @@
     pub fn new(most: usize) -> WatchCodec {
         WatchCodec {
             body: None,
-            objects: Objects::default(),
+            objects: JsonObjectSplitter::default(),
             most,
         }
     }
@@ -451,7 +454,7 @@
                 let status = parsed.code.unwrap_or_default();
                 if status != 200 {
                     let retry_after = retry_after(parsed.headers);
-                    let why = TurnedAway {
+                    let why = WatchRejected {
                         status,
                         retry_after,
                     };
@@ -487,7 +490,7 @@
             .map_err(|broken| match broken {
                 Broken::Chunk => invalid("bad chunk"),
                 Broken::TooLarge => {
-                    io::Error::new(ErrorKind::InvalidData, Refused::TooManyBytes { most })
+                    io::Error::new(ErrorKind::InvalidData, UpdateError::TooManyBytes { most })
                 }
             })?;
         let object = self
--- a/crates/mixer/src/protocol/leaf.rs
+++ b/crates/mixer/src/protocol/leaf_frames.rs
@@ -17,18 +17,18 @@
     pub id: Rc<str>,
     pub shard: u32,
     /// For how many milliseconds the mixer waits for the answer.
-    pub wait_ms: u64,
+    pub timeout_ms: u64,
     /// The text of the query.
     pub text: Bytes,
 }
 
 /// A frame to a leaf server.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ToLeaf {
+pub enum LeafRequest {
     /// Runs parts.
     Call(Vec<CallPart>),
     /// Cancels the part of this id.
-    GiveUp(Rc<str>),
+    Cancel(Rc<str>),
     /// Asks whether the server serves.
     Probe,
     /// Asks for its load, too.
@@ -37,34 +37,34 @@
 
 /// How a part ended at the leaf server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum PartStatus {
     /// Run; the answer has its value.
     Ok,
     /// Failed.
-    Err,
+    Error,
     /// Refused for lack of room.
     Busy,
 }
 
 /// A frame from a leaf server.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FromLeaf {
+pub enum LeafResponse {
     /// The end of one part.
     Answer {
         /// The part's id in the call.
         id: String,
-        end: End,
+        status: PartStatus,
         /// The load report, not yet parsed; `-` if there is none.
         report: String,
         value: Bytes,
     },
     /// The answer to a probe.
-    Probed { ok: bool, report: String },
+    ProbeAnswer { ok: bool, report: String },
     /// The frame before could not be used; the leaf server closes the connection.
-    Complaint(String),
+    ProtocolError(String),
     /// A corrupt frame, with the id that it is for if that can be read. Where the next frame begins is not known, so
     /// the connection is of no more use.
-    Spoilt(Option<String>),
+    Malformed(Option<String>),
 }
 
 /// Encodes and decodes the frames of one connection. After a corrupt frame it reads nothing more.
@@ -75,38 +75,40 @@
 
 impl LeafCodec {
     /// Gives up a frame whose rest did not come in time, of which `received` has been read; it counts as corrupt.
-    pub fn cut_short(&mut self, received: &[u8]) -> FromLeaf {
+    pub fn abandon_frame(&mut self, received: &[u8]) -> LeafResponse {
         self.dead = true;
         spoilt(received.get(4..).unwrap_or_default())
     }
 }
 
-impl Encoder<ToLeaf> for LeafCodec {
+impl Encoder<LeafRequest> for LeafCodec {
     type Error = io::Error;
 
-    fn encode(&mut self, frame: ToLeaf, dst: &mut BytesMut) -> io::Result<()> {
+    fn encode(&mut self, frame: LeafRequest, dst: &mut BytesMut) -> io::Result<()> {
         let at = dst.len();
         dst.put_u32(0);
         match frame {
-            ToLeaf::Call(parts) => {
+            LeafRequest::Call(parts) => {
                 dst.put_u8(b'Q');
                 for part in parts {
                     let CallPart {
                         id,
                         shard,
-                        wait_ms,
+                        timeout_ms,
                         text,
                     } = part;
-                    dst.put_slice(format!("{id} {shard} d={wait_ms} {}\n", text.len()).as_bytes());
+                    dst.put_slice(
+                        format!("{id} {shard} d={timeout_ms} {}\n", text.len()).as_bytes(),
+                    );
                     dst.put_slice(&text);
                 }
             }
-            ToLeaf::GiveUp(id) => {
+            LeafRequest::Cancel(id) => {
                 dst.put_u8(b'X');
                 dst.put_slice(id.as_bytes());
             }
-            ToLeaf::Probe => dst.put_u8(b'P'),
-            ToLeaf::ProbeLoad => dst.put_u8(b'L'),
+            LeafRequest::Probe => dst.put_u8(b'P'),
+            LeafRequest::ProbeLoad => dst.put_u8(b'L'),
         }
         let length = u32::try_from(dst.len() - at - 4).map_err(|_| ErrorKind::InvalidInput)?;
         dst[at..at + 4].copy_from_slice(&length.to_be_bytes());
@@ -115,10 +117,10 @@
 }
 
 impl Decoder for LeafCodec {
-    type Item = FromLeaf;
+    type Item = LeafResponse;
     type Error = io::Error;
 
-    fn decode(&mut self, src: &mut BytesMut) -> io::Result<Option<FromLeaf>> {
+    fn decode(&mut self, src: &mut BytesMut) -> io::Result<Option<LeafResponse>> {
         if self.dead {
             src.clear();
             return Ok(None);
@@ -146,19 +148,19 @@
         let body = Bytes::copy_from_slice(&src[..length]);
         src.advance(length);
         let frame = read(&body);
-        self.dead = matches!(frame, FromLeaf::Spoilt(_));
+        self.dead = matches!(frame, LeafResponse::Malformed(_));
         Ok(Some(frame))
     }
 }
 
-fn read(body: &Bytes) -> FromLeaf {
+fn read(body: &Bytes) -> LeafResponse {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).trim().to_string();
     match body[0] {
         b'A' => answer(body.slice(1..)).unwrap_or_else(|| spoilt(body)),
-        b'E' => FromLeaf::Complaint(text(&body[1..])),
+        b'E' => LeafResponse::ProtocolError(text(&body[1..])),
         _ => {
             let report = text(&body[1..]);
-            FromLeaf::Probed {
+            LeafResponse::ProbeAnswer {
                 ok: report != "err",
                 report,
             }
@@ -167,17 +169,17 @@
 }
 
 /// A corrupt frame, from its letter on. Its id is used only if all of it has been read.
-fn spoilt(body: &[u8]) -> FromLeaf {
+fn spoilt(body: &[u8]) -> LeafResponse {
     let line = body.strip_prefix(b"A").unwrap_or_default();
     let id = line.iter().position(|b| *b == b' ').map(|end| &line[..end]);
-    FromLeaf::Spoilt(
+    LeafResponse::Malformed(
         id.and_then(|id| std::str::from_utf8(id).ok())
             .map(str::to_string),
     )
 }
 
 /// An answer, if its line is well formed. A report that can't be parsed counts as none.
-fn answer(rest: Bytes) -> Option<FromLeaf> {
+fn answer(rest: Bytes) -> Option<LeafResponse> {
     let end = rest.iter().position(|b| *b == b'\n')?;
     let line = std::str::from_utf8(&rest[..end]).ok()?;
     let mut fields = line.splitn(4, ' ');
@@ -191,16 +193,16 @@
     if score != "-" && score.parse::<f64>().is_err() {
         return None;
     }
-    let end = match status {
+    let status = match status {
         // A client gets the value inside JSON; one that is not UTF-8 could not reach it unchanged.
-        "ok" if !value.is_empty() && std::str::from_utf8(&value).is_ok() => End::Ok,
-        "err" => End::Err,
-        "busy" => End::Busy,
+        "ok" if !value.is_empty() && std::str::from_utf8(&value).is_ok() => PartStatus::Ok,
+        "err" => PartStatus::Error,
+        "busy" => PartStatus::Busy,
         _ => return None,
     };
-    Some(FromLeaf::Answer {
+    Some(LeafResponse::Answer {
         id: id.to_string(),
-        end,
+        status,
         report: report.to_string(),
         value,
     })
--- a/crates/mixer/src/protocol/query.rs
+++ b/crates/mixer/src/protocol/query_json.rs
@@ -1,7 +1,7 @@
 //! The native protocol over HTTP: requests to typed queries, and replies to responses. A front of another protocol
-//! makes the same [`Asked`] from its own requests and renders the same [`Reply`].
+//! makes the same [`ClientRequest`] from its own requests and renders the same [`Reply`].
 
-use super::http::{bad, Rejection, Request, Response};
+use super::http::{bad, Request, RequestError, Response};
 use bytes::Bytes;
 use cottonhill_decisions::Nanos;
 use serde::{Deserialize, Serialize};
@@ -9,20 +9,20 @@
 
 /// Names by which requests speak of classes and tenants, and the bounds of a query.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct QuerySchema {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     /// For each class, the client's timeout where the request states none, in nanoseconds.
-    pub deadlines: Vec<Nanos>,
+    pub default_timeouts: Vec<Nanos>,
     /// For each class, the least share of the weight that an answer may rest on.
-    pub floors: Vec<f64>,
+    pub minimum_coverages: Vec<f64>,
     /// How many shards there are; they are numbered from 0.
     pub shards: u32,
 }
 
 /// One part of a query: a shard to search.
 #[derive(Clone, Debug, PartialEq)]
-pub struct AskedPart {
+pub struct PartRequest {
     pub shard: u32,
     /// Its share of the whole answer; the shares of a query add up to 1.
     pub weight: f64,
@@ -32,28 +32,28 @@
 
 /// One query, whatever protocol brought it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Query {
+pub struct QueryRequest {
     /// The client's name for it; its parts' names begin with it.
-    pub name: String,
-    /// The class's index in [`Names::classes`].
+    pub request_id: String,
+    /// The class's index in [`QuerySchema::classes`].
     pub class: u16,
-    /// The tenant's index in [`Names::tenants`]; 0 where there are none.
+    /// The tenant's index in [`QuerySchema::tenants`]; 0 where there are none.
     pub tenant: u32,
     /// How long the client waits from when it sent the query, in nanoseconds.
     pub timeout: Nanos,
     /// The client marked it as a repeat of an earlier try.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// The client's own name for a use, the same on each of its tries.
     pub idempotency_key: Option<String>,
-    pub parts: Vec<AskedPart>,
+    pub parts: Vec<PartRequest>,
     pub text: Bytes,
 }
 
 /// A request that can be used.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asked {
+pub enum ClientRequest {
     /// A query to run.
-    Query(Query),
+    Query(QueryRequest),
     /// Whether the mixer is ready.
     Ready,
     /// The counters.
@@ -74,13 +74,13 @@
     /// A query's answer from all of its parts, or from enough of them.
     Answer {
         /// Whether all parts are in it.
-        whole: bool,
+        complete: bool,
         hits: Vec<Hit>,
     },
     /// The query is refused for now.
-    Refused {
+    Rejected {
         /// After how many nanoseconds the client may try again, if that is known.
-        come_back: Option<Nanos>,
+        retry_after: Option<Nanos>,
     },
     /// The query failed.
     Failed,
@@ -89,7 +89,7 @@
     /// The counters, as JSON.
     Stats(Vec<u8>),
     /// The request could not be used.
-    Rejected(Rejection),
+    InvalidRequest(RequestError),
 }
 
 #[derive(Deserialize)]
@@ -111,18 +111,18 @@
 /// # Errors
 /// The rejection that the client is sent: an unknown path, class, tenant or shard, a wrong method, or a header or body
 /// that is missing or malformed.
-pub fn read(request: &Request, names: &Names) -> Result<Asked, Rejection> {
+pub fn parse(request: &Request, names: &QuerySchema) -> Result<ClientRequest, RequestError> {
     let path = request.path.split(['?', '#']).next().unwrap_or_default();
-    let wanted = |method: &'static str, asked: Asked| {
+    let wanted = |method: &'static str, asked: ClientRequest| {
         let fits = request.method == method;
-        fits.then_some(asked).ok_or(Rejection {
+        fits.then_some(asked).ok_or(RequestError {
             status: 405,
-            why: "GET",
+            reason: "GET",
         })
     };
     match path {
-        "/-/ready" => return wanted("GET", Asked::Ready),
-        "/-/stats" => return wanted("GET", Asked::Stats),
+        "/-/ready" => return wanted("GET", ClientRequest::Ready),
+        "/-/stats" => return wanted("GET", ClientRequest::Stats),
         _ => {}
     }
     let first = path
@@ -132,14 +132,14 @@
         .next()
         .unwrap_or_default();
     let class = names.classes.iter().position(|name| name == first);
-    let class = class.ok_or(Rejection {
+    let class = class.ok_or(RequestError {
         status: 404,
-        why: "no such class",
+        reason: "no such class",
     })?;
     if request.method != "POST" {
-        return Err(Rejection {
+        return Err(RequestError {
             status: 405,
-            why: "POST",
+            reason: "POST",
         });
     }
     let name = request
@@ -151,7 +151,11 @@
     }
     let timeout = match request.header("x-timeout") {
         Some(text) => duration(text).ok_or(bad("X-Timeout is not a number and m or u"))?,
-        None => names.deadlines.get(class).copied().unwrap_or_default(),
+        None => names
+            .default_timeouts
+            .get(class)
+            .copied()
+            .unwrap_or_default(),
     };
     let tenant = match request.header("x-tenant-id") {
         Some(tenant) if !names.tenants.is_empty() => {
@@ -173,12 +177,12 @@
     };
     let body: Body =
         serde_json::from_slice(&request.body).map_err(|_| bad("body is not a query"))?;
-    Ok(Asked::Query(Query {
-        name: name.to_string(),
+    Ok(ClientRequest::Query(QueryRequest {
+        request_id: name.to_string(),
         class: class as u16,
         tenant: tenant as u32,
         timeout,
-        repeat: request.header("x-retried") == Some("1"),
+        client_retry: request.header("x-retried") == Some("1"),
         idempotency_key,
         parts: parts(body.shards, names.shards)?,
         text: Bytes::from(body.q),
@@ -192,7 +196,7 @@
 const ROUNDING: f64 = 0.01;
 
 /// The parts, each shard once: a second part of one shard would have the same id at the leaf server.
-fn parts(shards: Vec<Shard>, most: u32) -> Result<Vec<AskedPart>, Rejection> {
+fn parts(shards: Vec<Shard>, most: u32) -> Result<Vec<PartRequest>, RequestError> {
     let mut seen = BTreeSet::new();
     if shards.is_empty() {
         return Err(bad("no shards"));
@@ -208,13 +212,13 @@
             .cost
             .filter(|c| *c >= 0.0)
             .map(|c| (c * 1e3).min(LONGEST) as Nanos);
-        Ok(AskedPart {
+        Ok(PartRequest {
             shard: s.shard,
             weight: s.weight,
             work,
         })
     };
-    let parts: Vec<AskedPart> = shards.into_iter().map(part).collect::<Result<_, _>>()?;
+    let parts: Vec<PartRequest> = shards.into_iter().map(part).collect::<Result<_, _>>()?;
     let sum: f64 = parts.iter().map(|part| part.weight).sum();
     let fits = (sum - 1.0).abs() <= ROUNDING;
     fits.then_some(parts)
@@ -258,25 +262,28 @@
         ..Response::default()
     };
     match reply {
-        Reply::Answer { whole, hits } => {
+        Reply::Answer { complete, hits } => {
             let body = serde_json::to_vec(&AnswerBody {
-                complete: *whole,
+                complete: *complete,
                 hits,
             });
             plain(200, body.unwrap_or_default())
         }
-        Reply::Refused { come_back } => Response {
-            retry_after: *come_back,
+        Reply::Rejected { retry_after } => Response {
+            retry_after: *retry_after,
             ..plain(503, note("refused, try again"))
         },
         Reply::Failed => plain(504, note("failed")),
         Reply::Ready(true) => plain(200, b"{\"ready\":true}".to_vec()),
         Reply::Ready(false) => plain(503, b"{\"ready\":false}".to_vec()),
         Reply::Stats(text) => plain(200, text.clone()),
-        Reply::Rejected(Rejection { status: 405, why }) => Response {
-            allow: Some(why),
+        Reply::InvalidRequest(RequestError {
+            status: 405,
+            reason,
+        }) => Response {
+            allow: Some(reason),
             ..plain(405, note("method not allowed"))
         },
-        Reply::Rejected(Rejection { status, why }) => plain(*status, note(why)),
+        Reply::InvalidRequest(RequestError { status, reason }) => plain(*status, note(reason)),
     }
 }
--- a/crates/mixer/src/routing/link.rs
+++ b/crates/mixer/src/reducer/leaf_connection.rs
@@ -57,7 +57,7 @@
 
 /// The state of one connection to a leaf server.
 #[derive(Debug)]
-pub struct Link {
+pub struct LeafConnection {
     phase: Phase,
     waiting: VecDeque<Job>,
     /// The frame that the socket has and has not yet taken whole.
@@ -80,10 +80,10 @@
     pub idle_alarm: Option<Nanos>,
 }
 
-impl Link {
+impl LeafConnection {
     /// A connection whose connect begins now.
-    pub fn new(now: Nanos) -> Link {
-        Link {
+    pub fn new(now: Nanos) -> LeafConnection {
+        LeafConnection {
             phase: Phase::Connecting,
             waiting: VecDeque::new(),
             writing: None,
@@ -124,7 +124,7 @@
         self.load() == 0 && self.waiting.is_empty() && self.writing.is_none()
     }
 
-    /// Whether it left an attempt unanswered and nothing was received since; see [`Link::drop_attempt`].
+    /// Whether it left an attempt unanswered and nothing was received since; see [`LeafConnection::drop_attempt`].
     pub fn is_silent(&self) -> bool {
         self.silent
     }
@@ -162,7 +162,7 @@
         self.last_received = now;
     }
 
-    /// The next frame for the socket, none until [`Link::wrote`] reports the one before: what waits here can still be
+    /// The next frame for the socket, none until [`LeafConnection::wrote`] reports the one before: what waits here can still be
     /// dropped whole.
     pub fn take_next(&mut self, now: Nanos) -> Option<Job> {
         if self.phase != Phase::Open || self.writing.is_some() {
--- a/crates/mixer/src/routing/mod.rs
+++ b/crates/mixer/src/reducer/mod.rs
@@ -3,14 +3,16 @@
 
 mod backoff;
 pub mod counters;
-pub mod link;
-pub mod messages;
+pub mod effect;
+pub mod input;
+pub mod leaf_connection;
 pub mod replica_table;
 pub mod replicas;
 mod state;
 pub mod usage;
-pub mod watching;
+pub mod watch_policy;
 
-pub use messages::{ClientId, Effect, Input, LinkId};
-pub use state::State;
-pub use watching::Watching;
+pub use effect::Effect;
+pub use input::{ClientId, ConnectionId, Input, UpdateFault, WatchEvent};
+pub use state::Reducer;
+pub use watch_policy::WatchPolicy;
--- a/crates/mixer/src/routing/replica_table.rs
+++ b/crates/mixer/src/reducer/replica_table.rs
@@ -1,6 +1,6 @@
 //! The table of replicas: compact records, found by number and by name. It decides nothing.
 
-use crate::protocol::discovery::Address;
+use crate::protocol::endpoint_updates::Address;
 use cottonhill_decisions::{EndpointStatus, Nanos, ReplicaId};
 use hashbrown::HashTable;
 use std::hash::{BuildHasher, RandomState};
--- a/crates/mixer/src/routing/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -1,9 +1,10 @@
 //! The leaf servers as discovery has announced them, and their numbers for the decision module. Changes are applied
 //! in time proportional to their entries, whatever the size of the fleet.
 
-use super::messages::LinkId;
+use super::input::ConnectionId;
 use super::replica_table::{Replica, ReplicaTable, Slot};
-use crate::protocol::discovery::{Address, EndpointEntry, EndpointUpdate, Status};
+use crate::log_targets;
+use crate::protocol::endpoint_updates::{Address, EndpointEntry, EndpointUpdate, Status};
 use cottonhill_decisions::{Endpoint, EndpointStatus, Nanos, ReplicaId};
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -17,7 +18,7 @@
     /// The replicas that may get nothing new from now on.
     pub leaving: Vec<ReplicaId>,
     /// Connections to addresses that replicas have left.
-    pub left: Vec<LinkId>,
+    pub left: Vec<ConnectionId>,
     /// Entries whose name had come before in the same list: the last one holds.
     pub repeated: u64,
     /// Entries that take away what was not in the list in force.
@@ -31,7 +32,7 @@
     table: ReplicaTable,
     /// Connections of each replica that has any, oldest first; those to an address that it has left are not among
     /// them.
-    links: HashMap<ReplicaId, Vec<LinkId>>,
+    connections: HashMap<ReplicaId, Vec<ConnectionId>>,
     /// When those that are gone were announced so.
     gone: HashMap<ReplicaId, Nanos>,
     /// When those that are gone are to be forgotten, the first one first. One that has connections then is in it
@@ -113,34 +114,34 @@
     }
 
     /// The connections to where a replica is, oldest first.
-    pub fn links(&self, id: ReplicaId) -> &[LinkId] {
-        self.links.get(&id).map_or(&[], Vec::as_slice)
+    pub fn connections(&self, id: ReplicaId) -> &[ConnectionId] {
+        self.connections.get(&id).map_or(&[], Vec::as_slice)
     }
 
     /// Notes a new connection to a replica; returns where it leads, none where the replica is not known.
-    pub fn connect(&mut self, id: ReplicaId, link: LinkId) -> Option<SocketAddr> {
+    pub fn connect(&mut self, id: ReplicaId, connection: ConnectionId) -> Option<SocketAddr> {
         let address = self.table.get(id)?.address();
-        self.links.entry(id).or_default().push(link);
+        self.connections.entry(id).or_default().push(connection);
         Some(address)
     }
 
     /// Notes that a connection has ended.
-    pub fn disconnect(&mut self, id: ReplicaId, link: LinkId) {
-        let Some(links) = self.links.get_mut(&id) else {
+    pub fn disconnect(&mut self, id: ReplicaId, connection: ConnectionId) {
+        let Some(connections) = self.connections.get_mut(&id) else {
             return;
         };
-        links.retain(|other| *other != link);
-        if links.is_empty() {
+        connections.retain(|other| *other != connection);
+        if connections.is_empty() {
             self.take_links(id);
         }
     }
 
     /// Takes all connections off a replica.
-    fn take_links(&mut self, id: ReplicaId) -> Vec<LinkId> {
+    fn take_links(&mut self, id: ReplicaId) -> Vec<ConnectionId> {
         if let Some(since) = self.gone.get(&id) {
             self.expiry.insert((since + LATE, id));
         }
-        self.links.remove(&id).unwrap_or_default()
+        self.connections.remove(&id).unwrap_or_default()
     }
 
     /// Lists come from elsewhere from now on. That one may have yet to hear what was announced before: until it must
@@ -153,21 +154,21 @@
     /// Applies a list, whole or changed.
     pub fn take(&mut self, now: Nanos, listing: EndpointUpdate) -> Change {
         let EndpointUpdate {
-            index,
+            version,
             snapshot,
-            endpoints,
+            entries,
             ..
         } = listing;
-        self.apply(now, index, snapshot, endpoints.into_iter())
+        self.apply(now, version, snapshot, entries.into_iter())
     }
 
     /// The same with a list that is kept elsewhere.
     pub fn take_copy(&mut self, now: Nanos, listing: &EndpointUpdate) -> Change {
         self.apply(
             now,
-            listing.index,
+            listing.version,
             listing.snapshot,
-            listing.endpoints.iter().cloned(),
+            listing.entries.iter().cloned(),
         )
     }
 
@@ -193,7 +194,7 @@
                     let (name, status) = (&entry.name, entry.status);
                     let (in_force, known) = (self.index, self.table.len());
                     tracing::info!(
-                        index,
+                        target: log_targets::REPLICAS, index,
                         name,
                         ?status,
                         in_force,
@@ -222,7 +223,7 @@
                         member.status,
                     );
                     tracing::warn!(
-                        index,
+                        target: log_targets::REPLICAS, index,
                         name,
                         standing = ?status,
                         "listed twice in one list: the last entry holds"
@@ -255,7 +256,7 @@
         while let Some((due, id)) = self.expiry.first().copied().filter(|(due, _)| *due <= now) {
             self.expiry.remove(&(due, id));
             self.visited += 1;
-            if !self.links.contains_key(&id) {
+            if !self.connections.contains_key(&id) {
                 self.gone.remove(&id);
                 self.table.remove(id);
             }
@@ -265,7 +266,7 @@
     /// What an entry states, given the record of its name; none where nobody knows its address.
     fn stated(&self, now: Nanos, entry: EndpointEntry, known: Option<Slot>) -> Option<Stated> {
         let known = known.and_then(|slot| self.table.at(slot));
-        let started = entry.since_ms.saturating_mul(1_000_000);
+        let started = entry.started_ms.saturating_mul(1_000_000);
         let behind = now < self.behind_until;
         let leaving =
             known.filter(|r| behind && r.status != EndpointStatus::Ready && started <= r.started);
@@ -283,7 +284,7 @@
         Some(Stated {
             name: entry.name,
             address,
-            cell: entry.group,
+            cell: entry.cell,
             zone,
             started,
             status,
@@ -296,7 +297,7 @@
         now: Nanos,
         stated: Stated,
         known: Option<Slot>,
-        left: &mut Vec<LinkId>,
+        left: &mut Vec<ConnectionId>,
     ) -> Option<Put> {
         let Stated {
             name,
@@ -339,7 +340,7 @@
         self.last += 1;
         let id = ReplicaId(self.last);
         // Numbers are this process's own: the name is what ties the logs of a fleet together.
-        tracing::debug!(replica = id.0, name, address = %SocketAddr::from(&address), "replica numbered");
+        tracing::debug!(target: log_targets::REPLICAS, replica = id.0, name, address = %SocketAddr::from(&address), "replica numbered");
         let (cell, zone, status) = (0, NO_ZONE, EndpointStatus::Draining);
         self.table.insert(Replica {
             id,
--- a/crates/mixer/src/routing/state/attempts.rs
+++ b/crates/mixer/src/reducer/state/attempts.rs
@@ -1,19 +1,20 @@
 //! Attempts and probes, from the decision to the one end of each.
 
-use super::{Alarm, Attempt, Part, Probe, State, IDLE_TENTHS, MS};
-use crate::protocol::leaf::{CallPart, ToLeaf};
-use crate::routing::link::{AttemptId, Job};
-use crate::routing::messages::{Effect, LinkId};
+use super::{Alarm, Attempt, Part, Probe, Reducer, IDLE_TENTHS, MS};
+use crate::log_targets;
+use crate::protocol::leaf_frames::{CallPart, LeafRequest};
+use crate::reducer::leaf_connection::{AttemptId, Job};
+use crate::reducer::{ConnectionId, Effect};
 use cottonhill_decisions::{
     EndpointStatus, Event, LoadReport, Nanos, Outcome, ReplicaId, RequestId,
 };
 use std::rc::Rc;
 
-impl State {
+impl Reducer {
     pub(super) fn send(&mut self, now: Nanos, id: RequestId, replica: ReplicaId, until: Nanos) {
         let Some(part) = self.parts.get_mut(&id) else {
             self.counters.faults.stray += 1;
-            tracing::error!(id, "a send for a part that is over");
+            tracing::error!(target: log_targets::ATTEMPTS, id, "a send for a part that is over");
             return;
         };
         let attempt = (id, part.attempts);
@@ -43,24 +44,24 @@
         if !ready || !allowed {
             return self.not_placed(attempt, replica, Outcome::NotSent);
         }
-        let Some(link) = self.link_for(now, replica, &wire) else {
+        let Some(connection) = self.link_for(now, replica, &wire) else {
             return self.not_placed(attempt, replica, Outcome::ConnectFailed);
         };
-        if let Some((_, it)) = self.links.get_mut(&link) {
+        if let Some((_, it)) = self.connections.get_mut(&connection) {
             it.queue(
                 attempt,
                 wire,
-                !self.joining.insert(link),
-                self.site.call_parts,
+                !self.joining.insert(connection),
+                self.site.max_parts_per_call,
             );
         }
-        self.pending.insert(link);
+        self.pending.insert(connection);
         self.alarms.insert((until, Alarm::Attempt(attempt)));
         self.attempts.insert(
             attempt,
             Attempt {
                 replica,
-                link,
+                connection,
                 until,
                 shard,
                 text,
@@ -101,7 +102,7 @@
         self.count(outcome);
         let (replica, (part, attempt)) = (attempt.replica, id);
         tracing::debug!(
-            part,
+            target: log_targets::ATTEMPTS, part,
             attempt,
             replica = replica.0,
             ?outcome,
@@ -135,9 +136,9 @@
         let Some(attempt) = self.attempts.get(&id) else {
             return;
         };
-        let link = attempt.link;
+        let connection = attempt.connection;
         let mut outcome = outcome;
-        if let Some((_, it)) = self.links.get_mut(&link) {
+        if let Some((_, it)) = self.connections.get_mut(&connection) {
             let before = it.is_silent();
             let went_out = it.drop_attempt(id, now, 2 * self.site.connect_timeout);
             if !went_out && outcome == Outcome::TimedOut {
@@ -145,17 +146,17 @@
             }
             self.counters.connections.silent += u64::from(it.is_silent() && !before);
         }
-        self.pending.insert(link);
+        self.pending.insert(connection);
         self.ended(id, outcome, LoadReport::new());
     }
 
     /// What has waited past its time must not go out, though its alarm has yet to ring: the socket may be
     /// free for it a moment before the turn. Nor may a repeat that has waited past the time in which repeats are
     /// dropped where it goes.
-    pub(super) fn drop_expired(&mut self, now: Nanos, link: LinkId) {
+    pub(super) fn drop_expired(&mut self, now: Nanos, connection: ConnectionId) {
         let unsent = self
-            .links
-            .get(&link)
+            .connections
+            .get(&connection)
             .map(|(_, it)| it.unsent())
             .unwrap_or_default();
         for id in unsent {
@@ -186,12 +187,12 @@
     }
 
     /// Notes that a call goes to its socket now. One that may not begin later than some time has to be taken by then.
-    fn note_begun(&mut self, now: Nanos, link: LinkId, job: &Job) {
+    fn note_begun(&mut self, now: Nanos, connection: ConnectionId, job: &Job) {
         let Job::Call(call) = job else { return };
         for ((id, number), _) in call {
             if let Some(until) = self.repeat_until(*id) {
                 self.alarms
-                    .insert((until.max(now), Alarm::Stuck(link, now)));
+                    .insert((until.max(now), Alarm::Stuck(connection, now)));
             }
             let bounded = self
                 .parts
@@ -206,24 +207,24 @@
 
     /// Hands each connection with work its next frame, and closes those that have none and no future.
     pub(super) fn pump(&mut self, now: Nanos) {
-        while let Some(link) = self.pending.pop_first() {
-            self.drop_expired(now, link);
-            let Some((id, it)) = self.links.get_mut(&link) else {
+        while let Some(connection) = self.pending.pop_first() {
+            self.drop_expired(now, connection);
+            let Some((id, it)) = self.connections.get_mut(&connection) else {
                 continue;
             };
             let id = *id;
             if it.is_spent() {
-                self.close_link(now, link);
+                self.close_link(now, connection);
             } else if let Some(job) = it.take_next(now) {
-                self.note_begun(now, link, &job);
+                self.note_begun(now, connection, &job);
                 match self.frame(now, id, job) {
-                    Some(frame) => self.effects.push(Effect::Write { link, frame }),
+                    Some(frame) => self.effects.push(Effect::WriteFrame { connection, frame }),
                     // Nothing was left of it: as if it were written, and on to the next.
                     None => {
-                        if let Some((_, it)) = self.links.get_mut(&link) {
+                        if let Some((_, it)) = self.connections.get_mut(&connection) {
                             it.wrote();
                         }
-                        self.pending.insert(link);
+                        self.pending.insert(connection);
                     }
                 }
             } else if it.is_idle() {
@@ -233,55 +234,60 @@
                     .replicas
                     .get(id)
                     .filter(|r| r.status == EndpointStatus::Ready);
-                if wanted.is_none() || !self.replicas.links(id).contains(&link) {
-                    self.close_link(now, link);
+                if wanted.is_none() || !self.replicas.connections(id).contains(&connection) {
+                    self.close_link(now, connection);
                 } else {
-                    let due = now + self.site.idle_time / 10 * IDLE_TENTHS;
+                    let due = now + self.site.connection_idle_timeout / 10 * IDLE_TENTHS;
                     if it.idle_alarm.is_none() {
                         it.idle_alarm = Some(due);
-                        self.alarms.insert((due, Alarm::Idle(link)));
+                        self.alarms.insert((due, Alarm::Idle(connection)));
                     }
                 }
             }
         }
     }
 
-    pub(super) fn frame(&mut self, now: Nanos, replica: ReplicaId, job: Job) -> Option<ToLeaf> {
+    pub(super) fn frame(
+        &mut self,
+        now: Nanos,
+        replica: ReplicaId,
+        job: Job,
+    ) -> Option<LeafRequest> {
         match job {
             Job::Call(call) => {
                 let part = |(id, wire): (AttemptId, Rc<str>)| {
                     let Attempt {
                         until, shard, text, ..
                     } = self.attempts.get(&id)?;
-                    let wait_ms = until.saturating_sub(now).div_ceil(MS);
+                    let timeout_ms = until.saturating_sub(now).div_ceil(MS);
                     Some(CallPart {
                         id: wire,
                         shard: *shard,
-                        wait_ms,
+                        timeout_ms,
                         text: text.clone(),
                     })
                 };
                 let parts: Vec<CallPart> = call.into_iter().filter_map(part).collect();
                 self.counters.sent.calls += u64::from(!parts.is_empty());
                 tracing::debug!(
-                    replica = replica.0,
+                    target: log_targets::ATTEMPTS, replica = replica.0,
                     parts = parts.len(),
                     index = self.replicas.index,
                     since_heard_ms = now.saturating_sub(self.heard) / MS,
                     "call written"
                 );
-                (!parts.is_empty()).then_some(ToLeaf::Call(parts))
+                (!parts.is_empty()).then_some(LeafRequest::Call(parts))
             }
             Job::GiveUp(wire) => {
                 self.counters.sent.give_ups += 1;
-                Some(ToLeaf::GiveUp(wire))
+                Some(LeafRequest::Cancel(wire))
             }
             Job::Probe(_) => {
                 self.counters.sent.probes += 1;
-                Some(if self.site.report.is_empty() {
-                    ToLeaf::Probe
+                Some(if self.site.load_report_fields.is_empty() {
+                    LeafRequest::Probe
                 } else {
-                    ToLeaf::ProbeLoad
+                    LeafRequest::ProbeLoad
                 })
             }
         }
@@ -292,12 +298,12 @@
             .replicas
             .get(replica)
             .is_some_and(|r| r.status != EndpointStatus::Gone);
-        let link = if listed && self.site.may_probe {
+        let connection = if listed && self.site.probing_enabled {
             self.link_for(now, replica, "")
         } else {
             None
         };
-        let Some(link) = link else {
+        let Some(connection) = connection else {
             let (outcome, report) = (Outcome::NotSent, LoadReport::new());
             return self.events.push(Event::ProbeEnded {
                 replica,
@@ -307,17 +313,17 @@
             });
         };
         let probe = self.id();
-        if let Some((_, it)) = self.links.get_mut(&link) {
+        if let Some((_, it)) = self.connections.get_mut(&connection) {
             it.queue_probe(probe);
         }
-        self.pending.insert(link);
+        self.pending.insert(connection);
         self.alarms
             .insert((now + self.site.connect_timeout, Alarm::Probe(probe)));
         self.probes.insert(
             probe,
             Probe {
                 replica,
-                link,
+                connection,
                 asked: now,
             },
         );
@@ -326,7 +332,7 @@
     pub(super) fn probe_ended(&mut self, now: Nanos, probe: u64, outcome: Outcome, report: &str) {
         let Some(Probe {
             replica,
-            link,
+            connection,
             asked,
         }) = self.probes.remove(&probe)
         else {
@@ -334,7 +340,7 @@
         };
         self.alarms
             .remove(&(asked + self.site.connect_timeout, Alarm::Probe(probe)));
-        if let Some((_, it)) = self.links.get_mut(&link) {
+        if let Some((_, it)) = self.connections.get_mut(&connection) {
             it.drop_probe(probe);
         }
         let report = self.report(report);
--- a/crates/mixer/src/routing/state/clients.rs
+++ b/crates/mixer/src/reducer/state/clients.rs
@@ -1,19 +1,20 @@
 //! Clients: their connections, what they ask, and the replies.
 
 use super::{
-    Alarm, Attempt, Client, Part, Query, State, CLIENT_IDLE, CLOSED_AT_ONCE, GONE_BEGINS, MARGIN,
+    Alarm, Attempt, Client, Part, Query, Reducer, CLIENT_IDLE, CLOSED_AT_ONCE, GONE_BEGINS, MARGIN,
     MS,
 };
-use crate::protocol::http::Rejection;
-use crate::protocol::query::{Asked, Query as AskedQuery, Reply};
-use crate::routing::counters::Stats;
-use crate::routing::link::AttemptId;
-use crate::routing::messages::{ClientId, Effect};
-use crate::routing::usage::Outcome;
+use crate::log_targets;
+use crate::protocol::http::RequestError;
+use crate::protocol::query_json::{ClientRequest, QueryRequest, Reply};
+use crate::reducer::counters::Stats;
+use crate::reducer::leaf_connection::AttemptId;
+use crate::reducer::usage::QueryOutcome;
+use crate::reducer::{ClientId, Effect};
 use cottonhill_decisions::{Event, Nanos, RequestId};
 use std::rc::Rc;
 
-impl State {
+impl Reducer {
     pub(super) fn client_opened(&mut self, now: Nanos, client: ClientId) {
         self.counters.connections.clients += 1;
         self.clients.insert(
@@ -27,7 +28,7 @@
             // Accepted as the listener went: without a request on it, it would hold up the end.
             self.effects.push(Effect::CloseClient {
                 client,
-                room: false,
+                immediate: false,
             });
         } else if self.clients.len() > self.room.clients / 2 {
             self.make_room(now, client);
@@ -50,8 +51,10 @@
         for (_, _, client) in idle.into_iter().take(CLOSED_AT_ONCE) {
             if let Some(state) = self.clients.get_mut(&client) {
                 state.closing = true;
-                self.effects
-                    .push(Effect::CloseClient { client, room: true });
+                self.effects.push(Effect::CloseClient {
+                    client,
+                    immediate: true,
+                });
             }
         }
     }
@@ -61,15 +64,15 @@
         now: Nanos,
         client: ClientId,
         arrived: Nanos,
-        asked: Result<Asked, Rejection>,
+        asked: Result<ClientRequest, RequestError>,
     ) {
         match asked {
-            Ok(Asked::Query(query)) => self.take_query(now, client, arrived, query),
-            Ok(Asked::Ready) => {
+            Ok(ClientRequest::Query(query)) => self.take_query(now, client, arrived, query),
+            Ok(ClientRequest::Ready) => {
                 let ready = self.listed && !self.unheard && self.terminated.is_none();
                 self.reply(now, client, Reply::Ready(ready));
             }
-            Ok(Asked::Stats) => {
+            Ok(ClientRequest::Stats) => {
                 let (list, heard_ms_ago) =
                     (self.replicas.index, now.saturating_sub(self.heard) / MS);
                 let stats = Stats {
@@ -84,12 +87,12 @@
                 self.counters.taken.rejected += 1;
                 // Some clients send nothing else, as fast as they can: the log would be theirs.
                 tracing::debug!(
-                    client,
+                    target: log_targets::CLIENTS, client,
                     status = rejection.status,
-                    why = rejection.why,
+                    why = rejection.reason,
                     "request rejected"
                 );
-                self.reply(now, client, Reply::Rejected(rejection));
+                self.reply(now, client, Reply::InvalidRequest(rejection));
             }
         }
     }
@@ -99,31 +102,31 @@
         now: Nanos,
         client: ClientId,
         arrived: Nanos,
-        asked: AskedQuery,
+        asked: QueryRequest,
     ) {
         if !self.clients.contains_key(&client) {
             return;
         }
         // Its parts would have the names that the open one's have at the leaf servers.
-        if self.names.contains(&*asked.name) {
-            let rejection = Rejection {
+        if self.names.contains(&*asked.request_id) {
+            let rejection = RequestError {
                 status: 409,
-                why: "X-Request-ID is that of an open query",
+                reason: "X-Request-ID is that of an open query",
             };
             return self.asked(now, client, arrived, Err(rejection));
         }
         // A part that is in is not open any more: counting it would refuse queries that there is room for.
         let open_parts = self.open_parts;
-        if self.queries.len() + open_parts >= self.site.open_cap {
+        if self.queries.len() + open_parts >= self.site.max_open_requests {
             self.counters.taken.over_cap += 1;
             tracing::info!(
-                queries = self.queries.len(),
+                target: log_targets::CLIENTS, queries = self.queries.len(),
                 open_parts,
                 "over the cap: query refused"
             );
             self.turned_away(arrived, &asked);
-            let come_back = Some(self.site.come_back);
-            self.reply(now, client, Reply::Refused { come_back });
+            let retry_after = Some(self.site.max_retry_after);
+            self.reply(now, client, Reply::Rejected { retry_after });
             return;
         }
         let spent = now.saturating_sub(arrived) + MARGIN;
@@ -135,15 +138,15 @@
         if patience == 0 {
             self.counters.taken.too_late += 1;
             tracing::info!(
-                timeout_ms = asked.timeout / MS,
+                target: log_targets::CLIENTS, timeout_ms = asked.timeout / MS,
                 "no time left: query refused"
             );
             self.turned_away(arrived, &asked);
             return self.reply(
                 now,
                 client,
-                Reply::Refused {
-                    come_back: Some(self.site.come_back),
+                Reply::Rejected {
+                    retry_after: Some(self.site.max_retry_after),
                 },
             );
         }
@@ -163,12 +166,12 @@
             client_timeout: patience,
             network_delay: spent,
             work,
-            client_retry: asked.repeat,
+            client_retry: asked.client_retry,
         });
         let mut parts = Vec::with_capacity(asked.parts.len());
         for part in &asked.parts {
             let (part_id, shard, weight) = (self.id(), part.shard, part.weight);
-            let wire: Rc<str> = format!("{}.{shard}", asked.name).into();
+            let wire: Rc<str> = format!("{}.{shard}", asked.request_id).into();
             let text = asked.text.clone();
             let new = Part {
                 query: id,
@@ -190,12 +193,12 @@
         }
         self.counters.taken.queries += 1;
         self.counters.taken.parts += parts.len() as u64;
-        self.counters.taken.repeats += u64::from(asked.repeat);
+        self.counters.taken.repeats += u64::from(asked.client_retry);
         let deadline = now + patience;
         self.alarms.insert((deadline, Alarm::LastMoment(id)));
-        let name: Rc<str> = asked.name.as_str().into();
+        let name: Rc<str> = asked.request_id.as_str().into();
         self.names.insert(name.clone());
-        let (key, repeat) = (self.join_key(&asked), asked.repeat);
+        let (key, repeat) = (self.join_key(&asked), asked.client_retry);
         let arrived = self.note_open(id, arrived);
         let class_at = usize::from(class);
         let query = Query {
@@ -212,8 +215,8 @@
         self.queries.insert(id, query);
         let patience_ms = patience / MS;
         tracing::debug!(
-            id,
-            name = asked.name,
+            target: log_targets::CLIENTS, id,
+            name = asked.request_id,
             class,
             patience_ms,
             open_parts,
@@ -230,7 +233,7 @@
             self.events.push(Event::ClientDisconnected { id });
             if let Some((query, parts)) = self.end_query(now, id) {
                 self.expect_taken(now, &query);
-                self.record(&query, &parts, Outcome::Left);
+                self.record(&query, &parts, QueryOutcome::ClientDisconnected);
             }
         }
     }
@@ -238,13 +241,13 @@
     /// A call of a client that has gone may still wait at its socket for its first byte, even one that was given up
     /// before. Half of the time in which it may begin is for the socket to say that it took it.
     fn expect_taken(&mut self, now: Nanos, query: &Query) {
-        for (link, (_, it)) in &self.links {
+        for (connection, (_, it)) in &self.connections {
             if let Some(given) = it
                 .call_given()
                 .filter(|_| query.parts.iter().any(|part| it.is_writing(*part)))
             {
                 self.alarms
-                    .insert((now + GONE_BEGINS / 2, Alarm::Stuck(*link, given)));
+                    .insert((now + GONE_BEGINS / 2, Alarm::Stuck(*connection, given)));
             }
         }
     }
@@ -269,8 +272,8 @@
         for part in &query.parts {
             let attempts = self.attempts.range((*part, 0)..=(*part, u8::MAX));
             let waits = |(id, attempt): (&AttemptId, &Attempt)| {
-                self.links
-                    .get(&attempt.link)
+                self.connections
+                    .get(&attempt.connection)
                     .is_some_and(|(_, it)| it.unsent().contains(id))
                     .then_some(*id)
             };
--- a/crates/mixer/src/routing/state/links.rs
+++ b/crates/mixer/src/reducer/state/connections.rs
@@ -1,11 +1,12 @@
 //! Leaf servers: the list, the connections and what comes in on them.
 
-use super::{Alarm, State, MS};
-use crate::protocol::discovery::EndpointUpdate;
-use crate::protocol::leaf::{End, FromLeaf};
-use crate::routing::link::{Answered, Link, Phase};
-use crate::routing::messages::{Effect, LinkId, ListFault, WatchNews};
-use crate::routing::replicas::Change;
+use super::{Alarm, Reducer, MS};
+use crate::log_targets;
+use crate::protocol::endpoint_updates::EndpointUpdate;
+use crate::protocol::leaf_frames::{LeafResponse, PartStatus};
+use crate::reducer::leaf_connection::{Answered, LeafConnection, Phase};
+use crate::reducer::replicas::Change;
+use crate::reducer::{ConnectionId, Effect, UpdateFault, WatchEvent};
 use cottonhill_decisions::{
     EndpointUpdateKind, Event, LoadReport, Nanos, Outcome, ReplicaId, RequestId,
 };
@@ -14,11 +15,11 @@
 /// The same where the settings leave no grace: half of what the protocol adds to each time limit.
 const LEAST_STUCK: Nanos = 25 * MS;
 
-impl State {
+impl Reducer {
     /// Puts a list in force.
     pub(super) fn take_list(&mut self, now: Nanos, listing: EndpointUpdate) {
-        let (index, lines, whole) = (listing.index, listing.endpoints.len(), listing.snapshot);
-        let unusable = listing.unusable as u64;
+        let (index, lines, whole) = (listing.version, listing.entries.len(), listing.snapshot);
+        let unusable = listing.invalid_entries as u64;
         let Change {
             members,
             leaving,
@@ -33,7 +34,7 @@
         let since_heard_ms = now.saturating_sub(self.heard) / MS;
         let (changed, leave) = (members.len(), leaving.len());
         tracing::debug!(
-            index,
+            target: log_targets::CONNECTIONS, index,
             lines,
             whole,
             changed,
@@ -51,13 +52,13 @@
         // What waits for a replica that drains or is gone never goes out: the rule counts its first byte. Nor does
         // what waits for an address that was left; others go on at the new one.
         for id in leaving {
-            tracing::debug!(replica = id.0, index, "replica announced as leaving");
-            for link in self.replicas.links(id).to_vec() {
-                self.withdraw(now, link);
+            tracing::debug!(target: log_targets::CONNECTIONS, replica = id.0, index, "replica announced as leaving");
+            for connection in self.replicas.connections(id).to_vec() {
+                self.withdraw(now, connection);
             }
         }
-        for link in left {
-            self.withdraw(now, link);
+        for connection in left {
+            self.withdraw(now, connection);
         }
         if self.unheard {
             self.hear_first(now);
@@ -65,54 +66,59 @@
     }
 
     /// Takes back what has not gone to the socket. What has may still wait there for its first byte.
-    fn withdraw(&mut self, now: Nanos, link: LinkId) {
-        let Some((_, it)) = self.links.get(&link) else {
+    fn withdraw(&mut self, now: Nanos, connection: ConnectionId) {
+        let Some((_, it)) = self.connections.get(&connection) else {
             return;
         };
         if let Some(given) = it.call_given() {
             // Half of the grace is for the socket to say that it took the call, the other for the connection to go.
             let due = now + (self.site.drain_grace / 2).max(LEAST_STUCK);
-            self.alarms.insert((due, Alarm::Stuck(link, given)));
+            self.alarms.insert((due, Alarm::Stuck(connection, given)));
         }
         let unsent = it.unsent();
         self.counters.watches.withdrawn += unsent.len() as u64;
         for attempt in unsent {
             self.end_attempt(now, attempt, Outcome::NotSent);
         }
-        self.pending.insert(link);
+        self.pending.insert(connection);
     }
 
     /// The socket still has a call that may not begin any more: its replica has left, its client has, or the time in
     /// which repeats are dropped where it goes is over.
-    pub(super) fn stuck(&mut self, now: Nanos, link: LinkId, given: Nanos) {
-        if self.links.get(&link).and_then(|(_, it)| it.call_given()) == Some(given) {
+    pub(super) fn stuck(&mut self, now: Nanos, connection: ConnectionId, given: Nanos) {
+        if self
+            .connections
+            .get(&connection)
+            .and_then(|(_, it)| it.call_given())
+            == Some(given)
+        {
             self.counters.connections.stuck += 1;
             tracing::info!(
-                link,
+                target: log_targets::CONNECTIONS, link = connection,
                 "a call was not taken by its connection while it might begin: closed"
             );
-            self.close_link(now, link);
+            self.close_link(now, connection);
         }
     }
 
-    pub(super) fn watched(&mut self, now: Nanos, news: WatchNews) {
+    pub(super) fn watched(&mut self, now: Nanos, news: WatchEvent) {
         let watches = &mut self.counters.watches;
         match news {
-            WatchNews::Asked => watches.asked += 1,
-            WatchNews::Alive => self.heard = now,
-            WatchNews::Ended { silent } => {
+            WatchEvent::Requested => watches.asked += 1,
+            WatchEvent::Heartbeat => self.heard = now,
+            WatchEvent::Ended { silent } => {
                 watches.ended += 1;
                 watches.silent += u64::from(silent);
             }
-            WatchNews::Refused(fault) => {
+            WatchEvent::UpdateRejected(fault) => {
                 let bad = &mut self.counters.bad_lists;
                 *match fault {
-                    ListFault::OverBound => &mut bad.over_bound,
-                    ListFault::Unreadable => &mut bad.unreadable,
-                    ListFault::WentBack => &mut bad.went_back,
+                    UpdateFault::TooLarge => &mut bad.over_bound,
+                    UpdateFault::Malformed => &mut bad.unreadable,
+                    UpdateFault::VersionRegressed => &mut bad.went_back,
                 } += 1;
             }
-            WatchNews::WentBack => self.counters.bad_lists.whole_went_back += 1,
+            WatchEvent::VersionRegressed => self.counters.bad_lists.whole_went_back += 1,
         }
     }
 
@@ -147,40 +153,43 @@
             return;
         };
         self.counters.reloads.taken += 1;
-        let mut from = Some(self.replicas.index);
-        if self.watching.moves() {
+        let mut from_version = Some(self.replicas.index);
+        if self.watching.versions_differ_by_address() {
             // Its versions are its own: they do not compare with that of the list in force.
-            from = None;
+            from_version = None;
             let settled = self.replicas.moved(now);
             self.alarms
                 .retain(|(_, alarm)| !matches!(alarm, Alarm::Settled(_)));
             self.alarms.insert((settled, Alarm::Settled(address)));
         }
-        self.effects.push(Effect::Watch { address, from });
+        self.effects.push(Effect::WatchEndpoints {
+            address,
+            from_version,
+        });
     }
 
-    pub(super) fn heard(&mut self, now: Nanos, link: LinkId, frame: FromLeaf) {
-        let Some((_, it)) = self.links.get_mut(&link) else {
+    pub(super) fn heard(&mut self, now: Nanos, connection: ConnectionId, frame: LeafResponse) {
+        let Some((_, it)) = self.connections.get_mut(&connection) else {
             return;
         };
         it.hear(now);
-        self.pending.insert(link);
+        self.pending.insert(connection);
         match frame {
-            FromLeaf::Answer {
+            LeafResponse::Answer {
                 id,
-                end,
+                status,
                 report,
                 value,
             } => {
                 let attempt = match it.answered(&id) {
                     Answered::Attempt(attempt) => attempt,
                     Answered::Over => return,
-                    Answered::Unknown => return self.spoilt(now, link, None),
+                    Answered::Unknown => return self.spoilt(now, connection, None),
                 };
-                let outcome = match end {
-                    End::Ok => Outcome::Ok,
-                    End::Err => Outcome::Error,
-                    End::Busy => Outcome::Rejected,
+                let outcome = match status {
+                    PartStatus::Ok => Outcome::Ok,
+                    PartStatus::Error => Outcome::Error,
+                    PartStatus::Busy => Outcome::Rejected,
                 };
                 if outcome == Outcome::Ok {
                     self.keep_value(attempt.0, &value);
@@ -188,15 +197,15 @@
                 let report = self.report(&report);
                 self.ended(attempt, outcome, report);
             }
-            FromLeaf::Probed { ok, report } => {
+            LeafResponse::ProbeAnswer { ok, report } => {
                 let Some(probe) = it.probed() else { return };
                 let outcome = if ok { Outcome::Ok } else { Outcome::Error };
                 self.probe_ended(now, probe, outcome, &report);
             }
-            FromLeaf::Complaint(words) => {
-                tracing::warn!(link, words, "leaf server could not use a frame")
+            LeafResponse::ProtocolError(words) => {
+                tracing::warn!(target: log_targets::CONNECTIONS, link = connection, words, "leaf server could not use a frame")
             }
-            FromLeaf::Spoilt(id) => self.spoilt(now, link, id.as_deref()),
+            LeafResponse::Malformed(id) => self.spoilt(now, connection, id.as_deref()),
         }
     }
 
@@ -217,13 +226,13 @@
     /// A leaf server sent what can't be read. It is alive and ran what it answered: that attempt has
     /// failed. The others out there wait for what will never come, so they are withdrawn with the
     /// connection, at once.
-    pub(super) fn spoilt(&mut self, now: Nanos, link: LinkId, id: Option<&str>) {
-        let Some((replica, it)) = self.links.get_mut(&link) else {
+    pub(super) fn spoilt(&mut self, now: Nanos, connection: ConnectionId, id: Option<&str>) {
+        let Some((replica, it)) = self.connections.get_mut(&connection) else {
             return;
         };
         self.counters.connections.spoilt += 1;
         tracing::info!(
-            link,
+            target: log_targets::CONNECTIONS, link = connection,
             replica = replica.0,
             id,
             "spoilt answer: its connection is closed"
@@ -236,7 +245,7 @@
         for other in others.into_iter().filter(|other| Some(*other) != failed) {
             self.ended(other, Outcome::Cancelled, LoadReport::new());
         }
-        self.close_link(now, link);
+        self.close_link(now, connection);
     }
 
     /// The values of a report, in the order that the settings state; `-` or what lacks one is no report.
@@ -250,21 +259,21 @@
                 .and_then(|(_, v)| v.trim().parse().ok().filter(|v: &f32| v.is_finite()))
         };
         self.site
-            .report
+            .load_report_fields
             .iter()
             .map(value)
             .collect::<Option<_>>()
             .unwrap_or_default()
     }
 
-    pub(super) fn link_ended(&mut self, now: Nanos, link: LinkId) {
-        let Some((id, it)) = self.links.remove(&link) else {
+    pub(super) fn link_ended(&mut self, now: Nanos, connection: ConnectionId) {
+        let Some((id, it)) = self.connections.remove(&connection) else {
             return;
         };
         if let Some(at) = it.idle_alarm {
-            self.alarms.remove(&(at, Alarm::Idle(link)));
+            self.alarms.remove(&(at, Alarm::Idle(connection)));
         }
-        self.replicas.disconnect(id, link);
+        self.replicas.disconnect(id, connection);
         let (attempts, probes) = it.end();
         for (attempt, may_have_run) in attempts {
             let outcome = if may_have_run {
@@ -281,58 +290,67 @@
 
     /// Closes a connection of ours, for whatever is still on it as if it had broken. The socket may have taken the
     /// last byte of a call a moment ago and not have said so yet: that call may run.
-    pub(super) fn close_link(&mut self, now: Nanos, link: LinkId) {
+    pub(super) fn close_link(&mut self, now: Nanos, connection: ConnectionId) {
         if let Some((_, it)) = self
-            .links
-            .get_mut(&link)
+            .connections
+            .get_mut(&connection)
             .filter(|(_, it)| it.call_given().is_some())
         {
             it.wrote();
         }
-        self.effects.push(Effect::CloseLink { link });
-        self.link_ended(now, link);
+        self.effects.push(Effect::CloseConnection { connection });
+        self.link_ended(now, connection);
     }
 
-    pub(super) fn open_link(&mut self, now: Nanos, id: ReplicaId) -> Option<LinkId> {
-        if self.links.len() >= self.room.links && !self.evict(now) {
+    pub(super) fn open_link(&mut self, now: Nanos, id: ReplicaId) -> Option<ConnectionId> {
+        if self.connections.len() >= self.room.connections && !self.evict(now) {
             return None;
         }
-        let link = self.id();
-        let address = self.replicas.connect(id, link)?;
-        self.effects.push(Effect::Connect { link, address });
+        let connection = self.id();
+        let address = self.replicas.connect(id, connection)?;
+        self.effects.push(Effect::Connect {
+            connection,
+            address,
+        });
         self.counters.connections.opened += 1;
-        self.links.insert(link, (id, Link::new(now)));
+        self.connections
+            .insert(connection, (id, LeafConnection::new(now)));
         self.alarms
-            .insert((now + self.site.connect_timeout, Alarm::Connect(link)));
-        Some(link)
+            .insert((now + self.site.connect_timeout, Alarm::Connect(connection)));
+        Some(connection)
     }
 
     /// Closes the connection that has been idle for longest. There may be more leaf servers than descriptors.
     fn evict(&mut self, now: Nanos) -> bool {
         let idle = self
-            .links
+            .connections
             .iter()
             .filter(|(_, (_, it))| it.phase() == Phase::Open && it.is_idle());
-        let Some(link) = idle
+        let Some(connection) = idle
             .min_by_key(|(_, (_, it))| it.idle_since)
-            .map(|(link, _)| *link)
+            .map(|(connection, _)| *connection)
         else {
             return false;
         };
         self.counters.connections.evicted += 1;
-        self.close_link(now, link);
+        self.close_link(now, connection);
         true
     }
 
     /// A connection with room, the oldest first so that few stay in use; a new one where none has any.
-    pub(super) fn link_for(&mut self, now: Nanos, id: ReplicaId, wire: &str) -> Option<LinkId> {
-        let fits = |link: &&LinkId| {
-            self.links
-                .get(link)
-                .is_some_and(|(_, it)| it.has_room(self.site.streams, wire))
+    pub(super) fn link_for(
+        &mut self,
+        now: Nanos,
+        id: ReplicaId,
+        wire: &str,
+    ) -> Option<ConnectionId> {
+        let fits = |connection: &&ConnectionId| {
+            self.connections
+                .get(connection)
+                .is_some_and(|(_, it)| it.has_room(self.site.max_streams_per_connection, wire))
         };
-        match self.replicas.links(id).iter().find(fits) {
-            Some(link) => Some(*link),
+        match self.replicas.connections(id).iter().find(fits) {
+            Some(connection) => Some(*connection),
             None => self.open_link(now, id),
         }
     }
--- a/crates/mixer/src/routing/state/mod.rs
+++ b/crates/mixer/src/reducer/state/mod.rs
@@ -2,18 +2,19 @@
 
 mod attempts;
 mod clients;
-mod links;
+mod connections;
 mod turns;
 mod usage;
 
 use super::counters::Counters;
-use super::link::{AttemptId, Link, Phase};
-use super::messages::{ClientId, Effect, Input, LinkId};
+use super::effect::Effect;
+use super::input::{ClientId, ConnectionId, Input};
+use super::leaf_connection::{AttemptId, LeafConnection, Phase};
 use super::replicas::Replicas;
-use super::usage::JoinKey;
-use super::watching::{Watching, Way};
-use crate::protocol::discovery::EndpointUpdate;
-use crate::settings::Site;
+use super::usage::DeduplicationKey;
+use super::watch_policy::{WatchMode, WatchPolicy};
+use crate::protocol::endpoint_updates::EndpointUpdate;
+use crate::settings::MixerSettings;
 use crate::Coordinator;
 use bytes::Bytes;
 use cottonhill_decisions::{
@@ -73,7 +74,7 @@
     arrived: Nanos,
     repeat: bool,
     /// Joins retries; 0 while no usage is recorded.
-    key: JoinKey,
+    key: DeduplicationKey,
 }
 
 #[derive(Debug, Default)]
@@ -95,7 +96,7 @@
 #[derive(Debug)]
 struct Attempt {
     replica: ReplicaId,
-    link: LinkId,
+    connection: ConnectionId,
     until: Nanos,
     shard: u32,
     text: Bytes,
@@ -116,8 +117,8 @@
 enum Alarm {
     Wake(u64),
     Attempt(AttemptId),
-    Connect(LinkId),
-    Idle(LinkId),
+    Connect(ConnectionId),
+    Idle(ConnectionId),
     Probe(u64),
     LastMoment(RequestId),
     Mark,
@@ -128,26 +129,26 @@
     /// What a discovery at a new address announces counts as its present list from now on.
     Settled(SocketAddr),
     /// A call that the socket had at this time and that may not begin any later.
-    Stuck(LinkId, Nanos),
+    Stuck(ConnectionId, Nanos),
 }
 
 #[derive(Debug)]
 struct Probe {
     replica: ReplicaId,
-    link: LinkId,
+    connection: ConnectionId,
     asked: Nanos,
 }
 
 /// All that the mixer knows and is doing.
-pub struct State {
-    site: Site,
-    watching: Watching,
+pub struct Reducer {
+    site: MixerSettings,
+    watching: WatchPolicy,
     module: Coordinator,
     events: Vec<Event>,
     effects: Vec<Effect>,
     alarms: BTreeSet<(Nanos, Alarm)>,
     replicas: Replicas,
-    links: BTreeMap<LinkId, (ReplicaId, Link)>,
+    connections: BTreeMap<ConnectionId, (ReplicaId, LeafConnection)>,
     clients: BTreeMap<ClientId, Client>,
     queries: BTreeMap<RequestId, Query>,
     parts: BTreeMap<RequestId, Part>,
@@ -161,8 +162,8 @@
     last_id: u64,
     last_group: u32,
     /// Links that have something to write, and those whose last call still takes parts of this turn.
-    pending: BTreeSet<LinkId>,
-    joining: BTreeSet<LinkId>,
+    pending: BTreeSet<ConnectionId>,
+    joining: BTreeSet<ConnectionId>,
     room: Room,
     /// For each class: how long after the first attempt that may have run another may begin, where that is bounded.
     repeat_windows: Vec<Option<Nanos>>,
@@ -184,7 +185,7 @@
 /// How the descriptors are shared out.
 #[derive(Clone, Copy, Debug)]
 struct Room {
-    links: usize,
+    connections: usize,
     clients: usize,
     closing: usize,
 }
@@ -193,10 +194,10 @@
     fn of(descriptors: usize) -> Room {
         let closing = (descriptors / CLOSING_SHARE).clamp(CLOSING.0, CLOSING.1);
         let rest = descriptors.saturating_sub(OWN_DESCRIPTORS + closing);
-        let links = rest * LINK_HUNDREDTHS / (LINK_HUNDREDTHS + CLIENT_HUNDREDTHS);
-        let clients = (rest - links).min(descriptors * CLIENT_HUNDREDTHS / 100);
+        let connections = rest * LINK_HUNDREDTHS / (LINK_HUNDREDTHS + CLIENT_HUNDREDTHS);
+        let clients = (rest - connections).min(descriptors * CLIENT_HUNDREDTHS / 100);
         Room {
-            links: links.min(descriptors * LINK_HUNDREDTHS / 100).max(1),
+            connections: connections.min(descriptors * LINK_HUNDREDTHS / 100).max(1),
             clients: clients.max(1),
             closing,
         }
@@ -204,45 +205,45 @@
 }
 
 /// How discovery announces changes, as the settings state it.
-fn way(site: &Site, settings: &Settings) -> Way {
+fn way(site: &MixerSettings, settings: &Settings) -> WatchMode {
     if settings.discovery_mode == DiscoveryMode::Poll {
         let within = Duration::from_nanos(settings.max_list_staleness);
-        Way::Asked {
-            within: Some(within).filter(|within| !within.is_zero()),
+        WatchMode::Poll {
+            max_staleness: Some(within).filter(|within| !within.is_zero()),
         }
     } else {
-        Way::Pushed {
-            grace: Duration::from_nanos(site.drain_grace),
+        WatchMode::Push {
+            drain_grace: Duration::from_nanos(site.drain_grace),
         }
     }
 }
 
-impl State {
+impl Reducer {
     /// Starts with the list that was last in force, which may be old, and as many descriptors as may be open.
     pub fn new(
         now: Nanos,
-        site: Site,
+        site: MixerSettings,
         settings: Settings,
         seed: u64,
         known: &EndpointUpdate,
         descriptors: usize,
-    ) -> State {
+    ) -> Reducer {
         let window = |class: &Class| {
             Some(class.idempotency_window)
                 .filter(|_| class.idempotency == Idempotency::IdempotencyKey)
         };
-        let mut state = State {
+        let mut state = Reducer {
             repeat_windows: settings.classes.iter().map(window).collect(),
             room: Room::of(descriptors),
             listening: true,
             replicas: Replicas::new(site.zones.clone()),
-            watching: Watching::new(way(&site, &settings), seed, settings.fleet_size),
+            watching: WatchPolicy::new(way(&site, &settings), seed, settings.fleet_size),
             site,
             module: Coordinator::new(settings, seed),
             events: Vec::new(),
             effects: Vec::new(),
             alarms: BTreeSet::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             clients: BTreeMap::new(),
             queries: BTreeMap::new(),
             parts: BTreeMap::new(),
@@ -272,14 +273,14 @@
         state.turn(now);
         state.unheard = true;
         state.alarms.insert((
-            now + state.watching.first_list().as_nanos() as Nanos,
+            now + state.watching.initial_list_timeout().as_nanos() as Nanos,
             Alarm::Unheard,
         ));
         state
     }
 
     /// How fresh the list is kept.
-    pub fn watching(&self) -> Watching {
+    pub fn watch_policy(&self) -> WatchPolicy {
         self.watching.clone()
     }
 
@@ -289,12 +290,12 @@
     }
 
     /// The version of the list in force: where a watch goes on from.
-    pub fn list_index(&self) -> u64 {
+    pub fn endpoint_list_version(&self) -> u64 {
         self.replicas.index
     }
 
     /// Clients' connections that may be open, those that are being closed included.
-    pub fn most_clients(&self) -> usize {
+    pub fn max_clients(&self) -> usize {
         self.room.clients + self.room.closing
     }
 
@@ -307,9 +308,9 @@
     }
 
     /// What is held, in things of every kind: flat while the load is, whatever names come and go.
-    pub fn held(&self) -> usize {
+    pub fn retained_entries(&self) -> usize {
         let open = self.queries.len() + self.parts.len() + self.names.len() + self.attempts.len();
-        let sockets = self.clients.len() + self.links.len() + self.probes.len();
+        let sockets = self.clients.len() + self.connections.len() + self.probes.len();
         open + sockets + self.alarms.len() + self.replicas.known() + self.module.retained_entries()
     }
 
@@ -321,44 +322,44 @@
     pub fn apply(&mut self, now: Nanos, input: Input) -> Vec<Effect> {
         match input {
             Input::ClientOpened { client } => self.client_opened(now, client),
-            Input::Asked {
+            Input::RequestReceived {
                 client,
-                arrived,
-                asked,
-            } => self.asked(now, client, arrived, asked),
+                received_at,
+                request,
+            } => self.asked(now, client, received_at, request),
             Input::ClientClosed { client } => self.client_closed(now, client),
-            Input::LinkOpened { link } => {
-                if let Some((_, it)) = self.links.get_mut(&link) {
+            Input::ConnectionOpened { connection } => {
+                if let Some((_, it)) = self.connections.get_mut(&connection) {
                     it.opened(now);
-                    self.pending.insert(link);
+                    self.pending.insert(connection);
                 }
             }
-            Input::LinkWrote { link } => {
-                if let Some((_, it)) = self.links.get_mut(&link) {
+            Input::FrameWritten { connection } => {
+                if let Some((_, it)) = self.connections.get_mut(&connection) {
                     it.wrote();
-                    self.pending.insert(link);
+                    self.pending.insert(connection);
                 }
             }
-            Input::LinkHeard { link, frame } => self.heard(now, link, frame),
-            Input::LinkClosed { link } => {
-                if let Some((_, it)) = self.links.get(&link) {
+            Input::FrameReceived { connection, frame } => self.heard(now, connection, frame),
+            Input::ConnectionClosed { connection } => {
+                if let Some((_, it)) = self.connections.get(&connection) {
                     let connections = &mut self.counters.connections;
                     match it.phase() {
                         Phase::Connecting => connections.failed += 1,
                         Phase::Open => connections.broken += 1,
                     }
                 }
-                self.link_ended(now, link);
+                self.link_ended(now, connection);
             }
-            Input::Listed(listing) => self.take_list(now, listing),
+            Input::EndpointsUpdated(listing) => self.take_list(now, listing),
             Input::Watch(news) => self.watched(now, news),
-            Input::Datagram { from, bytes } => {
+            Input::DatagramReceived { from, bytes } => {
                 self.events.push(Event::DatagramReceived { from, bytes })
             }
-            Input::Reloaded { discovery } => self.reloaded(now, discovery),
-            Input::Terminate => self.terminate(now),
-            Input::StoppedListening => self.listening = false,
-            Input::Turn => self.turn(now),
+            Input::ConfigReloaded { discovery } => self.reloaded(now, discovery),
+            Input::ShutdownRequested => self.terminate(now),
+            Input::ListenerClosed => self.listening = false,
+            Input::ProcessBatch => self.turn(now),
         }
         self.pump(now);
         self.leave();
--- a/crates/mixer/src/routing/state/turns.rs
+++ b/crates/mixer/src/reducer/state/turns.rs
@@ -1,15 +1,16 @@
 //! Turns: alarms that are due, the decisions, what they ask for, and the end.
 
 use super::{
-    usage, Alarm, Part, Query, State, GRACE, IDLE_TENTHS, KILL, LAST_WORDS, LONGEST_DEADLINE,
+    usage, Alarm, Part, Query, Reducer, GRACE, IDLE_TENTHS, KILL, LAST_WORDS, LONGEST_DEADLINE,
 };
 use super::{MOST_DATAGRAM, MS};
-use crate::protocol::query::{Hit, Reply};
-use crate::routing::link::Phase;
-use crate::routing::messages::Effect;
+use crate::log_targets;
+use crate::protocol::query_json::{Hit, Reply};
+use crate::reducer::leaf_connection::Phase;
+use crate::reducer::Effect;
 use cottonhill_decisions::{Action, Event, Nanos, Outcome, RequestId};
 
-impl State {
+impl Reducer {
     pub(super) fn turn(&mut self, now: Nanos) {
         while let Some((at, alarm)) = self.alarms.first().copied().filter(|(at, _)| *at <= now) {
             self.alarms.remove(&(at, alarm));
@@ -31,36 +32,36 @@
         match alarm {
             Alarm::Wake(token) => self.events.push(Event::TimerFired { token }),
             Alarm::Attempt(id) => self.end_attempt(now, id, Outcome::TimedOut),
-            Alarm::Connect(link) => {
+            Alarm::Connect(connection) => {
                 if self
-                    .links
-                    .get(&link)
+                    .connections
+                    .get(&connection)
                     .is_some_and(|(_, it)| it.phase() == Phase::Connecting)
                 {
                     self.counters.connections.failed += 1;
-                    self.close_link(now, link);
+                    self.close_link(now, connection);
                 }
             }
-            Alarm::Idle(link) => {
-                let Some((_, it)) = self.links.get_mut(&link) else {
+            Alarm::Idle(connection) => {
+                let Some((_, it)) = self.connections.get_mut(&connection) else {
                     return;
                 };
-                let due = it.idle_since + self.site.idle_time / 10 * IDLE_TENTHS;
+                let due = it.idle_since + self.site.connection_idle_timeout / 10 * IDLE_TENTHS;
                 if !it.is_idle() {
                     it.idle_alarm = None;
                 } else if due > now {
                     it.idle_alarm = Some(due);
-                    self.alarms.insert((due, Alarm::Idle(link)));
+                    self.alarms.insert((due, Alarm::Idle(connection)));
                 } else {
                     self.counters.connections.idle += 1;
-                    self.close_link(now, link);
+                    self.close_link(now, connection);
                 }
             }
             Alarm::Probe(probe) => self.probe_ended(now, probe, Outcome::TimedOut, ""),
             Alarm::LastMoment(id) => {
                 // Guards the rule that every query taken is answered in time, should the module miss one.
                 self.counters.faults.last_moment += 1;
-                tracing::error!(id, "query still open at the last moment");
+                tracing::error!(target: log_targets::BATCHES, id, "query still open at the last moment");
                 self.events.push(Event::ClientDisconnected { id });
                 self.fail(now, id);
             }
@@ -68,17 +69,17 @@
             Alarm::Unheard if self.unheard => {
                 self.counters.watches.unheard += 1;
                 tracing::warn!(
-                    index = self.replicas.index,
+                    target: log_targets::BATCHES, index = self.replicas.index,
                     "discovery is silent: the list held before is in force"
                 );
                 self.hear_first(now);
             }
             Alarm::Unheard => {}
-            Alarm::Settled(address) => self.effects.push(Effect::Watch {
+            Alarm::Settled(address) => self.effects.push(Effect::WatchEndpoints {
                 address,
-                from: None,
+                from_version: None,
             }),
-            Alarm::Stuck(link, given) => self.stuck(now, link, given),
+            Alarm::Stuck(connection, given) => self.stuck(now, connection, given),
             Alarm::GraceOver => self.wind_down(),
             Alarm::End => {
                 for id in self.queries.keys().copied().collect::<Vec<_>>() {
@@ -106,9 +107,7 @@
             }
             Action::Reject { query, retry_after } => self.finish(now, query, |state, _| {
                 state.counters.answered.refused += 1;
-                Reply::Refused {
-                    come_back: retry_after,
-                }
+                Reply::Rejected { retry_after }
             }),
             Action::Fail { query } => self.fail(now, query),
             Action::SetTimer { token, delay } => {
@@ -118,21 +117,25 @@
             Action::SubscribeEndpoints { .. } | Action::FetchEndpoints => {}
             Action::Probe { replica } => self.probe(now, replica),
             Action::CloseIdleConnections { replica } => {
-                for link in self.replicas.links(replica).to_vec() {
-                    if self.links.get(&link).is_some_and(|(_, it)| it.is_idle()) {
-                        self.close_link(now, link);
+                for connection in self.replicas.connections(replica).to_vec() {
+                    if self
+                        .connections
+                        .get(&connection)
+                        .is_some_and(|(_, it)| it.is_idle())
+                    {
+                        self.close_link(now, connection);
                     }
                 }
             }
             Action::SendDatagram { to, bytes } => {
-                if self.site.peers && bytes.len() <= MOST_DATAGRAM {
+                if self.site.peer_messages_enabled && bytes.len() <= MOST_DATAGRAM {
                     self.counters.sent.datagrams += 1;
-                    self.effects.push(Effect::Datagram { to, bytes });
+                    self.effects.push(Effect::SendDatagram { to, bytes });
                 } else {
                     self.counters.faults.stray += 1;
                 }
             }
-            Action::Log(text) => tracing::info!("{text}"),
+            Action::Log(text) => tracing::info!(target: log_targets::BATCHES, "{text}"),
         }
     }
 
@@ -154,7 +157,7 @@
         };
         let reply = word(self, &ended);
         self.record(&ended.0, &ended.1, usage::outcome(&reply));
-        if tracing::enabled!(tracing::Level::DEBUG) {
+        if tracing::enabled!(target: log_targets::BATCHES, tracing::Level::DEBUG) {
             let (query, parts) = &ended;
             let attempts: Vec<String> = parts
                 .iter()
@@ -169,13 +172,13 @@
                 .collect();
             let (left_ms, attempts) = (query.deadline.saturating_sub(now) / MS, attempts.join(" "));
             let word = match &reply {
-                Reply::Answer { whole: true, .. } => "whole",
+                Reply::Answer { complete: true, .. } => "whole",
                 Reply::Answer { .. } => "partial",
-                Reply::Refused { .. } => "refused",
+                Reply::Rejected { .. } => "refused",
                 _ => "failed",
             };
             tracing::debug!(
-                id,
+                target: log_targets::BATCHES, id,
                 class = query.class,
                 left_ms,
                 attempts,
@@ -197,11 +200,11 @@
         let holds = |share: &[f64]| {
             landed + 1e-4 >= share.get(query.class).copied().unwrap_or(1.0) * all.min(1.0)
         };
-        let bears_whole = holds(&self.site.needs);
-        if !holds(&self.site.floors) || whole && !bears_whole {
+        let bears_whole = holds(&self.site.completeness_thresholds);
+        if !holds(&self.site.minimum_coverages) || whole && !bears_whole {
             self.counters.faults.dishonest += 1;
             tracing::error!(
-                landed,
+                target: log_targets::BATCHES, landed,
                 whole,
                 class = query.class,
                 "an answer that its parts do not bear out"
@@ -221,7 +224,10 @@
         } else {
             self.counters.answered.partial += 1;
         }
-        Reply::Answer { whole, hits }
+        Reply::Answer {
+            complete: whole,
+            hits,
+        }
     }
 
     pub(super) fn terminate(&mut self, now: Nanos) {
@@ -247,12 +253,12 @@
     /// The grace is over: no new connections, and those between requests are closed.
     pub(super) fn wind_down(&mut self) {
         self.closing = true;
-        self.effects.push(Effect::StopListening);
+        self.effects.push(Effect::CloseListener);
         let idle = self.clients.iter().filter(|(_, c)| c.query.is_none());
         self.effects
             .extend(idle.map(|(client, _)| Effect::CloseClient {
                 client: *client,
-                room: false,
+                immediate: false,
             }));
     }
 
--- a/crates/mixer/src/routing/state/usage.rs
+++ b/crates/mixer/src/reducer/state/usage.rs
@@ -1,9 +1,9 @@
 //! The ledger's hook: a record for each query that ends, and marks that say up to when the records are complete.
 
-use super::{Alarm, Part, Query, State};
-use crate::protocol::query::{Query as AskedQuery, Reply};
-use crate::routing::messages::Effect;
-use crate::routing::usage::{self, JoinKey, Mark, Outcome, Usage};
+use super::{Alarm, Part, Query, Reducer};
+use crate::protocol::query_json::{QueryRequest, Reply};
+use crate::reducer::usage::{self, DeduplicationKey, QueryOutcome, UsageRecord, Watermark};
+use crate::reducer::Effect;
 use cottonhill_decisions::{Nanos, RequestId};
 use std::collections::BTreeSet;
 
@@ -18,16 +18,16 @@
 }
 
 /// How a reply counts.
-pub(super) fn outcome(reply: &Reply) -> Outcome {
+pub(super) fn outcome(reply: &Reply) -> QueryOutcome {
     match reply {
-        Reply::Answer { whole: true, .. } => Outcome::Whole,
-        Reply::Answer { .. } => Outcome::Partial(0),
-        Reply::Refused { .. } => Outcome::Refused,
-        _ => Outcome::Failed,
+        Reply::Answer { complete: true, .. } => QueryOutcome::Complete,
+        Reply::Answer { .. } => QueryOutcome::Partial(0),
+        Reply::Rejected { .. } => QueryOutcome::Rejected,
+        _ => QueryOutcome::Failed,
     }
 }
 
-impl State {
+impl Reducer {
     /// Records use from now on, with a mark each `every`.
     pub fn record_usage(&mut self, every: Nanos) {
         self.recording = Some(Recording {
@@ -40,7 +40,7 @@
     }
 
     /// Joins the tries of one use: what the client says, else what it asks.
-    pub(super) fn join_key(&self, asked: &AskedQuery) -> JoinKey {
+    pub(super) fn join_key(&self, asked: &QueryRequest) -> DeduplicationKey {
         if self.recording.is_none() {
             return 0;
         }
@@ -76,7 +76,7 @@
         }
     }
 
-    fn push(&mut self, mut usage: Usage) {
+    fn push(&mut self, mut usage: UsageRecord) {
         let Some(recording) = &mut self.recording else {
             return;
         };
@@ -99,23 +99,23 @@
             .recorded_of
             .entry(format!("{tenant} {class}"))
             .or_default() += 1;
-        self.effects.push(Effect::Record(usage));
+        self.effects.push(Effect::RecordUsage(usage));
     }
 
     /// Records a query that has ended.
-    pub(super) fn record(&mut self, query: &Query, parts: &[Part], outcome: Outcome) {
+    pub(super) fn record(&mut self, query: &Query, parts: &[Part], outcome: QueryOutcome) {
         if self.recording.is_none() {
             return;
         }
         let outcome = match outcome {
-            Outcome::Partial(_) => {
+            QueryOutcome::Partial(_) => {
                 let all: f64 = parts.iter().map(|part| part.weight).sum();
                 let landed: f64 = parts
                     .iter()
                     .filter(|p| p.value.is_some())
                     .map(|p| p.weight)
                     .sum();
-                Outcome::Partial(
+                QueryOutcome::Partial(
                     (landed / all.max(f64::MIN_POSITIVE) * 1e6)
                         .round()
                         .clamp(0.0, 1e6) as u32,
@@ -124,7 +124,7 @@
             other => other,
         };
         let count = |of: fn(&Part) -> u8| parts.iter().map(|part| u32::from(of(part))).sum();
-        self.push(Usage {
+        self.push(UsageRecord {
             sequence: 0,
             tenant: query.tenant,
             class: query.class as u16,
@@ -132,32 +132,32 @@
             outcome,
             parts: parts.len() as u32,
             attempts: count(|part| part.attempts),
-            crossed: count(|part| part.crossed),
-            repeat: query.repeat,
+            cross_zone_attempts: count(|part| part.crossed),
+            client_retry: query.repeat,
             key: query.key,
-            keyed: usage::is_client_key(query.key),
+            key_from_client: usage::is_client_key(query.key),
         });
     }
 
     /// Records a query that was refused before any decision.
-    pub(super) fn turned_away(&mut self, arrived: Nanos, asked: &AskedQuery) {
+    pub(super) fn turned_away(&mut self, arrived: Nanos, asked: &QueryRequest) {
         let Some(recording) = &self.recording else {
             return;
         };
         let arrived = arrived.max(recording.complete);
         let key = self.join_key(asked);
-        self.push(Usage {
+        self.push(UsageRecord {
             sequence: 0,
             tenant: asked.tenant,
             class: asked.class,
             arrived,
-            outcome: Outcome::Refused,
+            outcome: QueryOutcome::Rejected,
             parts: asked.parts.len() as u32,
             attempts: 0,
-            crossed: 0,
-            repeat: asked.repeat,
+            cross_zone_attempts: 0,
+            client_retry: asked.client_retry,
             key,
-            keyed: usage::is_client_key(key),
+            key_from_client: usage::is_client_key(key),
         });
     }
 
@@ -168,13 +168,13 @@
         };
         let oldest = recording.open.first().map_or(now, |(arrived, _)| *arrived);
         recording.complete = recording.complete.max(oldest);
-        let mark = Mark {
+        let mark = Watermark {
             sequence: recording.sequence,
-            complete: recording.complete,
-            end: false,
+            complete_until: recording.complete,
+            last: false,
         };
         self.alarms.insert((now + recording.every, Alarm::Mark));
-        self.effects.push(Effect::Mark(mark));
+        self.effects.push(Effect::RecordWatermark(mark));
     }
 
     /// The last mark.
@@ -182,11 +182,11 @@
         let Some(recording) = &self.recording else {
             return;
         };
-        let mark = Mark {
+        let mark = Watermark {
             sequence: recording.sequence,
-            complete: recording.complete,
-            end: true,
+            complete_until: recording.complete,
+            last: true,
         };
-        self.effects.push(Effect::Mark(mark));
+        self.effects.push(Effect::RecordWatermark(mark));
     }
 }
--- a/crates/mixer/src/routing/usage.rs
+++ b/crates/mixer/src/reducer/usage.rs
@@ -5,17 +5,21 @@
 
 /// The key that joins the tries of one use: the same at every mixer and in every run, so that a retry at another mixer
 /// is recognised. Odd if the client gave it; 0 is no key.
-pub type JoinKey = u64;
+pub type DeduplicationKey = u64;
 
 /// The key of a use for which the client gave an idempotency key.
-pub fn key_of_client(class: &str, key: &str) -> JoinKey {
+pub fn key_of_client(class: &str, key: &str) -> DeduplicationKey {
     let mut hash = hash_of(class);
     hash.update(key.as_bytes());
     hash.digest() | 1
 }
 
 /// The key of a use by the content of its query: the class, the parts (shard and weight) in any order, and the text.
-pub fn key_of_query(class: &str, parts: impl Iterator<Item = (u32, f64)>, text: &[u8]) -> JoinKey {
+pub fn key_of_query(
+    class: &str,
+    parts: impl Iterator<Item = (u32, f64)>,
+    text: &[u8],
+) -> DeduplicationKey {
     let mut parts: Vec<_> = parts
         .map(|(shard, weight)| (shard, weight.to_bits()))
         .collect();
@@ -31,7 +35,7 @@
 }
 
 /// Whether a key is one that the client gave.
-pub fn is_client_key(key: JoinKey) -> bool {
+pub fn is_client_key(key: DeduplicationKey) -> bool {
     key & 1 != 0
 }
 
@@ -44,22 +48,22 @@
 
 /// How a query ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Outcome {
+pub enum QueryOutcome {
     /// Answered from all parts.
-    Whole,
+    Complete,
     /// Answered from parts with this share of the weight, in millionths.
     Partial(u32),
     /// Refused, with advice to come back.
-    Refused,
+    Rejected,
     /// Neither answered nor refused in time.
     Failed,
     /// The client left before the answer.
-    Left,
+    ClientDisconnected,
 }
 
 /// One query that ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Usage {
+pub struct UsageRecord {
     /// Counts from 1 over the records of this run, without a gap.
     pub sequence: u64,
     /// The tenant's index in the settings.
@@ -69,29 +73,29 @@
     /// Unix nanoseconds by this mixer's clock; never before what a mark has said to be complete.
     pub arrived: Nanos,
     /// How it ended for its client.
-    pub outcome: Outcome,
+    pub outcome: QueryOutcome,
     /// Parts that the query asked for.
     pub parts: u32,
     /// Attempts at them, with repeats.
     pub attempts: u32,
     /// Of the attempts, those to replicas in other zones.
-    pub crossed: u32,
+    pub cross_zone_attempts: u32,
     /// The client marked it as a repeat of an earlier try.
-    pub repeat: bool,
+    pub client_retry: bool,
     /// Joins it with other tries of the same use.
-    pub key: JoinKey,
+    pub key: DeduplicationKey,
     /// The key is one that the client gave.
-    pub keyed: bool,
+    pub key_from_client: bool,
 }
 
 /// Every query that arrived before `complete` and has ended is recorded with a sequence up to `sequence`, and none
 /// that arrived before it will follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct Watermark {
     /// The last sequence number that it covers.
     pub sequence: u64,
     /// Unix nanoseconds by this mixer's clock.
-    pub complete: Nanos,
+    pub complete_until: Nanos,
     /// No record follows: the mixer ends.
-    pub end: bool,
+    pub last: bool,
 }
--- a/crates/mixer/src/routing/watching.rs
+++ b/crates/mixer/src/reducer/watch_policy.rs
@@ -4,31 +4,31 @@
 //! - Pushed: an agent on the mixer's own machine, free to ask, whose list is in force whether or not it is watched.
 //!   Any wait is time in which something in force is not known, so it is a small share of the drain grace, whatever
 //!   the size of the fleet and however often it has failed.
-//! - Asked: one service for all mixers, which serves calls one after another. The calls are spread and become fewer
+//! - ClientRequest: one service for all mixers, which serves calls one after another. The calls are spread and become fewer
 //!   as they fail (`Backoff`), within the time after which what it has counts as announced and what the settings let a
 //!   mixer go without asking.
 
 use super::backoff::Backoff;
-use crate::protocol::discovery::{self, MOST_OBJECT};
+use crate::protocol::endpoint_updates::{self, MAX_UPDATE_BYTES};
 use std::time::Duration;
 
 /// Which way holds, with the time that bounds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum WatchMode {
     /// Nothing goes to a leaving replica later than `grace` after it was announced as leaving.
-    Pushed { grace: Duration },
+    Push { drain_grace: Duration },
     /// After `within` without a call the list that discovery has then counts as announced; none where the settings
     /// do not state it.
-    Asked { within: Option<Duration> },
+    Poll { max_staleness: Option<Duration> },
 }
 
 /// How a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ended {
+pub struct WatchEnd {
     /// How long it was open or tried for.
-    pub lasted: Duration,
+    pub duration: Duration,
     /// It brought what was asked for, be it a sign of life.
-    pub had: bool,
+    pub received: bool,
     /// It fell silent: its connection is open and nothing comes.
     pub silent: bool,
     /// What the other end asked for with `Retry-After`.
@@ -58,99 +58,103 @@
 const FIRST_LIST: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Debug)]
-pub struct Watching {
-    way: Way,
+pub struct WatchPolicy {
+    way: WatchMode,
     backoff: Backoff,
     /// The most bytes of one message.
-    most_object: usize,
+    max_update_bytes: usize,
 }
 
-impl Watching {
+impl WatchPolicy {
     /// For one of so many `mixers`; they must have different seeds, or they would ask alike.
-    pub fn new(way: Way, seed: u64, mixers: u32) -> Watching {
-        Watching {
+    pub fn new(way: WatchMode, seed: u64, mixers: u32) -> WatchPolicy {
+        WatchPolicy {
             way,
             backoff: Backoff::new(seed, mixers, apart(way)),
-            most_object: MOST_OBJECT,
+            max_update_bytes: MAX_UPDATE_BYTES,
         }
     }
 
     /// Sets the bytes that the process may use: the text of a list takes its share of them at most.
     pub fn limit_memory(&mut self, memory: usize) {
-        self.most_object = discovery::most_object(memory);
+        self.max_update_bytes = endpoint_updates::max_update_bytes(memory);
     }
 
     /// The most bytes of one message of discovery; a longer one is refused.
-    pub fn most_object(&self) -> usize {
-        self.most_object
+    pub fn max_update_bytes(&self) -> usize {
+        self.max_update_bytes
     }
 
     /// For a connection to come up.
-    pub fn connect(&self) -> Duration {
+    pub fn connect_timeout(&self) -> Duration {
         match self.way {
-            Way::Pushed { .. } => 2 * apart(self.way),
-            Way::Asked { .. } => ASKED_CONNECT.min(apart(self.way) / 4),
+            WatchMode::Push { .. } => 2 * apart(self.way),
+            WatchMode::Poll { .. } => ASKED_CONNECT.min(apart(self.way) / 4),
         }
     }
 
     /// For the first sign of life of a new watch.
-    pub fn answer(&self) -> Duration {
+    pub fn answer_timeout(&self) -> Duration {
         match self.way {
-            Way::Pushed { .. } => PUSHED_ANSWER,
+            WatchMode::Push { .. } => PUSHED_ANSWER,
             // The next try begins in time even if this one is never answered.
-            Way::Asked { .. } => ASKED_ANSWER.min(apart(self.way) - self.connect()),
+            WatchMode::Poll { .. } => ASKED_ANSWER.min(apart(self.way) - self.connect_timeout()),
         }
     }
 
     /// For the first list after a start, before which nothing is sent: what discovery had long ago counts as announced
     /// to a new process as well. One that has left it unanswered for so long is silent or overbooked, and the
     /// remembered list is the best there is.
-    pub fn first_list(&self) -> Duration {
-        FIRST_LIST.min(self.answer())
+    pub fn initial_list_timeout(&self) -> Duration {
+        FIRST_LIST.min(self.answer_timeout())
     }
 
     /// Whether a new address means another list, with versions of its own: agents have one each, a service one for
     /// all.
-    pub fn moves(&self) -> bool {
-        matches!(self.way, Way::Pushed { .. })
+    pub fn versions_differ_by_address(&self) -> bool {
+        matches!(self.way, WatchMode::Push { .. })
     }
 
     /// Between two signs of life.
-    pub fn silent(&self) -> Duration {
+    pub fn silence_timeout(&self) -> Duration {
         SILENT
     }
 
     /// How long to wait after a watch that ended so.
-    pub fn after(&mut self, ended: Ended) -> Duration {
+    pub fn next_delay(&mut self, ended: WatchEnd) -> Duration {
         let apart = apart(self.way);
         match self.way {
             // The agent's list is in force at once, so what it asks for does not count.
-            Way::Pushed { .. } => apart.saturating_sub(ended.lasted),
-            Way::Asked { .. } => {
+            WatchMode::Push { .. } => apart.saturating_sub(ended.duration),
+            WatchMode::Poll { .. } => {
                 let room = match ended {
                     // The clock for silence has run since the last line, and runs on.
-                    Ended {
-                        had: true,
+                    WatchEnd {
+                        received: true,
                         silent: true,
                         ..
                     } => STALENESS_BOUND - SILENT - LAST_TRY,
-                    Ended { had: true, .. } => apart,
+                    WatchEnd { received: true, .. } => apart,
                     // Discovery may have come back right after this try began.
-                    Ended {
-                        had: false, lasted, ..
-                    } => apart.saturating_sub(lasted),
+                    WatchEnd {
+                        received: false,
+                        duration,
+                        ..
+                    } => apart.saturating_sub(duration),
                 };
                 self.backoff
-                    .after(ended.had, ended.retry_after, room.min(apart))
+                    .after(ended.received, ended.retry_after, room.min(apart))
             }
         }
     }
 }
 
 /// The most that lies between the beginnings of two tries that fail.
-fn apart(way: Way) -> Duration {
+fn apart(way: WatchMode) -> Duration {
     match way {
-        Way::Pushed { grace } => (grace / TRIES_A_GRACE).clamp(APART.0, APART.1),
-        Way::Asked { within } => (STALENESS_BOUND - LAST_TRY).min(within.unwrap_or(Duration::MAX)),
+        WatchMode::Push { drain_grace } => (drain_grace / TRIES_A_GRACE).clamp(APART.0, APART.1),
+        WatchMode::Poll { max_staleness } => {
+            (STALENESS_BOUND - LAST_TRY).min(max_staleness.unwrap_or(Duration::MAX))
+        }
     }
 }
--- a/crates/mixer/src/settings.rs
+++ b/crates/mixer/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings, `path=value` a line, as the module's [`Settings`] and as the [`Site`] that the sockets need.
+//! The settings, `path=value` a line, as the module's [`Settings`] and as the [`MixerSettings`] that the sockets need.
 //! Keys that are not known are skipped; a key that is missing where it is needed, or out of range, is named
 //! in the error. The simulator's wire carries this text; a real mixer's JSON is flattened to it first.
 
@@ -93,7 +93,7 @@
     }
 }
 
-pub fn parse(text: &str) -> Result<Settings, String> {
+pub fn parse_decisions(text: &str) -> Result<Settings, String> {
     let pairs = Pairs::read(text)?;
     let classes: Vec<Class> = (0..pairs.positive("classes.count")? as usize)
         .map(|i| class(&pairs, i))
@@ -186,7 +186,7 @@
 
 /// What the sockets have to know beside the decisions.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Site {
+pub struct MixerSettings {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub zones: Vec<String>,
@@ -194,26 +194,26 @@
     pub zone: u16,
     /// For each class: the longest that a client waits, the share a whole answer needs, the least share.
     pub deadlines: Vec<u64>,
-    pub needs: Vec<f64>,
-    pub floors: Vec<f64>,
+    pub completeness_thresholds: Vec<f64>,
+    pub minimum_coverages: Vec<f64>,
     pub shards: u32,
-    pub call_parts: usize,
-    pub streams: usize,
+    pub max_parts_per_call: usize,
+    pub max_streams_per_connection: usize,
     pub max_attempts: usize,
     /// Queries and parts that may be open.
-    pub open_cap: usize,
+    pub max_open_requests: usize,
     pub connect_timeout: u64,
-    pub idle_time: u64,
-    pub come_back: u64,
+    pub connection_idle_timeout: u64,
+    pub max_retry_after: u64,
     /// Nothing new goes to a replica later than this after it was told draining or gone.
     pub drain_grace: u64,
-    pub peers: bool,
-    pub may_probe: bool,
+    pub peer_messages_enabled: bool,
+    pub probing_enabled: bool,
     /// Names of the values in a load report; none where nothing is reported.
-    pub report: Vec<String>,
+    pub load_report_fields: Vec<String>,
 }
 
-pub fn site(text: &str) -> Result<Site, String> {
+pub fn parse_mixer(text: &str) -> Result<MixerSettings, String> {
     let pairs = Pairs::read(text)?;
     let classes = pairs.names("classes")?;
     let each = |key: &str| {
@@ -228,31 +228,31 @@
         }
     }
     let deadlines = (0..classes.len()).map(|i| pairs.positive(&format!("classes.{i}.give_up_ns")));
-    Ok(Site {
+    Ok(MixerSettings {
         deadlines: deadlines.collect::<Result<_, _>>()?,
-        needs: each("extra.class_need")?,
-        floors: each("extra.least_share")?,
+        completeness_thresholds: each("extra.class_need")?,
+        minimum_coverages: each("extra.least_share")?,
         tenants: pairs.names("orgs")?,
         zones: pairs.list("localities"),
         zone: pairs.get("my_zone")?.unwrap_or_default(),
         shards: number32(&pairs, "extra.ranges")?,
-        call_parts: pairs.get("extra.bundle_max")?.unwrap_or(1).max(1),
-        streams: pairs.get("limits.streams_per_conn")?.unwrap_or(1).max(1),
+        max_parts_per_call: pairs.get("extra.bundle_max")?.unwrap_or(1).max(1),
+        max_streams_per_connection: pairs.get("limits.streams_per_conn")?.unwrap_or(1).max(1),
         max_attempts: pairs
             .get("limits.max_attempts")?
             .unwrap_or(usize::from(u8::MAX)),
-        open_cap: pairs.get("limits.open_cap")?.unwrap_or(OPEN_CAP),
+        max_open_requests: pairs.get("limits.open_cap")?.unwrap_or(OPEN_CAP),
         connect_timeout: pairs
             .get("limits.connect_timeout_ns")?
             .unwrap_or(CONNECT_TIMEOUT),
-        idle_time: pairs.get("limits.conn_idle_ns")?.unwrap_or(IDLE_TIME),
-        come_back: pairs.time("limits.max_retry_after_ns")?,
+        connection_idle_timeout: pairs.get("limits.conn_idle_ns")?.unwrap_or(IDLE_TIME),
+        max_retry_after: pairs.time("limits.max_retry_after_ns")?,
         drain_grace: pairs
             .get("guarantees.stop_sending_within_ns")?
             .unwrap_or(DRAIN_GRACE),
-        peers: pairs.flag("limits.peers")?,
-        may_probe: pairs.flag("limits.may_probe")?,
-        report: pairs.list("reporting.fields"),
+        peer_messages_enabled: pairs.flag("limits.peers")?,
+        probing_enabled: pairs.flag("limits.may_probe")?,
+        load_report_fields: pairs.list("reporting.fields"),
         classes,
     })
 }
--- a/crates/mixer/src/transport/clients.rs
+++ b/crates/mixer/src/transport/client_connections.rs
@@ -1,10 +1,11 @@
 //! The listener, and the connections of native clients: one task each, one request at a time.
 
-use super::pool::BUFFER;
+use super::buffer_pool::BUFFER;
 use super::{Shared, MOST_COMMANDS};
-use crate::protocol::http::{Rejection, Request, Response, ServerCodec};
-use crate::protocol::query::{self, Reply};
-use crate::routing::{ClientId, Input};
+use crate::log_targets;
+use crate::protocol::http::{Request, RequestError, Response, ServerCodec};
+use crate::protocol::query_json::{self, Reply};
+use crate::reducer::{ClientId, Input};
 use futures_util::{SinkExt, StreamExt};
 use std::future::poll_fn;
 use std::io;
@@ -24,7 +25,7 @@
     /// End the connection unless a whole request has arrived on it.
     Close {
         /// Without lingering, as another connection needs its place.
-        room: bool,
+        immediate: bool,
     },
 }
 
@@ -60,7 +61,7 @@
             accepted = accepted => match accepted {
                 Ok((stream, _)) => admit(&shared, stream).await,
                 Err(e) => {
-                    tracing::warn!("accept: {e}");
+                    tracing::warn!(target: log_targets::CLIENT_CONNECTIONS, "accept: {e}");
                     sleep(ACCEPT_RETRY).await;
                 }
             },
@@ -73,7 +74,7 @@
         admit(&shared, stream).await;
     }
     drop(listener);
-    let _ = shared.inputs.send(Input::StoppedListening).await;
+    let _ = shared.inputs.send(Input::ListenerClosed).await;
 }
 
 /// Registers a client and starts its task. The reducer knows of the client before the task runs.
@@ -86,7 +87,7 @@
 }
 
 type Connection = Framed<TcpStream, ServerCodec>;
-type Incoming = Result<Request, Rejection>;
+type Incoming = Result<Request, RequestError>;
 
 /// How serving a connection ended.
 enum Ended {
@@ -114,7 +115,9 @@
         Ok(Ended::ByClient) => {}
         Ok(Ended::ByUs) => linger(&mut connection, &mut commands, LINGER).await,
         Ok(Ended::ForRoom) => linger(&mut connection, &mut commands, Duration::ZERO).await,
-        Err(e) => tracing::debug!(client, "client connection: {e}"),
+        Err(e) => {
+            tracing::debug!(target: log_targets::CLIENT_CONNECTIONS, client, "client connection: {e}")
+        }
     }
     shared.pool.recover(connection);
     shared.clients.borrow_mut().remove(&client);
@@ -139,17 +142,18 @@
                 ControlFlow::Break(ended) => return Ok(ended),
             },
         };
-        let arrived = shared.clock.now();
+        let received_at = shared.clock.now();
         let keep = incoming.as_ref().is_ok_and(|request| request.keep_alive);
-        let asked = incoming.and_then(|request| query::read(&request, &shared.names));
+        let request =
+            incoming.and_then(|request| query_json::parse(&request, &shared.query_schema));
         // After a rejection the connection ends: the client would only send such a request again.
-        let mut keep = keep && asked.is_ok();
+        let mut keep = keep && request.is_ok();
         if shared
             .inputs
-            .send(Input::Asked {
+            .send(Input::RequestReceived {
                 client,
-                arrived,
-                asked,
+                received_at,
+                request,
             })
             .await
             .is_err()
@@ -162,7 +166,7 @@
                 command = commands.recv() => match command {
                     Some(Command::Reply(reply, close)) => {
                         let close = close || !keep;
-                        break (query::render(&reply, close), close);
+                        break (query_json::render(&reply, close), close);
                     }
                     // It crossed this request, which is served; its reply will end the connection.
                     Some(Command::Close { .. }) => {}
@@ -282,8 +286,8 @@
                 Ok(next) => return request_or_end(next),
                 Err(_) if in_request(connection) => {
                     connection.codec_mut().give_up();
-                    let why = "the request took too long";
-                    return Ok(ControlFlow::Continue(Err(Rejection { status: 408, why })));
+                    let reason = "the request took too long";
+                    return Ok(ControlFlow::Continue(Err(RequestError { status: 408, reason })));
                 }
                 Err(_) if opened.is_some() => return Ok(ControlFlow::Break(Ended::ByUs)),
                 // A spurious readiness: no request has begun.
@@ -292,9 +296,9 @@
             command = commands.recv() => match command {
                 // A request that has arrived whole is served; half of one does not keep a place that another connection
                 // needs.
-                Some(Command::Close { room }) => {
+                Some(Command::Close { immediate }) => {
                     let whole = timeout(Duration::ZERO, connection.next()).await;
-                    let ended = if room { Ended::ForRoom } else { Ended::ByUs };
+                    let ended = if immediate { Ended::ForRoom } else { Ended::ByUs };
                     return match whole {
                         Ok(next) => request_or_end(next),
                         Err(_) => Ok(ControlFlow::Break(ended)),
--- a/crates/mixer/src/transport/watch.rs
+++ b/crates/mixer/src/transport/discovery_watch.rs
@@ -1,11 +1,12 @@
 //! The watch on discovery: one long answer, asked for again whenever it ends or falls silent.
 
-use super::pool::Pool;
-use crate::protocol::discovery::{self, EndpointUpdate, Refused};
-use crate::protocol::http::{TurnedAway, WatchCodec, WatchRequest};
-use crate::routing::messages::{ListFault, WatchNews};
-use crate::routing::watching::Ended;
-use crate::routing::{Input, Watching};
+use super::buffer_pool::Pool;
+use crate::log_targets;
+use crate::protocol::endpoint_updates::{self, EndpointUpdate, UpdateError};
+use crate::protocol::http::{WatchCodec, WatchRejected, WatchRequest};
+use crate::reducer::watch_policy::WatchEnd;
+use crate::reducer::{Input, WatchPolicy};
+use crate::reducer::{UpdateFault, WatchEvent};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use std::io::{self, ErrorKind};
@@ -20,7 +21,7 @@
     pool: Pool,
     /// Where what discovery tells goes.
     lists: mpsc::Sender<Input>,
-    watching: Watching,
+    watching: WatchPolicy,
     address: SocketAddr,
     /// How far the list was followed; none where the whole list has to come first.
     index: Option<u64>,
@@ -34,7 +35,7 @@
 pub(super) async fn follow(
     pool: Pool,
     lists: mpsc::Sender<Input>,
-    watching: Watching,
+    watching: WatchPolicy,
     address: SocketAddr,
     index: Option<u64>,
 ) {
@@ -57,25 +58,25 @@
         failing &= !follower.had;
         let silent = why.kind() == ErrorKind::TimedOut;
         follower
-            .report(Input::Watch(WatchNews::Ended { silent }))
+            .report(Input::Watch(WatchEvent::Ended { silent }))
             .await;
         let retry_after = why
             .get_ref()
-            .and_then(|e| e.downcast_ref::<TurnedAway>())
+            .and_then(|e| e.downcast_ref::<WatchRejected>())
             .and_then(|e| e.retry_after);
-        let ended = Ended {
-            lasted: began.elapsed(),
-            had: follower.had,
+        let ended = WatchEnd {
+            duration: began.elapsed(),
+            received: follower.had,
             silent,
             retry_after,
         };
-        let wait = follower.watching.after(ended);
+        let wait = follower.watching.next_delay(ended);
         let (index, wait_ms) = (follower.index, wait.as_millis());
         if !failing {
-            tracing::info!(%address, index, wait_ms, "watch on discovery ended: {why}");
+            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "watch on discovery ended: {why}");
         } else {
             // The first one was logged; the log is not for the tries that follow.
-            tracing::debug!(%address, index, wait_ms, "discovery asked again without success: {why}");
+            tracing::debug!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "discovery asked again without success: {why}");
         }
         failing = true;
         sleep(wait).await;
@@ -89,9 +90,12 @@
 
     /// Asks and reads until the watch ends, or the whole list that had to come first is in.
     async fn watch(&mut self) -> io::Result<()> {
-        let connect = timeout(self.watching.connect(), TcpStream::connect(self.address));
+        let connect = timeout(
+            self.watching.connect_timeout(),
+            TcpStream::connect(self.address),
+        );
         let stream = connect.await.map_err(|_| ErrorKind::TimedOut)??;
-        let codec = WatchCodec::new(self.watching.most_object());
+        let codec = WatchCodec::new(self.watching.max_update_bytes());
         let mut connection = self.pool.frame::<WatchRequest, _, _>(stream, codec);
         let watched = self.read(&mut connection).await;
         self.pool.recover(connection);
@@ -100,23 +104,24 @@
 
     /// A message can't be taken. From the same version on it would come again, and what it was to announce is not
     /// known: the list in force stays, and the whole list is asked for next.
-    async fn refuse(&mut self, fault: ListFault, why: String) -> io::Error {
+    async fn refuse(&mut self, fault: UpdateFault, why: String) -> io::Error {
         let (address, in_force) = (self.address, self.index);
         if !std::mem::replace(&mut self.refused, true) {
-            tracing::warn!(%address, in_force, ?fault, "list refused, the one in force stays: {why}");
+            tracing::warn!(target: log_targets::DISCOVERY_WATCH, %address, in_force, ?fault, "list refused, the one in force stays: {why}");
         }
         self.index = None;
-        self.report(Input::Watch(WatchNews::Refused(fault))).await;
+        self.report(Input::Watch(WatchEvent::UpdateRejected(fault)))
+            .await;
         io::Error::new(ErrorKind::InvalidData, why)
     }
 
     /// The list in a message; none where it is a sign of life alone.
     async fn listing(&mut self, message: io::Result<Bytes>) -> io::Result<Option<EndpointUpdate>> {
         let read = match message {
-            Ok(object) => discovery::read(&object),
+            Ok(object) => endpoint_updates::parse(&object),
             Err(error) => match error
                 .get_ref()
-                .and_then(|source| source.downcast_ref::<Refused>())
+                .and_then(|source| source.downcast_ref::<UpdateError>())
             {
                 Some(refused) => Err(refused.clone()),
                 None => return Err(error),
@@ -125,40 +130,41 @@
         match read {
             Ok(listing) => Ok(listing),
             Err(why) if why.is_over_bound() => {
-                Err(self.refuse(ListFault::OverBound, why.to_string()).await)
+                Err(self.refuse(UpdateFault::TooLarge, why.to_string()).await)
             }
-            Err(why) => Err(self.refuse(ListFault::Unreadable, why.to_string()).await),
+            Err(why) => Err(self.refuse(UpdateFault::Malformed, why.to_string()).await),
         }
     }
 
     /// Refuses changes whose version is below the one in force. A whole list is right whatever its version: discovery
     /// may have begun anew.
     async fn check_version(&mut self, listing: &EndpointUpdate) -> io::Result<()> {
-        let (index, address) = (listing.index, self.address);
+        let (index, address) = (listing.version, self.address);
         let Some(in_force) = self.index.filter(|in_force| index < *in_force) else {
             return Ok(());
         };
         if listing.snapshot {
-            tracing::info!(%address, index, in_force, "a whole list of an earlier version is taken");
-            self.report(Input::Watch(WatchNews::WentBack)).await;
+            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index, in_force, "a whole list of an earlier version is taken");
+            self.report(Input::Watch(WatchEvent::VersionRegressed))
+                .await;
             return Ok(());
         }
         let why = format!(
             "changes up to version {index}, {in_force} is in force: {in_force} or later is valid"
         );
-        Err(self.refuse(ListFault::WentBack, why).await)
+        Err(self.refuse(UpdateFault::VersionRegressed, why).await)
     }
 
     async fn read(&mut self, connection: &mut Framed<TcpStream, WatchCodec>) -> io::Result<()> {
         let (host, from) = (self.address.to_string(), self.index);
         connection.send(WatchRequest { host, from }).await?;
-        tracing::debug!(address = %self.address, from, "discovery asked");
-        self.report(Input::Watch(WatchNews::Asked)).await;
+        tracing::debug!(target: log_targets::DISCOVERY_WATCH, address = %self.address, from, "discovery asked");
+        self.report(Input::Watch(WatchEvent::Requested)).await;
         loop {
             let most = if self.had {
-                self.watching.silent()
+                self.watching.silence_timeout()
             } else {
-                self.watching.answer()
+                self.watching.answer_timeout()
             };
             let message = timeout(most, connection.next())
                 .await
@@ -169,13 +175,13 @@
             let listing = self.listing(message).await?;
             self.had = true;
             let Some(listing) = listing else {
-                self.report(Input::Watch(WatchNews::Alive)).await;
+                self.report(Input::Watch(WatchEvent::Heartbeat)).await;
                 continue;
             };
             self.check_version(&listing).await?;
-            self.index = Some(listing.index);
+            self.index = Some(listing.version);
             self.refused = false;
-            self.report(Input::Listed(listing)).await;
+            self.report(Input::EndpointsUpdated(listing)).await;
             if from.is_none() {
                 return Ok(());
             }
--- a/crates/mixer/src/transport/leaf.rs
+++ b/crates/mixer/src/transport/leaf_connections.rs
@@ -1,8 +1,9 @@
 //! Connections to leaf servers, one task each.
 
 use super::{Shared, MOST_COMMANDS};
-use crate::protocol::leaf::{LeafCodec, ToLeaf};
-use crate::routing::{Input, LinkId};
+use crate::log_targets;
+use crate::protocol::leaf_frames::{LeafCodec, LeafRequest};
+use crate::reducer::{ConnectionId, Input};
 use futures_util::SinkExt;
 use std::io;
 use std::net::SocketAddr;
@@ -17,16 +18,16 @@
 
 /// The driver's handle of a connection; dropping it closes the connection.
 pub struct Handle {
-    frames: mpsc::Sender<ToLeaf>,
+    frames: mpsc::Sender<LeafRequest>,
     task: AbortHandle,
 }
 
 impl Handle {
     /// Writes a frame. The reducer hands over one at a time, so there is always room in the queue; were there none, the
     /// connection would be closed, since a frame must not be lost unnoticed.
-    pub fn write(&self, frame: ToLeaf) {
+    pub fn write(&self, frame: LeafRequest) {
         if self.frames.try_send(frame).is_err() && !self.is_over() {
-            tracing::error!("a connection to a leaf server has too many frames waiting");
+            tracing::error!(target: log_targets::LEAF_CONNECTIONS, "a connection to a leaf server has too many frames waiting");
             self.task.abort();
         }
     }
@@ -44,13 +45,16 @@
 }
 
 /// Connects to a leaf server in a task of its own, which reports the connection's events to the reducer.
-pub fn open(shared: Shared, link: LinkId, address: SocketAddr) -> Handle {
+pub fn open(shared: Shared, connection: ConnectionId, address: SocketAddr) -> Handle {
     let (frames, receiver) = mpsc::channel(MOST_COMMANDS);
     let task = tokio::task::spawn_local(async move {
-        if let Err(e) = exchange_frames(&shared, link, address, receiver).await {
-            tracing::debug!(link, %address, "leaf connection: {e}");
+        if let Err(e) = exchange_frames(&shared, connection, address, receiver).await {
+            tracing::debug!(target: log_targets::LEAF_CONNECTIONS, link = connection, %address, "leaf connection: {e}");
         }
-        let _ = shared.inputs.send(Input::LinkClosed { link }).await;
+        let _ = shared
+            .inputs
+            .send(Input::ConnectionClosed { connection })
+            .await;
     });
     Handle {
         frames,
@@ -64,46 +68,49 @@
 /// What the connect or the socket reports.
 async fn exchange_frames(
     shared: &Shared,
-    link: LinkId,
+    connection: ConnectionId,
     address: SocketAddr,
-    mut frames: mpsc::Receiver<ToLeaf>,
+    mut frames: mpsc::Receiver<LeafRequest>,
 ) -> io::Result<()> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let mut connection = shared
+    let mut framed = shared
         .pool
-        .frame::<ToLeaf, _, _>(stream, LeafCodec::default());
+        .frame::<LeafRequest, _, _>(stream, LeafCodec::default());
     let mut begun = None;
-    let _ = shared.inputs.send(Input::LinkOpened { link }).await;
+    let _ = shared
+        .inputs
+        .send(Input::ConnectionOpened { connection })
+        .await;
     let ended = loop {
         tokio::select! {
             biased;
             frame = frames.recv() => {
                 let Some(frame) = frame else { break Ok(()) };
-                if let Err(e) = connection.send(frame).await {
+                if let Err(e) = framed.send(frame).await {
                     break Err(e);
                 }
-                let _ = shared.inputs.send(Input::LinkWrote { link }).await;
+                let _ = shared.inputs.send(Input::FrameWritten { connection }).await;
             }
-            received = super::message(&mut connection, &mut begun, FRAME_TIMEOUT) => {
+            received = super::message(&mut framed, &mut begun, FRAME_TIMEOUT) => {
                 let frame = match received {
                     Ok(Some(Ok(frame))) => frame,
                     Ok(Some(Err(e))) => break Err(e),
                     Ok(None) => break Ok(()),
                     // A spurious readiness: no frame has begun.
-                    Err(_) if connection.read_buffer().is_empty() => {
+                    Err(_) if framed.read_buffer().is_empty() => {
                         begun = None;
                         continue;
                     }
                     Err(_) => {
-                        let received = connection.read_buffer().clone();
-                        connection.codec_mut().cut_short(&received)
+                        let received = framed.read_buffer().clone();
+                        framed.codec_mut().abandon_frame(&received)
                     }
                 };
-                let _ = shared.inputs.send(Input::LinkHeard { link, frame }).await;
+                let _ = shared.inputs.send(Input::FrameReceived { connection, frame }).await;
             }
         }
     };
-    shared.pool.recover(connection);
+    shared.pool.recover(framed);
     ended
 }
--- a/crates/mixer/src/transport/ledger.rs
+++ b/crates/mixer/src/transport/ledger.rs
@@ -1,8 +1,8 @@
 //! Replies that wait for their usage records: a record is written before its reply leaves, unless the log stalls.
 
-use crate::protocol::query::Reply;
-use crate::routing::usage::{Mark, Usage};
-use crate::routing::ClientId;
+use crate::protocol::query_json::Reply;
+use crate::reducer::usage::{UsageRecord, Watermark};
+use crate::reducer::ClientId;
 use std::collections::VecDeque;
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant};
@@ -10,9 +10,9 @@
 /// Where usage records go. No method may block: they are called on the mixer's one thread.
 pub trait Recorder {
     /// Hands a record on; false if there was no room and it is lost.
-    fn record(&mut self, usage: Usage) -> bool;
+    fn record(&mut self, usage: UsageRecord) -> bool;
     /// Hands a mark on.
-    fn mark(&mut self, mark: Mark);
+    fn mark(&mut self, mark: Watermark);
     /// The sequence number up to which records are with the operating system.
     fn written(&self) -> watch::Receiver<u64>;
     /// The longest time that a reply waits for its record.
@@ -69,13 +69,13 @@
     }
 
     /// Hands the record of a query on; the next reply is that query's.
-    pub fn record(&mut self, usage: Usage) {
+    pub fn record(&mut self, usage: UsageRecord) {
         let sequence = usage.sequence;
         self.last_record = self.recorder.record(usage).then_some(sequence);
     }
 
     /// Hands a mark on.
-    pub fn mark(&mut self, mark: Mark) {
+    pub fn mark(&mut self, mark: Watermark) {
         self.recorder.mark(mark);
     }
 
--- a/crates/mixer/src/transport/mod.rs
+++ b/crates/mixer/src/transport/mod.rs
@@ -1,23 +1,24 @@
 //! Sockets, timers and buffers: reports events to the reducer as [`Input`]s and performs the [`Effect`]s that it
 //! returns. Nothing is decided here.
 
-mod clients;
+mod buffer_pool;
+mod client_connections;
 mod clock;
-mod leaf;
+mod discovery_watch;
+mod leaf_connections;
 mod ledger;
 mod peers;
-mod pool;
 mod query_client;
-mod watch;
 
 pub use clock::Clock;
 pub use ledger::{ClientReply, PendingReplies, Recorder};
 pub use query_client::QueryClient;
 
-use crate::protocol::query::Names;
-use crate::routing::{ClientId, Effect, Input, LinkId, State, Watching};
+use crate::log_targets;
+use crate::protocol::query_json::QuerySchema;
+use crate::reducer::{ClientId, ConnectionId, Effect, Input, Reducer, WatchPolicy};
+use buffer_pool::Pool;
 use futures_util::StreamExt;
-use pool::Pool;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::io;
@@ -66,16 +67,16 @@
 struct Shared {
     clock: Clock,
     /// How the watch on discovery is kept up.
-    watching: Watching,
+    watching: WatchPolicy,
     pool: Pool,
     inputs: mpsc::Sender<Input>,
     /// Inputs from discovery, which do not wait behind the others.
     lists: mpsc::Sender<Input>,
     /// Where each open connection of a client takes commands.
-    clients: Rc<RefCell<HashMap<ClientId, mpsc::Sender<clients::Command>>>>,
+    clients: Rc<RefCell<HashMap<ClientId, mpsc::Sender<client_connections::Command>>>>,
     /// Notified whenever a client's connection has ended, as there may be room for one more.
     client_ended: Rc<Notify>,
-    names: Rc<Names>,
+    query_schema: Rc<QuerySchema>,
     last_client: Rc<Cell<ClientId>>,
     /// True once no more connections are accepted.
     stopped: Rc<latest::Sender<bool>>,
@@ -104,7 +105,7 @@
 /// Performs the reducer's effects on sockets.
 struct Driver {
     shared: Shared,
-    links: HashMap<LinkId, leaf::Handle>,
+    connections: HashMap<ConnectionId, leaf_connections::Handle>,
     udp: Option<Udp>,
     watch: AbortHandle,
     /// Replies that wait for their usage records, where a usage log is kept.
@@ -140,18 +141,21 @@
         watching,
         ..
     } = shared.clone();
-    tokio::task::spawn_local(watch::follow(pool, lists, watching, address, from)).abort_handle()
+    tokio::task::spawn_local(discovery_watch::follow(
+        pool, lists, watching, address, from,
+    ))
+    .abort_handle()
 }
 
 /// Follows discovery's list for ever as a serving mixer does, from version `from` on or from the whole list, and sends
 /// what it tells as inputs for the reducer. It ends only when it is dropped.
 pub async fn follow_list(
     lists: mpsc::Sender<Input>,
-    watching: Watching,
+    watching: WatchPolicy,
     address: SocketAddr,
     from: Option<u64>,
 ) {
-    watch::follow(Pool::default(), lists, watching, address, from).await;
+    discovery_watch::follow(Pool::default(), lists, watching, address, from).await;
 }
 
 /// The next message of a connection; `None` at its end.
@@ -186,9 +190,9 @@
 /// # Errors
 /// The socket for datagrams can't be bound.
 pub async fn serve(
-    mut state: State,
+    mut state: Reducer,
     clock: Clock,
-    names: Names,
+    query_schema: QuerySchema,
     listener: TcpListener,
     addresses: Addresses,
     mut controls: mpsc::Receiver<Control>,
@@ -198,13 +202,13 @@
     let (lists, mut listed) = mpsc::channel(MOST_LISTS);
     let shared = Shared {
         clock,
-        watching: state.watching(),
+        watching: state.watch_policy(),
         pool: Pool::default(),
         inputs,
         lists,
         clients: Rc::default(),
         client_ended: Rc::default(),
-        names: Rc::new(names),
+        query_schema: Rc::new(query_schema),
         last_client: Rc::default(),
         stopped: Rc::new(latest::channel(false).0),
     };
@@ -216,12 +220,16 @@
         )),
         None => None,
     };
-    tokio::task::spawn_local(clients::listen(
+    tokio::task::spawn_local(client_connections::listen(
         shared.clone(),
         listener,
-        state.most_clients(),
+        state.max_clients(),
     ));
-    let watch = watch(&shared, addresses.discovery, Some(state.list_index()));
+    let watch = watch(
+        &shared,
+        addresses.discovery,
+        Some(state.endpoint_list_version()),
+    );
     beside
         .fronts
         .into_iter()
@@ -229,7 +237,7 @@
     let pending_replies = beside.recorder.map(PendingReplies::new);
     let mut driver = Driver {
         shared,
-        links: HashMap::new(),
+        connections: HashMap::new(),
         udp,
         watch,
         pending_replies,
@@ -251,7 +259,7 @@
             biased;
             Some(control) = controls.recv() => {
                 let input = match control {
-                    Control::Terminate => Input::Terminate,
+                    Control::Terminate => Input::ShutdownRequested,
                     Control::Reload(addresses) => driver.reload(addresses),
                 };
                 driver.put(&mut state, clock.now(), input);
@@ -270,12 +278,12 @@
                     let Ok(input) = arrived.try_recv() else { break };
                     driver.put(&mut state, now, input);
                 }
-                driver.put(&mut state, now, Input::Turn);
+                driver.put(&mut state, now, Input::ProcessBatch);
                 continue;
             }
             () = sleep_until(due.unwrap_or_else(|| clock.instant(0))), if due.is_some() => {}
         }
-        driver.put(&mut state, clock.now(), Input::Turn);
+        driver.put(&mut state, clock.now(), Input::ProcessBatch);
         driver.send_ready_replies();
     }
     driver.close_recorder();
@@ -293,7 +301,7 @@
 
 impl Driver {
     /// Applies an input to the reducer and performs the effects.
-    fn put(&mut self, state: &mut State, now: u64, input: Input) {
+    fn put(&mut self, state: &mut Reducer, now: u64, input: Input) {
         for effect in state.apply(now, input) {
             self.perform(effect);
         }
@@ -305,7 +313,7 @@
             udp.task.abort();
             *udp = Udp::start(&self.shared, udp.socket.clone(), addresses);
         }
-        Input::Reloaded {
+        Input::ConfigReloaded {
             discovery: addresses.map(|addresses| addresses.discovery),
         }
     }
@@ -330,46 +338,54 @@
                     self.reply(reply);
                 }
             }
-            Effect::CloseClient { client, room } => {
+            Effect::CloseClient { client, immediate } => {
                 if let Some(pending_replies) = &mut self.pending_replies {
                     pending_replies.close_client(client);
                 }
-                self.command_client(client, clients::Command::Close { room });
+                self.command_client(client, client_connections::Command::Close { immediate });
             }
-            Effect::Record(usage) => {
+            Effect::RecordUsage(usage) => {
                 if let Some(pending_replies) = &mut self.pending_replies {
                     pending_replies.record(usage);
                 }
             }
-            Effect::Mark(mark) => {
+            Effect::RecordWatermark(mark) => {
                 if let Some(pending_replies) = &mut self.pending_replies {
                     pending_replies.mark(mark);
                 }
             }
-            Effect::Connect { link, address } => {
-                self.links.retain(|_, handle| !handle.is_over());
-                self.links
-                    .insert(link, leaf::open(self.shared.clone(), link, address));
+            Effect::Connect {
+                connection,
+                address,
+            } => {
+                self.connections.retain(|_, handle| !handle.is_over());
+                self.connections.insert(
+                    connection,
+                    leaf_connections::open(self.shared.clone(), connection, address),
+                );
             }
-            Effect::Write { link, frame } => {
-                if let Some(handle) = self.links.get(&link) {
+            Effect::WriteFrame { connection, frame } => {
+                if let Some(handle) = self.connections.get(&connection) {
                     handle.write(frame);
                 }
             }
-            Effect::CloseLink { link } => drop(self.links.remove(&link)),
-            Effect::Datagram { to, bytes } => {
+            Effect::CloseConnection { connection } => drop(self.connections.remove(&connection)),
+            Effect::SendDatagram { to, bytes } => {
                 if let Some(Udp { socket, book, .. }) = &self.udp {
                     book.send(socket, to, &bytes);
                 }
             }
-            Effect::Watch { address, from } => {
+            Effect::WatchEndpoints {
+                address,
+                from_version,
+            } => {
                 self.watch.abort();
-                self.watch = watch(&self.shared, address, from);
+                self.watch = watch(&self.shared, address, from_version);
             }
-            Effect::StopListening => drop(self.shared.stopped.send_replace(true)),
+            Effect::CloseListener => drop(self.shared.stopped.send_replace(true)),
             Effect::Exit(counters) => {
                 let text = serde_json::to_string(&*counters).unwrap_or_default();
-                tracing::info!(counters = text, "served all that was taken");
+                tracing::info!(target: log_targets::TRANSPORT, counters = text, "served all that was taken");
                 self.exited = true;
             }
         }
@@ -383,7 +399,10 @@
             close,
         }: ClientReply,
     ) {
-        self.command_client(client, clients::Command::Reply(Box::new(reply), close));
+        self.command_client(
+            client,
+            client_connections::Command::Reply(Box::new(reply), close),
+        );
     }
 
     /// Sends the replies whose records are written, or that have waited for long enough.
@@ -408,11 +427,11 @@
     }
 
     /// Hands a command to the task of a client's connection.
-    fn command_client(&self, client: ClientId, command: clients::Command) {
+    fn command_client(&self, client: ClientId, command: client_connections::Command) {
         if let Some(commands) = self.shared.clients.borrow().get(&client) {
             // Full only if the task waits for a client that does not read; that client loses its reply.
             if commands.try_send(command).is_err() {
-                tracing::debug!(client, "a client's connection is over or stuck");
+                tracing::debug!(target: log_targets::TRANSPORT, client, "a client's connection is over or stuck");
             }
         }
     }
--- a/crates/mixer/src/transport/peers.rs
+++ b/crates/mixer/src/transport/peers.rs
@@ -1,7 +1,8 @@
 //! Datagrams between the mixers of a tier. They may be lost: nothing depends on the arrival of one.
 
 use super::{Addresses, Shared};
-use crate::routing::Input;
+use crate::log_targets;
+use crate::reducer::Input;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::UdpSocket;
@@ -29,21 +30,21 @@
             None => self.all,
         };
         if let Some(Err(e)) = address.map(|address| socket.try_send_to(bytes, address)) {
-            tracing::debug!("datagram not sent: {e}");
+            tracing::debug!(target: log_targets::PEERS, "datagram not sent: {e}");
         }
     }
 }
 
 /// Reports the datagrams of known mixers to the reducer; those of other senders are dropped.
 pub async fn listen(shared: Shared, socket: Rc<UdpSocket>, book: Book) {
-    let mut buffer = [0; super::pool::BUFFER];
+    let mut buffer = [0; super::buffer_pool::BUFFER];
     loop {
         // An error here is about a datagram sent before, to a mixer that is down.
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
         if let Some(from) = book.peers.iter().position(|peer| *peer == sender) {
-            let input = Input::Datagram {
+            let input = Input::DatagramReceived {
                 from: from as u32,
                 bytes: buffer[..length].to_vec(),
             };
--- a/crates/mixer/src/transport/query_client.rs
+++ b/crates/mixer/src/transport/query_client.rs
@@ -1,9 +1,9 @@
 //! Queries from inside the process: fronts of other protocols ask the same reducer as native clients do.
 
-use super::clients::Command;
+use super::client_connections::Command;
 use super::{Shared, MOST_COMMANDS};
-use crate::protocol::query::{Asked, Names, Query, Reply};
-use crate::routing::{ClientId, Input};
+use crate::protocol::query_json::{ClientRequest, QueryRequest, QuerySchema, Reply};
+use crate::reducer::{ClientId, Input};
 use cottonhill_decisions::Nanos;
 use std::rc::Rc;
 use tokio::sync::mpsc;
@@ -44,8 +44,8 @@
     }
 
     /// The names of classes and tenants, and the bounds of a query.
-    pub fn names(&self) -> &Rc<Names> {
-        &self.shared.names
+    pub fn query_schema(&self) -> &Rc<QuerySchema> {
+        &self.shared.query_schema
     }
 
     /// The time in Unix nanoseconds, by the mixer's one clock.
@@ -55,7 +55,7 @@
 
     /// Asks a query that arrived at `arrived` (Unix nanoseconds) and waits for its one reply; [`Reply::Failed`] if the
     /// mixer ends before. Dropping the future withdraws the query, as a client that closes its connection does.
-    pub async fn ask(&self, arrived: Nanos, query: Query) -> Reply {
+    pub async fn ask(&self, received_at: Nanos, query: QueryRequest) -> Reply {
         let client = self.shared.client();
         let (commands, mut replies) = mpsc::channel(MOST_COMMANDS);
         self.shared.clients.borrow_mut().insert(client, commands);
@@ -68,14 +68,14 @@
             .inputs
             .send(Input::ClientOpened { client })
             .await;
-        let asked = Ok(Asked::Query(query));
+        let request = Ok(ClientRequest::Query(query));
         let _ = registration
             .shared
             .inputs
-            .send(Input::Asked {
+            .send(Input::RequestReceived {
                 client,
-                arrived,
-                asked,
+                received_at,
+                request,
             })
             .await;
         loop {
--- a/crates/mixer/tests/connection.rs
+++ b/crates/mixer/tests/connection.rs
@@ -1,11 +1,11 @@
 //! A model of the states of one connection to a leaf server, against which random steps are checked; and the
 //! whole reducer under random steps, against the promises that the sockets must keep.
 
-mod bed;
+mod harness;
 
-use bed::{Bed, MS};
-use cottonhill_mixer::protocol::leaf::{End, ToLeaf};
-use cottonhill_mixer::routing::link::{Answered, AttemptId, Job, Link};
+use cottonhill_mixer::protocol::leaf_frames::{LeafRequest, PartStatus};
+use cottonhill_mixer::reducer::leaf_connection::{Answered, AttemptId, Job, LeafConnection};
+use harness::{Harness, MS};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, VecDeque};
@@ -76,31 +76,31 @@
 
     #[test]
     fn a_connection_keeps_to_its_model(steps in prop::collection::vec(step(), 1..60)) {
-        let (mut link, mut model) = (Link::new(0), Model::default());
+        let (mut connection, mut model) = (LeafConnection::new(0), Model::default());
         for (n, step) in steps.into_iter().enumerate() {
             let now = n as u64 * MS;
             match step {
                 Step::Queue => {
                     let attempt = (n as u64, 0);
-                    link.queue(attempt, wire(attempt), false, 1);
+                    connection.queue(attempt, wire(attempt), false, 1);
                     model.stages.insert(attempt, Stage::Waiting);
                     model.frames.push_back(Job::Call(vec![(attempt, wire(attempt))]));
                 }
                 Step::Open => {
-                    link.opened(now);
+                    connection.opened(now);
                     model.open = true;
                 }
                 Step::Take => {
                     let due = model.open && model.writing.is_none();
                     let expected = if due { model.frames.pop_front() } else { None };
-                    prop_assert_eq!(link.take_next(now), expected.clone());
+                    prop_assert_eq!(connection.take_next(now), expected.clone());
                     if let Some(Job::Call(call)) = &expected {
                         model.stages.insert(call[0].0, Stage::Writing);
                     }
                     model.writing = expected.or(model.writing);
                 }
                 Step::Wrote => {
-                    link.wrote();
+                    connection.wrote();
                     match model.writing.take() {
                         Some(Job::Call(call)) => {
                             model.stages.entry(call[0].0).and_modify(|stage| *stage = Stage::Written);
@@ -113,20 +113,20 @@
                     let Some(attempt) = model.nth(k) else { continue };
                     let written = model.stages[&attempt] == Stage::Written;
                     let expected = if written { Answered::Attempt(attempt) } else { Answered::Unknown };
-                    prop_assert_eq!(link.answered(&wire(attempt)), expected);
-                    prop_assert_eq!(link.answered("never.asked"), Answered::Unknown);
+                    prop_assert_eq!(connection.answered(&wire(attempt)), expected);
+                    prop_assert_eq!(connection.answered("never.asked"), Answered::Unknown);
                     if written {
-                        prop_assert_eq!(link.answered(&wire(attempt)), Answered::Over, "a copy");
+                        prop_assert_eq!(connection.answered(&wire(attempt)), Answered::Over, "a copy");
                         model.stages.remove(&attempt);
                     }
                 }
                 Step::Drop(k) => {
                     let Some(attempt) = model.nth(k) else { continue };
                     let went_out = model.stages.remove(&attempt) != Some(Stage::Waiting);
-                    prop_assert_eq!(link.drop_attempt(attempt, now, MS), went_out);
-                    prop_assert!(!link.drop_attempt(attempt, now, MS), "it is over");
+                    prop_assert_eq!(connection.drop_attempt(attempt, now, MS), went_out);
+                    prop_assert!(!connection.drop_attempt(attempt, now, MS), "it is over");
                     let heard = if went_out { Answered::Over } else { Answered::Unknown };
-                    prop_assert_eq!(link.answered(&wire(attempt)), heard, "its answer may cross our words");
+                    prop_assert_eq!(connection.answered(&wire(attempt)), heard, "its answer may cross our words");
                     if went_out {
                         model.frames.push_back(Job::GiveUp(wire(attempt)));
                     } else {
@@ -134,24 +134,24 @@
                     }
                 }
                 Step::Probe => {
-                    link.queue_probe(n as u64);
+                    connection.queue_probe(n as u64);
                     model.frames.push_back(Job::Probe(n as u64));
                 }
-                Step::Probed => prop_assert_eq!(link.probed(), model.probes.pop_front()),
+                Step::Probed => prop_assert_eq!(connection.probed(), model.probes.pop_front()),
             }
             let waiting = model.stages.iter().filter(|(_, stage)| **stage == Stage::Waiting);
             let written = model.stages.iter().filter(|(_, stage)| **stage == Stage::Written);
             let written: Vec<AttemptId> = written.map(|(attempt, _)| *attempt).collect();
-            prop_assert_eq!(link.spoilt(None).is_some(), !written.is_empty());
+            prop_assert_eq!(connection.spoilt(None).is_some(), !written.is_empty());
             for attempt in &written {
-                prop_assert_eq!(link.spoilt(Some(&wire(*attempt))), Some(*attempt));
+                prop_assert_eq!(connection.spoilt(Some(&wire(*attempt))), Some(*attempt));
             }
-            prop_assert_eq!(link.written().len(), written.len());
-            prop_assert_eq!(link.unsent(), waiting.map(|(attempt, _)| *attempt).collect::<Vec<_>>());
+            prop_assert_eq!(connection.written().len(), written.len());
+            prop_assert_eq!(connection.unsent(), waiting.map(|(attempt, _)| *attempt).collect::<Vec<_>>());
             let busy = !(model.stages.is_empty() && model.frames.is_empty() && model.probes.is_empty());
-            prop_assert_eq!(link.is_idle(), !busy && model.writing.is_none());
+            prop_assert_eq!(connection.is_idle(), !busy && model.writing.is_none());
         }
-        let (mut ended, _) = link.end();
+        let (mut ended, _) = connection.end();
         ended.sort();
         let left = model.stages.iter().map(|(attempt, stage)| (*attempt, *stage == Stage::Written));
         prop_assert_eq!(ended, left.collect::<Vec<_>>());
@@ -161,33 +161,33 @@
     fn every_query_ends_once_and_every_attempt_ends_once(
         steps in prop::collection::vec((0u8..12, any::<u64>(), 1u64..400), 1..80),
     ) {
-        let (ends, standings) = ([End::Ok, End::Ok, End::Err, End::Busy], ["up", "draining", "removed"]);
-        let mut bed = Bed::new(4);
+        let (ends, standings) = ([PartStatus::Ok, PartStatus::Ok, PartStatus::Error, PartStatus::Busy], ["up", "draining", "removed"]);
+        let mut harness = Harness::new(4);
         for (kind, dice, ms) in steps {
-            let links: Vec<u64> = bed.links.keys().copied().collect();
-            let link = links.get(dice as usize % links.len().max(1)).copied();
-            match (kind, link) {
-                (0..=2, _) => drop(bed.ask((dice % 3) as u16 % 2, &[0.5, 0.3, 0.2])),
-                (3..=4, Some(link)) => bed.open(link),
-                (5..=6, Some(link)) => bed.answer(link, ends[dice as usize % 4]),
-                (7, Some(link)) => bed.break_off(link),
-                (8, _) => bed.list(1 + dice % 4, standings[dice as usize / 4 % 3], bed.now),
-                (9, _) => bed.leave(dice),
-                (10, Some(link)) => bed.spoil(link, dice % 2 == 0),
-                _ => bed.pass(ms),
+            let connections: Vec<u64> = harness.connections.keys().copied().collect();
+            let connection = connections.get(dice as usize % connections.len().max(1)).copied();
+            match (kind, connection) {
+                (0..=2, _) => drop(harness.ask((dice % 3) as u16 % 2, &[0.5, 0.3, 0.2])),
+                (3..=4, Some(connection)) => harness.open(connection),
+                (5..=6, Some(connection)) => harness.answer(connection, ends[dice as usize % 4]),
+                (7, Some(connection)) => harness.break_off(connection),
+                (8, _) => harness.list(1 + dice % 4, standings[dice as usize / 4 % 3], harness.now),
+                (9, _) => harness.leave(dice),
+                (10, Some(connection)) => harness.spoil(connection, dice % 2 == 0),
+                _ => harness.pass(ms),
             }
         }
-        bed.pass(20_000);
-        for (client, replies) in &bed.replies {
-            let gone = bed.left.contains(client);
+        harness.pass(20_000);
+        for (client, replies) in &harness.replies {
+            let gone = harness.left.contains(client);
             prop_assert!(replies.len() == 1 || gone && replies.is_empty(), "client {client}: {replies:?}");
         }
-        let counters = bed.state.counters().clone();
+        let counters = harness.state.counters().clone();
         let e = &counters.ended;
         let known = e.ok + e.error + e.refused + e.unreachable + e.not_sent;
         let ended = known + e.timed_out + e.broken + e.cancelled;
         prop_assert_eq!(ended, counters.sent.attempts, "each attempt ends once");
         prop_assert_eq!(&counters.faults, &Default::default());
-        prop_assert!(bed.frames.iter().all(|(_, f)| !matches!(f, ToLeaf::Call(parts) if parts.is_empty())));
+        prop_assert!(harness.frames.iter().all(|(_, f)| !matches!(f, LeafRequest::Call(parts) if parts.is_empty())));
     }
 }
--- a/crates/mixer/tests/crossing.rs
+++ b/crates/mixer/tests/crossing.rs
@@ -1,11 +1,11 @@
 //! Two events that meet on a connection, on real sockets of the loopback. Discovery and the leaf server are played by
 //! the test, which holds its bytes, its accept or its close until it lets go: no sleep decides.
 
-mod bed;
+mod harness;
 mod loopback;
 
-use bed::SETTINGS;
 use cottonhill_mixer::transport::Control;
+use harness::SETTINGS;
 use loopback::{list, query, reply, Around};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
