--- a/crates/mixer/tests/golden.rs
+++ b/crates/mixer/tests/golden.rs
@@ -4,17 +4,17 @@
 //!
 //! The transcripts name wire bytes only. `UPDATE_GOLDEN=1` rewrites them; a commit that does so says why.
 
-mod bed;
+mod harness;
 
-use bed::{address, deployments, MS, START};
 use bytes::BytesMut;
-use cottonhill_mixer::protocol::discovery;
+use cottonhill_mixer::protocol::endpoint_updates;
 use cottonhill_mixer::protocol::http::ServerCodec;
-use cottonhill_mixer::protocol::leaf::{FromLeaf, LeafCodec, ToLeaf};
-use cottonhill_mixer::protocol::query::{self, Names};
-use cottonhill_mixer::routing::messages::WatchNews;
-use cottonhill_mixer::routing::{ClientId, Effect, Input, LinkId, State};
+use cottonhill_mixer::protocol::leaf_frames::{LeafCodec, LeafRequest, LeafResponse};
+use cottonhill_mixer::protocol::query_json::{self, QuerySchema};
+use cottonhill_mixer::reducer::WatchEvent;
+use cottonhill_mixer::reducer::{ClientId, ConnectionId, Effect, Input, Reducer};
 use cottonhill_mixer::settings;
+use harness::{address, deployments, MS, START};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::path::PathBuf;
@@ -37,13 +37,13 @@
 
 /// The reducer, simulated sockets around it, and the transcript of all that leaves.
 struct Simulation {
-    state: State,
-    names: Names,
+    state: Reducer,
+    names: QuerySchema,
     now: u64,
     random: fastrand::Rng,
     clients: Vec<ClientId>,
     last_client: ClientId,
-    connections: BTreeMap<LinkId, Connection>,
+    connections: BTreeMap<ConnectionId, Connection>,
     version: u64,
     transcript: String,
     exited: bool,
@@ -51,21 +51,21 @@
 
 impl Simulation {
     fn new(settings_text: &str, seed: u64) -> Simulation {
-        let site = settings::site(settings_text).expect("settings of the sockets");
-        let names = Names {
+        let site = settings::parse_mixer(settings_text).expect("settings of the sockets");
+        let names = QuerySchema {
             classes: site.classes.clone(),
             tenants: site.tenants.clone(),
-            deadlines: site.deadlines.clone(),
-            floors: site.floors.clone(),
+            default_timeouts: site.deadlines.clone(),
+            minimum_coverages: site.minimum_coverages.clone(),
             shards: site.shards,
         };
-        let settings = settings::parse(settings_text).expect("settings of the decisions");
+        let settings = settings::parse_decisions(settings_text).expect("settings of the decisions");
         let known = endpoint_update(1, true, (1..=REPLICAS).map(|replica| (replica, "up", 0)));
-        let known = discovery::read(known.as_bytes())
+        let known = endpoint_updates::parse(known.as_bytes())
             .expect("a list")
             .expect("a message");
         Simulation {
-            state: State::new(START, site, settings, seed, &known, DESCRIPTORS),
+            state: Reducer::new(START, site, settings, seed, &known, DESCRIPTORS),
             names,
             now: START,
             random: fastrand::Rng::with_seed(seed),
@@ -91,7 +91,7 @@
 
     fn apply(&mut self, input: Input) {
         let mut effects = self.state.apply(self.now, input);
-        effects.extend(self.state.apply(self.now, Input::Turn));
+        effects.extend(self.state.apply(self.now, Input::ProcessBatch));
         for effect in effects {
             self.perform(effect);
         }
@@ -105,7 +105,7 @@
                 close,
             } => {
                 let mut bytes = BytesMut::new();
-                let response = query::render(&reply, close);
+                let response = query_json::render(&reply, close);
                 ServerCodec::default()
                     .encode(response, &mut bytes)
                     .expect("a response");
@@ -114,11 +114,14 @@
                     self.close_client(client);
                 }
             }
-            Effect::CloseClient { client, room } => {
-                self.record(format_args!("client {client} closed, at once: {room}"));
+            Effect::CloseClient { client, immediate } => {
+                self.record(format_args!("client {client} closed, at once: {immediate}"));
                 self.close_client(client);
             }
-            Effect::Connect { link, address } => {
+            Effect::Connect {
+                connection: link,
+                address,
+            } => {
                 self.record(format_args!("leaf {link} connects to {address}"));
                 let connection = Connection {
                     address: address.to_string(),
@@ -129,37 +132,45 @@
                 };
                 self.connections.insert(link, connection);
             }
-            Effect::Write { link, frame } => self.write(link, frame),
-            Effect::CloseLink { link } => {
+            Effect::WriteFrame {
+                connection: link,
+                frame,
+            } => self.write(link, frame),
+            Effect::CloseConnection { connection: link } => {
                 self.record(format_args!("leaf {link} closed"));
                 self.connections.remove(&link);
             }
-            Effect::Datagram { to, bytes } => {
+            Effect::SendDatagram { to, bytes } => {
                 self.record(format_args!("datagram to {to:?}: {}", bytes.escape_ascii()));
             }
-            Effect::Watch { address, from } => {
+            Effect::WatchEndpoints {
+                address,
+                from_version: from,
+            } => {
                 self.record(format_args!("watch {address} from {from:?}"));
             }
-            Effect::StopListening => {
+            Effect::CloseListener => {
                 self.record(format_args!("listener closed"));
-                self.apply(Input::StoppedListening);
+                self.apply(Input::ListenerClosed);
             }
             Effect::Exit(_) => {
                 self.record(format_args!("exit"));
                 self.exited = true;
             }
-            Effect::Record(_) | Effect::Mark(_) => self.record(format_args!("usage record")),
+            Effect::RecordUsage(_) | Effect::RecordWatermark(_) => {
+                self.record(format_args!("usage record"))
+            }
         }
     }
 
-    fn write(&mut self, link: LinkId, frame: ToLeaf) {
+    fn write(&mut self, link: ConnectionId, frame: LeafRequest) {
         let connection = self.connections.get_mut(&link).expect("an open connection");
         match &frame {
-            ToLeaf::Call(parts) => connection
+            LeafRequest::Call(parts) => connection
                 .in_flight
                 .extend(parts.iter().map(|part| part.id.to_string())),
-            ToLeaf::GiveUp(id) => connection.in_flight.retain(|other| **other != **id),
-            ToLeaf::Probe | ToLeaf::ProbeLoad => connection.probes += 1,
+            LeafRequest::Cancel(id) => connection.in_flight.retain(|other| **other != **id),
+            LeafRequest::Probe | LeafRequest::ProbeLoad => connection.probes += 1,
         }
         let mut bytes = BytesMut::new();
         connection.codec.encode(frame, &mut bytes).expect("a frame");
@@ -170,7 +181,7 @@
         ));
         // One frame in ten is held up by the socket until the connection ends.
         if self.random.u32(..10) > 0 {
-            self.apply(Input::LinkWrote { link });
+            self.apply(Input::FrameWritten { connection: link });
         }
     }
 
@@ -201,11 +212,11 @@
         let Ok(Some(decoded)) = ServerCodec::default().decode(&mut bytes) else {
             return;
         };
-        let asked = decoded.and_then(|request| query::read(&request, &self.names));
-        self.apply(Input::Asked {
+        let request = decoded.and_then(|request| query_json::parse(&request, &self.names));
+        self.apply(Input::RequestReceived {
             client,
-            arrived: self.now,
-            asked,
+            received_at: self.now,
+            request,
         });
     }
 
@@ -245,7 +256,7 @@
 
     /// A leaf server sends one frame: an answer, an error, a rejection, a probe's answer or garbage.
     fn receive_from_leaf(&mut self) {
-        let links: Vec<LinkId> = self.connections.keys().copied().collect();
+        let links: Vec<ConnectionId> = self.connections.keys().copied().collect();
         let Some(&link) = self.random.choice(&links) else {
             return;
         };
@@ -254,9 +265,9 @@
         if !connection.open {
             connection.open = true;
             let input = if choice < 3 {
-                Input::LinkClosed { link }
+                Input::ConnectionClosed { connection: link }
             } else {
-                Input::LinkOpened { link }
+                Input::ConnectionOpened { connection: link }
             };
             if choice < 3 {
                 self.connections.remove(&link);
@@ -267,7 +278,7 @@
             b"\xffgarbage".to_vec()
         } else if choice == 1 {
             self.connections.remove(&link);
-            return self.apply(Input::LinkClosed { link });
+            return self.apply(Input::ConnectionClosed { connection: link });
         } else if connection.probes > 0 {
             connection.probes -= 1;
             b"P1 -".to_vec()
@@ -288,8 +299,11 @@
         let Ok(Some(frame)) = codec.decode(&mut bytes) else {
             return;
         };
-        let frame: FromLeaf = frame;
-        self.apply(Input::LinkHeard { link, frame });
+        let frame: LeafResponse = frame;
+        self.apply(Input::FrameReceived {
+            connection: link,
+            frame,
+        });
     }
 
     fn receive_endpoint_update(&mut self) {
@@ -314,8 +328,8 @@
                 [(replica, status, started)].into_iter(),
             )
         };
-        if let Ok(Some(update)) = discovery::read(text.as_bytes()) {
-            self.apply(Input::Listed(update));
+        if let Ok(Some(update)) = endpoint_updates::parse(text.as_bytes()) {
+            self.apply(Input::EndpointsUpdated(update));
         }
     }
 
@@ -328,7 +342,7 @@
             .filter(|due| *due <= end && !self.exited)
         {
             self.now = self.now.max(due);
-            self.apply(Input::Turn);
+            self.apply(Input::ProcessBatch);
         }
         self.now = end;
     }
@@ -343,11 +357,11 @@
                     self.close_client(client);
                 }
             }
-            85 => self.apply(Input::Watch(WatchNews::Ended { silent: true })),
-            86 => self.apply(Input::Watch(WatchNews::Alive)),
+            85 => self.apply(Input::Watch(WatchEvent::Ended { silent: true })),
+            86 => self.apply(Input::Watch(WatchEvent::Heartbeat)),
             87 if self.random.u32(..6) == 0 => {
                 let discovery = "127.0.0.1:8501".parse().ok();
-                self.apply(Input::Reloaded { discovery });
+                self.apply(Input::ConfigReloaded { discovery });
             }
             _ => {
                 let duration = self.random.u64(..40 * MS);
@@ -362,7 +376,7 @@
         for _ in 0..STEPS {
             self.step();
         }
-        self.apply(Input::Terminate);
+        self.apply(Input::ShutdownRequested);
         for _ in 0..STEPS / 4 {
             if !self.exited {
                 self.step();
--- a/crates/mixer/tests/gone.rs
+++ b/crates/mixer/tests/gone.rs
@@ -1,57 +1,57 @@
 //! Clients that have gone: nothing begins for them later than a tenth of a second, wherever their query was; and
 //! repeats that have waited past the time in which they are dropped where they go.
 
-mod bed;
+mod harness;
 
-use bed::{deployments, Bed, SETTINGS};
-use cottonhill_mixer::protocol::leaf::End;
-use cottonhill_mixer::protocol::query::Reply;
-use cottonhill_mixer::routing::{ClientId, Input, LinkId};
+use cottonhill_mixer::protocol::leaf_frames::PartStatus;
+use cottonhill_mixer::protocol::query_json::Reply;
+use cottonhill_mixer::reducer::{ClientId, ConnectionId, Input};
+use harness::{deployments, Harness, SETTINGS};
 
 /// An attempt for a client that has gone may not begin later than this.
 const GONE: u64 = 100;
 
-fn only_link(bed: &Bed) -> LinkId {
-    let mut links = bed.links.keys();
-    let link = *links.next().expect("a connection");
-    assert_eq!(links.next(), None);
-    link
+fn only_link(harness: &Harness) -> ConnectionId {
+    let mut connections = harness.connections.keys();
+    let connection = *connections.next().expect("a connection");
+    assert_eq!(connections.next(), None);
+    connection
 }
 
-fn leaves(bed: &mut Bed, client: ClientId) {
-    bed.left.insert(client);
-    bed.put(Input::ClientClosed { client });
+fn leaves(harness: &mut Harness, client: ClientId) {
+    harness.left.insert(client);
+    harness.put(Input::ClientClosed { client });
 }
 
 #[test]
 fn nothing_begins_for_who_left_while_the_first_list_was_waited_for() {
     for text in deployments() {
-        let mut bed = Bed::unheard(&text, 2, 1024);
-        let client = bed.ask(1, &[0.5, 0.5]);
-        leaves(&mut bed, client);
-        bed.pass(1500);
-        bed.open_all();
-        bed.pass(1500);
-        assert_eq!(bed.calls().len(), 0);
-        assert_eq!(bed.state.counters().answered.client_gone, 1);
+        let mut harness = Harness::unheard(&text, 2, 1024);
+        let client = harness.ask(1, &[0.5, 0.5]);
+        leaves(&mut harness, client);
+        harness.pass(1500);
+        harness.open_all();
+        harness.pass(1500);
+        assert_eq!(harness.calls().len(), 0);
+        assert_eq!(harness.state.counters().answered.client_gone, 1);
     }
 }
 
 #[test]
 fn nothing_begins_for_who_asks_and_leaves_in_one_moment() {
     for text in deployments() {
-        let mut bed = Bed::with(&text, 1);
-        let served = bed.ask(1, &[1.0]);
-        bed.open_all();
-        bed.answer_all();
-        assert!(bed.reply(served).is_some());
-        let client = bed.connect();
-        let before = bed.calls().len();
-        let asked = bed.asked(client, 1, &[1.0]);
-        bed.batch([asked, Input::ClientClosed { client }]);
-        bed.pass(1000);
+        let mut harness = Harness::with(&text, 1);
+        let served = harness.ask(1, &[1.0]);
+        harness.open_all();
+        harness.answer_all();
+        assert!(harness.reply(served).is_some());
+        let client = harness.connect();
+        let before = harness.calls().len();
+        let asked = harness.asked(client, 1, &[1.0]);
+        harness.batch([asked, Input::ClientClosed { client }]);
+        harness.pass(1000);
         assert_eq!(
-            bed.calls().len(),
+            harness.calls().len(),
             before,
             "the connection is up and free, and nobody is there to be told"
         );
@@ -65,34 +65,41 @@
         [(true, 0), (false, 0), (true, GONE + 1), (false, GONE + 1)]
             .map(|(first, apart)| (text, first, apart))
     }) {
-        let mut bed = Bed::with(text, 1);
-        let client = bed.ask(1, &[0.5, 0.5]);
-        let link = only_link(&bed);
-        bed.left.insert(client);
-        let (gone, opened) = (Input::ClientClosed { client }, Input::LinkOpened { link });
-        bed.links.get_mut(&link).unwrap().1 = true;
+        let mut harness = Harness::with(text, 1);
+        let client = harness.ask(1, &[0.5, 0.5]);
+        let connection = only_link(&harness);
+        harness.left.insert(client);
+        let (gone, opened) = (
+            Input::ClientClosed { client },
+            Input::ConnectionOpened { connection },
+        );
+        harness.connections.get_mut(&connection).unwrap().1 = true;
         match (first, apart) {
-            (true, 0) => bed.batch([gone, opened]),
-            (false, 0) => bed.batch([opened, gone]),
+            (true, 0) => harness.batch([gone, opened]),
+            (false, 0) => harness.batch([opened, gone]),
             (true, ms) => {
-                bed.put(gone);
-                bed.pass(ms);
-                if bed.links.contains_key(&link) {
-                    bed.put(opened);
+                harness.put(gone);
+                harness.pass(ms);
+                if harness.connections.contains_key(&connection) {
+                    harness.put(opened);
                 }
             }
             (false, _) => {
-                bed.put(opened);
-                assert!(!bed.calls().is_empty(), "the client was there");
-                bed.put(gone);
+                harness.put(opened);
+                assert!(!harness.calls().is_empty(), "the client was there");
+                harness.put(gone);
                 continue;
             }
         }
         // In one moment a call that the socket was given before the client was seen to leave is in time.
-        let at_once = bed.calls().len();
-        bed.pass(1000);
-        assert_eq!(bed.calls().len(), at_once, "{first} {apart}");
-        assert!(!first || at_once == 0, "{first} {apart}: {:?}", bed.frames);
+        let at_once = harness.calls().len();
+        harness.pass(1000);
+        assert_eq!(harness.calls().len(), at_once, "{first} {apart}");
+        assert!(
+            !first || at_once == 0,
+            "{first} {apart}: {:?}",
+            harness.frames
+        );
     }
 }
 
@@ -100,57 +107,57 @@
 fn a_call_at_a_full_socket_does_not_begin_for_who_left() {
     for text in deployments() {
         for overtaken in [false, true] {
-            let mut bed = Bed::with(&text, 1);
-            bed.stuck = true;
-            let client = bed.ask(1, &[1.0]);
-            bed.open_all();
-            let link = only_link(&bed);
+            let mut harness = Harness::with(&text, 1);
+            harness.stuck = true;
+            let client = harness.ask(1, &[1.0]);
+            harness.open_all();
+            let connection = only_link(&harness);
             if overtaken {
                 // The attempt was given up before its client left; its frame is still at the socket.
-                bed.pass(90);
+                harness.pass(90);
             }
-            leaves(&mut bed, client);
-            bed.pass(GONE - 1);
+            leaves(&mut harness, client);
+            harness.pass(GONE - 1);
             assert!(
-                !bed.links.contains_key(&link),
+                !harness.connections.contains_key(&connection),
                 "it may go out at any moment"
             );
-            assert_eq!(bed.state.counters().connections.stuck, 1);
+            assert_eq!(harness.state.counters().connections.stuck, 1);
         }
     }
 }
 
 #[test]
 fn a_call_that_the_socket_took_in_time_keeps_its_connection() {
-    let mut bed = Bed::new(1);
-    bed.stuck = true;
-    let client = bed.ask(1, &[1.0]);
-    bed.open_all();
-    let link = only_link(&bed);
-    leaves(&mut bed, client);
-    bed.pass(30);
-    bed.begin(link);
-    bed.pass(1000);
-    assert!(bed.links.contains_key(&link));
-    assert_eq!(bed.state.counters().connections.stuck, 0);
+    let mut harness = Harness::new(1);
+    harness.stuck = true;
+    let client = harness.ask(1, &[1.0]);
+    harness.open_all();
+    let connection = only_link(&harness);
+    leaves(&mut harness, client);
+    harness.pass(30);
+    harness.begin(connection);
+    harness.pass(1000);
+    assert!(harness.connections.contains_key(&connection));
+    assert_eq!(harness.state.counters().connections.stuck, 0);
 }
 
 #[test]
 fn no_further_attempt_begins_for_who_left() {
     for text in deployments() {
-        let mut bed = Bed::with(&text, 3);
-        let client = bed.ask(0, &[1.0]);
-        bed.open_all();
-        let link = only_link(&bed);
+        let mut harness = Harness::with(&text, 3);
+        let client = harness.ask(0, &[1.0]);
+        harness.open_all();
+        let connection = only_link(&harness);
         // One attempt has failed and the next waits for a connection, as the client leaves.
-        bed.answer(link, End::Busy);
-        leaves(&mut bed, client);
-        let before = bed.calls().len();
-        bed.pass(GONE);
-        bed.open_all();
-        bed.pass(1000);
-        bed.open_all();
-        assert_eq!(bed.calls().len(), before);
+        harness.answer(connection, PartStatus::Busy);
+        leaves(&mut harness, client);
+        let before = harness.calls().len();
+        harness.pass(GONE);
+        harness.open_all();
+        harness.pass(1000);
+        harness.open_all();
+        assert_eq!(harness.calls().len(), before);
     }
 }
 
@@ -166,23 +173,23 @@
 #[test]
 fn a_repeat_that_waits_past_its_window_never_goes_out() {
     for (opens_after, goes) in [(90, true), (110, false)] {
-        let mut bed = Bed::with(&keyed(), 2);
-        let client = bed.ask(0, &[1.0]);
-        bed.open_all();
-        let first = only_link(&bed);
-        bed.break_off(first);
-        assert_eq!(bed.calls().len(), 1, "it may have run");
+        let mut harness = Harness::with(&keyed(), 2);
+        let client = harness.ask(0, &[1.0]);
+        harness.open_all();
+        let first = only_link(&harness);
+        harness.break_off(first);
+        assert_eq!(harness.calls().len(), 1, "it may have run");
         assert_eq!(
-            bed.links.len(),
+            harness.connections.len(),
             1,
             "and is asked for again, at a connection that has yet to come up"
         );
-        bed.pass(opens_after);
-        bed.open_all();
-        assert_eq!(bed.calls().len() > 1, goes, "after {opens_after} ms");
-        bed.pass(6000);
+        harness.pass(opens_after);
+        harness.open_all();
+        assert_eq!(harness.calls().len() > 1, goes, "after {opens_after} ms");
+        harness.pass(6000);
         assert_eq!(
-            bed.replies[&client].len(),
+            harness.replies[&client].len(),
             1,
             "and its client is told all the same"
         );
@@ -191,30 +198,30 @@
 
 #[test]
 fn a_repeat_whose_earlier_attempts_never_ran_has_no_window() {
-    let mut bed = Bed::with(&keyed(), 2);
-    bed.ask(0, &[1.0]);
-    bed.open_all();
-    let first = only_link(&bed);
-    bed.answer(first, End::Busy);
-    bed.pass(150);
-    bed.open_all();
-    assert_eq!(bed.calls().len(), 2, "turned away is not run");
+    let mut harness = Harness::with(&keyed(), 2);
+    harness.ask(0, &[1.0]);
+    harness.open_all();
+    let first = only_link(&harness);
+    harness.answer(first, PartStatus::Busy);
+    harness.pass(150);
+    harness.open_all();
+    assert_eq!(harness.calls().len(), 2, "turned away is not run");
 }
 
 #[test]
 fn a_repeat_that_its_socket_has_not_taken_by_the_end_of_its_window_goes_with_its_connection() {
-    let mut bed = Bed::with(&keyed(), 2);
-    bed.ask(0, &[1.0]);
-    bed.open_all();
-    let first = only_link(&bed);
-    bed.break_off(first);
-    bed.stuck = true;
-    bed.pass(50);
-    bed.open_all();
-    let second = only_link(&bed);
-    assert_eq!(bed.calls().len(), 2);
-    bed.pass(51);
-    assert!(!bed.links.contains_key(&second));
+    let mut harness = Harness::with(&keyed(), 2);
+    harness.ask(0, &[1.0]);
+    harness.open_all();
+    let first = only_link(&harness);
+    harness.break_off(first);
+    harness.stuck = true;
+    harness.pass(50);
+    harness.open_all();
+    let second = only_link(&harness);
+    assert_eq!(harness.calls().len(), 2);
+    harness.pass(51);
+    assert!(!harness.connections.contains_key(&second));
 }
 
 /// The kill follows 0.7 s after the longest deadline, which counts as 3 s where it is longer.
@@ -229,24 +236,24 @@
             3000
         };
         for class in [0, 1] {
-            let mut bed = Bed::with(&text, 1);
-            let before = bed.connect();
-            bed.ask_on(before, class, &[0.7, 0.3], 6000);
-            bed.open_all();
-            bed.put(Input::Terminate);
-            bed.pass(700);
-            let during = bed.connect();
-            bed.ask_on(during, class, &[0.7, 0.3], 6000);
-            bed.pass(longest + 700 - 50 - 700);
+            let mut harness = Harness::with(&text, 1);
+            let before = harness.connect();
+            harness.ask_on(before, class, &[0.7, 0.3], 6000);
+            harness.open_all();
+            harness.put(Input::ShutdownRequested);
+            harness.pass(700);
+            let during = harness.connect();
+            harness.ask_on(during, class, &[0.7, 0.3], 6000);
+            harness.pass(longest + 700 - 50 - 700);
             for client in [before, during] {
-                assert_eq!(bed.replies[&client].len(), 1, "class {class} of {text}");
+                assert_eq!(harness.replies[&client].len(), 1, "class {class} of {text}");
                 assert!(
-                    !matches!(bed.reply(client), Some(Reply::Answer { .. })),
+                    !matches!(harness.reply(client), Some(Reply::Answer { .. })),
                     "nothing was answered there"
                 );
             }
-            assert!(bed.exited);
-            assert_eq!(bed.state.counters().faults, Default::default());
+            assert!(harness.exited);
+            assert_eq!(harness.state.counters().faults, Default::default());
         }
     }
 }
@@ -254,20 +261,20 @@
 #[test]
 fn few_descriptors_are_shared_out_so_that_the_rest_keeps_its_own() {
     for descriptors in [64, 100, 187, 1024] {
-        let mut bed = Bed::wide(512, descriptors);
-        let clients = bed.state.most_clients();
+        let mut harness = Harness::wide(512, descriptors);
+        let clients = harness.state.max_clients();
         let asked: Vec<Input> = (1..=512)
-            .flat_map(|client| bed.opened_and_asked(client, client as u32 - 1))
+            .flat_map(|client| harness.opened_and_asked(client, client as u32 - 1))
             .collect();
-        bed.batch(asked);
-        let (links, own) = (bed.links.len(), 20);
+        harness.batch(asked);
+        let (connections, own) = (harness.connections.len(), 20);
         assert!(
-            clients + links + own <= descriptors,
-            "{descriptors}: {clients} clients, {links} leaf servers"
+            clients + connections + own <= descriptors,
+            "{descriptors}: {clients} clients, {connections} leaf servers"
         );
         assert!(
-            clients >= descriptors / 3 && links >= descriptors / 5,
-            "{descriptors}: {clients}, {links}"
+            clients >= descriptors / 3 && connections >= descriptors / 5,
+            "{descriptors}: {clients}, {connections}"
         );
     }
 }
--- a/crates/mixer/tests/handover.rs
+++ b/crates/mixer/tests/handover.rs
@@ -1,10 +1,10 @@
 //! Two events that meet in the reducer as leaf servers are handed over: both orders, in one batch.
 
-mod bed;
+mod harness;
 
-use bed::{address, deployments, Bed, MS};
-use cottonhill_mixer::protocol::query::Reply;
-use cottonhill_mixer::routing::Input;
+use cottonhill_mixer::protocol::query_json::Reply;
+use cottonhill_mixer::reducer::Input;
+use harness::{address, deployments, Harness, MS};
 
 fn both<T>(first: T, second: T, swapped: bool) -> [T; 2] {
     if swapped {
@@ -21,29 +21,29 @@
         .iter()
         .flat_map(|text| [(text, false), (text, true)])
     {
-        let mut bed = Bed::with(text, 2);
-        bed.told(&address(1), "draining");
-        let drain = bed.change(false, &[(1, "draining", 0)]);
-        let reload = Input::Reloaded {
+        let mut harness = Harness::with(text, 2);
+        harness.told(&address(1), "draining");
+        let drain = harness.change(false, &[(1, "draining", 0)]);
+        let reload = Input::ConfigReloaded {
             discovery: Some("127.0.0.1:8501".parse().unwrap()),
         };
-        bed.batch(both(drain, reload, swapped));
-        assert_eq!(bed.watches.len(), 1, "turned to once");
+        harness.batch(both(drain, reload, swapped));
+        assert_eq!(harness.watches.len(), 1, "turned to once");
         if !text.contains("on_request") {
-            assert_eq!(bed.watches, [None], "versions are each discovery's own");
-            bed.listed(true, &[(1, "up", 0), (2, "up", 0)]);
+            assert_eq!(harness.watches, [None], "versions are each discovery's own");
+            harness.listed(true, &[(1, "up", 0), (2, "up", 0)]);
         }
-        let client = bed.ask(1, &[0.5, 0.5]);
-        bed.open_all();
+        let client = harness.ask(1, &[0.5, 0.5]);
+        harness.open_all();
         assert!(
-            bed.called().iter().all(|at| *at == address(2)),
+            harness.called().iter().all(|at| *at == address(2)),
             "swapped {swapped}: {:?}",
-            bed.called()
+            harness.called()
         );
-        bed.answer_all();
+        harness.answer_all();
         assert!(matches!(
-            bed.reply(client),
-            Some(Reply::Answer { whole: true, .. })
+            harness.reply(client),
+            Some(Reply::Answer { complete: true, .. })
         ));
     }
 }
@@ -61,20 +61,24 @@
         ]
         .map(|(s, st)| (text, s, st))
     }) {
-        let mut bed = Bed::with(text, 1);
-        let client = bed.ask(1, &[0.5, 0.5]);
-        let link = *bed.links.keys().next().unwrap();
-        bed.links.get_mut(&link).unwrap().1 = true;
-        let leaves = bed.change(false, &[(1, status, 0)]);
-        bed.batch(both(leaves, Input::LinkOpened { link }, swapped));
-        bed.told(&address(1), status);
-        let at_once = bed.calls().len();
+        let mut harness = Harness::with(text, 1);
+        let client = harness.ask(1, &[0.5, 0.5]);
+        let connection = *harness.connections.keys().next().unwrap();
+        harness.connections.get_mut(&connection).unwrap().1 = true;
+        let leaves = harness.change(false, &[(1, status, 0)]);
+        harness.batch(both(
+            leaves,
+            Input::ConnectionOpened { connection },
+            swapped,
+        ));
+        harness.told(&address(1), status);
+        let at_once = harness.calls().len();
         assert_eq!(at_once > 0, swapped, "{status}");
-        bed.pass(3000);
-        let calls = bed.calls().len();
+        harness.pass(3000);
+        let calls = harness.calls().len();
         assert_eq!(calls, at_once, "{status}, swapped {swapped}");
-        bed.pass(4000);
-        assert_eq!(bed.replies[&client].len(), 1);
+        harness.pass(4000);
+        assert_eq!(harness.replies[&client].len(), 1);
     }
 }
 
@@ -85,26 +89,30 @@
         .iter()
         .flat_map(|text| [(text, false), (text, true)])
     {
-        let mut bed = Bed::with(text, 1);
-        let client = bed.ask(1, &[1.0]);
-        let link = *bed.links.keys().next().unwrap();
+        let mut harness = Harness::with(text, 1);
+        let client = harness.ask(1, &[1.0]);
+        let connection = *harness.connections.keys().next().unwrap();
         let timeout = if text.contains("connect_timeout_ns=80000000\n") {
             80
         } else {
             250
         };
-        bed.now += timeout * MS;
-        bed.links.get_mut(&link).unwrap().1 = true;
-        bed.batch(both(Input::LinkOpened { link }, Input::Turn, swapped));
+        harness.now += timeout * MS;
+        harness.connections.get_mut(&connection).unwrap().1 = true;
+        harness.batch(both(
+            Input::ConnectionOpened { connection },
+            Input::ProcessBatch,
+            swapped,
+        ));
         assert_eq!(
-            bed.links.contains_key(&link),
+            harness.connections.contains_key(&connection),
             !swapped,
             "open in time, or closed and gone"
         );
-        bed.open_all();
-        bed.answer_all();
-        bed.pass(7000);
-        assert_eq!(bed.replies[&client].len(), 1);
-        assert_eq!(bed.state.counters().faults, Default::default());
+        harness.open_all();
+        harness.answer_all();
+        harness.pass(7000);
+        assert_eq!(harness.replies[&client].len(), 1);
+        assert_eq!(harness.state.counters().faults, Default::default());
     }
 }
--- a/crates/mixer/tests/bed/mod.rs
+++ b/crates/mixer/tests/harness/mod.rs
@@ -4,11 +4,11 @@
 #![allow(dead_code)] // Each test file uses its own part of it.
 
 use bytes::Bytes;
-use cottonhill_mixer::protocol::discovery::EndpointUpdate;
-use cottonhill_mixer::protocol::leaf::{End, FromLeaf, ToLeaf};
-use cottonhill_mixer::protocol::query::{Asked, AskedPart, Query, Reply};
-use cottonhill_mixer::routing::usage::{Mark, Usage};
-use cottonhill_mixer::routing::{ClientId, Effect, Input, LinkId, State};
+use cottonhill_mixer::protocol::endpoint_updates::EndpointUpdate;
+use cottonhill_mixer::protocol::leaf_frames::{LeafRequest, LeafResponse, PartStatus};
+use cottonhill_mixer::protocol::query_json::{ClientRequest, PartRequest, QueryRequest, Reply};
+use cottonhill_mixer::reducer::usage::{UsageRecord, Watermark};
+use cottonhill_mixer::reducer::{ClientId, ConnectionId, Effect, Input, Reducer};
 use cottonhill_mixer::settings;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -52,16 +52,16 @@
     ]
 }
 
-pub struct Bed {
-    pub state: State,
+pub struct Harness {
+    pub state: Reducer,
     pub now: u64,
     pub replies: BTreeMap<ClientId, Vec<(u64, Reply)>>,
     pub left: BTreeSet<ClientId>,
     /// Connections by their number: the address, and whether it is up.
-    pub links: BTreeMap<LinkId, (String, bool)>,
+    pub connections: BTreeMap<ConnectionId, (String, bool)>,
     /// All frames, and what is out at each connection.
-    pub frames: Vec<(LinkId, ToLeaf)>,
-    pub out: BTreeMap<LinkId, Vec<String>>,
+    pub frames: Vec<(ConnectionId, LeafRequest)>,
+    pub out: BTreeMap<ConnectionId, Vec<String>>,
     pub closed: Vec<ClientId>,
     pub listening: bool,
     pub exited: bool,
@@ -69,11 +69,11 @@
     pub stuck: bool,
     /// Where the watches that were asked for go on from.
     pub watches: Vec<Option<u64>>,
-    pub records: Vec<Usage>,
-    pub marks: Vec<Mark>,
+    pub records: Vec<UsageRecord>,
+    pub marks: Vec<Watermark>,
     /// What is known of an address, since when.
     told: BTreeMap<String, (String, u64)>,
-    writing: BTreeSet<LinkId>,
+    writing: BTreeSet<ConnectionId>,
     clients: u64,
     index: u64,
 }
@@ -94,26 +94,26 @@
     .expect("a list")
 }
 
-impl Bed {
-    pub fn new(replicas: u64) -> Bed {
-        Bed::with(SETTINGS, replicas)
+impl Harness {
+    pub fn new(replicas: u64) -> Harness {
+        Harness::with(SETTINGS, replicas)
     }
 
-    pub fn with(text: &str, replicas: u64) -> Bed {
-        let mut bed = Bed::unheard(text, replicas, 1024);
-        bed.put(Input::Listed(listing(1, false, &[])));
-        bed
+    pub fn with(text: &str, replicas: u64) -> Harness {
+        let mut harness = Harness::unheard(text, replicas, 1024);
+        harness.put(Input::EndpointsUpdated(listing(1, false, &[])));
+        harness
     }
 
     /// One that holds a list from before its start, and so many descriptors, and has not heard from discovery.
-    pub fn unheard(text: &str, replicas: u64, descriptors: usize) -> Bed {
+    pub fn unheard(text: &str, replicas: u64, descriptors: usize) -> Harness {
         let (site, decisions) = (
-            settings::site(text).unwrap(),
-            settings::parse(text).unwrap(),
+            settings::parse_mixer(text).unwrap(),
+            settings::parse_decisions(text).unwrap(),
         );
         let lines: Vec<_> = (1..=replicas).map(|r| (r, "up", 0)).collect();
-        Bed {
-            state: State::new(
+        Harness {
+            state: Reducer::new(
                 START,
                 site,
                 decisions,
@@ -124,7 +124,7 @@
             now: START,
             replies: BTreeMap::new(),
             left: BTreeSet::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             frames: Vec::new(),
             out: BTreeMap::new(),
             closed: Vec::new(),
@@ -144,10 +144,10 @@
     }
 
     /// One of as many places as shards, each shard held by one server alone.
-    pub fn wide(places: u64, descriptors: usize) -> Bed {
+    pub fn wide(places: u64, descriptors: usize) -> Harness {
         let text = SETTINGS.replace("extra.places=1", &format!("extra.places={places}"));
         let text = text.replace("extra.ranges=8", &format!("extra.ranges={places}"));
-        let mut bed = Bed::unheard(
+        let mut harness = Harness::unheard(
             &text.replace("open_cap=60", "open_cap=5000"),
             0,
             descriptors,
@@ -156,25 +156,28 @@
             serde_json::json!({"name": format!("s-{r}"), "address": address(r), "zone": "north", "group": r - 1,
                 "status": "up"})
         };
-        (1..=places).for_each(|r| bed.told(&address(r), "up"));
+        (1..=places).for_each(|r| harness.told(&address(r), "up"));
         let entries: Vec<_> = (1..=places).map(entry).collect();
         let list = serde_json::json!({"index": 2, "snapshot": true, "endpoints": entries});
-        bed.put(Input::Listed(serde_json::from_value(list).expect("a list")));
-        bed
+        harness.put(Input::EndpointsUpdated(
+            serde_json::from_value(list).expect("a list"),
+        ));
+        harness
     }
 
     /// The connections that calls went out on, in order.
-    pub fn calls(&self) -> Vec<LinkId> {
-        let call =
-            |(link, frame): &(LinkId, ToLeaf)| matches!(frame, ToLeaf::Call(_)).then_some(*link);
+    pub fn calls(&self) -> Vec<ConnectionId> {
+        let call = |(connection, frame): &(ConnectionId, LeafRequest)| {
+            matches!(frame, LeafRequest::Call(_)).then_some(*connection)
+        };
         self.frames.iter().filter_map(call).collect()
     }
 
     /// The addresses that calls went to, in order; empty where the connection is over.
     pub fn called(&self) -> Vec<String> {
-        let address = |link| {
-            self.links
-                .get(&link)
+        let address = |connection| {
+            self.connections
+                .get(&connection)
                 .map_or_else(String::new, |it| it.0.clone())
         };
         self.calls().into_iter().map(address).collect()
@@ -183,13 +186,13 @@
     /// One input and the turn after it.
     pub fn put(&mut self, input: Input) {
         let mut effects = self.state.apply(self.now, input);
-        effects.extend(self.state.apply(self.now, Input::Turn));
+        effects.extend(self.state.apply(self.now, Input::ProcessBatch));
         effects.into_iter().for_each(|effect| self.perform(effect));
     }
 
     /// What came in at one moment, in this order, and the one turn after it.
     pub fn batch(&mut self, inputs: impl IntoIterator<Item = Input>) {
-        let inputs = inputs.into_iter().chain([Input::Turn]);
+        let inputs = inputs.into_iter().chain([Input::ProcessBatch]);
         let effects: Vec<Effect> = inputs
             .flat_map(|input| self.state.apply(self.now, input))
             .collect();
@@ -198,8 +201,8 @@
 
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::Record(usage) => self.records.push(usage),
-            Effect::Mark(mark) => self.marks.push(mark),
+            Effect::RecordUsage(usage) => self.records.push(usage),
+            Effect::RecordWatermark(mark) => self.marks.push(mark),
             Effect::Reply {
                 client,
                 reply,
@@ -217,21 +220,25 @@
                 self.closed.push(client);
                 self.put(Input::ClientClosed { client });
             }
-            Effect::Connect { link, address } => {
+            Effect::Connect {
+                connection,
+                address,
+            } => {
                 assert_eq!(
                     self.told[&address.to_string()].0,
                     "up",
                     "no new connection where nothing may go"
                 );
-                self.links.insert(link, (address.to_string(), false));
+                self.connections
+                    .insert(connection, (address.to_string(), false));
             }
-            Effect::Write { link, frame } => {
-                let (address, up) = &self.links[&link];
+            Effect::WriteFrame { connection, frame } => {
+                let (address, up) = &self.connections[&connection];
                 assert!(*up, "nothing is written before the connection is up");
-                assert!(self.writing.insert(link), "one frame at a time");
-                let out = self.out.entry(link).or_default();
+                assert!(self.writing.insert(connection), "one frame at a time");
+                let out = self.out.entry(connection).or_default();
                 match &frame {
-                    ToLeaf::Call(parts) => {
+                    LeafRequest::Call(parts) => {
                         assert_eq!(
                             self.told[address].0, "up",
                             "nothing new goes to what drains or is gone"
@@ -246,31 +253,34 @@
                         }
                         assert!(out.len() <= 4, "no more than streams_per_conn");
                     }
-                    ToLeaf::GiveUp(id) => out.retain(|other| **other != **id),
-                    ToLeaf::Probe | ToLeaf::ProbeLoad => {}
+                    LeafRequest::Cancel(id) => out.retain(|other| **other != **id),
+                    LeafRequest::Probe | LeafRequest::ProbeLoad => {}
                 }
-                self.frames.push((link, frame));
+                self.frames.push((connection, frame));
                 if !self.stuck {
-                    self.begin(link);
+                    self.begin(connection);
                 }
             }
-            Effect::CloseLink { link } => {
-                self.links.remove(&link);
-                self.out.remove(&link);
+            Effect::CloseConnection { connection } => {
+                self.connections.remove(&connection);
+                self.out.remove(&connection);
             }
-            Effect::Watch { from, .. } => self.watches.push(from),
-            Effect::Datagram { .. } => {}
-            Effect::StopListening => {
+            Effect::WatchEndpoints { from_version, .. } => self.watches.push(from_version),
+            Effect::SendDatagram { .. } => {}
+            Effect::CloseListener => {
                 self.listening = false;
-                self.put(Input::StoppedListening);
+                self.put(Input::ListenerClosed);
             }
             Effect::Exit(_) => self.exited = true,
         }
     }
 
     /// A socket takes the frame that it was given, from its first byte to its last.
-    pub fn begin(&mut self, link: LinkId) {
-        let Some((address, _)) = self.links.get(&link).filter(|_| self.writing.remove(&link))
+    pub fn begin(&mut self, connection: ConnectionId) {
+        let Some((address, _)) = self
+            .connections
+            .get(&connection)
+            .filter(|_| self.writing.remove(&connection))
         else {
             return;
         };
@@ -278,15 +288,15 @@
         let call = self
             .frames
             .iter()
-            .rfind(|(l, _)| *l == link)
-            .is_some_and(|(_, f)| matches!(f, ToLeaf::Call(_)));
+            .rfind(|(l, _)| *l == connection)
+            .is_some_and(|(_, f)| matches!(f, LeafRequest::Call(_)));
         let late = status != "up" && self.now > since + GRACE;
         assert!(
             !call || !late,
             "a first byte {} ms after {address} was told {status}",
             (self.now - since) / MS
         );
-        self.put(Input::LinkWrote { link });
+        self.put(Input::FrameWritten { connection });
     }
 
     /// Time passes, with a turn whenever one is due.
@@ -294,7 +304,7 @@
         let end = self.now + ms * MS;
         while let Some(due) = self.state.next_due().filter(|due| *due <= end) {
             self.now = self.now.max(due);
-            self.put(Input::Turn);
+            self.put(Input::ProcessBatch);
         }
         self.now = end;
     }
@@ -314,7 +324,7 @@
     }
 
     pub fn ask_on(&mut self, client: ClientId, class: u16, weights: &[f64], timeout_ms: u64) {
-        let part = |(shard, weight): (usize, &f64)| AskedPart {
+        let part = |(shard, weight): (usize, &f64)| PartRequest {
             shard: shard as u32,
             weight: *weight,
             work: None,
@@ -332,7 +342,7 @@
         self.ask_parts(
             client,
             class,
-            vec![AskedPart {
+            vec![PartRequest {
                 shard,
                 weight: 1.0,
                 work: None,
@@ -341,14 +351,20 @@
         );
     }
 
-    fn ask_parts(&mut self, client: ClientId, class: u16, parts: Vec<AskedPart>, timeout_ms: u64) {
+    fn ask_parts(
+        &mut self,
+        client: ClientId,
+        class: u16,
+        parts: Vec<PartRequest>,
+        timeout_ms: u64,
+    ) {
         let asked = self.query(client, class, parts, timeout_ms);
         self.put(asked);
     }
 
     /// A client's query, not yet put in.
     pub fn asked(&mut self, client: ClientId, class: u16, weights: &[f64]) -> Input {
-        let part = |(shard, weight): (usize, &f64)| AskedPart {
+        let part = |(shard, weight): (usize, &f64)| PartRequest {
             shard: shard as u32,
             weight: *weight,
             work: None,
@@ -363,7 +379,7 @@
 
     /// A client comes with a query of one shard, not yet put in.
     pub fn opened_and_asked(&mut self, client: ClientId, shard: u32) -> [Input; 2] {
-        let parts = vec![AskedPart {
+        let parts = vec![PartRequest {
             shard,
             weight: 1.0,
             work: None,
@@ -378,94 +394,94 @@
         &mut self,
         client: ClientId,
         class: u16,
-        parts: Vec<AskedPart>,
+        parts: Vec<PartRequest>,
         timeout_ms: u64,
     ) -> Input {
-        let query = Query {
-            name: format!("q{client}"),
+        let query = QueryRequest {
+            request_id: format!("q{client}"),
             class,
             tenant: 0,
             timeout: timeout_ms * MS,
-            repeat: false,
+            client_retry: false,
             idempotency_key: None,
             parts,
             text: Bytes::from_static(b"c41e77d0"),
         };
         self.replies.entry(client).or_default();
-        Input::Asked {
+        Input::RequestReceived {
             client,
-            arrived: self.now,
-            asked: Ok(Asked::Query(query)),
+            received_at: self.now,
+            request: Ok(ClientRequest::Query(query)),
         }
     }
 
-    pub fn open(&mut self, link: LinkId) {
-        if let Some(it) = self.links.get_mut(&link).filter(|it| !it.1) {
+    pub fn open(&mut self, connection: ConnectionId) {
+        if let Some(it) = self.connections.get_mut(&connection).filter(|it| !it.1) {
             it.1 = true;
-            self.put(Input::LinkOpened { link });
+            self.put(Input::ConnectionOpened { connection });
         }
     }
 
     pub fn open_all(&mut self) {
-        self.links
+        self.connections
             .keys()
             .copied()
             .collect::<Vec<_>>()
             .into_iter()
-            .for_each(|link| self.open(link));
+            .for_each(|connection| self.open(connection));
     }
 
     /// The oldest part out at a connection ends.
-    pub fn answer(&mut self, link: LinkId, end: End) {
-        let out = self.out.entry(link).or_default();
+    pub fn answer(&mut self, connection: ConnectionId, end: PartStatus) {
+        let out = self.out.entry(connection).or_default();
         if !out.is_empty() {
             let id = out.remove(0);
-            self.answer_to(link, &id, end);
+            self.answer_to(connection, &id, end);
         }
     }
 
-    pub fn answer_to(&mut self, link: LinkId, id: &str, end: End) {
+    pub fn answer_to(&mut self, connection: ConnectionId, id: &str, end: PartStatus) {
         let value = Bytes::from(format!("doc {id}"));
-        let frame = FromLeaf::Answer {
+        let frame = LeafResponse::Answer {
             id: id.to_string(),
-            end,
+            status: end,
             report: "-".into(),
             value,
         };
-        self.put(Input::LinkHeard { link, frame });
+        self.put(Input::FrameReceived { connection, frame });
     }
 
     /// All that is out is answered.
     pub fn answer_all(&mut self) {
-        while let Some(link) = self
+        while let Some(connection) = self
             .out
             .iter()
             .find(|(_, out)| !out.is_empty())
-            .map(|(link, _)| *link)
+            .map(|(connection, _)| *connection)
         {
-            self.answer(link, End::Ok);
+            self.answer(connection, PartStatus::Ok);
         }
     }
 
     /// Something comes that can't be read, with or without the id of the oldest part out.
-    pub fn spoil(&mut self, link: LinkId, named: bool) {
+    pub fn spoil(&mut self, connection: ConnectionId, named: bool) {
         let id = self
             .out
-            .get(&link)
+            .get(&connection)
             .and_then(|out| out.first().cloned())
             .filter(|_| named);
-        if self.links[&link].1 {
-            self.put(Input::LinkHeard {
-                link,
-                frame: FromLeaf::Spoilt(id),
+        if self.connections[&connection].1 {
+            self.put(Input::FrameReceived {
+                connection,
+                frame: LeafResponse::Malformed(id),
             });
         }
     }
 
-    pub fn break_off(&mut self, link: LinkId) {
-        self.links.remove(&link);
-        self.out.remove(&link);
-        self.put(Input::LinkClosed { link });
+    pub fn break_off(&mut self, connection: ConnectionId) {
+        self.connections.remove(&connection);
+        self.out.remove(&connection);
+        self.put(Input::ConnectionClosed { connection });
     }
 
     /// Notes what a list says of an address, for the checks on what is written there.
@@ -497,7 +513,7 @@
     /// The same, not yet put in.
     pub fn change(&mut self, snapshot: bool, lines: &[(u64, &str, u64)]) -> Input {
         self.index += 1;
-        Input::Listed(listing(self.index, snapshot, lines))
+        Input::EndpointsUpdated(listing(self.index, snapshot, lines))
     }
 
     /// A replica is listed as up where another one's address would be.
@@ -514,7 +530,9 @@
         let line = serde_json::json!({"name": format!("s-{replica}"), "address": address(place), "zone": "north",
             "group": 0, "status": "up", "since_ms": 0});
         let list = serde_json::json!({"index": self.index, "snapshot": false, "endpoints": [line]});
-        self.put(Input::Listed(serde_json::from_value(list).expect("a list")));
+        self.put(Input::EndpointsUpdated(
+            serde_json::from_value(list).expect("a list"),
+        ));
     }
 
     /// Some client leaves.
--- a/crates/mixer/tests/lists.rs
+++ b/crates/mixer/tests/lists.rs
@@ -1,19 +1,19 @@
 //! Lists at the size to plan for, and lists that are wrong: what is in force stays, the fault is logged and counted.
 
-mod bed;
+mod harness;
 mod logs;
 mod loopback;
 
-use bed::Bed;
 use bytes::BytesMut;
 use cottonhill_mixer::config::Config;
-use cottonhill_mixer::protocol::discovery::{
-    self, EndpointUpdate, Objects, Refused, Status, MOST_ENTRIES, MOST_OBJECT,
+use cottonhill_mixer::protocol::endpoint_updates::{
+    self, EndpointUpdate, JsonObjectSplitter, Status, UpdateError, MAX_ENTRIES, MAX_UPDATE_BYTES,
 };
 use cottonhill_mixer::protocol::http::WatchCodec;
-use cottonhill_mixer::protocol::query::Reply;
-use cottonhill_mixer::routing::replicas::{Replicas, LATE};
-use cottonhill_mixer::routing::Input;
+use cottonhill_mixer::protocol::query_json::Reply;
+use cottonhill_mixer::reducer::replicas::{Replicas, LATE};
+use cottonhill_mixer::reducer::Input;
+use harness::Harness;
 use logs::Logs;
 use loopback::{query, reply, Around};
 use serde_json::{json, Value};
@@ -53,7 +53,7 @@
         "{} bytes",
         text.len()
     );
-    let most = discovery::most_object(64_000_000);
+    let most = endpoint_updates::max_update_bytes(64_000_000);
     assert!(
         text.len() <= most,
         "accepted where the process may use 64 MB: {most}"
@@ -73,7 +73,7 @@
         );
     }
     assert_eq!(objects.len(), 1);
-    let listing = discovery::read(&objects[0]).unwrap().unwrap();
+    let listing = endpoint_updates::parse(&objects[0]).unwrap().unwrap();
     let mut replicas = Replicas::new(vec!["north".into()]);
     assert_eq!(replicas.take(0, listing).members.len(), PLANNED);
     assert_eq!(replicas.known(), PLANNED);
@@ -83,7 +83,7 @@
 fn a_large_object_is_kept_by_nothing_but_itself() {
     let list = whole((0..1000).map(entry));
     for after in ["", "\n", "\n{\"index\":44"] {
-        let mut objects = Objects::default();
+        let mut objects = JsonObjectSplitter::default();
         objects
             .buffer()
             .extend_from_slice((list.clone() + after).as_bytes());
@@ -108,21 +108,24 @@
         .len()
         .div_ceil(1000);
     assert!(
-        indented * PLANNED <= MOST_OBJECT,
+        indented * PLANNED <= MAX_UPDATE_BYTES,
         "{indented} bytes an entry"
     );
     assert!(
-        indented * MOST_ENTRIES <= MOST_OBJECT,
+        indented * MAX_ENTRIES <= MAX_UPDATE_BYTES,
         "and as many as are accepted at all"
     );
     assert_eq!(
-        discovery::most_object(48_000_000),
+        endpoint_updates::max_update_bytes(48_000_000),
         12_000_000,
         "a quarter of the memory limit"
     );
-    assert_eq!(discovery::most_object(usize::MAX), MOST_OBJECT);
     assert_eq!(
-        discovery::most_object(1),
+        endpoint_updates::max_update_bytes(usize::MAX),
+        MAX_UPDATE_BYTES
+    );
+    assert_eq!(
+        endpoint_updates::max_update_bytes(1),
         4096 * 1024,
         "never less than lists had before there was a limit"
     );
@@ -139,14 +142,14 @@
         });
         let file = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
             "seed": "8c1f", "limits": limits, "settings": settings});
-        Config::read(&file.to_string()).unwrap()
+        Config::parse(&file.to_string()).unwrap()
     };
     assert_eq!(
-        config(json!({"sockets": 9, "memory_mb": 128})).memory,
+        config(json!({"sockets": 9, "memory_mb": 128})).memory_limit,
         Some(128_000_000)
     );
     assert_eq!(
-        config(json!({"sockets": 9, "memory_mb": 48.5})).memory,
+        config(json!({"sockets": 9, "memory_mb": 48.5})).memory_limit,
         Some(48_500_000)
     );
     for stated in [
@@ -154,7 +157,7 @@
         json!({"sockets": 9, "memory_mb": "all"}),
         Value::Null,
     ] {
-        assert_eq!(config(stated.clone()).memory, None, "{stated}");
+        assert_eq!(config(stated.clone()).memory_limit, None, "{stated}");
     }
 }
 
@@ -170,14 +173,14 @@
         r#""address":"10.1.0.1:7070","name":"s-1"},"#,
         r#"{"status":"draining","group":3,"address":"[::1]:70","name":"s-2"}],"snapshot":true,"index":43}"#,
     );
-    let read = |text: &str| discovery::read(text.as_bytes()).unwrap().unwrap();
+    let read = |text: &str| endpoint_updates::parse(text.as_bytes()).unwrap().unwrap();
     let want = read(plain);
     assert_eq!(
-        (&*want.endpoints[0].name, &*want.endpoints[0].zone),
+        (&*want.entries[0].name, &*want.entries[0].zone),
         ("s-1", "a")
     );
     assert_eq!(
-        SocketAddr::from(want.endpoints[1].address.as_ref().unwrap()),
+        SocketAddr::from(want.entries[1].address.as_ref().unwrap()),
         "[::1]:70".parse().unwrap()
     );
     assert_eq!(read(last_first), want);
@@ -195,10 +198,12 @@
 fn entries_that_cannot_be_used_are_counted_and_the_first_are_logged() {
     let logs = Logs::collect();
     let bad = (0..40).map(|n| format!("{{\"name\":\"s-{n}\",\"group\":-1,\"status\":\"up\"}}"));
-    let listing = discovery::read(whole(bad).as_bytes()).unwrap().unwrap();
-    assert_eq!((listing.endpoints.len(), listing.unusable), (40, 40));
+    let listing = endpoint_updates::parse(whole(bad).as_bytes())
+        .unwrap()
+        .unwrap();
+    assert_eq!((listing.entries.len(), listing.invalid_entries), (40, 40));
     assert!(listing
-        .endpoints
+        .entries
         .iter()
         .all(|e| e.status == Status::Draining && e.address.is_none()));
     assert_eq!(
@@ -207,17 +212,17 @@
         17
     );
     logs.assert_one("WARN", &["more=24"]);
-    let mut bed = Bed::new(1);
-    let change = bed.change(false, &[]);
-    let Input::Listed(change) = change else {
+    let mut harness = Harness::new(1);
+    let change = harness.change(false, &[]);
+    let Input::EndpointsUpdated(change) = change else {
         panic!("{change:?}")
     };
-    bed.put(Input::Listed(EndpointUpdate {
-        endpoints: listing.endpoints,
-        unusable: 40,
+    harness.put(Input::EndpointsUpdated(EndpointUpdate {
+        entries: listing.entries,
+        invalid_entries: 40,
         ..change
     }));
-    assert_eq!(bed.state.counters().bad_lists.unusable, 40);
+    assert_eq!(harness.state.counters().bad_lists.unusable, 40);
 }
 
 #[test]
@@ -225,7 +230,10 @@
     let logs = Logs::collect();
     let text = r#"{"index":43,"snapshot":true,"endpoints":[{"name":"s-1","address":"here","group":3,"status":"up"}]}"#;
     assert_eq!(
-        discovery::read(text.as_bytes()).unwrap().unwrap().unusable,
+        endpoint_updates::parse(text.as_bytes())
+            .unwrap()
+            .unwrap()
+            .invalid_entries,
         1
     );
     logs.assert_one("WARN", &["index=43", "s-1", "\"here\" is no IP:PORT"]);
@@ -236,15 +244,18 @@
     for snapshot in [false, true] {
         for (first, last, served) in [("up", "draining", false), ("draining", "up", true)] {
             let logs = Logs::collect();
-            let mut bed = Bed::new(1);
-            bed.told(&bed::address(1), last);
-            bed.listed(snapshot, &[(1, first, 0), (1, last, 0)]);
-            assert_eq!(bed.state.counters().bad_lists.repeated, 1);
+            let mut harness = Harness::new(1);
+            harness.told(&harness::address(1), last);
+            harness.listed(snapshot, &[(1, first, 0), (1, last, 0)]);
+            assert_eq!(harness.state.counters().bad_lists.repeated, 1);
             logs.assert_one("WARN", &["index=2", "s-1", "twice"]);
-            let client = bed.ask(1, &[1.0]);
-            bed.open_all();
-            bed.answer_all();
-            let whole = matches!(bed.reply(client), Some(Reply::Answer { whole: true, .. }));
+            let client = harness.ask(1, &[1.0]);
+            harness.open_all();
+            harness.answer_all();
+            let whole = matches!(
+                harness.reply(client),
+                Some(Reply::Answer { complete: true, .. })
+            );
             assert_eq!(whole, served, "{first}, then {last}, whole: {snapshot}");
         }
     }
@@ -252,32 +263,39 @@
 
 /// A change of a server that is not listed, a query, and what is kept of it all after a while.
 fn kept_after(status: Option<&str>) -> usize {
-    let mut bed = Bed::new(1);
+    let mut harness = Harness::new(1);
     let change: Vec<_> = status.iter().map(|status| (9, *status, 0)).collect();
-    bed.listed(false, &change);
+    harness.listed(false, &change);
     assert_eq!(
-        bed.state.counters().bad_lists.unknown,
+        harness.state.counters().bad_lists.unknown,
         u64::from(status.is_some())
     );
-    let client = bed.ask(1, &[1.0]);
-    bed.open_all();
-    bed.answer_all();
+    let client = harness.ask(1, &[1.0]);
+    harness.open_all();
+    harness.answer_all();
     assert!(
-        matches!(bed.reply(client), Some(Reply::Answer { whole: true, .. })),
+        matches!(
+            harness.reply(client),
+            Some(Reply::Answer { complete: true, .. })
+        ),
         "{status:?}"
     );
-    assert_eq!(bed.links.len(), 1, "no connection to the unknown one");
+    assert_eq!(
+        harness.connections.len(),
+        1,
+        "no connection to the unknown one"
+    );
     let change: Vec<_> = status.iter().map(|_| (9, "removed", 0)).collect();
-    bed.listed(false, &change);
-    bed.pass(LATE / 1_000_000 + 1);
-    bed.listed(false, &[]);
-    bed.pass(60_000);
+    harness.listed(false, &change);
+    harness.pass(LATE / 1_000_000 + 1);
+    harness.listed(false, &[]);
+    harness.pass(60_000);
     assert_eq!(
-        bed.state.counters().bad_lists.unknown,
+        harness.state.counters().bad_lists.unknown,
         u64::from(status.is_some()),
         "known by the second change"
     );
-    bed.state.held()
+    harness.state.retained_entries()
 }
 
 #[test]
@@ -288,10 +306,10 @@
         assert_eq!(kept_after(Some(status)), without);
         logs.assert_one("INFO", &["index=2", "s-9", "in_force=1", "not listed"]);
     }
-    let mut bed = Bed::new(1);
-    bed.listed(true, &[(1, "up", 0), (2, "draining", 0)]);
+    let mut harness = Harness::new(1);
+    harness.listed(true, &[(1, "up", 0), (2, "draining", 0)]);
     assert_eq!(
-        bed.state.counters().bad_lists.unknown,
+        harness.state.counters().bad_lists.unknown,
         0,
         "a whole list names who drains"
     );
@@ -299,30 +317,33 @@
 
 #[test]
 fn what_was_announced_as_removed_of_an_unknown_server_holds_where_discovery_moves() {
-    let mut bed = Bed::new(1);
-    bed.listed(false, &[(9, "removed", 0)]);
-    bed.told(&bed::address(9), "removed");
-    bed.put(Input::Reloaded {
+    let mut harness = Harness::new(1);
+    harness.listed(false, &[(9, "removed", 0)]);
+    harness.told(&harness::address(9), "removed");
+    harness.put(Input::ConfigReloaded {
         discovery: Some("127.0.0.1:8501".parse().unwrap()),
     });
-    bed.listed(true, &[(9, "up", 0)]);
-    let client = bed.ask(1, &[1.0]);
-    bed.open_all();
-    bed.pass(300);
-    assert!(bed.links.is_empty() && !matches!(bed.reply(client), Some(Reply::Answer { .. })));
+    harness.listed(true, &[(9, "up", 0)]);
+    let client = harness.ask(1, &[1.0]);
+    harness.open_all();
+    harness.pass(300);
+    assert!(
+        harness.connections.is_empty()
+            && !matches!(harness.reply(client), Some(Reply::Answer { .. }))
+    );
 }
 
 // ---- Messages that are refused ------------------------------------------------------------------------
 
 #[test]
 fn a_list_over_the_bound_of_entries_is_refused_by_their_number() {
-    let text = whole((0..MOST_ENTRIES + 2).map(|_| "{}".to_string()));
-    let refused = discovery::read(text.as_bytes()).unwrap_err();
+    let text = whole((0..MAX_ENTRIES + 2).map(|_| "{}".to_string()));
+    let refused = endpoint_updates::parse(text.as_bytes()).unwrap_err();
     assert_eq!(
         refused,
-        Refused::TooManyEntries {
+        UpdateError::TooManyEntries {
             index: 43,
-            entries: MOST_ENTRIES + 2
+            entries: MAX_ENTRIES + 2
         }
     );
     assert!(refused.is_over_bound());
@@ -386,7 +407,7 @@
     loopback::run_within(
         Some(20_000_000),
         false,
-        bed::SETTINGS,
+        harness::SETTINGS,
         DESCRIPTORS,
         |mut around| async move {
             let logs = Logs::collect();
--- a/crates/mixer/tests/loopback/mod.rs
+++ b/crates/mixer/tests/loopback/mod.rs
@@ -3,8 +3,8 @@
 
 #![allow(dead_code)] // Each test file uses its own part of it.
 
-use cottonhill_mixer::protocol::query::Names;
-use cottonhill_mixer::routing::State;
+use cottonhill_mixer::protocol::query_json::QuerySchema;
+use cottonhill_mixer::reducer::Reducer;
 use cottonhill_mixer::settings;
 use cottonhill_mixer::transport::{self, Addresses, Clock, Control};
 use std::future::Future;
@@ -56,17 +56,17 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let (discovery, leaf, listener) = (listener(), listener(), listener());
         let (site, decisions) = (
-            settings::site(text).unwrap(),
-            settings::parse(text).unwrap(),
+            settings::parse_mixer(text).unwrap(),
+            settings::parse_decisions(text).unwrap(),
         );
-        let names = Names {
+        let names = QuerySchema {
             classes: site.classes.clone(),
-            deadlines: site.deadlines.clone(),
+            default_timeouts: site.deadlines.clone(),
             shards: site.shards,
-            ..Names::default()
+            ..QuerySchema::default()
         };
         let clock = Clock::start();
-        let mut state = State::new(
+        let mut state = Reducer::new(
             clock.now(),
             site,
             decisions,
--- a/crates/mixer/tests/protocol.rs
+++ b/crates/mixer/tests/protocol.rs
@@ -2,13 +2,15 @@
 
 use bytes::{Bytes, BytesMut};
 use cottonhill_mixer::config::Config;
-use cottonhill_mixer::protocol::discovery::{self, EndpointUpdate};
+use cottonhill_mixer::protocol::endpoint_updates::{self, EndpointUpdate};
 use cottonhill_mixer::protocol::http;
 use cottonhill_mixer::protocol::http::{
-    Rejection, Request, Response, ServerCodec, TurnedAway, WatchCodec,
+    Request, RequestError, Response, ServerCodec, WatchCodec, WatchRejected,
 };
-use cottonhill_mixer::protocol::leaf::{CallPart, End, FromLeaf, LeafCodec, ToLeaf};
-use cottonhill_mixer::protocol::query::{self, Asked, Names, Reply};
+use cottonhill_mixer::protocol::leaf_frames::{
+    CallPart, LeafCodec, LeafRequest, LeafResponse, PartStatus,
+};
+use cottonhill_mixer::protocol::query_json::{self, ClientRequest, QuerySchema, Reply};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::time::Duration;
@@ -20,13 +22,13 @@
 
 const CHUNKED: &str = "POST /checkout HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-fn names() -> Names {
+fn names() -> QuerySchema {
     let classes = vec!["checkout".to_string()];
-    Names {
+    QuerySchema {
         classes,
         tenants: vec!["acme".into()],
-        deadlines: vec![5_000_000_000],
-        floors: vec![0.6],
+        default_timeouts: vec![5_000_000_000],
+        minimum_coverages: vec![0.6],
         shards: 4,
     }
 }
@@ -60,13 +62,13 @@
     found
 }
 
-fn one(text: &str) -> Result<Request, Rejection> {
+fn one(text: &str) -> Result<Request, RequestError> {
     feed(&mut ServerCodec::default(), text.as_bytes(), &[1000]).remove(0)
 }
 
-fn asked(text: &str) -> Result<Asked, u16> {
+fn asked(text: &str) -> Result<ClientRequest, u16> {
     one(text)
-        .and_then(|request| query::read(&request, &names()))
+        .and_then(|request| query_json::parse(&request, &names()))
         .map_err(|rejection| rejection.status)
 }
 
@@ -105,22 +107,22 @@
         let mut buffer = BytesMut::from(&frame[..]);
         let mut codec = LeafCodec::default();
         while let Ok(Some(_)) = codec.decode(&mut buffer) {}
-        let _ = discovery::read(&noise);
+        let _ = endpoint_updates::parse(&noise);
     }
 }
 
 #[test]
 fn a_query_is_read_as_sent() {
     let headers = "X-Retried: 1\r\nIdempotency-Key: k 1\r\n";
-    let Ok(Asked::Query(query)) = asked(&post("/checkout?x=1", headers, QUERY)) else {
+    let Ok(ClientRequest::Query(query)) = asked(&post("/checkout?x=1", headers, QUERY)) else {
         panic!()
     };
     assert_eq!(query.idempotency_key.as_deref(), Some("k 1"));
     assert_eq!(
-        (query.name.as_str(), query.class, query.tenant),
+        (query.request_id.as_str(), query.class, query.tenant),
         ("9b1f", 0, 0)
     );
-    assert_eq!((query.timeout, query.repeat), (480_000_000, true));
+    assert_eq!((query.timeout, query.client_retry), (480_000_000, true));
     assert_eq!(
         (query.parts[0].shard, query.parts[0].work),
         (3, Some(9_000_000))
@@ -221,9 +223,9 @@
 
 #[test]
 fn replies_say_when_to_come_back_and_whether_they_are_whole() {
-    let refused = written(query::render(
-        &Reply::Refused {
-            come_back: Some(500_000_001),
+    let refused = written(query_json::render(
+        &Reply::Rejected {
+            retry_after: Some(500_000_001),
         },
         false,
     ));
@@ -231,18 +233,24 @@
         refused.starts_with("HTTP/1.1 503 ") && refused.contains("Retry-After: 0.501\r\n"),
         "{refused}"
     );
-    let hits = vec![query::Hit {
+    let hits = vec![query_json::Hit {
         shard: 3,
         doc: "5be2\"".into(),
     }];
-    let answer = written(query::render(&Reply::Answer { whole: false, hits }, true));
+    let answer = written(query_json::render(
+        &Reply::Answer {
+            complete: false,
+            hits,
+        },
+        true,
+    ));
     assert!(answer.contains("Connection: close\r\n"));
     assert!(answer
         .ends_with("\r\n\r\n{\"complete\":false,\"hits\":[{\"shard\":3,\"doc\":\"5be2\\\"\"}]}"));
-    let allowed = written(query::render(
-        &Reply::Rejected(Rejection {
+    let allowed = written(query_json::render(
+        &Reply::InvalidRequest(RequestError {
             status: 405,
-            why: "POST",
+            reason: "POST",
         }),
         false,
     ));
@@ -254,14 +262,14 @@
     let part = |id: &str, shard| CallPart {
         id: id.into(),
         shard,
-        wait_ms: 240,
+        timeout_ms: 240,
         text: Bytes::from("c41e77d0"),
     };
     let mut out = BytesMut::new();
     let mut codec = LeafCodec::default();
     codec
         .encode(
-            ToLeaf::Call(vec![part("9b1f.3", 3), part("9b1f.9", 9)]),
+            LeafRequest::Call(vec![part("9b1f.3", 3), part("9b1f.9", 9)]),
             &mut out,
         )
         .unwrap();
@@ -271,7 +279,7 @@
     );
     out.clear();
     codec
-        .encode(ToLeaf::GiveUp("9b1f.3".into()), &mut out)
+        .encode(LeafRequest::Cancel("9b1f.3".into()), &mut out)
         .unwrap();
     assert_eq!(&out[..], b"\0\0\0\x07X9b1f.3");
     let answers = b"\0\0\0\x16A9b1f.3 ok 1840 -\n5be2\0\0\0\x03Pok\0\0\0\x11A9b1f.9 busy 0 -\n";
@@ -280,21 +288,27 @@
         let (id, report, value) = ("9b1f.3".to_string(), "-".to_string(), Bytes::from("5be2"));
         assert_eq!(
             found[0],
-            FromLeaf::Answer {
+            LeafResponse::Answer {
                 id,
-                end: End::Ok,
+                status: PartStatus::Ok,
                 report,
                 value
             }
         );
         assert_eq!(
             found[1],
-            FromLeaf::Probed {
+            LeafResponse::ProbeAnswer {
                 ok: true,
                 report: "ok".into()
             }
         );
-        assert!(matches!(&found[2], FromLeaf::Answer { end: End::Busy, .. }));
+        assert!(matches!(
+            &found[2],
+            LeafResponse::Answer {
+                status: PartStatus::Busy,
+                ..
+            }
+        ));
     }
 }
 
@@ -306,7 +320,7 @@
 #[test]
 fn an_answer_counts_only_if_all_of_it_is_right() {
     let read = |bytes: &[u8]| feed(&mut LeafCodec::default(), bytes, &[9]);
-    let spoilt = |id: Option<&str>| vec![FromLeaf::Spoilt(id.map(str::to_string))];
+    let spoilt = |id: Option<&str>| vec![LeafResponse::Malformed(id.map(str::to_string))];
     for text in [
         "A9b1f.3  1840 -\n5be2",
         "A9b1f.3 ? 1 -\n5be2",
@@ -334,15 +348,17 @@
     ]
     .concat();
     let found = read(&noise);
-    assert!(matches!(&found[0], FromLeaf::Answer { end: End::Ok, report, .. } if report == "nan"));
+    assert!(
+        matches!(&found[0], LeafResponse::Answer { status: PartStatus::Ok, report, .. } if report == "nan")
+    );
     assert_eq!(found[1..], spoilt(None), "nothing is read after it");
     let mut codec = LeafCodec::default();
     assert_eq!(
-        codec.cut_short(b"\0\0\0\x36A9b1f.3 o"),
+        codec.abandon_frame(b"\0\0\0\x36A9b1f.3 o"),
         spoilt(Some("9b1f.3"))[0]
     );
     assert_eq!(
-        codec.cut_short(b"\0\0\0\x36A9b1f"),
+        codec.abandon_frame(b"\0\0\0\x36A9b1f"),
         spoilt(None)[0],
         "the id may go on"
     );
@@ -362,7 +378,7 @@
     let objects = feed(&mut WatchCodec::default(), answer, sizes);
     objects
         .iter()
-        .filter_map(|object| discovery::read(object).unwrap())
+        .filter_map(|object| endpoint_updates::parse(object).unwrap())
         .collect()
 }
 
@@ -433,7 +449,7 @@
         serde_json::to_string_pretty(&large(1024)).unwrap(),
     ] {
         let found = lists(&watched(&[&text]), &[16 * 1024]);
-        assert_eq!(found[0].endpoints.len(), 1024, "{} bytes", text.len());
+        assert_eq!(found[0].entries.len(), 1024, "{} bytes", text.len());
     }
     assert!(WatchCodec::default()
         .decode(&mut BytesMut::from("HTTP/1.1 503 No\r\n\r\n"))
@@ -447,7 +463,7 @@
             format!(
                 "{:?}",
                 lists[0]
-                    .endpoints
+                    .entries
                     .iter()
                     .map(|e| (&*e.name, e.status))
                     .collect::<Vec<_>>()
@@ -488,8 +504,8 @@
     ] {
         assert!(read(text).contains(why), "{text}: {}", read(text));
     }
-    let endless =
-        "{\"index\":43,\"endpoints\":[".to_string() + &"1,".repeat(discovery::MOST_OBJECT / 2);
+    let endless = "{\"index\":43,\"endpoints\":[".to_string()
+        + &"1,".repeat(endpoint_updates::MAX_UPDATE_BYTES / 2);
     assert!(read(&endless).contains("over 33554432 bytes"));
 }
 
@@ -500,7 +516,7 @@
         vec![],
     );
     while let Some(object) = codec.decode(&mut bytes).map_err(|e| e.to_string())? {
-        lists.extend(discovery::read(&object).map_err(|e| e.to_string())?);
+        lists.extend(endpoint_updates::parse(&object).map_err(|e| e.to_string())?);
     }
     Ok(lists)
 }
@@ -516,11 +532,14 @@
     let config = |settings: &serde_json::Value| {
         let file = serde_json::json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
             "seed": "8c1f30d27a5be964", "settings": settings});
-        Config::read(&file.to_string())
+        Config::parse(&file.to_string())
     };
     let read = config(&settings).unwrap();
     assert_eq!(
-        (read.site.zones.len(), read.site.classes[0].as_str()),
+        (
+            read.mixer_settings.zones.len(),
+            read.mixer_settings.classes[0].as_str()
+        ),
         (2, "a_b")
     );
     assert_eq!(
@@ -546,7 +565,7 @@
             .expect_err("no watch");
         let why = error
             .get_ref()
-            .and_then(|e| e.downcast_ref::<TurnedAway>())
+            .and_then(|e| e.downcast_ref::<WatchRejected>())
             .expect("turned away");
         assert_eq!(why.status, 503);
         why.retry_after
--- a/crates/mixer/tests/recording.rs
+++ b/crates/mixer/tests/recording.rs
@@ -1,7 +1,7 @@
 //! Replies that wait for their record of use, with a log whose writer moves only when the test says so.
 
-use cottonhill_mixer::protocol::query::Reply;
-use cottonhill_mixer::routing::usage::{Mark, Outcome, Usage};
+use cottonhill_mixer::protocol::query_json::Reply;
+use cottonhill_mixer::reducer::usage::{QueryOutcome, UsageRecord, Watermark};
 use cottonhill_mixer::transport::{ClientReply, PendingReplies, Recorder};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,10 +16,10 @@
 }
 
 impl Recorder for Slow {
-    fn record(&mut self, _: Usage) -> bool {
+    fn record(&mut self, _: UsageRecord) -> bool {
         self.room
     }
-    fn mark(&mut self, _: Mark) {}
+    fn mark(&mut self, _: Watermark) {}
     fn written(&self) -> watch::Receiver<u64> {
         self.written.subscribe()
     }
@@ -32,10 +32,10 @@
     fn close(&mut self) {}
 }
 
-fn usage(sequence: u64) -> Usage {
-    let outcome = Outcome::Whole;
-    let (tenant, class, arrived, parts, attempts, crossed) = (0, 0, 0, 1, 1, 0);
-    Usage {
+fn usage(sequence: u64) -> UsageRecord {
+    let outcome = QueryOutcome::Complete;
+    let (tenant, class, arrived, parts, attempts, cross_zone_attempts) = (0, 0, 0, 1, 1, 0);
+    UsageRecord {
         sequence,
         tenant,
         class,
@@ -43,10 +43,10 @@
         outcome,
         parts,
         attempts,
-        crossed,
-        repeat: false,
+        cross_zone_attempts,
+        client_retry: false,
         key: 2,
-        keyed: false,
+        key_from_client: false,
     }
 }
 
--- a/crates/mixer/tests/replicas.rs
+++ b/crates/mixer/tests/replicas.rs
@@ -1,14 +1,14 @@
 //! The list of replicas against a plain walk over all of them, and what a change costs by counts.
 
-mod bed;
+mod harness;
 
 use cottonhill_decisions::{
     Action, Endpoint, EndpointStatus, EndpointUpdateKind, Event, Outcome, ReplicaId, Settings,
 };
-use cottonhill_mixer::protocol::discovery::{self, EndpointEntry, EndpointUpdate, Status};
-use cottonhill_mixer::routing::replica_table::Replica;
-use cottonhill_mixer::routing::replicas::{Change, Replicas, LATE};
-use cottonhill_mixer::routing::LinkId;
+use cottonhill_mixer::protocol::endpoint_updates::{self, EndpointEntry, EndpointUpdate, Status};
+use cottonhill_mixer::reducer::replica_table::Replica;
+use cottonhill_mixer::reducer::replicas::{Change, Replicas, LATE};
+use cottonhill_mixer::reducer::ConnectionId;
 use cottonhill_mixer::{settings, Coordinator};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -25,7 +25,7 @@
     address: SocketAddr,
     zone: u16,
     status: EndpointStatus,
-    links: Vec<LinkId>,
+    connections: Vec<ConnectionId>,
     started: u64,
     gone: Option<u64>,
 }
@@ -46,21 +46,22 @@
     leaving: BTreeSet<ReplicaId>,
     /// Those of them that were leaving before.
     left_before: BTreeSet<ReplicaId>,
-    left: Vec<LinkId>,
+    left: Vec<ConnectionId>,
     repeated: u64,
     unknown: u64,
 }
 
 impl Oracle {
     fn take(&mut self, now: u64, listing: &EndpointUpdate) -> Expected {
-        self.known
-            .retain(|_, r| r.gone.is_none_or(|gone| now < gone + LATE) || !r.links.is_empty());
+        self.known.retain(|_, r| {
+            r.gone.is_none_or(|gone| now < gone + LATE) || !r.connections.is_empty()
+        });
         let known = &self.known;
         self.numbers.retain(|_, id| known.contains_key(id));
         let left_before = self.leaving();
         let (mut left, mut unknown, mut names) = (Vec::new(), 0, Vec::new());
         let mut members = Vec::new();
-        for endpoint in &listing.endpoints {
+        for endpoint in &listing.entries {
             let takes = match endpoint.status {
                 Status::Up => false,
                 Status::Draining => !listing.snapshot,
@@ -109,11 +110,11 @@
         &mut self,
         now: u64,
         endpoint: &EndpointEntry,
-        left: &mut Vec<LinkId>,
+        left: &mut Vec<ConnectionId>,
     ) -> Option<Endpoint> {
         let number = self.numbers.get(&*endpoint.name).copied();
         let known = number.and_then(|id| self.known.get(&id));
-        let started = endpoint.since_ms * MS;
+        let started = endpoint.started_ms * MS;
         let leaving = known.filter(|r| r.status != EndpointStatus::Ready && started <= r.started);
         let leaving = leaving
             .filter(|_| now < self.behind_until)
@@ -140,20 +141,20 @@
             address,
             zone,
             status,
-            links: Vec::new(),
+            connections: Vec::new(),
             started,
             gone: None,
         };
         let replica = self.known.entry(id).or_insert(new);
         if replica.address != address {
-            left.append(&mut replica.links);
+            left.append(&mut replica.connections);
         }
         let gone = (status == EndpointStatus::Gone).then(|| replica.gone.unwrap_or(now));
         (replica.address, replica.zone, replica.status) = (address, zone, status);
         (replica.started, replica.gone) = (started.max(replica.started), gone);
         Some(Endpoint {
             replica: id,
-            cell: endpoint.group,
+            cell: endpoint.cell,
             zone,
             started,
             status,
@@ -228,13 +229,14 @@
     oracle_view: View,
     /// What both modules hear next beside the list.
     ends: Vec<Event>,
-    links: Vec<(ReplicaId, LinkId)>,
+    connections: Vec<(ReplicaId, ConnectionId)>,
     next: u64,
     index: u64,
 }
 
 fn module_settings() -> Settings {
-    settings::parse(&bed::SETTINGS.replace("extra.places=1", "extra.places=3")).unwrap()
+    settings::parse_decisions(&harness::SETTINGS.replace("extra.places=1", "extra.places=3"))
+        .unwrap()
 }
 
 impl Pair {
@@ -248,7 +250,7 @@
             view: View::default(),
             oracle_view: View::default(),
             ends: Vec::new(),
-            links: Vec::new(),
+            connections: Vec::new(),
             next: 0,
             index: 0,
         }
@@ -270,7 +272,7 @@
         let entries: Vec<_> = entries.iter().map(entry).collect();
         let text =
             serde_json::json!({"index": self.index, "snapshot": snapshot, "endpoints": entries});
-        let listing = discovery::read(text.to_string().as_bytes())
+        let listing = endpoint_updates::parse(text.to_string().as_bytes())
             .unwrap()
             .unwrap();
         let expected = self.oracle.take(self.now, &listing);
@@ -332,7 +334,7 @@
             let replica = self.replicas.get(*id).expect("known to the oracle");
             let found = (replica.address(), replica.zone, replica.status);
             assert_eq!(found, (plain.address, plain.zone, plain.status), "{id:?}");
-            assert_eq!(self.replicas.links(*id), plain.links, "{id:?}");
+            assert_eq!(self.replicas.connections(*id), plain.connections, "{id:?}");
         }
     }
 
@@ -400,20 +402,22 @@
             return;
         };
         self.next += 10;
-        let link = self.next;
-        let at = self.replicas.connect(id, link);
+        let connection = self.next;
+        let at = self.replicas.connect(id, connection);
         let plain = self.oracle.known.get_mut(&id).unwrap();
-        plain.links.push(link);
+        plain.connections.push(connection);
         assert_eq!(at, Some(plain.address));
-        self.links.push((id, link));
+        self.connections.push((id, connection));
     }
 
     fn disconnect(&mut self, dice: u8) {
-        if !self.links.is_empty() {
-            let (id, link) = self.links.remove(usize::from(dice) % self.links.len());
-            self.replicas.disconnect(id, link);
+        if !self.connections.is_empty() {
+            let (id, connection) = self
+                .connections
+                .remove(usize::from(dice) % self.connections.len());
+            self.replicas.disconnect(id, connection);
             if let Some(plain) = self.oracle.known.get_mut(&id) {
-                plain.links.retain(|other| *other != link);
+                plain.connections.retain(|other| *other != connection);
             }
         }
     }
@@ -499,7 +503,7 @@
         "{{\"index\":{index},\"snapshot\":{snapshot},\"endpoints\":[{}]}}",
         entries.join(",")
     );
-    discovery::read(text.as_bytes()).unwrap().unwrap()
+    endpoint_updates::parse(text.as_bytes()).unwrap().unwrap()
 }
 
 fn fleet(servers: u64) -> Replicas {
@@ -563,7 +567,7 @@
     );
     let read = listing(1, true, &[entry(1, "up"), entry(2, "up")]);
     assert!(
-        std::sync::Arc::ptr_eq(&read.endpoints[0].zone, &read.endpoints[1].zone),
+        std::sync::Arc::ptr_eq(&read.entries[0].zone, &read.entries[1].zone),
         "a zone's name once"
     );
 }
--- a/crates/mixer/tests/sockets.rs
+++ b/crates/mixer/tests/sockets.rs
@@ -1,6 +1,6 @@
 //! The whole mixer on real sockets of the loopback, with a leaf server and discovery played by the test.
 
-mod bed;
+mod harness;
 mod loopback;
 
 use loopback::{query, reply, Around};
@@ -58,13 +58,13 @@
 
 /// Runs `client` against a mixer at its address.
 fn against<F: Future<Output = ()>>(client: impl FnOnce(SocketAddr) -> F) {
-    run(false, bed::SETTINGS, client);
+    run(false, harness::SETTINGS, client);
 }
 
 /// The same on a clock that stands still while anyone has something to do, and else goes on to the next
 /// timer.
 fn against_at_once<F: Future<Output = ()>>(client: impl FnOnce(SocketAddr) -> F) {
-    run(true, bed::SETTINGS, client);
+    run(true, harness::SETTINGS, client);
 }
 
 fn run<F: Future<Output = ()>>(paused: bool, text: &str, client: impl FnOnce(SocketAddr) -> F) {
@@ -251,7 +251,7 @@
 /// The first watch ends without a word. Where the list is pushed it is in force all the same.
 #[test]
 fn one_of_three_hundred_has_its_pushed_list_again_within_the_grace() {
-    let settings = bed::SETTINGS.replace("replicas_of_me=1", "replicas_of_me=300");
+    let settings = harness::SETTINGS.replace("replicas_of_me=1", "replicas_of_me=300");
     let settings = settings + "discovery=pushed\nguarantees.stop_sending_within_ns=250000000\n";
     run(true, &settings, |at| async move {
         let begun = Instant::now();
--- a/crates/mixer/tests/watching.rs
+++ b/crates/mixer/tests/watching.rs
@@ -1,23 +1,23 @@
 //! How soon a mixer is back on the list after discovery failed it, and what that asks of a discovery that all share.
 
-use cottonhill_mixer::routing::watching::{Ended, Watching, Way, STALENESS_BOUND};
+use cottonhill_mixer::reducer::watch_policy::{WatchEnd, WatchMode, WatchPolicy, STALENESS_BOUND};
 use std::time::Duration;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 const SIZES: [u32; 8] = [1, 3, 100, 279, 320, 350, 777, 1024];
-const REFUSED: Ended = Ended {
-    lasted: Duration::ZERO,
-    had: false,
+const REFUSED: WatchEnd = WatchEnd {
+    duration: Duration::ZERO,
+    received: false,
     silent: false,
     retry_after: None,
 };
-const RESET: Ended = Ended {
-    lasted: Duration::from_secs(60),
-    had: true,
+const RESET: WatchEnd = WatchEnd {
+    duration: Duration::from_secs(60),
+    received: true,
     silent: false,
     retry_after: None,
 };
-const SILENT: Ended = Ended {
+const SILENT: WatchEnd = WatchEnd {
     silent: true,
     ..RESET
 };
@@ -46,20 +46,20 @@
     Failing::Unanswered,
 ];
 
-fn failed(watching: &Watching, failing: Failing) -> Ended {
+fn failed(watching: &WatchPolicy, failing: Failing) -> WatchEnd {
     match failing {
         Failing::Refused => REFUSED,
-        Failing::TurnedAway(told) => Ended {
+        Failing::TurnedAway(told) => WatchEnd {
             retry_after: Some(told),
             ..REFUSED
         },
-        Failing::NoConnection => Ended {
-            lasted: watching.connect(),
+        Failing::NoConnection => WatchEnd {
+            duration: watching.connect_timeout(),
             silent: true,
             ..REFUSED
         },
-        Failing::Unanswered => Ended {
-            lasted: watching.connect() + watching.answer(),
+        Failing::Unanswered => WatchEnd {
+            duration: watching.connect_timeout() + watching.answer_timeout(),
             silent: true,
             ..REFUSED
         },
@@ -68,19 +68,19 @@
 
 /// The moments at which tries begin that all fail one way after a watch was reset at 0.
 fn tries(
-    way: Way,
+    way: WatchMode,
     seed: u64,
     mixers: u32,
     failing: impl Fn(usize) -> Failing,
     until: Duration,
 ) -> Vec<Duration> {
-    let mut watching = Watching::new(way, seed, mixers);
-    let mut at = watching.after(RESET);
+    let mut watching = WatchPolicy::new(way, seed, mixers);
+    let mut at = watching.next_delay(RESET);
     let mut all = Vec::new();
     while at < until {
         all.push(at);
         let ended = failed(&watching, failing(all.len()));
-        at += ended.lasted + watching.after(ended);
+        at += ended.duration + watching.next_delay(ended);
     }
     all
 }
@@ -93,7 +93,9 @@
     {
         for seed in 0..20 {
             let all = tries(
-                Way::Asked { within: None },
+                WatchMode::Poll {
+                    max_staleness: None,
+                },
                 seed,
                 mixers,
                 |_| failing,
@@ -114,8 +116,8 @@
     for seed in 0..200u64 {
         let mixed = |n: usize| FAILING[(seed as usize + n * 5 + n / 3) % FAILING.len()];
         let all = tries(
-            Way::Asked {
-                within: Some(MS(10_000)),
+            WatchMode::Poll {
+                max_staleness: Some(MS(10_000)),
             },
             seed,
             300,
@@ -132,8 +134,8 @@
 
 /// The most that a fleet asks in one second while its calls fail from 0 on, from the second given on.
 fn most_a_second(mixers: u32, failing: Failing, from: u64) -> usize {
-    let way = Way::Asked {
-        within: Some(MS(10_000)),
+    let way = WatchMode::Poll {
+        max_staleness: Some(MS(10_000)),
     };
     let all =
         (0..u64::from(mixers)).flat_map(|seed| tries(way, seed, mixers, |_| failing, MS(60_000)));
@@ -180,23 +182,43 @@
 
 #[test]
 fn few_that_lost_a_watch_have_it_again_soon_and_ask_less_as_they_fail() {
-    let mut few = Watching::new(Way::Asked { within: None }, 1, 3);
+    let mut few = WatchPolicy::new(
+        WatchMode::Poll {
+            max_staleness: None,
+        },
+        1,
+        3,
+    );
     assert!(
-        few.after(RESET) <= MS(150),
+        few.next_delay(RESET) <= MS(150),
         "three do not overbook anything"
     );
-    let mut many = Watching::new(Way::Asked { within: None }, 1, 100);
+    let mut many = WatchPolicy::new(
+        WatchMode::Poll {
+            max_staleness: None,
+        },
+        1,
+        100,
+    );
     for _ in 0..10 {
-        many.after(REFUSED);
+        many.next_delay(REFUSED);
     }
     for _ in 0..50 {
         assert!(
-            many.after(REFUSED) >= MS(2_250),
+            many.next_delay(REFUSED) >= MS(2_250),
             "half of the time there is, at the least"
         );
     }
     let soon = (0..50).filter(|seed| {
-        Watching::new(Way::Asked { within: None }, *seed, 100).after(RESET) < MS(2_250)
+        WatchPolicy::new(
+            WatchMode::Poll {
+                max_staleness: None,
+            },
+            *seed,
+            100,
+        )
+        .next_delay(RESET)
+            < MS(2_250)
     });
     assert!(
         (15..=35).contains(&soon.count()),
@@ -207,12 +229,21 @@
 #[test]
 fn who_is_told_when_to_come_back_does_not_come_before_nor_past_what_counts_as_told() {
     let after = |told: u64| -> Vec<Duration> {
-        let ended = Ended {
+        let ended = WatchEnd {
             retry_after: Some(MS(told)),
             ..REFUSED
         };
         (0..50)
-            .map(|seed| Watching::new(Way::Asked { within: None }, seed, 100).after(ended))
+            .map(|seed| {
+                WatchPolicy::new(
+                    WatchMode::Poll {
+                        max_staleness: None,
+                    },
+                    seed,
+                    100,
+                )
+                .next_delay(ended)
+            })
             .collect()
     };
     let waits = after(2_000);
@@ -239,38 +270,39 @@
     let least = MS(25);
     for grace in [MS(250), MS(2_000)] {
         for mixers in SIZES {
-            let mut watching = Watching::new(Way::Pushed { grace }, 1, mixers);
+            let mut watching = WatchPolicy::new(WatchMode::Push { drain_grace: grace }, 1, mixers);
             for ended in [
                 RESET,
                 SILENT,
                 RESET,
-                Ended {
+                WatchEnd {
                     retry_after: Some(MS(60_000)),
                     ..RESET
                 },
             ] {
                 assert_eq!(
-                    watching.after(ended),
+                    watching.next_delay(ended),
                     Duration::ZERO,
                     "{mixers} mixers, {ended:?}"
                 );
             }
             for _ in 0..50 {
-                let wait = watching.after(REFUSED);
+                let wait = watching.next_delay(REFUSED);
                 assert!(wait <= grace / 4, "{mixers} mixers: {wait:?} of {grace:?}");
                 assert!(
                     wait >= least,
                     "an agent that refuses at once is not hammered: {wait:?}"
                 );
                 assert!(
-                    wait + watching.connect() < grace,
+                    wait + watching.connect_timeout() < grace,
                     "and found again in time when it returns"
                 );
             }
         }
     }
     for grace in [Duration::ZERO, MS(3_600_000)] {
-        let wait = Watching::new(Way::Pushed { grace }, 1, 3).after(REFUSED);
+        let wait =
+            WatchPolicy::new(WatchMode::Push { drain_grace: grace }, 1, 3).next_delay(REFUSED);
         assert!(
             (least..=MS(500)).contains(&wait),
             "grace of {grace:?}: {wait:?}"
@@ -280,13 +312,20 @@
 
 #[test]
 fn silence_leaves_time_for_the_next_watch_either_way() {
-    for way in [Way::Pushed { grace: MS(250) }, Way::Asked { within: None }] {
+    for way in [
+        WatchMode::Push {
+            drain_grace: MS(250),
+        },
+        WatchMode::Poll {
+            max_staleness: None,
+        },
+    ] {
         for mixers in SIZES {
             for seed in 0..20 {
-                let mut watching = Watching::new(way, seed, mixers);
+                let mut watching = WatchPolicy::new(way, seed, mixers);
                 for _ in 0..3 {
-                    let wait = watching.after(SILENT);
-                    let answered = watching.silent() + wait + ANSWERED;
+                    let wait = watching.next_delay(SILENT);
+                    let answered = watching.silence_timeout() + wait + ANSWERED;
                     assert!(
                         answered <= STALENESS_BOUND,
                         "{way:?}, {mixers} mixers: answered after {answered:?}"
@@ -304,21 +343,21 @@
             .into_iter()
             .flat_map(|mixers| (0..20).map(move |seed| (mixers, seed)))
         {
-            let watching = Watching::new(
-                Way::Asked {
-                    within: Some(within),
+            let watching = WatchPolicy::new(
+                WatchMode::Poll {
+                    max_staleness: Some(within),
                 },
                 seed,
                 mixers,
             );
             assert!(
-                watching.connect() + watching.answer() <= within,
+                watching.connect_timeout() + watching.answer_timeout() <= within,
                 "{mixers} mixers"
             );
             for failing in FAILING {
                 let all = tries(
-                    Way::Asked {
-                        within: Some(within),
+                    WatchMode::Poll {
+                        max_staleness: Some(within),
                     },
                     seed,
                     mixers,
--- a/crates/opensearch/src/front/search.rs
+++ b/crates/opensearch/src/front/search.rs
@@ -8,7 +8,7 @@
 use crate::merge::{self, Unusable};
 use crate::shape::{self, Answer, Shards};
 use bytes::Bytes;
-use cottonhill_mixer::protocol::query::{AskedPart, Hit, Names, Query, Reply};
+use cottonhill_mixer::protocol::query_json::{Hit, PartRequest, QueryRequest, QuerySchema, Reply};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
@@ -121,7 +121,7 @@
     search: &Search,
 ) -> Result<Gathered<'a>, Answer> {
     let began = Instant::now();
-    let (front, names) = (&context.front, context.queries.names().clone());
+    let (front, names) = (&context.front, context.queries.query_schema().clone());
     let (index, settings) = find(front, name)?;
     let class = class_of(index, settings, &names)?;
     let tenant = tenant_of(front, caller, &names)?;
@@ -137,14 +137,14 @@
     );
     let hits = match context.queries.ask(arrived, query).await {
         Reply::Answer { hits, .. } => hits,
-        Reply::Refused { come_back } => {
-            return Err(shape::refused(come_back.map(Duration::from_nanos)))
+        Reply::Rejected { retry_after } => {
+            return Err(shape::refused(retry_after.map(Duration::from_nanos)))
         }
-        Reply::Rejected(rejection) => {
+        Reply::InvalidRequest(rejection) => {
             return Err(shape::error(
                 rejection.status,
                 "illegal_argument_exception",
-                rejection.why,
+                rejection.reason,
             ));
         }
         _ => {
@@ -163,7 +163,7 @@
     check_size(front, &hits)?;
     let (shards, answers, share) = read_answers(&chosen, &hits, search);
     // What came back as an error counts as little as what did not come back.
-    let floor = names.floors.get(class).copied().unwrap_or(1.0);
+    let floor = names.minimum_coverages.get(class).copied().unwrap_or(1.0);
     if share + ROUNDING < floor {
         let reason = format!(
             "{} of {} shards failed",
@@ -184,7 +184,7 @@
 }
 
 /// The number of an index's class.
-fn class_of(index: &str, settings: &Index, names: &Names) -> Result<usize, Answer> {
+fn class_of(index: &str, settings: &Index, names: &QuerySchema) -> Result<usize, Answer> {
     names
         .classes
         .iter()
@@ -199,7 +199,7 @@
 }
 
 /// The number of the caller's tenant; 0 where the platform names none.
-fn tenant_of(front: &Front, caller: &Caller, names: &Names) -> Result<usize, Answer> {
+fn tenant_of(front: &Front, caller: &Caller, names: &QuerySchema) -> Result<usize, Answer> {
     let by_network = || front.networks.find(caller.address);
     let named_tenant = match front.by {
         TenantBy::Header => caller.header(&front.tenant_header),
@@ -269,10 +269,14 @@
     search: &Search,
     (class, tenant): (usize, usize),
     chosen: &[(u32, f64)],
-    names: &Names,
-) -> Query {
+    names: &QuerySchema,
+) -> QueryRequest {
     let sum = sum_of_weights(chosen);
-    let longest = names.deadlines.get(class).copied().unwrap_or_default();
+    let longest = names
+        .default_timeouts
+        .get(class)
+        .copied()
+        .unwrap_or_default();
     let timeout = search
         .timeout
         .as_deref()
@@ -280,7 +284,7 @@
         .or(parameters.timeout);
     let timeout = timeout.map(|ms| ms.saturating_mul(MS));
     context.last.set(context.last.get() + 1);
-    let part = |(shard, weight): &(u32, f64)| AskedPart {
+    let part = |(shard, weight): &(u32, f64)| PartRequest {
         shard: *shard,
         weight: weight / sum,
         work: None,
@@ -288,12 +292,12 @@
     let key = caller
         .header("idempotency-key")
         .filter(|key| (1..=128).contains(&key.len()));
-    Query {
-        name: format!("{}-{}", context.run, context.last.get()),
+    QueryRequest {
+        request_id: format!("{}-{}", context.run, context.last.get()),
         class: class as u16,
         tenant: tenant as u32,
         timeout: timeout.unwrap_or(longest).min(longest),
-        repeat: caller.header("x-retried") == Some("1"),
+        client_retry: caller.header("x-retried") == Some("1"),
         idempotency_key: key.map(str::to_string),
         parts: chosen.iter().map(part).collect(),
         text: Bytes::from(serde_json::to_vec(&search.for_shards()).unwrap_or_default()),
--- a/crates/standins/src/bin/cottonhill-prove-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-prove-ledger.rs
@@ -8,7 +8,7 @@
 //! the ledger's.
 
 use clap::Parser;
-use cottonhill_mixer::routing::usage::{key_of_client, key_of_query};
+use cottonhill_mixer::reducer::usage::{key_of_client, key_of_query};
 use cottonhill_standins::client::{spread, Attempt, Connection, Got, Question};
 use cottonhill_standins::installation::{
     free_port, get, now_ms, own_ip, Installation, Plan, CLASSES, SHARDS, TENANTS,
