--- a/Makefile
+++ b/Makefile
@@ -11,6 +11,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --locked --workspace --all-targets -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps --quiet
 
 # A whole installation on loopback, until Ctrl-C.
 demo: build
--- a/crates/mixer/src/protocol/endpoint_updates.rs
+++ b/crates/mixer/src/protocol/endpoint_updates.rs
@@ -383,7 +383,7 @@
 }
 
 /// Finds where objects end in what comes piece by piece, each byte looked at once. Lines and pieces may end anywhere;
-/// whether an object is right is for [`read`] to say.
+/// whether an object is right is for [`parse`] to say.
 #[derive(Default)]
 pub struct JsonObjectSplitter {
     buffer: BytesMut,
@@ -399,7 +399,7 @@
         &mut self.buffer
     }
 
-    /// The next one that is whole. What is none comes out at its first byte, for [`read`] to name.
+    /// The next one that is whole. What is none comes out at its first byte, for [`parse`] to name.
     pub fn whole(&mut self) -> Option<Bytes> {
         if self.seen == 0 {
             let blank = self
