--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -34,7 +34,7 @@
 # ---- Not told: parameters of the page -------------------------------------------------------------------------------
 
 COPIES = (3, 15, 269, 538, 1_594)  # of a shard; the last is 110,000 / 69: each query asks for every shard
-CHOICES = 2  # holders of each shard that a mixer stays connected to: one to ask, one for a second copy
+CHOICES = 2  # holders of each shard that a mixer stays connected to: one to ask, one for a hedged request
 ENTRIES_RESTART = 4  # list entries of a restart or replacement at most: draining, removed, up, one more change
 RACK = 40  # leaf servers behind one switch
 TICK_S = 0.005  # `tick_ns` of the settings, as in deploy/sites
@@ -59,7 +59,7 @@
     ("crates/decisions/src", r"FADE\w*: f64 = 5\.0", "what was learned fades over five targets"),
     ("crates/decisions/src", r"SPARE_INTERVALS: Nanos = 2", "two timer intervals are kept free before the target"),
     ("crates/decisions/src", r"COPY_DELAY_LEAST: f64 = 0\.125;\nconst COPY_DELAY_MOST: f64 = 0\.4", "bounds of the hedging delay"),
-    ("crates/decisions/src", r"COPIES_SHARE: f64 = 0\.15", "15% of the parts may get a second copy"),
+    ("crates/decisions/src", r"COPIES_SHARE: f64 = 0\.15", "15% of the parts may get a hedged request"),
     ("crates/decisions/src", r"PROBE_SHARE: f64 = 0\.1", "probes go out from a tenth suspected on"),
 ]
 
@@ -203,7 +203,7 @@
         shared = min(1.0, LATE_SHARE / (0.05 + 0.95 * load))
         rows.append([f"{load:.0%}", f"{LEAF_RATE * (1 + load):,.0f} /s", f"{alone:.3%} (p{100 * (1 - alone):.2f})",
                      f"{shared:.3%} (p{100 * (1 - shared):.2f})"])
-    return table(["second copies: extra load x", "parts a leaf server", "late first attempts allowed, independent",
+    return table(["hedged requests: extra load x", "parts a leaf server", "late first attempts allowed, independent",
                   "the same if 5% of the late ones share their cause"], *rows)
 
 
@@ -216,8 +216,8 @@
         ["margin for the ways to the client and back", f"{MARGIN_S * 1e3:.0f}"],
         [f"a timer interval: the larger of two ticks ({TICK_S * 1e3:.0f} ms each) and 1/200 of the target", f"{beat * 1e3:.0f}"],
         ["so a query that needs every part is given up after", f"{left * 1e3:.0f}"],
-        ["delay before a second copy, bounds", f"{low * 1e3:.1f} to {high * 1e3:.1f}"],
-        ["so a second copy has at least, if the latest interval starts it", f"{(left - high - beat) * 1e3:.1f}"],
+        ["delay before a hedged request, bounds", f"{low * 1e3:.1f} to {high * 1e3:.1f}"],
+        ["so a hedged request has at least, if the latest interval starts it", f"{(left - high - beat) * 1e3:.1f}"],
     )
 
 
@@ -321,7 +321,7 @@
     each = MIXERS / CONTROL_MACHINES
     return table(
         ["each of 26 machines", "", "formula"],
-        ["watches, signs of life", f"{number(each)}, {number(each / SIGN_OF_LIFE_S)} /s", "4,500 / 26, one in 2 s"],
+        ["watches, heartbeats", f"{number(each)}, {number(each / SIGN_OF_LIFE_S)} /s", "4,500 / 26, one in 2 s"],
         ["changed entries delivered, a second",
          f"{number(ENTRY_RATE * each)}, {as_bytes(size(ENTRY_RATE * each))}", "x entries a second, x S10"],
         ["configuration deliveries", f"{number(CONFIG_RATE * each)} /s", ""],
@@ -383,7 +383,7 @@
         ["**Mixer**, control: changes", f"{changes} (S7)", "1.5%",
          verdict(times(ENTRY_RATE, S["S7"].value, 1e-6), CONTROL_CORE), "delta encoding, applied by entry",
          "`reducer/replicas.rs`"],
-        ["the same over sockets, signs of life included", f"{sockets} (S25); {fewer} with 30,000 listed (S24)",
+        ["the same over sockets, heartbeats included", f"{sockets} (S25); {fewer} with 30,000 listed (S24)",
          "1.5%",
          verdict(times(S["S25"].value, 1e-2), CONTROL_CORE), "one watch, one thread", "`transport/discovery_watch.rs`"],
         ["whole list at each reload", f"{reloads} (S12)", "1.5%", verdict(reload_share(), CONTROL_CORE),
@@ -427,7 +427,7 @@
          verdict(zone, IN_FORCE_S), "the same", "the same"],
         ["a change in force, watch dead", f"{of(pushed, 's')} pushed, {of(asked, 's')} asked (S22, S23); over "
          f"{SILENT_S:g} s at the worst moment", "3 s", "**does not fit**", "heartbeat and lease",
-         "`reducer/watch_policy.rs`; sign of life too rare"],
+         "`reducer/watch_policy.rs`; heartbeat too rare"],
         ["**Configuration** in force", "discovery and peers; all else at a restart", "all, in 3 s", "**does not fit**",
          "versioned configuration by the same watch", "missing; SIGHUP and files today"],
         ["**Ledger**: settlement", f"{number(QUERIES)} records /s", f"{number(INGEST_CORE)} /s, one process",
@@ -474,7 +474,7 @@
          f"{number(PROBES)} probes a mixer every {FADE_S * 1e3:.0f} ms once a tenth is suspected"),
         (event, times(zone, 1 / (CONTROL_BYTES * IN_FORCE_S)), "one record for a failure domain, or compact deltas",
          f"{as_bytes(zone)} for a zone in 3 s, 72 KB allowed"),
-        (event, (SILENT_S + TRY_S) / IN_FORCE_S, "sign of life every 0.5 s, lease of 1.5 s",
+        (event, (SILENT_S + TRY_S) / IN_FORCE_S, "heartbeat every 0.5 s, lease of 1.5 s",
          f"a dead watch costs up to {SILENT_S:g} s and {TRY_S:g} s for the answer, 3 s allowed"),
         (after, MIXERS / (MIXERS / ZONES), "slow start reckoned over the mixers that meet the server",
          "a cold server gets 7% of its allowance from the mixers of one zone"),
