--- a/crates/mixer/tests/lists.rs
+++ b/crates/mixer/tests/endpoint_updates.rs
@@ -1,10 +1,11 @@
 //! Lists at the size to plan for, and lists that are wrong: what is in force stays, the fault is logged and counted.
 
+mod captured_logs;
 mod harness;
-mod logs;
 mod loopback;
 
 use bytes::BytesMut;
+use captured_logs::Logs;
 use cottonhill_mixer::config::Config;
 use cottonhill_mixer::protocol::endpoint_updates::{
     self, EndpointUpdate, JsonObjectSplitter, Status, UpdateError, MAX_ENTRIES, MAX_UPDATE_BYTES,
@@ -14,7 +15,6 @@
 use cottonhill_mixer::reducer::replicas::{Replicas, LATE};
 use cottonhill_mixer::reducer::Input;
 use harness::Harness;
-use logs::Logs;
 use loopback::{query, reply, Around};
 use serde_json::{json, Value};
 use std::future::Future;
--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -38,7 +38,7 @@
 ENTRIES_RESTART = 4  # list entries of a restart or replacement at most: draining, removed, up, one more change
 RACK = 40  # leaf servers behind one switch
 TICK_S = 0.005  # `tick_ns` of the settings, as in deploy/sites
-COLD_FROM, FALL_MULTIPLE, FALL_S = 0.25, 2.0, 1.5  # of a cold leaf server, as in crates/decisions/tests/ramp.rs
+COLD_FROM, FALL_MULTIPLE, FALL_S = 0.25, 2.0, 1.5  # of a cold leaf server, as in crates/decisions/tests/slow_start.rs
 
 # ---- Of the program; --check looks for each in the source ------------------------------------------------------------
 
