--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -1,217 +1,217 @@
-//! The ramp of a cold replica holds for the fleet: many modules side by side, with uneven load, and what they send to
-//! one cold replica together, over any window, against what the settings allow it.
+//! Slow start: how much a replica that is warming up gets, from one coordinator and from a fleet of them.
+
+mod fleet_simulation;
+mod support;
 
-use cottonhill_decisions::Coordinator;
 use cottonhill_decisions::{
-    Action, Class, Endpoint, EndpointStatus, EndpointUpdateKind, Event, LoadReport, Outcome,
-    ReplicaId, Settings,
+    Action, Endpoint, EndpointStatus, EndpointUpdateKind, Outcome, ReplicaId, RetryBudget, Settings,
 };
-use std::collections::{BTreeMap, VecDeque};
-
-const MS: u64 = 1_000_000;
-const START: u64 = 100_000 * MS;
-const STEP: u64 = 10;
-/// What one warm replica can do in a second.
-const CAPACITY: f64 = 60.0;
-const REPLICAS: u64 = 8;
-const COLD: ReplicaId = ReplicaId(100);
-
-#[derive(Clone, Copy, Debug)]
-struct Fleet {
-    modules: u32,
-    seed: u64,
-    /// Of what all replicas can do, the share that clients ask for, and the one that the tenants' allowances tell of.
-    load: f64,
-    told: f64,
-    /// How long all modules have run before one replica is replaced.
-    warm_up: u64,
-    /// Whether clients come in bursts that all modules see at once.
-    bursts: bool,
-    /// From the replacement on the shard of the cold replica is asked for so many times as often.
-    hot: f64,
-}
+use fleet_simulation::{find_worst_window, Fleet};
+use support::{complete_only_settings, ready_endpoint, sent_parts, Harness, MS, START};
 
-fn settings(fleet: Fleet) -> Settings {
+/// A replica starts with a fifth of its capacity, has all of it after 10 s, and fails at four times its present one.
+fn slow_start_settings() -> Settings {
     Settings {
-        classes: vec![Class {
-            latency_objective: 2000 * MS,
-            deadline: 4000 * MS,
-            completeness_threshold: 1.0,
-            minimum_coverage: 1.0,
-            ..Class::default()
-        }],
-        cells: 2,
-        replication_factor: 1,
-        max_parts_per_call: Some(1),
-        fleet_size: fleet.modules,
-        batch_interval: 5 * MS,
-        max_attempts: Some(4),
-        cancellation_enabled: true,
-        hedging_enabled: true,
-        max_retry_after: 500 * MS,
-        slow_start_initial_capacity: Some(0.25),
-        slow_start_duration: 6000 * MS,
-        overload_multiple: Some(2.0),
-        overload_window: 1500 * MS,
-        fleet_rate_limit: fleet.told * CAPACITY * REPLICAS as f64,
-        ..Settings::default()
+        fleet_size: 1,
+        slow_start_initial_capacity: Some(0.2),
+        slow_start_duration: 10_000 * MS,
+        overload_multiple: Some(4.0),
+        overload_window: 1000 * MS,
+        ..complete_only_settings()
     }
 }
 
-fn member(replica: ReplicaId, cell: u16, status: EndpointStatus, started: u64) -> Endpoint {
+/// A replica that starts as the test begins.
+fn warming_endpoint() -> Endpoint {
     Endpoint {
-        replica,
-        cell,
-        zone: 0,
-        started,
-        status,
+        started: START - MS,
+        ..ready_endpoint(1)
     }
 }
 
-/// When parts went to the cold replica, in ms after its start.
-fn sent_to_the_cold_one(fleet: Fleet) -> Vec<u64> {
-    let mut random = fastrand::Rng::with_seed(fleet.seed);
-    let all = settings(fleet);
-    let mut modules: Vec<Coordinator> = (0..fleet.modules)
-        .map(|i| Coordinator::new(all.clone(), fleet.seed * 7919 + u64::from(i)))
-        .collect();
-    // Some see several times the mean.
-    let weights: Vec<f64> = modules
+/// A second replica, which starts 10 s after the test has begun.
+fn later_warming_endpoint() -> Endpoint {
+    Endpoint {
+        started: START + 9_990 * MS,
+        ..ready_endpoint(2)
+    }
+}
+
+fn parts_sent_to(actions: &[Action], replica: ReplicaId) -> usize {
+    sent_parts(actions)
         .iter()
-        .map(|_| [0.4, 0.6, 1.0, 2.5][random.usize(..4)])
-        .collect();
-    let total: f64 = weights.iter().sum();
-    let rate = fleet.load * CAPACITY * REPLICAS as f64 * STEP as f64 / 1000.0;
-    let mut due: VecDeque<(u64, usize, u64, u8, ReplicaId)> = VecDeque::new();
-    // Attempts made so far, by part: each ends under its own number.
-    let mut attempts: BTreeMap<u64, u8> = BTreeMap::new();
-    // One replica in cell 0, the rest in cell 1: nobody else holds the shard of the one that is replaced.
-    let list: Vec<Endpoint> = (1..=REPLICAS)
-        .map(|r| member(ReplicaId(r), u16::from(r > 1), EndpointStatus::Ready, 0))
-        .collect();
-    for module in &mut modules {
-        module.process_batch(
-            START,
-            &[Event::EndpointsUpdated {
-                kind: EndpointUpdateKind::Snapshot,
-                endpoints: list.clone(),
-            }],
-            &mut Vec::new(),
-        );
+        .filter(|sent| sent.replica == replica)
+        .count()
+}
+
+#[test]
+fn limits_burst_to_warming_replica() {
+    let mut harness = Harness::with_endpoints(slow_start_settings(), vec![warming_endpoint()]);
+    let burst: usize = (0..50)
+        .map(|at_ms| sent_parts(&harness.send_query(at_ms, 0, &[0.5, 0.5]).1).len())
+        .sum();
+    assert!(
+        burst <= 3,
+        "{burst} parts sent to a warming replica at once"
+    );
+}
+
+#[test]
+fn slow_start_limit_recovers_with_time() {
+    let mut harness = Harness::with_endpoints(slow_start_settings(), vec![warming_endpoint()]);
+    let (_, first) = harness.send_query(0, 0, &[1.0]);
+    assert_eq!(sent_parts(&first).len(), 1);
+    let (_, second) = harness.send_query(10, 0, &[1.0]);
+    assert_eq!(sent_parts(&second).len(), 0);
+    assert!(
+        !sent_parts(&harness.run_timers(1020, 1500)).is_empty(),
+        "the limit allows more without a further query"
+    );
+}
+
+/// Dozens of coordinators, each with one part a window, would overload a warming replica together.
+#[test]
+fn coordinators_share_capacity_of_warming_replica() {
+    let fleet_of_fifty = Settings {
+        fleet_size: 50,
+        ..slow_start_settings()
+    };
+    let mut parts = 0;
+    for seed in 0..50 {
+        let mut harness = Harness::without_endpoints(fleet_of_fifty.clone(), seed);
+        harness.update_endpoints(EndpointUpdateKind::Snapshot, vec![warming_endpoint()]);
+        let (_, actions) = harness.send_query(0, 0, &[1.0]);
+        parts += sent_parts(&actions).len();
     }
-    let (mut next, mut sent) = (0u64, Vec::new());
-    let start = fleet.warm_up;
-    for ms in (0..start + 6_000).step_by(STEP as usize) {
-        let now = START + ms * MS;
-        let mut events: Vec<Vec<Event>> = modules.iter().map(|_| Vec::new()).collect();
-        if ms == start {
-            let endpoints = vec![
-                member(ReplicaId(1), 0, EndpointStatus::Gone, 0),
-                member(COLD, 0, EndpointStatus::Ready, now - MS),
-            ];
-            events.iter_mut().for_each(|e| {
-                e.push(Event::EndpointsUpdated {
-                    kind: EndpointUpdateKind::Delta,
-                    endpoints: endpoints.clone(),
-                });
-            });
-        }
-        while due.front().is_some_and(|(at, ..)| *at <= ms) {
-            let (_, i, part, attempt, replica) = due.pop_front().unwrap();
-            let report = LoadReport::new();
-            events[i].push(Event::AttemptEnded {
-                part,
-                attempt,
-                replica,
-                outcome: Outcome::Ok,
-                report,
-            });
-        }
-        // Bursts: nothing for 200 ms, then all of it.
-        let rate = match (fleet.bursts, ms % 200) {
-            (false, _) => rate,
-            (true, 0) => rate * 200.0 / STEP as f64,
-            (true, _) => 0.0,
-        };
-        for (i, weight) in weights.iter().enumerate() {
-            let mut asked =
-                |mean: f64| mean.floor() as u64 + u64::from(random.f64() < mean.fract());
-            let cold = if ms >= start { fleet.hot } else { 1.0 } / REPLICAS as f64;
-            let others = asked(rate * weight / total * (1.0 - 1.0 / REPLICAS as f64));
-            for n in 0..others + asked(rate * weight / total * cold) {
-                next += 2;
-                let (id, group) = (next, next as u32);
-                let shard = u32::from(n < others);
-                let client_timeout = 4000 * MS;
-                events[i].push(Event::QueryReceived {
-                    id,
-                    group,
-                    class: 0,
-                    tenant: 0,
-                    client_timeout,
-                    network_delay: 0,
-                    work: None,
-                    client_retry: false,
-                });
-                events[i].push(Event::PartReceived {
-                    id: id + 1,
-                    group,
-                    shard,
-                    weight: 1.0,
-                });
-            }
-        }
-        for (i, module) in modules.iter_mut().enumerate() {
-            let mut actions = Vec::new();
-            if events[i].is_empty() {
-                events[i].push(Event::TimerFired { token: 0 });
-            }
-            module.process_batch(now, &events[i], &mut actions);
-            for action in actions {
-                if let Action::Send { part, replica, .. } = action {
-                    let attempt = attempts.entry(part).or_default();
-                    due.push_back((ms + 50, i, part, *attempt, replica));
-                    *attempt += 1;
-                    if replica == COLD {
-                        sent.push(ms - start);
-                    }
-                }
-            }
+    assert!(
+        parts <= 5,
+        "{parts} parts at once from fifty that have just started"
+    );
+}
+
+/// The retry budget keeps sends for longer than the overload window; what a warming replica may get must not be
+/// derived from all of them.
+#[test]
+fn long_retry_budget_window_does_not_raise_slow_start_limit() {
+    let long_budget = Settings {
+        retry_budget: Some(RetryBudget {
+            minimum: 10.0,
+            ratio: 0.2,
+            window: 10_000 * MS,
+        }),
+        ..slow_start_settings()
+    };
+    let mut harness = Harness::new(long_budget, 1);
+    for i in 0..100 {
+        harness.serve_query(i * 100, 50);
+    }
+    harness.update_endpoints(EndpointUpdateKind::Delta, vec![later_warming_endpoint()]);
+    let to_warming: usize = (0..40)
+        .map(|i| parts_sent_to(&harness.send_query(10_000 + i, 0, &[1.0]).1, ReplicaId(2)))
+        .sum();
+    assert!(
+        (1..=6).contains(&to_warming),
+        "{to_warming} parts for one that bears about four"
+    );
+}
+
+/// Sends a query each 20 ms for a second, each of which is answered after this time where that is given; how many
+/// parts are sent with each query.
+fn parts_sent_in_a_second(
+    harness: &mut Harness,
+    from_ms: u64,
+    latency_ms: Option<u64>,
+) -> Vec<usize> {
+    let mut parts = Vec::new();
+    for at_ms in (0..50).map(|i| from_ms + i * 20) {
+        let (id, actions) = harness.send_query(at_ms, 0, &[1.0]);
+        let sent = sent_parts(&actions);
+        parts.push(sent.len());
+        if let (Some(latency_ms), Some(first)) = (latency_ms, sent.first()) {
+            harness.end_attempt(at_ms + latency_ms, id + 1, 0, first.replica, Outcome::Ok);
         }
     }
-    sent
+    parts
 }
 
-/// By how much the worst window exceeds its budget, in what is put down to chance; up to 1 is chance.
-fn worst(fleet: Fleet) -> (f64, usize, f64) {
-    let all = settings(fleet);
-    let (span, cold) = (all.overload_window / MS, all.slow_start_duration / MS);
-    let sent = sent_to_the_cold_one(fleet);
-    let (from, multiple) = (
-        all.slow_start_initial_capacity.unwrap(),
-        all.overload_multiple.unwrap(),
+/// Parts that the only replica gets in its first second.
+fn parts_sent_to_warming_replica(fleet_rate_limit: f64, latency_ms: Option<u64>) -> usize {
+    let settings = Settings {
+        fleet_rate_limit,
+        ..slow_start_settings()
+    };
+    let mut harness = Harness::with_endpoints(settings, vec![warming_endpoint()]);
+    parts_sent_in_a_second(&mut harness, 0, latency_ms)
+        .iter()
+        .sum()
+}
+
+/// A coordinator that has just started, or that rarely meets each of many replicas, has seen little load to derive a
+/// limit from: without the rate limit, warming replicas would stand idle while the others are overloaded.
+#[test]
+fn slow_start_limit_follows_fleet_rate_limit() {
+    assert!(parts_sent_to_warming_replica(0.0, None) <= 3);
+    // 50 a second are admitted; at a fifth of its capacity the replica bears 10, and four times that overloads it.
+    let with_rate_limit = parts_sent_to_warming_replica(50.0, None);
+    assert!((15..=40).contains(&with_rate_limit), "{with_rate_limit}");
+    assert!(parts_sent_to_warming_replica(25.0, None) < with_rate_limit);
+}
+
+#[test]
+fn fast_answers_raise_limit_of_warming_replica() {
+    let unanswered = parts_sent_to_warming_replica(25.0, None);
+    let answered = parts_sent_to_warming_replica(25.0, Some(10));
+    assert!(
+        answered > unanswered + unanswered / 4,
+        "{answered} and {unanswered}"
     );
-    let mut worst = (f64::MIN, 0, 0.0);
-    for end in (STEP..cold).step_by(STEP as usize) {
-        let since = (end + STEP).saturating_sub(span);
-        let count = sent.iter().filter(|at| (since..=end).contains(at)).count();
-        // What it can do grows evenly; the middle of the window is its mean.
-        let warmth = from + (1.0 - from) * (end as f64 - span as f64 / 2.0).max(0.0) / cold as f64;
-        let budget = multiple * warmth * CAPACITY * span as f64 / 1000.0;
-        let over = (count as f64 - budget) / (2.0 * budget.sqrt() + 2.0);
-        if over > worst.0 {
-            worst = (over, count, budget);
-        }
+    assert!(answered <= 40, "{answered}");
+}
+
+/// The load that was answered is one that all replicas bear, and the whole overload multiple of it is used already:
+/// any more would overload the warming replica.
+#[test]
+fn fast_answers_do_not_raise_limit_derived_from_answered_load() {
+    let mut harness = Harness::new(slow_start_settings(), 1);
+    for i in 0..100 {
+        harness.serve_query(i * 100, 50);
     }
-    worst
+    let gone = Endpoint {
+        status: EndpointStatus::Gone,
+        ..ready_endpoint(1)
+    };
+    let replacement = vec![gone, later_warming_endpoint()];
+    harness.update_endpoints(EndpointUpdateKind::Delta, replacement);
+    let parts = parts_sent_in_a_second(&mut harness, 10_000, Some(10));
+    let admitted = parts.iter().filter(|parts| **parts > 0).count();
+    assert!(
+        (4..=13).contains(&admitted),
+        "{admitted} queries for one that bears about ten"
+    );
 }
 
 #[test]
-fn a_fleet_keeps_to_what_a_cold_replica_bears_over_any_window() {
+fn fleet_stays_within_capacity_of_warming_replica_over_any_window() {
     let mut failed = Vec::new();
-    for modules in [20, 30, 300] {
-        for (load, told, warm_up, bursts) in [
-            // Nothing is told: the guide is what was answered, up to all that the replicas can do.
+    for fleet in simulated_fleets() {
+        let worst = find_worst_window(fleet);
+        let summary = format!(
+            "{fleet:?}: {} parts where {:.0} are allowed",
+            worst.parts, worst.budget
+        );
+        eprintln!("{summary}, {:.2} of what is chance", worst.excess);
+        if worst.excess > 1.0 {
+            failed.push(summary);
+        }
+    }
+    assert!(failed.is_empty(), "{failed:#?}");
+}
+
+fn simulated_fleets() -> Vec<Fleet> {
+    let mut fleets = Vec::new();
+    for coordinators in [20, 30, 300] {
+        for (demand, rate_limit, warm_up_ms, bursts) in [
+            // Without a rate limit the limit follows what was answered, up to all that the replicas can do.
             (1.0, 0.0, 24_000, false),
             (1.0, 0.0, 24_000, true),
             (0.6, 0.94, 24_000, false),
@@ -221,26 +221,17 @@
             (0.9, 0.94, 100, false),
         ] {
             for seed in 1..=2 {
-                let fleet = Fleet {
-                    modules,
+                fleets.push(Fleet {
+                    coordinators,
                     seed,
-                    load,
-                    told,
-                    warm_up,
+                    demand,
+                    rate_limit,
+                    warm_up_ms,
                     bursts,
-                    hot: 10.0,
-                };
-                let (over, count, budget) = worst(fleet);
-                eprintln!(
-                    "{fleet:?}: {count} parts where {budget:.0} are allowed, {over:.2} of what is chance"
-                );
-                if over > 1.0 {
-                    failed.push(format!(
-                        "{fleet:?}: {count} parts where {budget:.0} are allowed"
-                    ));
-                }
+                    hot_shard_factor: 10.0,
+                });
             }
         }
     }
-    assert!(failed.is_empty(), "{failed:#?}");
+    fleets
 }
