--- /dev/null
+++ b/crates/mixer/src/reducer/descriptor_budget.rs
@@ -0,0 +1,58 @@
+//! How the file descriptors of the process are shared out, so that neither clients nor leaf servers can take those
+//! that the other needs.
+
+use std::ops::RangeInclusive;
+
+/// The percentage of the descriptors that connections to leaf servers may take.
+const LEAF_CONNECTIONS_PERCENT: usize = 40;
+/// The percentage that clients may take.
+const CLIENTS_PERCENT: usize = 45;
+/// Descriptors that neither may take, however few there are: standard streams, the runtime and its signals, the
+/// listeners, the usage log, a file that is read again, and two watches on discovery where one replaces another.
+const RESERVED_DESCRIPTORS: usize = 20;
+/// The share of the descriptors that clients which are being closed may take beside those that are served: one in so
+/// many, within [`CLOSING_CLIENTS_RANGE`]. Unbounded, a flood of clients would exhaust the descriptors.
+const CLOSING_CLIENTS_DIVISOR: usize = 32;
+const CLOSING_CLIENTS_RANGE: RangeInclusive<usize> = 2..=16;
+
+/// The most descriptors that each kind of connection may take.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct DescriptorBudget {
+    leaf_connections: usize,
+    clients: usize,
+    closing_clients: usize,
+}
+
+impl DescriptorBudget {
+    /// Shares out this number of descriptors. Each kind gets one at least.
+    pub(super) fn new(descriptors: usize) -> DescriptorBudget {
+        let closing_clients = (descriptors / CLOSING_CLIENTS_DIVISOR)
+            .clamp(*CLOSING_CLIENTS_RANGE.start(), *CLOSING_CLIENTS_RANGE.end());
+        let shared = descriptors.saturating_sub(RESERVED_DESCRIPTORS + closing_clients);
+        let leaf_connections =
+            shared * LEAF_CONNECTIONS_PERCENT / (LEAF_CONNECTIONS_PERCENT + CLIENTS_PERCENT);
+        let clients = (shared - leaf_connections).min(descriptors * CLIENTS_PERCENT / 100);
+        DescriptorBudget {
+            leaf_connections: leaf_connections
+                .min(descriptors * LEAF_CONNECTIONS_PERCENT / 100)
+                .max(1),
+            clients: clients.max(1),
+            closing_clients,
+        }
+    }
+
+    /// The most connections to leaf servers.
+    pub(super) fn leaf_connections(&self) -> usize {
+        self.leaf_connections
+    }
+
+    /// The most clients that are served.
+    pub(super) fn clients(&self) -> usize {
+        self.clients
+    }
+
+    /// The most clients, those included that are being closed to make room.
+    pub(super) fn clients_with_closing(&self) -> usize {
+        self.clients + self.closing_clients
+    }
+}
--- a/crates/mixer/src/reducer/mod.rs
+++ b/crates/mixer/src/reducer/mod.rs
@@ -3,12 +3,16 @@
 
 mod backoff;
 pub mod counters;
+mod descriptor_budget;
 pub mod effect;
 pub mod input;
 pub mod leaf_connection;
+mod lifecycle;
+mod probes;
 pub mod replica_table;
 pub mod replicas;
 mod state;
+mod timers;
 pub mod usage;
 pub mod watch_policy;
 
--- a/crates/mixer/src/reducer/state/attempts.rs
+++ b/crates/mixer/src/reducer/state/attempts.rs
@@ -1,9 +1,11 @@
 //! Attempts and probes, from the decision to the one end of each.
 
-use super::{Alarm, Attempt, Part, Probe, Reducer, IDLE_TENTHS, MS};
+use super::{Attempt, Part, Reducer, IDLE_TENTHS, MS};
 use crate::log_targets;
 use crate::protocol::leaf_frames::{CallPart, LeafRequest};
 use crate::reducer::leaf_connection::{AttemptId, Job};
+use crate::reducer::probes::{Probe, ProbeId};
+use crate::reducer::timers::Timer;
 use crate::reducer::{ConnectionId, Effect};
 use cottonhill_decisions::{
     EndpointStatus, Event, LoadReport, Nanos, Outcome, ReplicaId, RequestId,
@@ -56,7 +58,7 @@
             );
         }
         self.pending.insert(connection);
-        self.alarms.insert((until, Alarm::Attempt(attempt)));
+        self.timers.set(until, Timer::AttemptDeadline(attempt));
         self.attempts.insert(
             attempt,
             Attempt {
@@ -91,7 +93,8 @@
         let Some(attempt) = self.attempts.remove(&id) else {
             return;
         };
-        self.alarms.remove(&(attempt.until, Alarm::Attempt(id)));
+        self.timers
+            .cancel(attempt.until, Timer::AttemptDeadline(id));
         if let Some(part) = self
             .parts
             .get_mut(&id.0)
@@ -191,8 +194,8 @@
         let Job::Call(call) = job else { return };
         for ((id, number), _) in call {
             if let Some(until) = self.repeat_until(*id) {
-                self.alarms
-                    .insert((until.max(now), Alarm::Stuck(connection, now)));
+                self.timers
+                    .set(until.max(now), Timer::WriteStalled(connection, now));
             }
             let bounded = self
                 .parts
@@ -240,7 +243,7 @@
                     let due = now + self.site.connection_idle_timeout / 10 * IDLE_TENTHS;
                     if it.idle_alarm.is_none() {
                         it.idle_alarm = Some(due);
-                        self.alarms.insert((due, Alarm::Idle(connection)));
+                        self.timers.set(due, Timer::IdleTimeout(connection));
                     }
                 }
             }
@@ -317,29 +320,37 @@
             it.queue_probe(probe);
         }
         self.pending.insert(connection);
-        self.alarms
-            .insert((now + self.site.connect_timeout, Alarm::Probe(probe)));
+        self.timers
+            .set(now + self.site.connect_timeout, Timer::ProbeTimeout(probe));
         self.probes.insert(
             probe,
             Probe {
                 replica,
                 connection,
-                asked: now,
+                queued_at: now,
             },
         );
     }
 
-    pub(super) fn probe_ended(&mut self, now: Nanos, probe: u64, outcome: Outcome, report: &str) {
+    pub(super) fn probe_ended(
+        &mut self,
+        now: Nanos,
+        probe: ProbeId,
+        outcome: Outcome,
+        report: &str,
+    ) {
         let Some(Probe {
             replica,
             connection,
-            asked,
+            queued_at,
         }) = self.probes.remove(&probe)
         else {
             return;
         };
-        self.alarms
-            .remove(&(asked + self.site.connect_timeout, Alarm::Probe(probe)));
+        self.timers.cancel(
+            queued_at + self.site.connect_timeout,
+            Timer::ProbeTimeout(probe),
+        );
         if let Some((_, it)) = self.connections.get_mut(&connection) {
             it.drop_probe(probe);
         }
@@ -347,7 +358,7 @@
         self.events.push(Event::ProbeEnded {
             replica,
             outcome,
-            latency: now.saturating_sub(asked),
+            latency: now.saturating_sub(queued_at),
             report,
         });
     }
--- a/crates/mixer/src/reducer/state/clients.rs
+++ b/crates/mixer/src/reducer/state/clients.rs
@@ -1,14 +1,14 @@
 //! Clients: their connections, what they ask, and the replies.
 
 use super::{
-    Alarm, Attempt, Client, Part, Query, Reducer, CLIENT_IDLE, CLOSED_AT_ONCE, GONE_BEGINS, MARGIN,
-    MS,
+    Attempt, Client, Part, Query, Reducer, CLIENT_IDLE, CLOSED_AT_ONCE, GONE_BEGINS, MARGIN, MS,
 };
 use crate::log_targets;
 use crate::protocol::http::RequestError;
 use crate::protocol::query_json::{ClientRequest, QueryRequest, Reply};
 use crate::reducer::counters::Stats;
 use crate::reducer::leaf_connection::AttemptId;
+use crate::reducer::timers::Timer;
 use crate::reducer::usage::QueryOutcome;
 use crate::reducer::{ClientId, Effect};
 use cottonhill_decisions::{Event, Nanos, RequestId};
@@ -24,13 +24,13 @@
                 ..Client::default()
             },
         );
-        if self.closing {
+        if self.lifecycle.is_draining() {
             // Accepted as the listener went: without a request on it, it would hold up the end.
             self.effects.push(Effect::CloseClient {
                 client,
                 immediate: false,
             });
-        } else if self.clients.len() > self.room.clients / 2 {
+        } else if self.clients.len() > self.descriptor_budget.clients() / 2 {
             self.make_room(now, client);
         }
     }
@@ -39,7 +39,7 @@
     /// used, then those that have been idle for longest. Each is asked once: many may come before the first
     /// one asked has gone.
     pub(super) fn make_room(&mut self, now: Nanos, newest: ClientId) {
-        let full = self.clients.len() > self.room.clients;
+        let full = self.clients.len() > self.descriptor_budget.clients();
         let spare = |c: &Client| c.known && now.saturating_sub(c.since) >= CLIENT_IDLE;
         let idle = |id: &ClientId, c: &Client| c.query.is_none() && !c.closing && *id != newest;
         let idle = self
@@ -69,7 +69,7 @@
         match asked {
             Ok(ClientRequest::Query(query)) => self.take_query(now, client, arrived, query),
             Ok(ClientRequest::Ready) => {
-                let ready = self.listed && !self.unheard && self.terminated.is_none();
+                let ready = self.lifecycle.is_ready();
                 self.reply(now, client, Reply::Ready(ready));
             }
             Ok(ClientRequest::Stats) => {
@@ -131,9 +131,9 @@
         }
         let spent = now.saturating_sub(arrived) + MARGIN;
         let mut patience = asked.timeout.saturating_sub(spent);
-        if let Some(at) = self.terminated {
+        if let Some(deadline) = self.lifecycle.shutdown_deadline() {
             // What comes during the grace must be over before a kill can follow.
-            patience = patience.min((at + self.ending()).saturating_sub(now));
+            patience = patience.min(deadline.saturating_sub(now));
         }
         if patience == 0 {
             self.counters.taken.too_late += 1;
@@ -195,7 +195,7 @@
         self.counters.taken.parts += parts.len() as u64;
         self.counters.taken.repeats += u64::from(asked.client_retry);
         let deadline = now + patience;
-        self.alarms.insert((deadline, Alarm::LastMoment(id)));
+        self.timers.set(deadline, Timer::QueryDeadline(id));
         let name: Rc<str> = asked.request_id.as_str().into();
         self.names.insert(name.clone());
         let (key, repeat) = (self.join_key(&asked), asked.client_retry);
@@ -246,8 +246,10 @@
                 .call_given()
                 .filter(|_| query.parts.iter().any(|part| it.is_writing(*part)))
             {
-                self.alarms
-                    .insert((now + GONE_BEGINS / 2, Alarm::Stuck(*connection, given)));
+                self.timers.set(
+                    now + GONE_BEGINS / 2,
+                    Timer::WriteStalled(*connection, given),
+                );
             }
         }
     }
@@ -257,7 +259,7 @@
             return;
         };
         (state.query, state.since) = (None, now);
-        let close = self.closing || state.closing;
+        let close = self.lifecycle.is_draining() || state.closing;
         self.effects.push(Effect::Reply {
             client,
             reply,
@@ -281,7 +283,7 @@
                 self.end_attempt(now, waiting, cottonhill_decisions::Outcome::Cancelled);
             }
         }
-        self.alarms.remove(&(query.deadline, Alarm::LastMoment(id)));
+        self.timers.cancel(query.deadline, Timer::QueryDeadline(id));
         self.names.remove(&query.name);
         self.note_over(id, query.arrived);
         let parts: Vec<Part> = query
--- a/crates/mixer/src/reducer/state/connections.rs
+++ b/crates/mixer/src/reducer/state/connections.rs
@@ -1,11 +1,12 @@
 //! Leaf servers: the list, the connections and what comes in on them.
 
-use super::{Alarm, Reducer, MS};
+use super::{Reducer, MS};
 use crate::log_targets;
 use crate::protocol::endpoint_updates::EndpointUpdate;
 use crate::protocol::leaf_frames::{LeafResponse, PartStatus};
 use crate::reducer::leaf_connection::{Answered, LeafConnection, Phase};
 use crate::reducer::replicas::Change;
+use crate::reducer::timers::Timer;
 use crate::reducer::{ConnectionId, Effect, UpdateFault, WatchEvent};
 use cottonhill_decisions::{
     EndpointUpdateKind, Event, LoadReport, Nanos, Outcome, ReplicaId, RequestId,
@@ -43,7 +44,9 @@
             "list taken"
         );
         self.heard = now;
-        self.listed |= self.replicas.any_ready();
+        if self.replicas.any_ready() {
+            self.lifecycle.on_ready_endpoint();
+        }
         // A whole list comes as what it changes too: whom it leaves out is among its members as gone.
         self.events.push(Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Delta,
@@ -60,7 +63,7 @@
         for connection in left {
             self.withdraw(now, connection);
         }
-        if self.unheard {
+        if self.lifecycle.is_awaiting_discovery() {
             self.hear_first(now);
         }
     }
@@ -73,7 +76,7 @@
         if let Some(given) = it.call_given() {
             // Half of the grace is for the socket to say that it took the call, the other for the connection to go.
             let due = now + (self.site.drain_grace / 2).max(LEAST_STUCK);
-            self.alarms.insert((due, Alarm::Stuck(connection, given)));
+            self.timers.set(due, Timer::WriteStalled(connection, given));
         }
         let unsent = it.unsent();
         self.counters.watches.withdrawn += unsent.len() as u64;
@@ -125,7 +128,7 @@
     /// The first list of this life is in, or is not waited for any longer: what came until now is decided. Its time
     /// has gone on meanwhile.
     pub(super) fn hear_first(&mut self, now: Nanos) {
-        self.unheard = false;
+        self.lifecycle.on_discovery_settled();
         for event in &mut self.events {
             let Event::QueryReceived {
                 id,
@@ -158,9 +161,8 @@
             // Its versions are its own: they do not compare with that of the list in force.
             from_version = None;
             let settled = self.replicas.moved(now);
-            self.alarms
-                .retain(|(_, alarm)| !matches!(alarm, Alarm::Settled(_)));
-            self.alarms.insert((settled, Alarm::Settled(address)));
+            self.timers.cancel_switch_settled();
+            self.timers.set(settled, Timer::SwitchSettled(address));
         }
         self.effects.push(Effect::WatchEndpoints {
             address,
@@ -271,7 +273,7 @@
             return;
         };
         if let Some(at) = it.idle_alarm {
-            self.alarms.remove(&(at, Alarm::Idle(connection)));
+            self.timers.cancel(at, Timer::IdleTimeout(connection));
         }
         self.replicas.disconnect(id, connection);
         let (attempts, probes) = it.end();
@@ -303,7 +305,7 @@
     }
 
     pub(super) fn open_link(&mut self, now: Nanos, id: ReplicaId) -> Option<ConnectionId> {
-        if self.connections.len() >= self.room.connections && !self.evict(now) {
+        if self.connections.len() >= self.descriptor_budget.leaf_connections() && !self.evict(now) {
             return None;
         }
         let connection = self.id();
@@ -315,8 +317,10 @@
         self.counters.connections.opened += 1;
         self.connections
             .insert(connection, (id, LeafConnection::new(now)));
-        self.alarms
-            .insert((now + self.site.connect_timeout, Alarm::Connect(connection)));
+        self.timers.set(
+            now + self.site.connect_timeout,
+            Timer::ConnectTimeout(connection),
+        );
         Some(connection)
     }
 
--- a/crates/mixer/src/reducer/state/mod.rs
+++ b/crates/mixer/src/reducer/state/mod.rs
@@ -7,10 +7,14 @@
 mod usage;
 
 use super::counters::Counters;
+use super::descriptor_budget::DescriptorBudget;
 use super::effect::Effect;
 use super::input::{ClientId, ConnectionId, Input};
 use super::leaf_connection::{AttemptId, LeafConnection, Phase};
+use super::lifecycle::Lifecycle;
+use super::probes::Probes;
 use super::replicas::Replicas;
+use super::timers::{Timer, Timers};
 use super::usage::DeduplicationKey;
 use super::watch_policy::{WatchMode, WatchPolicy};
 use crate::protocol::endpoint_updates::EndpointUpdate;
@@ -22,7 +26,6 @@
     Settings,
 };
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use usage::Recording;
@@ -30,27 +33,8 @@
 const MS: Nanos = 1_000_000;
 /// Taken off what a client waits: the ways there and back and a late turn of ours.
 const MARGIN: Nanos = 8 * MS;
-/// After SIGTERM new connections still arrive and clients use theirs for 0.7 s: so long all goes on.
-const GRACE: Nanos = 750 * MS;
-/// The kill follows no earlier than this after SIGTERM and the longest deadline, which counts as 3 s where it is
-/// longer. The last words leave a little before it.
-const KILL: Nanos = 700 * MS;
-const LONGEST_DEADLINE: Nanos = 3_000 * MS;
-const LAST_WORDS: Nanos = 100 * MS;
 /// An attempt for a client that has gone may not begin later than this.
 const GONE_BEGINS: Nanos = 100 * MS;
-/// Of the descriptors, the hundredths that connections to leaf servers may take, and those that clients
-/// may: more than the third that good ones use at most, so that others do not cost them their place.
-const LINK_HUNDREDTHS: usize = 40;
-const CLIENT_HUNDREDTHS: usize = 45;
-/// Descriptors that neither may take, however few there are: standard streams, what the runtime and the signals need,
-/// the listeners, the log of use, a file that is read again, and two watches on discovery where one follows another.
-const OWN_DESCRIPTORS: usize = 20;
-/// Clients' connections above the most at which no more is accepted: so many are being closed to make room. Were
-/// there no end to it, a flood would take the descriptors that the rest needs.
-const CLOSING: (usize, usize) = (2, 16);
-/// Of the descriptors, the share that such ones may be, within those bounds.
-const CLOSING_SHARE: usize = 32;
 /// From half of what clients may take on, one that has said nothing for so long after an answer is closed.
 const CLIENT_IDLE: Nanos = 2_000 * MS;
 /// Connections closed for each that opens, as long as there are any to close: what piles up goes faster
@@ -113,32 +97,6 @@
     closing: bool,
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Alarm {
-    Wake(u64),
-    Attempt(AttemptId),
-    Connect(ConnectionId),
-    Idle(ConnectionId),
-    Probe(u64),
-    LastMoment(RequestId),
-    Mark,
-    GraceOver,
-    End,
-    /// Discovery has had its time to say what holds at the start.
-    Unheard,
-    /// What a discovery at a new address announces counts as its present list from now on.
-    Settled(SocketAddr),
-    /// A call that the socket had at this time and that may not begin any later.
-    Stuck(ConnectionId, Nanos),
-}
-
-#[derive(Debug)]
-struct Probe {
-    replica: ReplicaId,
-    connection: ConnectionId,
-    asked: Nanos,
-}
-
 /// All that the mixer knows and is doing.
 pub struct Reducer {
     site: MixerSettings,
@@ -146,7 +104,7 @@
     module: Coordinator,
     events: Vec<Event>,
     effects: Vec<Effect>,
-    alarms: BTreeSet<(Nanos, Alarm)>,
+    timers: Timers,
     replicas: Replicas,
     connections: BTreeMap<ConnectionId, (ReplicaId, LeafConnection)>,
     clients: BTreeMap<ClientId, Client>,
@@ -157,53 +115,24 @@
     /// Of the open queries.
     names: BTreeSet<Rc<str>>,
     attempts: BTreeMap<AttemptId, Attempt>,
-    probes: BTreeMap<u64, Probe>,
+    probes: Probes,
     /// Numbers given out so far: to requests, connections, probes, and to queries as groups of parts.
     last_id: u64,
     last_group: u32,
     /// Links that have something to write, and those whose last call still takes parts of this turn.
     pending: BTreeSet<ConnectionId>,
     joining: BTreeSet<ConnectionId>,
-    room: Room,
+    descriptor_budget: DescriptorBudget,
     /// For each class: how long after the first attempt that may have run another may begin, where that is bounded.
     repeat_windows: Vec<Option<Nanos>>,
-    /// Clients' connections are accepted.
-    listening: bool,
-    listed: bool,
-    /// The list in force is the remembered one of an earlier process, and nothing is sent on it yet.
-    unheard: bool,
+    lifecycle: Lifecycle,
     /// When discovery last showed a sign of life.
     heard: Nanos,
-    terminated: Option<Nanos>,
-    closing: bool,
-    exited: bool,
     counters: Counters,
     /// Set where use is recorded.
     recording: Option<Recording>,
 }
 
-/// How the descriptors are shared out.
-#[derive(Clone, Copy, Debug)]
-struct Room {
-    connections: usize,
-    clients: usize,
-    closing: usize,
-}
-
-impl Room {
-    fn of(descriptors: usize) -> Room {
-        let closing = (descriptors / CLOSING_SHARE).clamp(CLOSING.0, CLOSING.1);
-        let rest = descriptors.saturating_sub(OWN_DESCRIPTORS + closing);
-        let connections = rest * LINK_HUNDREDTHS / (LINK_HUNDREDTHS + CLIENT_HUNDREDTHS);
-        let clients = (rest - connections).min(descriptors * CLIENT_HUNDREDTHS / 100);
-        Room {
-            connections: connections.min(descriptors * LINK_HUNDREDTHS / 100).max(1),
-            clients: clients.max(1),
-            closing,
-        }
-    }
-}
-
 /// How discovery announces changes, as the settings state it.
 fn way(site: &MixerSettings, settings: &Settings) -> WatchMode {
     if settings.discovery_mode == DiscoveryMode::Poll {
@@ -232,17 +161,19 @@
             Some(class.idempotency_window)
                 .filter(|_| class.idempotency == Idempotency::IdempotencyKey)
         };
+        let mut replicas = Replicas::new(site.zones.clone());
+        let members = replicas.take_copy(now, known).members;
+        let lifecycle = Lifecycle::new(replicas.any_ready(), &site.deadlines);
         let mut state = Reducer {
             repeat_windows: settings.classes.iter().map(window).collect(),
-            room: Room::of(descriptors),
-            listening: true,
-            replicas: Replicas::new(site.zones.clone()),
+            descriptor_budget: DescriptorBudget::new(descriptors),
+            replicas,
             watching: WatchPolicy::new(way(&site, &settings), seed, settings.fleet_size),
             site,
             module: Coordinator::new(settings, seed),
             events: Vec::new(),
             effects: Vec::new(),
-            alarms: BTreeSet::new(),
+            timers: Timers::default(),
             connections: BTreeMap::new(),
             clients: BTreeMap::new(),
             queries: BTreeMap::new(),
@@ -255,27 +186,20 @@
             last_group: 0,
             pending: BTreeSet::new(),
             joining: BTreeSet::new(),
-            listed: false,
-            unheard: false,
+            lifecycle,
             heard: now,
-            terminated: None,
-            closing: false,
-            exited: false,
             counters: Counters::default(),
             recording: None,
         };
-        let members = state.replicas.take_copy(now, known).members;
-        state.listed = state.replicas.any_ready();
         state.events.push(Event::EndpointsUpdated {
             kind: EndpointUpdateKind::CachedSnapshot,
             endpoints: members,
         });
-        state.turn(now);
-        state.unheard = true;
-        state.alarms.insert((
-            now + state.watching.initial_list_timeout().as_nanos() as Nanos,
-            Alarm::Unheard,
-        ));
+        state.decide(now);
+        let discovery_timeout = state.watching.initial_list_timeout().as_nanos() as Nanos;
+        state
+            .timers
+            .set(now + discovery_timeout, Timer::DiscoveryTimeout);
         state
     }
 
@@ -296,22 +220,22 @@
 
     /// Clients' connections that may be open, those that are being closed included.
     pub fn max_clients(&self) -> usize {
-        self.room.clients + self.room.closing
+        self.descriptor_budget.clients_with_closing()
     }
 
     /// When the next turn is due, whatever comes in until then.
     pub fn next_due(&self) -> Option<Nanos> {
-        if !self.events.is_empty() && !self.unheard {
+        if !self.events.is_empty() && !self.lifecycle.is_awaiting_discovery() {
             return Some(0);
         }
-        self.alarms.first().map(|(at, _)| *at)
+        self.timers.next_due()
     }
 
     /// What is held, in things of every kind: flat while the load is, whatever names come and go.
     pub fn retained_entries(&self) -> usize {
         let open = self.queries.len() + self.parts.len() + self.names.len() + self.attempts.len();
         let sockets = self.clients.len() + self.connections.len() + self.probes.len();
-        open + sockets + self.alarms.len() + self.replicas.known() + self.module.retained_entries()
+        open + sockets + self.timers.len() + self.replicas.known() + self.module.retained_entries()
     }
 
     pub fn counters(&self) -> &Counters {
@@ -357,12 +281,12 @@
                 self.events.push(Event::DatagramReceived { from, bytes })
             }
             Input::ConfigReloaded { discovery } => self.reloaded(now, discovery),
-            Input::ShutdownRequested => self.terminate(now),
-            Input::ListenerClosed => self.listening = false,
-            Input::ProcessBatch => self.turn(now),
+            Input::ShutdownRequested => self.request_shutdown(now),
+            Input::ListenerClosed => self.lifecycle.on_listener_closed(),
+            Input::ProcessBatch => self.process_batch(now),
         }
         self.pump(now);
-        self.leave();
+        self.exit_when_drained();
         std::mem::take(&mut self.effects)
     }
 
--- a/crates/mixer/src/reducer/state/turns.rs
+++ b/crates/mixer/src/reducer/state/turns.rs
@@ -1,24 +1,27 @@
 //! Turns: alarms that are due, the decisions, what they ask for, and the end.
 
-use super::{
-    usage, Alarm, Part, Query, Reducer, GRACE, IDLE_TENTHS, KILL, LAST_WORDS, LONGEST_DEADLINE,
-};
+use super::{usage, Part, Query, Reducer, IDLE_TENTHS};
 use super::{MOST_DATAGRAM, MS};
 use crate::log_targets;
 use crate::protocol::query_json::{Hit, Reply};
 use crate::reducer::leaf_connection::Phase;
+use crate::reducer::timers::Timer;
 use crate::reducer::Effect;
 use cottonhill_decisions::{Action, Event, Nanos, Outcome, RequestId};
 
 impl Reducer {
-    pub(super) fn turn(&mut self, now: Nanos) {
-        while let Some((at, alarm)) = self.alarms.first().copied().filter(|(at, _)| *at <= now) {
-            self.alarms.remove(&(at, alarm));
-            self.ring(now, alarm);
+    /// Fires the timers that are due, then decides on what has come in since the batch before.
+    pub(super) fn process_batch(&mut self, now: Nanos) {
+        while let Some(timer) = self.timers.pop_due(now) {
+            self.fire_timer(now, timer);
         }
-        if self.events.is_empty() || self.unheard {
-            return;
+        if !self.events.is_empty() && !self.lifecycle.is_awaiting_discovery() {
+            self.decide(now);
         }
+    }
+
+    /// Passes the events of this batch to the coordinator and performs its actions.
+    pub(super) fn decide(&mut self, now: Nanos) {
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
         self.module.process_batch(now, &events, &mut actions);
@@ -28,11 +31,11 @@
         self.joining.clear();
     }
 
-    pub(super) fn ring(&mut self, now: Nanos, alarm: Alarm) {
-        match alarm {
-            Alarm::Wake(token) => self.events.push(Event::TimerFired { token }),
-            Alarm::Attempt(id) => self.end_attempt(now, id, Outcome::TimedOut),
-            Alarm::Connect(connection) => {
+    fn fire_timer(&mut self, now: Nanos, timer: Timer) {
+        match timer {
+            Timer::Coordinator(token) => self.events.push(Event::TimerFired { token }),
+            Timer::AttemptDeadline(id) => self.end_attempt(now, id, Outcome::TimedOut),
+            Timer::ConnectTimeout(connection) => {
                 if self
                     .connections
                     .get(&connection)
@@ -42,7 +45,7 @@
                     self.close_link(now, connection);
                 }
             }
-            Alarm::Idle(connection) => {
+            Timer::IdleTimeout(connection) => {
                 let Some((_, it)) = self.connections.get_mut(&connection) else {
                     return;
                 };
@@ -51,22 +54,22 @@
                     it.idle_alarm = None;
                 } else if due > now {
                     it.idle_alarm = Some(due);
-                    self.alarms.insert((due, Alarm::Idle(connection)));
+                    self.timers.set(due, Timer::IdleTimeout(connection));
                 } else {
                     self.counters.connections.idle += 1;
                     self.close_link(now, connection);
                 }
             }
-            Alarm::Probe(probe) => self.probe_ended(now, probe, Outcome::TimedOut, ""),
-            Alarm::LastMoment(id) => {
+            Timer::ProbeTimeout(probe) => self.probe_ended(now, probe, Outcome::TimedOut, ""),
+            Timer::QueryDeadline(id) => {
                 // Guards the rule that every query taken is answered in time, should the module miss one.
                 self.counters.faults.last_moment += 1;
                 tracing::error!(target: log_targets::BATCHES, id, "query still open at the last moment");
                 self.events.push(Event::ClientDisconnected { id });
                 self.fail(now, id);
             }
-            Alarm::Mark => self.mark(now),
-            Alarm::Unheard if self.unheard => {
+            Timer::WatermarkDue => self.mark(now),
+            Timer::DiscoveryTimeout if self.lifecycle.is_awaiting_discovery() => {
                 self.counters.watches.unheard += 1;
                 tracing::warn!(
                     target: log_targets::BATCHES, index = self.replicas.index,
@@ -74,19 +77,19 @@
                 );
                 self.hear_first(now);
             }
-            Alarm::Unheard => {}
-            Alarm::Settled(address) => self.effects.push(Effect::WatchEndpoints {
+            Timer::DiscoveryTimeout => {}
+            Timer::SwitchSettled(address) => self.effects.push(Effect::WatchEndpoints {
                 address,
                 from_version: None,
             }),
-            Alarm::Stuck(connection, given) => self.stuck(now, connection, given),
-            Alarm::GraceOver => self.wind_down(),
-            Alarm::End => {
+            Timer::WriteStalled(connection, given) => self.stuck(now, connection, given),
+            Timer::DrainElapsed => self.begin_graceful_shutdown(),
+            Timer::ShutdownDeadline => {
                 for id in self.queries.keys().copied().collect::<Vec<_>>() {
                     self.events.push(Event::ClientDisconnected { id });
                     self.fail(now, id);
                 }
-                (self.closing, self.listening) = (true, false);
+                self.lifecycle.on_shutdown_deadline();
                 self.clients.clear();
             }
         }
@@ -111,7 +114,7 @@
             }),
             Action::Fail { query } => self.fail(now, query),
             Action::SetTimer { token, delay } => {
-                self.alarms.insert((now + delay, Alarm::Wake(token)));
+                self.timers.set(now + delay, Timer::Coordinator(token));
             }
             // Discovery pushes its list here, and the watch asks again by itself.
             Action::SubscribeEndpoints { .. } | Action::FetchEndpoints => {}
@@ -230,29 +233,20 @@
         }
     }
 
-    pub(super) fn terminate(&mut self, now: Nanos) {
-        if self.terminated.is_none() {
-            self.terminated = Some(now);
-            self.alarms.insert((now + GRACE, Alarm::GraceOver));
-            self.alarms.insert((now + self.ending(), Alarm::End));
+    /// Starts the shutdown, unless it has started.
+    pub(super) fn request_shutdown(&mut self, now: Nanos) {
+        let Some(drain_at) = self.lifecycle.request_shutdown(now) else {
+            return;
+        };
+        self.timers.set(drain_at, Timer::DrainElapsed);
+        if let Some(deadline) = self.lifecycle.shutdown_deadline() {
+            self.timers.set(deadline, Timer::ShutdownDeadline);
         }
     }
 
-    /// How long the end may take: a kill can follow, and what it finds unanswered is lost.
-    pub(super) fn ending(&self) -> Nanos {
-        let longest = self
-            .site
-            .deadlines
-            .iter()
-            .max()
-            .copied()
-            .unwrap_or_default();
-        GRACE.max(longest.min(LONGEST_DEADLINE) + KILL - LAST_WORDS)
-    }
-
     /// The grace is over: no new connections, and those between requests are closed.
-    pub(super) fn wind_down(&mut self) {
-        self.closing = true;
+    pub(super) fn begin_graceful_shutdown(&mut self) {
+        self.lifecycle.start_draining();
         self.effects.push(Effect::CloseListener);
         let idle = self.clients.iter().filter(|(_, c)| c.query.is_none());
         self.effects
@@ -262,12 +256,10 @@
             }));
     }
 
-    /// Once all that was taken is answered and every client's connection has ended, nothing is left to do.
-    pub(super) fn leave(&mut self) {
-        let over =
-            self.closing && !self.listening && self.queries.is_empty() && self.clients.is_empty();
-        if over && !self.exited {
-            self.exited = true;
+    /// Exits once every accepted query is answered and every client has gone.
+    pub(super) fn exit_when_drained(&mut self) {
+        let drained = self.queries.is_empty() && self.clients.is_empty();
+        if drained && self.lifecycle.exit_if_listener_closed() {
             self.mark_end();
             self.effects
                 .push(Effect::Exit(Box::new(self.counters.clone())));
--- a/crates/mixer/src/reducer/state/usage.rs
+++ b/crates/mixer/src/reducer/state/usage.rs
@@ -1,7 +1,8 @@
 //! The ledger's hook: a record for each query that ends, and marks that say up to when the records are complete.
 
-use super::{Alarm, Part, Query, Reducer};
+use super::{Part, Query, Reducer};
 use crate::protocol::query_json::{QueryRequest, Reply};
+use crate::reducer::timers::Timer;
 use crate::reducer::usage::{self, DeduplicationKey, QueryOutcome, UsageRecord, Watermark};
 use crate::reducer::Effect;
 use cottonhill_decisions::{Nanos, RequestId};
@@ -36,7 +37,7 @@
             complete: 0,
             open: BTreeSet::new(),
         });
-        self.alarms.insert((0, Alarm::Mark));
+        self.timers.set(0, Timer::WatermarkDue);
     }
 
     /// Joins the tries of one use: what the client says, else what it asks.
@@ -163,7 +164,11 @@
 
     /// Says up to when the records are complete: the arrival of the oldest open query, else now.
     pub(super) fn mark(&mut self, now: Nanos) {
-        let Some(recording) = self.recording.as_mut().filter(|_| !self.exited) else {
+        let Some(recording) = self
+            .recording
+            .as_mut()
+            .filter(|_| !self.lifecycle.has_exited())
+        else {
             return;
         };
         let oldest = recording.open.first().map_or(now, |(arrived, _)| *arrived);
@@ -173,7 +178,7 @@
             complete_until: recording.complete,
             last: false,
         };
-        self.alarms.insert((now + recording.every, Alarm::Mark));
+        self.timers.set(now + recording.every, Timer::WatermarkDue);
         self.effects.push(Effect::RecordWatermark(mark));
     }
 
