--- /dev/null
+++ b/crates/mixer/src/reducer/attempt_results.rs
@@ -0,0 +1,222 @@
+//! What comes in from leaf servers, and how attempts and probes end.
+
+use super::leaf_connection::{AnswerTarget, AttemptId};
+use super::probes::ProbeId;
+use super::timers::Timer;
+use super::{ConnectionId, Reducer};
+use crate::log_targets;
+use crate::protocol::leaf_frames::{LeafResponse, PartStatus};
+use cottonhill_decisions::{Event, LoadReport, Nanos, Outcome, ReplicaId, RequestId};
+
+impl Reducer {
+    pub(super) fn on_frame(&mut self, now: Nanos, id: ConnectionId, frame: LeafResponse) {
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
+        connection.on_frame_received(now);
+        self.connections.schedule_flush(id);
+        match frame {
+            LeafResponse::Answer {
+                id: wire_id,
+                status,
+                report,
+                value,
+            } => self.on_answer(now, id, &wire_id, status, &report, &value),
+            LeafResponse::ProbeAnswer { ok, report } => {
+                self.on_probe_answer(now, id, ok, &report);
+            }
+            LeafResponse::ProtocolError(words) => {
+                tracing::warn!(target: log_targets::CONNECTIONS, link = id, words, "leaf server could not use a frame");
+            }
+            LeafResponse::Malformed(wire_id) => {
+                self.on_malformed_answer(now, id, wire_id.as_deref());
+            }
+        }
+    }
+
+    fn on_answer(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        wire_id: &str,
+        status: PartStatus,
+        report: &str,
+        value: &[u8],
+    ) {
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
+        let attempt = match connection.on_answer(wire_id) {
+            AnswerTarget::InFlight(attempt) => attempt,
+            AnswerTarget::Finished => return,
+            AnswerTarget::Unknown => return self.on_malformed_answer(now, id, None),
+        };
+        let outcome = match status {
+            PartStatus::Ok => Outcome::Ok,
+            PartStatus::Error => Outcome::Error,
+            PartStatus::Busy => Outcome::Rejected,
+        };
+        if outcome == Outcome::Ok {
+            self.queries.record_value(attempt.part, value);
+        }
+        let report = parse_load_report(report, &self.settings.load_report_fields);
+        self.end_attempt(attempt, outcome, report);
+    }
+
+    fn on_probe_answer(&mut self, now: Nanos, id: ConnectionId, ok: bool, report: &str) {
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
+        if let Some(probe) = connection.on_probe_answer() {
+            let outcome = if ok { Outcome::Ok } else { Outcome::Error };
+            self.end_probe(now, probe, outcome, report);
+        }
+    }
+
+    /// A leaf server sent an answer that can't be parsed. The server is alive and ran what it answered: that attempt
+    /// has failed. Answers to the others can't be read either, so they are cancelled and the connection is closed.
+    fn on_malformed_answer(&mut self, now: Nanos, id: ConnectionId, wire_id: Option<&str>) {
+        let (Some(connection), Some(replica)) =
+            (self.connections.get(id), self.connections.replica(id))
+        else {
+            return;
+        };
+        self.counters.connections.spoilt += 1;
+        tracing::info!(
+            target: log_targets::CONNECTIONS, link = id,
+            replica = replica.0,
+            id = wire_id,
+            "spoilt answer: its connection is closed"
+        );
+        let failed = connection.attempt_of_malformed_answer(wire_id);
+        let in_flight = connection.written_attempts();
+        if let Some(failed) = failed {
+            self.end_attempt(failed, Outcome::Error, LoadReport::new());
+        }
+        for attempt in in_flight {
+            if Some(attempt) != failed {
+                self.end_attempt(attempt, Outcome::Cancelled, LoadReport::new());
+            }
+        }
+        self.close_connection(now, id);
+    }
+
+    /// Cancels an attempt at a part.
+    pub(super) fn cancel_part_attempt(&mut self, now: Nanos, part: RequestId, number: u8) {
+        self.cancel_attempt(now, AttemptId { part, number }, Outcome::Cancelled);
+    }
+
+    /// Ends an attempt from this side. One that was never sent is known not to have run, so it doesn't time out.
+    pub(super) fn cancel_attempt(&mut self, now: Nanos, id: AttemptId, outcome: Outcome) {
+        let Some(attempt) = self.attempts.get(id) else {
+            return;
+        };
+        let connection_id = attempt.connection;
+        let silence_timeout = 2 * self.settings.connect_timeout;
+        let mut outcome = outcome;
+        if let Some(connection) = self.connections.get_mut(connection_id) {
+            let was_silent = connection.is_silent();
+            let was_sent = connection.cancel_attempt(id, now, silence_timeout);
+            if !was_sent && outcome == Outcome::TimedOut {
+                outcome = Outcome::NotSent;
+            }
+            let fell_silent = connection.is_silent() && !was_silent;
+            self.counters.connections.silent += u64::from(fell_silent);
+        }
+        self.connections.schedule_flush(connection_id);
+        self.end_attempt(id, outcome, LoadReport::new());
+    }
+
+    /// Ends an attempt that was placed on a connection, once.
+    pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, report: LoadReport) {
+        let Some(attempt) = self.attempts.remove(id) else {
+            return;
+        };
+        self.timers
+            .cancel(attempt.expires_at, Timer::AttemptDeadline(id));
+        if outcome.did_not_execute() {
+            if let Some(part) = self.queries.part_mut(id.part) {
+                part.forget_sent_attempt(id.number);
+            }
+        }
+        let replica = attempt.replica;
+        tracing::debug!(
+            target: log_targets::ATTEMPTS, part = id.part,
+            attempt = id.number,
+            replica = replica.0,
+            ?outcome,
+            "attempt ended"
+        );
+        self.report_attempt_ended(id, replica, outcome, report);
+    }
+
+    /// Ends an attempt that found no connection.
+    pub(super) fn end_unplaced_attempt(
+        &mut self,
+        id: AttemptId,
+        replica: ReplicaId,
+        outcome: Outcome,
+    ) {
+        self.report_attempt_ended(id, replica, outcome, LoadReport::new());
+    }
+
+    /// Counts the outcome and reports it to the coordinator, which waits for every attempt's end.
+    fn report_attempt_ended(
+        &mut self,
+        id: AttemptId,
+        replica: ReplicaId,
+        outcome: Outcome,
+        report: LoadReport,
+    ) {
+        self.counters.ended.count(outcome);
+        self.events.push(Event::AttemptEnded {
+            part: id.part,
+            attempt: id.number,
+            replica,
+            outcome,
+            report,
+        });
+    }
+
+    /// Ends a probe, once.
+    pub(super) fn end_probe(&mut self, now: Nanos, id: ProbeId, outcome: Outcome, report: &str) {
+        let Some(probe) = self.probes.remove(&id) else {
+            return;
+        };
+        self.timers.cancel(
+            probe.queued_at + self.settings.connect_timeout,
+            Timer::ProbeTimeout(id),
+        );
+        if let Some(connection) = self.connections.get_mut(probe.connection) {
+            connection.cancel_probe(id);
+        }
+        self.events.push(Event::ProbeEnded {
+            replica: probe.replica,
+            outcome,
+            latency: now.saturating_sub(probe.queued_at),
+            report: parse_load_report(report, &self.settings.load_report_fields),
+        });
+    }
+}
+
+/// The values of these fields, in their order, from a load report such as `cpu=0.5,queue=3`. Empty if any of them is
+/// missing or not a finite number.
+fn parse_load_report(text: &str, fields: &[String]) -> LoadReport {
+    let mut report = LoadReport::new();
+    for field in fields {
+        let Some(value) = load_report_value(text, field) else {
+            return LoadReport::new();
+        };
+        report.push(value);
+    }
+    report
+}
+
+fn load_report_value(text: &str, field: &str) -> Option<f32> {
+    let mut pairs = text
+        .split([',', ';'])
+        .filter_map(|pair| pair.split_once('='));
+    let (_, value) = pairs.find(|(key, _)| key.trim() == field)?;
+    let number: f32 = value.trim().parse().ok()?;
+    number.is_finite().then_some(number)
+}
--- /dev/null
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -0,0 +1,60 @@
+//! The attempts that have not ended.
+
+use super::input::ConnectionId;
+use super::leaf_connection::AttemptId;
+use bytes::Bytes;
+use cottonhill_decisions::{Nanos, ReplicaId, RequestId};
+use std::collections::BTreeMap;
+
+/// An attempt that has not ended. It outlives its query where cancelling is not allowed.
+#[derive(Debug)]
+pub(super) struct Attempt {
+    /// The replica that it is for.
+    pub(super) replica: ReplicaId,
+    /// The connection that it is sent on.
+    pub(super) connection: ConnectionId,
+    /// When it times out.
+    pub(super) expires_at: Nanos,
+    /// The shard that is asked.
+    pub(super) shard: u32,
+    /// The text of the query.
+    pub(super) text: Bytes,
+}
+
+/// The attempts that have not ended, by id.
+#[derive(Debug, Default)]
+pub(super) struct Attempts(BTreeMap<AttemptId, Attempt>);
+
+impl Attempts {
+    /// Number of attempts.
+    pub(super) fn len(&self) -> usize {
+        self.0.len()
+    }
+
+    /// Adds an attempt.
+    pub(super) fn insert(&mut self, id: AttemptId, attempt: Attempt) {
+        self.0.insert(id, attempt);
+    }
+
+    /// An attempt that has not ended.
+    pub(super) fn get(&self, id: AttemptId) -> Option<&Attempt> {
+        self.0.get(&id)
+    }
+
+    /// Removes an attempt that ends.
+    pub(super) fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
+        self.0.remove(&id)
+    }
+
+    /// The attempts at a part, in the order in which they were made.
+    pub(super) fn of_part(&self, part: RequestId) -> impl Iterator<Item = (AttemptId, &Attempt)> {
+        let first = AttemptId { part, number: 0 };
+        let last = AttemptId {
+            part,
+            number: u8::MAX,
+        };
+        self.0
+            .range(first..=last)
+            .map(|(id, attempt)| (*id, attempt))
+    }
+}
--- /dev/null
+++ b/crates/mixer/src/reducer/batch.rs
@@ -0,0 +1,102 @@
+//! Batches: the timers that are due, the coordinator's decisions and its actions.
+
+use super::timers::Timer;
+use super::{Effect, Reducer};
+use crate::log_targets;
+use cottonhill_decisions::{Action, Event, Nanos, Outcome, ReplicaId, RequestId};
+
+/// Bytes of the longest datagram to other mixers.
+const MAX_DATAGRAM_BYTES: usize = 256;
+
+impl Reducer {
+    /// Fires the timers that are due, then decides on what has come in since the batch before.
+    pub(super) fn process_batch(&mut self, now: Nanos) {
+        while let Some(timer) = self.timers.pop_due(now) {
+            self.fire_timer(now, timer);
+        }
+        if !self.events.is_empty() && !self.lifecycle.is_awaiting_discovery() {
+            self.decide(now);
+        }
+    }
+
+    /// Passes the events of this batch to the coordinator and performs its actions.
+    pub(super) fn decide(&mut self, now: Nanos) {
+        let events = std::mem::take(&mut self.events);
+        let mut actions = Vec::new();
+        self.coordinator.process_batch(now, &events, &mut actions);
+        for action in actions {
+            self.perform(now, action);
+        }
+        self.connections.end_batch();
+    }
+
+    fn fire_timer(&mut self, now: Nanos, timer: Timer) {
+        match timer {
+            Timer::Coordinator(token) => self.events.push(Event::TimerFired { token }),
+            Timer::AttemptDeadline(attempt) => self.cancel_attempt(now, attempt, Outcome::TimedOut),
+            Timer::ConnectTimeout(connection) => self.on_connect_timeout(now, connection),
+            Timer::IdleTimeout(connection) => self.on_idle_timeout(now, connection),
+            Timer::ProbeTimeout(probe) => self.end_probe(now, probe, Outcome::TimedOut, ""),
+            Timer::QueryDeadline(query) => self.on_query_deadline(now, query),
+            Timer::WatermarkDue => self.record_watermark(now),
+            Timer::DrainElapsed => self.begin_graceful_shutdown(),
+            Timer::ShutdownDeadline => self.on_shutdown_deadline(now),
+            Timer::DiscoveryTimeout => self.on_discovery_timeout(now),
+            Timer::SwitchSettled(address) => self.effects.push(Effect::WatchEndpoints {
+                address,
+                from_version: None,
+            }),
+            Timer::WriteStalled(connection, handed_over_at) => {
+                self.on_write_stalled(now, connection, handed_over_at);
+            }
+        }
+    }
+
+    /// Guards the rule that every accepted query is answered in time, should the coordinator miss one.
+    fn on_query_deadline(&mut self, now: Nanos, id: RequestId) {
+        self.counters.faults.last_moment += 1;
+        tracing::error!(target: log_targets::BATCHES, id, "query still open at the last moment");
+        self.events.push(Event::ClientDisconnected { id });
+        self.fail_query(now, id);
+    }
+
+    fn perform(&mut self, now: Nanos, action: Action) {
+        match action {
+            Action::Send {
+                part,
+                replica,
+                expires_at,
+            } => self.send_attempt(now, part, replica, expires_at),
+            Action::Cancel { part, attempt } => self.cancel_part_attempt(now, part, attempt),
+            Action::Answer { query, complete } => self.answer_query(now, query, complete),
+            Action::Reject { query, retry_after } => self.reject_query(now, query, retry_after),
+            Action::Fail { query } => self.fail_query(now, query),
+            Action::SetTimer { token, delay } => {
+                self.timers.set(now + delay, Timer::Coordinator(token));
+            }
+            // The watch on discovery keeps the list fresh by itself.
+            Action::SubscribeEndpoints { .. } | Action::FetchEndpoints => {}
+            Action::Probe { replica } => self.send_probe(now, replica),
+            Action::CloseIdleConnections { replica } => self.close_idle_connections(now, replica),
+            Action::SendDatagram { to, bytes } => self.send_datagram(to, bytes),
+            Action::Log(text) => tracing::info!(target: log_targets::BATCHES, "{text}"),
+        }
+    }
+
+    fn close_idle_connections(&mut self, now: Nanos, replica: ReplicaId) {
+        for connection in self.replicas.connections(replica).to_vec() {
+            if self.connections.is_idle(connection) {
+                self.close_connection(now, connection);
+            }
+        }
+    }
+
+    fn send_datagram(&mut self, to: Option<u32>, bytes: Vec<u8>) {
+        if self.settings.peer_messages_enabled && bytes.len() <= MAX_DATAGRAM_BYTES {
+            self.counters.sent.datagrams += 1;
+            self.effects.push(Effect::SendDatagram { to, bytes });
+        } else {
+            self.counters.faults.stray += 1;
+        }
+    }
+}
--- /dev/null
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -0,0 +1,267 @@
+//! Clients: their connections, their requests and the replies.
+
+use super::counters::Stats;
+use super::queries::{Part, Query};
+use super::timers::Timer;
+use super::usage::QueryOutcome;
+use super::{ClientId, Effect, Reducer, NANOS_PER_MS};
+use crate::log_targets;
+use crate::protocol::http::RequestError;
+use crate::protocol::query_json::{ClientRequest, QueryRequest, Reply};
+use cottonhill_decisions::{Event, Nanos, RequestId};
+use std::rc::Rc;
+
+/// Taken off the time that a client waits: for the network there and back, and for a late batch.
+const CLIENT_TIMEOUT_MARGIN: Nanos = 8 * NANOS_PER_MS;
+/// How long after its client has disconnected an attempt may still start.
+const MAX_START_AFTER_DISCONNECT: Nanos = 100 * NANOS_PER_MS;
+
+impl Reducer {
+    pub(super) fn on_client_opened(&mut self, now: Nanos, client: ClientId) {
+        self.counters.connections.clients += 1;
+        self.clients.insert(client, now);
+        if self.lifecycle.is_draining() {
+            // Accepted while the listener was being closed: without a request it would hold up the exit.
+            self.effects.push(Effect::CloseClient {
+                client,
+                immediate: false,
+            });
+        } else if self.clients.len() > self.descriptor_budget.clients() / 2 {
+            self.close_idle_clients(now, client);
+        }
+    }
+
+    fn close_idle_clients(&mut self, now: Nanos, newest: ClientId) {
+        let limit = self.descriptor_budget.clients();
+        for client in self.clients.choose_to_close(now, newest, limit) {
+            self.effects.push(Effect::CloseClient {
+                client,
+                immediate: true,
+            });
+        }
+    }
+
+    pub(super) fn on_client_closed(&mut self, now: Nanos, client: ClientId) {
+        let Some(client) = self.clients.remove(client) else {
+            return;
+        };
+        let Some(id) = client.open_query else {
+            return;
+        };
+        self.counters.answered.client_gone += 1;
+        self.events.push(Event::ClientDisconnected { id });
+        if let Some(ended) = self.end_query(now, id) {
+            self.limit_write_after_disconnect(now, &ended.query.parts);
+            self.record_query(&ended, QueryOutcome::ClientDisconnected);
+        }
+    }
+
+    /// A call for a client that has disconnected may still wait in its socket for its first byte, even one that was
+    /// cancelled. The socket gets half of the time in which it may start to report that it was written; the other half
+    /// is for closing the connection.
+    fn limit_write_after_disconnect(&mut self, now: Nanos, parts: &[RequestId]) {
+        let due = now + MAX_START_AFTER_DISCONNECT / 2;
+        for (connection, handed_over_at) in self.connections.writing_any_of(parts) {
+            self.timers
+                .set(due, Timer::WriteStalled(connection, handed_over_at));
+        }
+    }
+
+    pub(super) fn on_request(
+        &mut self,
+        now: Nanos,
+        client: ClientId,
+        received_at: Nanos,
+        request: Result<ClientRequest, RequestError>,
+    ) {
+        match request {
+            Ok(ClientRequest::Query(query)) => self.on_query(now, client, received_at, query),
+            Ok(ClientRequest::Ready) => {
+                let ready = self.lifecycle.is_ready();
+                self.send_reply(now, client, Reply::Ready(ready));
+            }
+            Ok(ClientRequest::Stats) => {
+                let stats = self.stats_json(now);
+                self.send_reply(now, client, Reply::Stats(stats));
+            }
+            Err(error) => self.reject_invalid_request(now, client, error),
+        }
+    }
+
+    fn stats_json(&self, now: Nanos) -> Vec<u8> {
+        let stats = Stats {
+            counters: &self.counters,
+            list: self.replicas.index,
+            heard_ms_ago: self.discovery.ms_since_heard(now),
+        };
+        serde_json::to_vec_pretty(&stats).unwrap_or_default()
+    }
+
+    fn reject_invalid_request(&mut self, now: Nanos, client: ClientId, error: RequestError) {
+        self.counters.taken.rejected += 1;
+        // Not above debug: a client that sends nothing else could fill the log.
+        tracing::debug!(
+            target: log_targets::CLIENTS, client,
+            status = error.status,
+            why = error.reason,
+            "request rejected"
+        );
+        self.send_reply(now, client, Reply::InvalidRequest(error));
+    }
+
+    fn on_query(
+        &mut self,
+        now: Nanos,
+        client: ClientId,
+        received_at: Nanos,
+        request: QueryRequest,
+    ) {
+        if !self.clients.contains(client) {
+            return;
+        }
+        // The leaf servers could not tell its parts from those of the open query.
+        if self.queries.contains_request_id(&request.request_id) {
+            let error = RequestError {
+                status: 409,
+                reason: "X-Request-ID is that of an open query",
+            };
+            return self.reject_invalid_request(now, client, error);
+        }
+        let open_parts = self.queries.unanswered_parts();
+        if self.queries.len() + open_parts >= self.settings.max_open_requests {
+            self.counters.taken.over_cap += 1;
+            tracing::info!(
+                target: log_targets::CLIENTS, queries = self.queries.len(),
+                open_parts,
+                "over the cap: query refused"
+            );
+            return self.reject_before_decision(now, client, received_at, &request);
+        }
+        let time_left = self.time_left(now, received_at, &request);
+        if time_left == 0 {
+            self.counters.taken.too_late += 1;
+            tracing::info!(
+                target: log_targets::CLIENTS, timeout_ms = request.timeout / NANOS_PER_MS,
+                "no time left: query refused"
+            );
+            return self.reject_before_decision(now, client, received_at, &request);
+        }
+        self.accept_query(now, client, received_at, request, time_left);
+    }
+
+    /// How long the client still waits, less what is needed to reply; less than that during a shutdown, since the
+    /// process may be killed before.
+    fn time_left(&self, now: Nanos, received_at: Nanos, request: &QueryRequest) -> Nanos {
+        let time_left = request
+            .timeout
+            .saturating_sub(network_delay(now, received_at));
+        match self.lifecycle.shutdown_deadline() {
+            Some(deadline) => time_left.min(deadline.saturating_sub(now)),
+            None => time_left,
+        }
+    }
+
+    fn reject_before_decision(
+        &mut self,
+        now: Nanos,
+        client: ClientId,
+        received_at: Nanos,
+        request: &QueryRequest,
+    ) {
+        self.record_rejected_request(received_at, request);
+        let retry_after = Some(self.settings.max_retry_after);
+        self.send_reply(now, client, Reply::Rejected { retry_after });
+    }
+
+    fn accept_query(
+        &mut self,
+        now: Nanos,
+        client: ClientId,
+        received_at: Nanos,
+        request: QueryRequest,
+        time_left: Nanos,
+    ) {
+        let open_parts = self.queries.unanswered_parts();
+        let id = self.ids.next_id();
+        let group = self.ids.next_query_group();
+        self.clients.on_query_accepted(client, id);
+        self.events.push(Event::QueryReceived {
+            id,
+            group,
+            class: request.class,
+            tenant: request.tenant,
+            client_timeout: time_left,
+            network_delay: network_delay(now, received_at),
+            work: request.parts.iter().map(|part| part.work).sum(),
+            client_retry: request.client_retry,
+        });
+        let parts = self.accept_parts(id, group, &request);
+        self.counters.taken.queries += 1;
+        self.counters.taken.parts += parts.len() as u64;
+        self.counters.taken.repeats += u64::from(request.client_retry);
+        let deadline = now + time_left;
+        self.timers.set(deadline, Timer::QueryDeadline(id));
+        let query = Query {
+            request_id: request.request_id.as_str().into(),
+            client,
+            class: usize::from(request.class),
+            deadline,
+            parts,
+            tenant: request.tenant,
+            arrived_at: self.record_query_opened(id, received_at),
+            client_retry: request.client_retry,
+            deduplication_key: self.deduplication_key(&request),
+        };
+        self.queries.insert(id, query);
+        tracing::debug!(
+            target: log_targets::CLIENTS, id,
+            name = request.request_id,
+            class = request.class,
+            patience_ms = time_left / NANOS_PER_MS,
+            open_parts,
+            "query taken"
+        );
+    }
+
+    /// Opens the parts of a query; returns their ids.
+    fn accept_parts(
+        &mut self,
+        query: RequestId,
+        group: u32,
+        request: &QueryRequest,
+    ) -> Vec<RequestId> {
+        let mut ids = Vec::with_capacity(request.parts.len());
+        for requested in &request.parts {
+            let (shard, weight) = (requested.shard, requested.weight);
+            let wire_id: Rc<str> = format!("{}.{shard}", request.request_id).into();
+            let part = Part::new(query, shard, weight, wire_id, request.text.clone());
+            let id = self.ids.next_id();
+            self.queries.insert_part(id, part);
+            self.events.push(Event::PartReceived {
+                id,
+                group,
+                shard,
+                weight,
+            });
+            ids.push(id);
+        }
+        ids
+    }
+
+    /// Sends the reply to a client's request, unless the client has disconnected.
+    pub(super) fn send_reply(&mut self, now: Nanos, client: ClientId, reply: Reply) {
+        let Some(close_requested) = self.clients.on_reply(client, now) else {
+            return;
+        };
+        self.effects.push(Effect::Reply {
+            client,
+            reply,
+            close: close_requested || self.lifecycle.is_draining(),
+        });
+    }
+}
+
+/// How much of the client's time goes to the network and to waiting for this batch.
+fn network_delay(now: Nanos, received_at: Nanos) -> Nanos {
+    now.saturating_sub(received_at) + CLIENT_TIMEOUT_MARGIN
+}
--- /dev/null
+++ b/crates/mixer/src/reducer/clients.rs
@@ -0,0 +1,128 @@
+//! The clients that are connected.
+
+use super::input::ClientId;
+use cottonhill_decisions::{Nanos, RequestId};
+use std::collections::BTreeMap;
+
+/// How long a client must have been idle before its connection is closed although there is room for it.
+const MIN_IDLE_TIME: Nanos = 2_000 * super::NANOS_PER_MS;
+/// The most clients that are closed for each that connects. More than one, so that a backlog shrinks.
+const MAX_CLOSED_PER_CONNECT: usize = 2;
+
+/// A client's connection.
+#[derive(Debug)]
+pub(super) struct Client {
+    /// The query that waits for its reply.
+    pub(super) open_query: Option<RequestId>,
+    /// When the last reply was sent; before that, when the client connected.
+    last_active_at: Nanos,
+    /// It has sent a query that was accepted.
+    sent_accepted_query: bool,
+    /// The transport was asked to close it.
+    close_requested: bool,
+}
+
+/// The clients that are connected, by id.
+#[derive(Debug, Default)]
+pub(super) struct Clients(BTreeMap<ClientId, Client>);
+
+impl Clients {
+    /// Number of clients.
+    pub(super) fn len(&self) -> usize {
+        self.0.len()
+    }
+
+    /// Whether no client is connected.
+    pub(super) fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// Whether the client is connected.
+    pub(super) fn contains(&self, id: ClientId) -> bool {
+        self.0.contains_key(&id)
+    }
+
+    /// Adds a client that has connected.
+    pub(super) fn insert(&mut self, id: ClientId, now: Nanos) {
+        let client = Client {
+            open_query: None,
+            last_active_at: now,
+            sent_accepted_query: false,
+            close_requested: false,
+        };
+        self.0.insert(id, client);
+    }
+
+    /// Removes a client that has disconnected.
+    pub(super) fn remove(&mut self, id: ClientId) -> Option<Client> {
+        self.0.remove(&id)
+    }
+
+    /// Removes all clients.
+    pub(super) fn clear(&mut self) {
+        self.0.clear();
+    }
+
+    /// The client's query was accepted.
+    pub(super) fn on_query_accepted(&mut self, id: ClientId, query: RequestId) {
+        if let Some(client) = self.0.get_mut(&id) {
+            client.open_query = Some(query);
+            client.sent_accepted_query = true;
+        }
+    }
+
+    /// The client gets a reply. Returns whether its connection is to be closed after it; `None` if it has disconnected.
+    pub(super) fn on_reply(&mut self, id: ClientId, now: Nanos) -> Option<bool> {
+        let client = self.0.get_mut(&id)?;
+        client.open_query = None;
+        client.last_active_at = now;
+        Some(client.close_requested)
+    }
+
+    /// The clients that wait for no reply, in ascending order.
+    pub(super) fn without_open_query(&self) -> impl Iterator<Item = ClientId> + '_ {
+        self.0
+            .iter()
+            .filter(|(_, client)| client.open_query.is_none())
+            .map(|(id, _)| *id)
+    }
+
+    /// Chooses clients to close since `newest` has connected, and marks them as closing: first those that never sent
+    /// an accepted query, then those that have been idle for longest. Up to `limit` clients only idle ones that have
+    /// sent one are closed. Each client is chosen once, since many may connect before the first one has gone.
+    pub(super) fn choose_to_close(
+        &mut self,
+        now: Nanos,
+        newest: ClientId,
+        limit: usize,
+    ) -> Vec<ClientId> {
+        let over_limit = self.0.len() > limit;
+        let may_close = |id: ClientId, client: &Client| {
+            client.open_query.is_none()
+                && !client.close_requested
+                && id != newest
+                && (over_limit || client.is_long_idle(now))
+        };
+        let mut candidates: Vec<_> = self
+            .0
+            .iter()
+            .filter(|(id, client)| may_close(**id, client))
+            .map(|(id, client)| (client.sent_accepted_query, client.last_active_at, *id))
+            .collect();
+        candidates.sort_unstable();
+        candidates.truncate(MAX_CLOSED_PER_CONNECT);
+        let chosen: Vec<ClientId> = candidates.into_iter().map(|(_, _, id)| id).collect();
+        for id in &chosen {
+            if let Some(client) = self.0.get_mut(id) {
+                client.close_requested = true;
+            }
+        }
+        chosen
+    }
+}
+
+impl Client {
+    fn is_long_idle(&self, now: Nanos) -> bool {
+        self.sent_accepted_query && now.saturating_sub(self.last_active_at) >= MIN_IDLE_TIME
+    }
+}
--- /dev/null
+++ b/crates/mixer/src/reducer/connection_handling.rs
@@ -0,0 +1,228 @@
+//! Connections to leaf servers: when they are opened, chosen, withdrawn and closed.
+
+use super::leaf_connection::Phase;
+use super::timers::Timer;
+use super::{ConnectionId, Effect, Reducer};
+use crate::log_targets;
+use cottonhill_decisions::{EndpointStatus, LoadReport, Nanos, Outcome, ReplicaId};
+
+/// The share of the idle timeout, in tenths, after which a connection is closed. The leaf server closes it at the end
+/// of the timeout, and what is written from then on is lost.
+const IDLE_TIMEOUT_TENTHS: Nanos = 9;
+/// What a socket gets at least to take a call of a replica that is draining or gone, if the settings state no grace.
+const MIN_WRITE_TIMEOUT: Nanos = 25 * super::NANOS_PER_MS;
+
+impl Reducer {
+    pub(super) fn on_connection_opened(&mut self, now: Nanos, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.on_connected(now);
+            self.connections.schedule_flush(id);
+        }
+    }
+
+    pub(super) fn on_frame_written(&mut self, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(id) {
+            connection.on_frame_written();
+            self.connections.schedule_flush(id);
+        }
+    }
+
+    pub(super) fn on_connection_closed(&mut self, now: Nanos, id: ConnectionId) {
+        match self
+            .connections
+            .get(id)
+            .map(|connection| connection.phase())
+        {
+            Some(Phase::Connecting) => self.counters.connections.failed += 1,
+            Some(Phase::Open) => self.counters.connections.broken += 1,
+            None => {}
+        }
+        self.remove_connection(now, id);
+    }
+
+    pub(super) fn on_connect_timeout(&mut self, now: Nanos, id: ConnectionId) {
+        let phase = self
+            .connections
+            .get(id)
+            .map(|connection| connection.phase());
+        if phase == Some(Phase::Connecting) {
+            self.counters.connections.failed += 1;
+            self.close_connection(now, id);
+        }
+    }
+
+    /// Closes an idle connection if it will get no new attempts: its replica is not ready, or has moved to another
+    /// address. Else its idle timer is set.
+    pub(super) fn on_connection_idle(&mut self, now: Nanos, id: ConnectionId) {
+        if !self.gets_new_attempts(id) {
+            return self.close_connection(now, id);
+        }
+        let due = now + self.idle_close_delay();
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
+        if connection.idle_timer.is_none() {
+            connection.idle_timer = Some(due);
+            self.timers.set(due, Timer::IdleTimeout(id));
+        }
+    }
+
+    fn gets_new_attempts(&self, id: ConnectionId) -> bool {
+        let Some(replica) = self.connections.replica(id) else {
+            return false;
+        };
+        let is_ready = self
+            .replicas
+            .get(replica)
+            .is_some_and(|replica| replica.status == EndpointStatus::Ready);
+        is_ready && self.replicas.connections(replica).contains(&id)
+    }
+
+    /// How long a connection may be idle.
+    fn idle_close_delay(&self) -> Nanos {
+        self.settings.connection_idle_timeout / 10 * IDLE_TIMEOUT_TENTHS
+    }
+
+    pub(super) fn on_idle_timeout(&mut self, now: Nanos, id: ConnectionId) {
+        let idle_close_delay = self.idle_close_delay();
+        let Some(connection) = self.connections.get_mut(id) else {
+            return;
+        };
+        let due = connection.idle_since + idle_close_delay;
+        if !connection.is_idle() {
+            connection.idle_timer = None;
+        } else if due > now {
+            connection.idle_timer = Some(due);
+            self.timers.set(due, Timer::IdleTimeout(id));
+        } else {
+            self.counters.connections.idle += 1;
+            self.close_connection(now, id);
+        }
+    }
+
+    /// Takes back the attempts that have not been handed to the socket. A call that was may still wait there for its
+    /// first byte.
+    pub(super) fn withdraw_unsent_attempts(&mut self, now: Nanos, id: ConnectionId) {
+        let Some(connection) = self.connections.get(id) else {
+            return;
+        };
+        if let Some(handed_over_at) = connection.writing_call_since() {
+            // Half of the grace is for the socket to report the call as written, half for closing the connection.
+            let due = now + (self.settings.drain_grace / 2).max(MIN_WRITE_TIMEOUT);
+            self.timers
+                .set(due, Timer::WriteStalled(id, handed_over_at));
+        }
+        let unsent = connection.unsent_attempts();
+        self.counters.watches.withdrawn += unsent.len() as u64;
+        for attempt in unsent {
+            self.cancel_attempt(now, attempt, Outcome::NotSent);
+        }
+        self.connections.schedule_flush(id);
+    }
+
+    /// Closes a connection whose socket still has the call that it was handed at that time: the call must not start any
+    /// more, since its replica is leaving, its client has disconnected, or the leaf server may not recognise a
+    /// repetition.
+    pub(super) fn on_write_stalled(&mut self, now: Nanos, id: ConnectionId, handed_over_at: Nanos) {
+        let writing_since = self
+            .connections
+            .get(id)
+            .and_then(|connection| connection.writing_call_since());
+        if writing_since != Some(handed_over_at) {
+            return;
+        }
+        self.counters.connections.stuck += 1;
+        tracing::info!(
+            target: log_targets::CONNECTIONS, link = id,
+            "a call was not taken by its connection while it might begin: closed"
+        );
+        self.close_connection(now, id);
+    }
+
+    /// The oldest connection to a replica that has capacity, so that few stay in use; a new one if none has. `None` if
+    /// none can be opened.
+    pub(super) fn connection_for(
+        &mut self,
+        now: Nanos,
+        replica: ReplicaId,
+        wire_id: &str,
+    ) -> Option<ConnectionId> {
+        let max_streams = self.settings.max_streams_per_connection;
+        for id in self.replicas.connections(replica) {
+            if let Some(connection) = self.connections.get(*id) {
+                if connection.has_capacity(max_streams, wire_id) {
+                    return Some(*id);
+                }
+            }
+        }
+        self.open_connection(now, replica)
+    }
+
+    /// Opens a connection to a replica, if the descriptor budget allows it and the replica is known.
+    fn open_connection(&mut self, now: Nanos, replica: ReplicaId) -> Option<ConnectionId> {
+        let is_full = self.connections.len() >= self.descriptor_budget.leaf_connections();
+        if is_full && !self.evict_idle_connection(now) {
+            return None;
+        }
+        let id = self.ids.next_id();
+        let address = self.replicas.connect(replica, id)?;
+        self.effects.push(Effect::Connect {
+            connection: id,
+            address,
+        });
+        self.counters.connections.opened += 1;
+        self.connections.insert(id, replica, now);
+        self.timers.set(
+            now + self.settings.connect_timeout,
+            Timer::ConnectTimeout(id),
+        );
+        Some(id)
+    }
+
+    /// Closes the connection that has been idle for longest, as there may be more leaf servers than descriptors. False
+    /// if none is idle.
+    fn evict_idle_connection(&mut self, now: Nanos) -> bool {
+        let Some(id) = self.connections.longest_idle() else {
+            return false;
+        };
+        self.counters.connections.evicted += 1;
+        self.close_connection(now, id);
+        true
+    }
+
+    /// Closes a connection; what is open on it ends as if it had broken. The socket may have taken the last byte of a
+    /// call a moment ago without having reported it, so that call may run.
+    pub(super) fn close_connection(&mut self, now: Nanos, id: ConnectionId) {
+        if let Some(connection) = self.connections.get_mut(id) {
+            if connection.writing_call_since().is_some() {
+                connection.on_frame_written();
+            }
+        }
+        self.effects
+            .push(Effect::CloseConnection { connection: id });
+        self.remove_connection(now, id);
+    }
+
+    /// Removes a connection that has ended, and ends what was open on it.
+    fn remove_connection(&mut self, now: Nanos, id: ConnectionId) {
+        let Some((replica, connection)) = self.connections.remove(id) else {
+            return;
+        };
+        if let Some(due) = connection.idle_timer {
+            self.timers.cancel(due, Timer::IdleTimeout(id));
+        }
+        self.replicas.disconnect(replica, id);
+        let interrupted = connection.into_interrupted();
+        for attempt in interrupted.attempts {
+            let outcome = if attempt.may_have_run {
+                Outcome::ConnectionReset
+            } else {
+                Outcome::ConnectFailed
+            };
+            self.end_attempt(attempt.attempt, outcome, LoadReport::new());
+        }
+        for probe in interrupted.probes {
+            self.end_probe(now, probe, Outcome::ConnectFailed, "");
+        }
+    }
+}
--- a/crates/mixer/src/reducer/counters.rs
+++ b/crates/mixer/src/reducer/counters.rs
@@ -1,5 +1,6 @@
 //! What the mixer has taken, sent and answered since its start.
 
+use cottonhill_decisions::Outcome;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -67,6 +68,23 @@
     pub not_sent: u64,
 }
 
+impl Ended {
+    /// Counts an attempt that ended so.
+    pub(super) fn count(&mut self, outcome: Outcome) {
+        let counter = match outcome {
+            Outcome::Ok => &mut self.ok,
+            Outcome::Error => &mut self.error,
+            Outcome::Rejected => &mut self.refused,
+            Outcome::TimedOut => &mut self.timed_out,
+            Outcome::ConnectFailed => &mut self.unreachable,
+            Outcome::ConnectionReset => &mut self.broken,
+            Outcome::Cancelled => &mut self.cancelled,
+            Outcome::NotSent => &mut self.not_sent,
+        };
+        *counter += 1;
+    }
+}
+
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Answered {
     pub whole: u64,
--- /dev/null
+++ b/crates/mixer/src/reducer/discovery.rs
@@ -0,0 +1,199 @@
+//! Discovery: the endpoint updates that it sends, the watch on it, and a switch to another address.
+
+use super::replicas::Change;
+use super::timers::Timer;
+use super::{Effect, Reducer, UpdateFault, WatchEvent, WatchPolicy, NANOS_PER_MS};
+use crate::log_targets;
+use crate::protocol::endpoint_updates::EndpointUpdate;
+use crate::reducer::watch_policy::WatchMode;
+use crate::settings::MixerSettings;
+use cottonhill_decisions::{DiscoveryMode, EndpointUpdateKind, Event, Nanos, Settings};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// How discovery is asked, and when it last answered.
+#[derive(Debug)]
+pub(super) struct Discovery {
+    watch_policy: WatchPolicy,
+    /// When an update or a heartbeat last arrived; before that, when the process started.
+    last_heard_at: Nanos,
+}
+
+impl Discovery {
+    pub(super) fn new(
+        now: Nanos,
+        mixer_settings: &MixerSettings,
+        settings: &Settings,
+        seed: u64,
+    ) -> Discovery {
+        let mode = watch_mode(mixer_settings, settings);
+        Discovery {
+            watch_policy: WatchPolicy::new(mode, seed, settings.fleet_size),
+            last_heard_at: now,
+        }
+    }
+
+    /// When discovery is asked, and how long it is waited for.
+    pub(super) fn watch_policy(&self) -> &WatchPolicy {
+        &self.watch_policy
+    }
+
+    /// Bounds the updates that are accepted by the memory that the process may use, in bytes.
+    pub(super) fn limit_memory(&mut self, memory: usize) {
+        self.watch_policy.limit_memory(memory);
+    }
+
+    /// How long a new process waits for its first endpoint update.
+    pub(super) fn initial_list_timeout(&self) -> Nanos {
+        self.watch_policy.initial_list_timeout().as_nanos() as Nanos
+    }
+
+    /// Milliseconds since an update or a heartbeat last arrived.
+    pub(super) fn ms_since_heard(&self, now: Nanos) -> u64 {
+        now.saturating_sub(self.last_heard_at) / NANOS_PER_MS
+    }
+}
+
+/// How discovery announces changes, as the settings state it.
+fn watch_mode(mixer_settings: &MixerSettings, settings: &Settings) -> WatchMode {
+    match settings.discovery_mode {
+        DiscoveryMode::Poll => {
+            let max_staleness = Duration::from_nanos(settings.max_list_staleness);
+            WatchMode::Poll {
+                max_staleness: (!max_staleness.is_zero()).then_some(max_staleness),
+            }
+        }
+        DiscoveryMode::Push => WatchMode::Push {
+            drain_grace: Duration::from_nanos(mixer_settings.drain_grace),
+        },
+    }
+}
+
+impl Reducer {
+    pub(super) fn on_endpoints_updated(&mut self, now: Nanos, update: EndpointUpdate) {
+        let (index, snapshot) = (update.version, update.snapshot);
+        let entries = update.entries.len();
+        let invalid_entries = update.invalid_entries as u64;
+        let changes = self.replicas.take(now, update);
+        self.count_update(invalid_entries, &changes);
+        tracing::debug!(
+            target: log_targets::CONNECTIONS, index,
+            lines = entries,
+            whole = snapshot,
+            changed = changes.members.len(),
+            leaving = changes.leaving.len(),
+            since_heard_ms = self.discovery.ms_since_heard(now),
+            "list taken"
+        );
+        self.discovery.last_heard_at = now;
+        if self.replicas.any_ready() {
+            self.lifecycle.on_ready_endpoint();
+        }
+        // A snapshot was reduced to what it changes, too: endpoints that it leaves out are in there as gone.
+        self.events.push(Event::EndpointsUpdated {
+            kind: EndpointUpdateKind::Delta,
+            endpoints: changes.members,
+        });
+        // What waits for a replica that is draining or gone is never sent, nor what waits for an address that a
+        // replica has left.
+        for replica in changes.leaving {
+            tracing::debug!(target: log_targets::CONNECTIONS, replica = replica.0, index, "replica announced as leaving");
+            for connection in self.replicas.connections(replica).to_vec() {
+                self.withdraw_unsent_attempts(now, connection);
+            }
+        }
+        for connection in changes.left {
+            self.withdraw_unsent_attempts(now, connection);
+        }
+        self.on_discovery_settled(now);
+    }
+
+    fn count_update(&mut self, invalid_entries: u64, changes: &Change) {
+        self.counters.lists += 1;
+        let bad_lists = &mut self.counters.bad_lists;
+        bad_lists.unusable += invalid_entries;
+        bad_lists.repeated += changes.repeated;
+        bad_lists.unknown += changes.unknown;
+    }
+
+    pub(super) fn on_discovery_timeout(&mut self, now: Nanos) {
+        if !self.lifecycle.is_awaiting_discovery() {
+            return;
+        }
+        self.counters.watches.unheard += 1;
+        tracing::warn!(
+            target: log_targets::BATCHES, index = self.replicas.index,
+            "discovery is silent: the list held before is in force"
+        );
+        self.on_discovery_settled(now);
+    }
+
+    /// The first endpoint update has arrived, or is not waited for any longer: what was received until now is decided.
+    fn on_discovery_settled(&mut self, now: Nanos) {
+        if self.lifecycle.is_awaiting_discovery() {
+            self.lifecycle.on_discovery_settled();
+            self.deduct_waiting_time(now);
+        }
+    }
+
+    /// Moves the time that queries have waited for their first decision from their clients' timeouts to their network
+    /// delays.
+    fn deduct_waiting_time(&mut self, now: Nanos) {
+        for event in &mut self.events {
+            let Event::QueryReceived {
+                id,
+                client_timeout,
+                network_delay,
+                ..
+            } = event
+            else {
+                continue;
+            };
+            let time_left = match self.queries.get(*id) {
+                Some(query) => query.deadline.saturating_sub(now),
+                None => 0,
+            };
+            *network_delay += client_timeout.saturating_sub(time_left);
+            *client_timeout = time_left;
+        }
+    }
+
+    pub(super) fn on_watch_event(&mut self, now: Nanos, event: WatchEvent) {
+        let watches = &mut self.counters.watches;
+        let bad_lists = &mut self.counters.bad_lists;
+        match event {
+            WatchEvent::Requested => watches.asked += 1,
+            WatchEvent::Heartbeat => self.discovery.last_heard_at = now,
+            WatchEvent::Ended { silent } => {
+                watches.ended += 1;
+                watches.silent += u64::from(silent);
+            }
+            WatchEvent::UpdateRejected(UpdateFault::TooLarge) => bad_lists.over_bound += 1,
+            WatchEvent::UpdateRejected(UpdateFault::Malformed) => bad_lists.unreadable += 1,
+            WatchEvent::UpdateRejected(UpdateFault::VersionRegressed) => bad_lists.went_back += 1,
+            WatchEvent::VersionRegressed => bad_lists.whole_went_back += 1,
+        }
+    }
+
+    /// Watches discovery at its configured address, even if that is unchanged: a reload may be meant to renew the
+    /// watch. The endpoint list, connections and queries stay.
+    pub(super) fn on_config_reloaded(&mut self, now: Nanos, discovery: Option<SocketAddr>) {
+        let Some(address) = discovery else {
+            self.counters.reloads.bad += 1;
+            return;
+        };
+        self.counters.reloads.taken += 1;
+        let mut from_version = Some(self.replicas.index);
+        if self.discovery.watch_policy.versions_differ_by_address() {
+            // Versions of another address don't compare with the current one.
+            from_version = None;
+            let settled_at = self.replicas.moved(now);
+            self.timers.cancel_switch_settled();
+            self.timers.set(settled_at, Timer::SwitchSettled(address));
+        }
+        self.effects.push(Effect::WatchEndpoints {
+            address,
+            from_version,
+        });
+    }
+}
--- a/crates/mixer/src/reducer/leaf_connection.rs
+++ b/crates/mixer/src/reducer/leaf_connection.rs
@@ -3,22 +3,38 @@
 //!
 //! Times are Unix nanoseconds by the mixer's clock ([`Nanos`]).
 
-use cottonhill_decisions::Nanos;
+use super::probes::ProbeId;
+use cottonhill_decisions::{Nanos, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// One attempt at a part, by the part's id and the attempt's number.
-pub type AttemptId = (u64, u8);
+/// Identifies an attempt at a part.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptId {
+    /// The part.
+    pub part: RequestId,
+    /// The attempts at a part are numbered from 0.
+    pub number: u8,
+}
 
-/// One frame to write. Parts are named by their ids on the wire.
+/// An attempt in a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Job {
-    /// Attempts at parts, sent together.
-    Call(Vec<(AttemptId, Rc<str>)>),
-    /// Cancels an attempt that was written or is being written.
-    GiveUp(Rc<str>),
-    /// A probe, by its number.
-    Probe(u64),
+pub struct CallAttempt {
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// The id of its part in the frame.
+    pub wire_id: Rc<str>,
+}
+
+/// A frame to write.
+#[derive(Clone, Debug, PartialEq)]
+pub enum QueuedFrame {
+    /// Attempts that are sent together.
+    Call(Vec<CallAttempt>),
+    /// Cancels the attempt with this wire id, which was handed to the socket before.
+    Cancel(Rc<str>),
+    /// A probe.
+    Probe(ProbeId),
 }
 
 /// How far the connection has come up.
@@ -30,27 +46,45 @@
     Open,
 }
 
-/// Finished ids that are remembered, since a late answer may still name them: more than a leaf server has answers
-/// under way.
-const MOST_FINISHED: usize = 64;
+/// How many ids of finished attempts are remembered, since a late answer may still name them: more than a leaf server
+/// has answers under way.
+const MAX_FINISHED_IDS: usize = 64;
 
-/// The attempt, if any, that the id of an answer names.
+/// What the id in an answer refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answered {
+pub enum AnswerTarget {
     /// An attempt in flight, which the answer ends.
-    Attempt(AttemptId),
-    /// An attempt that was answered or cancelled before: a duplicate, or an answer that crossed the cancellation.
-    Over,
+    InFlight(AttemptId),
+    /// An attempt that was answered or cancelled before: the answer is a duplicate, or crossed the cancellation.
+    Finished,
     /// Nothing that was ever written here: the answer is corrupt.
     Unknown,
 }
 
+/// What was under way on a connection that has ended.
+#[derive(Debug, Default)]
+pub struct Interrupted {
+    /// Its open attempts.
+    pub attempts: Vec<InterruptedAttempt>,
+    /// Its open probes.
+    pub probes: Vec<ProbeId>,
+}
+
+/// An attempt whose connection has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct InterruptedAttempt {
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// Its frame was written, so it may have run.
+    pub may_have_run: bool,
+}
+
 /// An attempt that has neither ended nor been cancelled: waiting, or in flight.
 #[derive(Clone, Debug)]
 struct OpenAttempt {
     attempt: AttemptId,
     /// When its frame was handed to the socket.
-    handed_over: Option<Nanos>,
+    handed_over_at: Option<Nanos>,
     /// The socket has taken the last byte of its frame.
     written: bool,
 }
@@ -59,25 +93,25 @@
 #[derive(Debug)]
 pub struct LeafConnection {
     phase: Phase,
-    waiting: VecDeque<Job>,
+    waiting: VecDeque<QueuedFrame>,
     /// The frame that the socket has and has not yet taken whole.
-    writing: Option<Job>,
+    writing: Option<QueuedFrame>,
     /// When the last frame was handed to the socket.
-    handed_over: Nanos,
-    /// The open attempts by their ids on the wire.
+    handed_over_at: Nanos,
+    /// The open attempts by their wire ids.
     attempts: BTreeMap<Rc<str>, OpenAttempt>,
-    /// Probes written, in order. Answers carry no id, so a probe that was given up keeps its place as `None`.
-    probes: VecDeque<Option<u64>>,
-    /// Finished ids that were written here, latest last.
+    /// Probes written, in order. Answers carry no id, so a cancelled probe keeps its place as `None`.
+    probes: VecDeque<Option<ProbeId>>,
+    /// Wire ids of finished attempts that were written here, latest last.
     finished: VecDeque<Rc<str>>,
     /// When the last frame was received; before that, when the connection was opened.
-    last_received: Nanos,
+    last_received_at: Nanos,
     /// It left an attempt unanswered: nothing new goes out on it until a frame is received.
     silent: bool,
     /// Since when nothing is open or waiting.
     pub idle_since: Nanos,
-    /// When the alarm rings that checks for idleness: one at a time, however often the connection falls idle.
-    pub idle_alarm: Option<Nanos>,
+    /// When the timer fires that checks for idleness: one at a time, however often the connection falls idle.
+    pub idle_timer: Option<Nanos>,
 }
 
 impl LeafConnection {
@@ -87,14 +121,14 @@
             phase: Phase::Connecting,
             waiting: VecDeque::new(),
             writing: None,
-            handed_over: now,
+            handed_over_at: now,
             attempts: BTreeMap::new(),
             probes: VecDeque::new(),
             finished: VecDeque::new(),
-            last_received: now,
+            last_received_at: now,
             silent: false,
             idle_since: now,
-            idle_alarm: None,
+            idle_timer: None,
         }
     }
 
@@ -103,249 +137,267 @@
         self.phase
     }
 
-    /// Whether one more attempt under this wire id may go out on it: fewer than `streams` attempts and probes are open,
-    /// and none of this id, as their answers could not be distinguished.
-    pub fn has_room(&self, streams: usize, wire: &str) -> bool {
-        !self.silent && self.load() < streams && !self.attempts.contains_key(wire)
+    /// Whether one more attempt with this wire id may go out on it: fewer than `max_streams` attempts and probes are
+    /// open, and none with this id, as their answers could not be distinguished.
+    pub fn has_capacity(&self, max_streams: usize, wire_id: &str) -> bool {
+        !self.silent && self.open_streams() < max_streams && !self.attempts.contains_key(wire_id)
     }
 
     /// Attempts and probes that are open.
-    fn load(&self) -> usize {
-        let probes = self
-            .waiting
+    fn open_streams(&self) -> usize {
+        self.attempts.len() + self.probes.len() + self.unwritten_probes().count()
+    }
+
+    /// Probes that wait or that the socket has not yet taken whole.
+    fn unwritten_probes(&self) -> impl Iterator<Item = ProbeId> + '_ {
+        self.waiting
             .iter()
             .chain(&self.writing)
-            .filter(|job| matches!(job, Job::Probe(_)));
-        self.attempts.len() + self.probes.len() + probes.count()
+            .filter_map(|frame| match frame {
+                QueuedFrame::Probe(probe) => Some(*probe),
+                _ => None,
+            })
     }
 
     /// Nothing is open, waiting or half written.
     pub fn is_idle(&self) -> bool {
-        self.load() == 0 && self.waiting.is_empty() && self.writing.is_none()
+        self.open_streams() == 0 && self.waiting.is_empty() && self.writing.is_none()
     }
 
-    /// Whether it left an attempt unanswered and nothing was received since; see [`LeafConnection::drop_attempt`].
+    /// Whether it left an attempt unanswered and nothing was received since; see [`LeafConnection::cancel_attempt`].
     pub fn is_silent(&self) -> bool {
         self.silent
     }
 
     /// Silent, and no attempt is open that might still be answered. What waits are cancellations, which closing the
     /// connection implies; a frame that the socket can't get rid of would wait for ever.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_unusable(&self) -> bool {
         self.silent && self.attempts.is_empty()
     }
 
-    /// Queues an attempt. With `join` it is added to the last waiting call, if that has fewer than `call_parts` parts.
-    pub fn queue(&mut self, attempt: AttemptId, wire: Rc<str>, join: bool, call_parts: usize) {
-        self.attempts.insert(
-            wire.clone(),
-            OpenAttempt {
-                attempt,
-                handed_over: None,
-                written: false,
-            },
-        );
+    /// Queues an attempt. With `join_last_call` it is added to the last waiting call, if that has fewer than
+    /// `max_parts_per_call` parts.
+    pub fn queue_attempt(
+        &mut self,
+        attempt: AttemptId,
+        wire_id: Rc<str>,
+        join_last_call: bool,
+        max_parts_per_call: usize,
+    ) {
+        let open = OpenAttempt {
+            attempt,
+            handed_over_at: None,
+            written: false,
+        };
+        self.attempts.insert(wire_id.clone(), open);
+        let entry = CallAttempt { attempt, wire_id };
         match self.waiting.back_mut() {
-            Some(Job::Call(call)) if join && call.len() < call_parts => call.push((attempt, wire)),
-            _ => self.waiting.push_back(Job::Call(vec![(attempt, wire)])),
+            Some(QueuedFrame::Call(call)) if join_last_call && call.len() < max_parts_per_call => {
+                call.push(entry);
+            }
+            _ => self.waiting.push_back(QueuedFrame::Call(vec![entry])),
         }
     }
 
     /// Queues a probe.
-    pub fn queue_probe(&mut self, probe: u64) {
-        self.waiting.push_back(Job::Probe(probe));
+    pub fn queue_probe(&mut self, probe: ProbeId) {
+        self.waiting.push_back(QueuedFrame::Probe(probe));
     }
 
     /// The connect has succeeded.
-    pub fn opened(&mut self, now: Nanos) {
+    pub fn on_connected(&mut self, now: Nanos) {
         self.phase = Phase::Open;
-        self.last_received = now;
+        self.last_received_at = now;
     }
 
-    /// The next frame for the socket, none until [`LeafConnection::wrote`] reports the one before: what waits here can still be
-    /// dropped whole.
-    pub fn take_next(&mut self, now: Nanos) -> Option<Job> {
+    /// The next frame for the socket; `None` until [`LeafConnection::on_frame_written`] reports the one before, since
+    /// what waits here can still be dropped whole.
+    pub fn next_frame(&mut self, now: Nanos) -> Option<QueuedFrame> {
         if self.phase != Phase::Open || self.writing.is_some() {
             return None;
         }
-        (self.writing, self.handed_over) = (self.waiting.pop_front(), now);
-        self.mark(|open| open.handed_over = Some(now));
+        self.writing = self.waiting.pop_front();
+        self.handed_over_at = now;
+        self.update_writing_attempts(|open| open.handed_over_at = Some(now));
         self.writing.clone()
     }
 
-    /// Applies a change to the attempts of the frame that the socket has.
-    fn mark(&mut self, mark: impl Fn(&mut OpenAttempt)) {
-        let Some(Job::Call(call)) = &self.writing else {
+    /// Applies a change to the open attempts of the frame that the socket has.
+    fn update_writing_attempts(&mut self, update: impl Fn(&mut OpenAttempt)) {
+        let Some(QueuedFrame::Call(call)) = &self.writing else {
             return;
         };
-        for (attempt, wire) in call {
-            if let Some(open) = self
-                .attempts
-                .get_mut(wire)
-                .filter(|open| open.attempt == *attempt)
-            {
-                mark(open);
+        for entry in call {
+            match self.attempts.get_mut(&entry.wire_id) {
+                Some(open) if open.attempt == entry.attempt => update(open),
+                _ => {}
             }
         }
     }
 
     /// The socket has taken the last byte of the frame: from now on its parts may run.
-    pub fn wrote(&mut self) {
-        self.mark(|open| open.written = true);
-        if let Some(Job::Probe(probe)) = self.writing.take() {
+    pub fn on_frame_written(&mut self) {
+        self.update_writing_attempts(|open| open.written = true);
+        if let Some(QueuedFrame::Probe(probe)) = self.writing.take() {
             self.probes.push_back(Some(probe));
         }
     }
 
     /// A frame was received, so the connection is not silent.
-    pub fn hear(&mut self, now: Nanos) {
-        (self.last_received, self.silent) = (now, false);
+    pub fn on_frame_received(&mut self, now: Nanos) {
+        self.last_received_at = now;
+        self.silent = false;
     }
 
     /// Ends the attempt that an answer is for. An attempt that has not been written yet can't have been answered: such
     /// an answer is for an earlier attempt of the same id.
-    pub fn answered(&mut self, wire: &str) -> Answered {
-        match self
-            .attempts
-            .get_key_value(wire)
-            .filter(|(_, open)| open.written)
-        {
-            Some((wire, open)) => {
-                let (wire, attempt) = (wire.clone(), open.attempt);
-                self.attempts.remove(&wire);
-                self.note_finished(wire);
-                Answered::Attempt(attempt)
+    pub fn on_answer(&mut self, wire_id: &str) -> AnswerTarget {
+        match self.attempts.get_key_value(wire_id) {
+            Some((wire_id, open)) if open.written => {
+                let (wire_id, attempt) = (wire_id.clone(), open.attempt);
+                self.attempts.remove(&wire_id);
+                self.remember_finished(wire_id);
+                AnswerTarget::InFlight(attempt)
+            }
+            _ if self.finished.iter().any(|finished| **finished == *wire_id) => {
+                AnswerTarget::Finished
             }
-            None if self.finished.iter().any(|finished| **finished == *wire) => Answered::Over,
-            None => Answered::Unknown,
+            _ => AnswerTarget::Unknown,
         }
     }
 
-    fn note_finished(&mut self, wire: Rc<str>) {
-        if self.finished.len() == MOST_FINISHED {
+    fn remember_finished(&mut self, wire_id: Rc<str>) {
+        if self.finished.len() == MAX_FINISHED_IDS {
             self.finished.pop_front();
         }
-        self.finished.push_back(wire);
+        self.finished.push_back(wire_id);
     }
 
-    /// The attempt that a corrupt answer is attributed to: the one it names, else the one longest in flight.
-    pub fn spoilt(&mut self, wire: Option<&str>) -> Option<AttemptId> {
-        let written = |open: &&OpenAttempt| open.written;
-        let named = wire
-            .and_then(|wire| self.attempts.get(wire))
-            .filter(written);
-        let oldest = || {
-            self.attempts
-                .values()
-                .filter(written)
-                .min_by_key(|open| (open.handed_over, open.attempt))
+    /// The attempt that a malformed answer is attributed to: the one that it names, else the one that has been in
+    /// flight for longest.
+    pub fn attempt_of_malformed_answer(&self, wire_id: Option<&str>) -> Option<AttemptId> {
+        let named = wire_id
+            .and_then(|wire_id| self.attempts.get(wire_id))
+            .filter(|open| open.written);
+        let longest_in_flight = || {
+            self.written_open_attempts()
+                .min_by_key(|open| (open.handed_over_at, open.attempt))
         };
-        named.or_else(oldest).map(|open| open.attempt)
+        named.or_else(longest_in_flight).map(|open| open.attempt)
     }
 
-    /// The attempts whose last byte the socket has taken.
-    pub fn written(&self) -> Vec<AttemptId> {
-        self.attempts
-            .values()
-            .filter(|open| open.written)
+    /// The open attempts whose last byte the socket has taken, in the order of their wire ids.
+    pub fn written_attempts(&self) -> Vec<AttemptId> {
+        self.written_open_attempts()
             .map(|open| open.attempt)
             .collect()
     }
 
-    /// The probe that an answer is for; `None` where it was given up, or none was sent.
-    pub fn probed(&mut self) -> Option<u64> {
+    fn written_open_attempts(&self) -> impl Iterator<Item = &OpenAttempt> {
+        self.attempts.values().filter(|open| open.written)
+    }
+
+    /// The probe that an answer is for; `None` if it was cancelled, or none was sent.
+    pub fn on_probe_answer(&mut self) -> Option<ProbeId> {
         self.probes.pop_front().flatten()
     }
 
-    /// Gives a probe up. Its answer, should it come, is not mistaken for the next one's.
-    pub fn drop_probe(&mut self, probe: u64) {
-        self.waiting.retain(|job| *job != Job::Probe(probe));
-        if let Some(kept) = self.probes.iter_mut().find(|kept| **kept == Some(probe)) {
-            *kept = None;
+    /// Cancels a probe. Its answer, should it come, is not mistaken for the next one's.
+    pub fn cancel_probe(&mut self, probe: ProbeId) {
+        self.waiting
+            .retain(|frame| *frame != QueuedFrame::Probe(probe));
+        for written in &mut self.probes {
+            if *written == Some(probe) {
+                *written = None;
+            }
         }
     }
 
-    /// Gives an attempt up; true if it may have run. One that waits is dropped whole and never goes out; one that the
+    /// Cancels an attempt; true if it may have run. One that waits is dropped whole and never goes out; one that the
     /// socket has is followed by a frame that cancels it. If nothing was received for `silence_timeout` nanoseconds
     /// since it was handed to the socket, the connection is silent.
-    pub fn drop_attempt(&mut self, attempt: AttemptId, now: Nanos, silence_timeout: Nanos) -> bool {
-        let Some(wire) = self.wire_of(attempt) else {
+    pub fn cancel_attempt(
+        &mut self,
+        attempt: AttemptId,
+        now: Nanos,
+        silence_timeout: Nanos,
+    ) -> bool {
+        let Some(wire_id) = self.wire_id(attempt) else {
             return false;
         };
-        let Some(open) = self.attempts.remove(&wire) else {
+        let Some(open) = self.attempts.remove(&wire_id) else {
             return false;
         };
+        if self.remove_waiting(attempt) {
+            return false;
+        }
+        self.remember_finished(wire_id.clone());
+        self.waiting.push_back(QueuedFrame::Cancel(wire_id));
+        if let Some(handed_over_at) = open.handed_over_at {
+            let nothing_received = self.last_received_at <= handed_over_at;
+            self.silent |=
+                nothing_received && now.saturating_sub(handed_over_at) >= silence_timeout;
+        }
+        true
+    }
+
+    /// Removes an attempt from the frames that wait; true if it was in one.
+    fn remove_waiting(&mut self, attempt: AttemptId) -> bool {
         let mut was_waiting = false;
-        for job in &mut self.waiting {
-            if let Job::Call(call) = job {
+        for frame in &mut self.waiting {
+            if let QueuedFrame::Call(call) = frame {
                 let before = call.len();
-                call.retain(|(waiting, _)| *waiting != attempt);
+                call.retain(|entry| entry.attempt != attempt);
                 was_waiting |= call.len() < before;
             }
         }
         self.waiting
-            .retain(|job| !matches!(job, Job::Call(call) if call.is_empty()));
-        if was_waiting {
-            return false;
-        }
-        self.note_finished(wire.clone());
-        self.waiting.push_back(Job::GiveUp(wire));
-        if let Some(handed_over) = open.handed_over {
-            self.silent |= self.last_received <= handed_over
-                && now.saturating_sub(handed_over) >= silence_timeout;
-        }
-        true
+            .retain(|frame| !matches!(frame, QueuedFrame::Call(call) if call.is_empty()));
+        was_waiting
     }
 
-    fn wire_of(&self, attempt: AttemptId) -> Option<Rc<str>> {
+    fn wire_id(&self, attempt: AttemptId) -> Option<Rc<str>> {
         self.attempts
             .iter()
             .find(|(_, open)| open.attempt == attempt)
-            .map(|(wire, _)| wire.clone())
+            .map(|(wire_id, _)| wire_id.clone())
     }
 
-    /// The attempts that have not gone to the socket yet.
-    pub fn unsent(&self) -> Vec<AttemptId> {
-        let calls = self.waiting.iter().filter_map(|job| match job {
-            Job::Call(call) => Some(call),
-            _ => None,
-        });
-        calls.flatten().map(|(attempt, _)| *attempt).collect()
+    /// The attempts that have not been handed to the socket, in the order in which they would be.
+    pub fn unsent_attempts(&self) -> Vec<AttemptId> {
+        let mut unsent = Vec::new();
+        for frame in &self.waiting {
+            if let QueuedFrame::Call(call) = frame {
+                unsent.extend(call.iter().map(|entry| entry.attempt));
+            }
+        }
+        unsent
     }
 
     /// Whether the socket has a call with this part that it has not taken whole.
-    pub fn is_writing(&self, part: u64) -> bool {
-        matches!(&self.writing, Some(Job::Call(call)) if call.iter().any(|((id, _), _)| *id == part))
+    pub fn is_writing(&self, part: RequestId) -> bool {
+        match &self.writing {
+            Some(QueuedFrame::Call(call)) => call.iter().any(|entry| entry.attempt.part == part),
+            _ => false,
+        }
     }
 
     /// When the call was handed to the socket that it has not taken whole, if it has one. Attempts of it that were
-    /// given up meanwhile still go out with it.
-    pub fn call_given(&self) -> Option<Nanos> {
-        matches!(self.writing, Some(Job::Call(_))).then_some(self.handed_over)
+    /// cancelled meanwhile still go out with it.
+    pub fn writing_call_since(&self) -> Option<Nanos> {
+        matches!(self.writing, Some(QueuedFrame::Call(_))).then_some(self.handed_over_at)
     }
 
-    /// The connection has ended: all attempts on it, each with whether it may have run, and all probes.
-    pub fn end(self) -> (Vec<(AttemptId, bool)>, Vec<u64>) {
-        let attempts = self
-            .attempts
-            .values()
-            .map(|open| (open.attempt, open.written))
-            .collect();
-        let queued = self
-            .waiting
-            .iter()
-            .chain(&self.writing)
-            .filter_map(|job| match job {
-                Job::Probe(probe) => Some(*probe),
-                _ => None,
-            });
-        let probes = self
-            .probes
-            .iter()
-            .flatten()
-            .copied()
-            .chain(queued)
-            .collect();
-        (attempts, probes)
+    /// The connection has ended: what was under way on it.
+    pub fn into_interrupted(self) -> Interrupted {
+        let interrupted = |open: &OpenAttempt| InterruptedAttempt {
+            attempt: open.attempt,
+            may_have_run: open.written,
+        };
+        let written_probes = self.probes.iter().flatten().copied();
+        Interrupted {
+            attempts: self.attempts.values().map(interrupted).collect(),
+            probes: written_probes.chain(self.unwritten_probes()).collect(),
+        }
     }
 }
--- a/crates/mixer/src/reducer/mod.rs
+++ b/crates/mixer/src/reducer/mod.rs
@@ -1,22 +1,219 @@
-//! The reducer: all state of the mixer and every change to it. Inputs go in one by one, effects come out; no
-//! socket and no clock is touched here. The decisions come from [`crate::Coordinator`], once a turn.
+//! The reducer: all state of the mixer and every change to it. Inputs go in one by one, effects come out; no socket
+//! and no clock is touched here.
+//!
+//! [`Reducer`] owns one table for each concern (`queries`, `attempts`, `probes`, `leaf_connections`, `clients`,
+//! `replicas`, `timers`, `lifecycle`, ...). A table knows nothing of the others. What concerns several of them is done
+//! by the reducer, in a module for each kind of input: `client_requests`, `query_completion`, `dispatch`,
+//! `attempt_results`, `connection_handling`, `discovery`, `batch` and `shutdown`. The decisions about queries are those
+//! of the [`Coordinator`], which gets the events of a batch at once.
 
+mod attempt_results;
+mod attempts;
 mod backoff;
+mod batch;
+mod client_requests;
+mod clients;
+mod connection_handling;
 pub mod counters;
 mod descriptor_budget;
+mod discovery;
+mod dispatch;
 pub mod effect;
 pub mod input;
 pub mod leaf_connection;
+mod leaf_connections;
 mod lifecycle;
 mod probes;
+mod queries;
+mod query_completion;
 pub mod replica_table;
 pub mod replicas;
-mod state;
+mod shutdown;
 mod timers;
 pub mod usage;
+mod usage_recorder;
 pub mod watch_policy;
 
 pub use effect::Effect;
 pub use input::{ClientId, ConnectionId, Input, UpdateFault, WatchEvent};
-pub use state::Reducer;
 pub use watch_policy::WatchPolicy;
+
+use crate::protocol::endpoint_updates::EndpointUpdate;
+use crate::settings::MixerSettings;
+use crate::Coordinator;
+use attempts::Attempts;
+use clients::Clients;
+use cottonhill_decisions::{EndpointUpdateKind, Event, Nanos, Settings};
+use counters::Counters;
+use descriptor_budget::DescriptorBudget;
+use discovery::Discovery;
+use leaf_connections::LeafConnections;
+use lifecycle::Lifecycle;
+use probes::Probes;
+use queries::Queries;
+use replicas::Replicas;
+use timers::{Timer, Timers};
+use usage_recorder::UsageRecorder;
+
+const NANOS_PER_MS: Nanos = 1_000_000;
+
+/// The state of the mixer. [`Reducer::apply`] is the only way to change it once it runs.
+pub struct Reducer {
+    settings: MixerSettings,
+    coordinator: Coordinator,
+    /// What the coordinator is told with the next batch.
+    events: Vec<Event>,
+    /// What the transport is asked to do once the input is applied.
+    effects: Vec<Effect>,
+    counters: Counters,
+    ids: IdSequence,
+    timers: Timers,
+    lifecycle: Lifecycle,
+    descriptor_budget: DescriptorBudget,
+    discovery: Discovery,
+    replicas: Replicas,
+    connections: LeafConnections,
+    clients: Clients,
+    queries: Queries,
+    attempts: Attempts,
+    probes: Probes,
+    /// `None` if no usage is recorded.
+    usage: Option<UsageRecorder>,
+}
+
+impl Reducer {
+    /// A reducer that starts with the cached endpoint list of an earlier process. `seed` must differ between the mixers
+    /// of a fleet; `descriptors` is the number of file descriptors that the process may open.
+    pub fn new(
+        now: Nanos,
+        mixer_settings: MixerSettings,
+        settings: Settings,
+        seed: u64,
+        cached_endpoints: &EndpointUpdate,
+        descriptors: usize,
+    ) -> Reducer {
+        let mut replicas = Replicas::new(mixer_settings.zones.clone());
+        let endpoints = replicas.take_copy(now, cached_endpoints).members;
+        let mut reducer = Reducer {
+            events: vec![Event::EndpointsUpdated {
+                kind: EndpointUpdateKind::CachedSnapshot,
+                endpoints,
+            }],
+            effects: Vec::new(),
+            counters: Counters::default(),
+            ids: IdSequence::default(),
+            timers: Timers::default(),
+            lifecycle: Lifecycle::new(replicas.any_ready(), &mixer_settings.deadlines),
+            descriptor_budget: DescriptorBudget::new(descriptors),
+            discovery: Discovery::new(now, &mixer_settings, &settings, seed),
+            replicas,
+            connections: LeafConnections::default(),
+            clients: Clients::default(),
+            queries: Queries::new(&settings.classes),
+            attempts: Attempts::default(),
+            probes: Probes::default(),
+            usage: None,
+            settings: mixer_settings,
+            coordinator: Coordinator::new(settings, seed),
+        };
+        reducer.decide(now);
+        let timeout = reducer.discovery.initial_list_timeout();
+        reducer.timers.set(now + timeout, Timer::DiscoveryTimeout);
+        reducer
+    }
+
+    /// When discovery is asked, and how long it is waited for.
+    pub fn watch_policy(&self) -> WatchPolicy {
+        self.discovery.watch_policy().clone()
+    }
+
+    /// Sets the memory that the process may use, in bytes. It bounds the endpoint updates that are accepted.
+    pub fn limit_memory(&mut self, memory: usize) {
+        self.discovery.limit_memory(memory);
+    }
+
+    /// The version of the current endpoint list, from which a watch continues.
+    pub fn endpoint_list_version(&self) -> u64 {
+        self.replicas.index
+    }
+
+    /// The most clients that may be connected, those included that are being closed.
+    pub fn max_clients(&self) -> usize {
+        self.descriptor_budget.clients_with_closing()
+    }
+
+    /// When [`Input::ProcessBatch`] is due even if no other input comes before.
+    pub fn next_due(&self) -> Option<Nanos> {
+        if !self.events.is_empty() && !self.lifecycle.is_awaiting_discovery() {
+            return Some(0);
+        }
+        self.timers.next_due()
+    }
+
+    /// Entries of all tables together. A number that grows under constant load is a leak.
+    pub fn retained_entries(&self) -> usize {
+        self.queries.retained_entries()
+            + self.attempts.len()
+            + self.probes.len()
+            + self.clients.len()
+            + self.connections.len()
+            + self.timers.len()
+            + self.replicas.known()
+            + self.coordinator.retained_entries()
+    }
+
+    /// What has happened since the start.
+    pub fn counters(&self) -> &Counters {
+        &self.counters
+    }
+
+    /// Applies one input at `now` and returns what the transport must do about it, in order.
+    pub fn apply(&mut self, now: Nanos, input: Input) -> Vec<Effect> {
+        match input {
+            Input::ClientOpened { client } => self.on_client_opened(now, client),
+            Input::RequestReceived {
+                client,
+                received_at,
+                request,
+            } => self.on_request(now, client, received_at, request),
+            Input::ClientClosed { client } => self.on_client_closed(now, client),
+            Input::ConnectionOpened { connection } => self.on_connection_opened(now, connection),
+            Input::FrameWritten { connection } => self.on_frame_written(connection),
+            Input::FrameReceived { connection, frame } => self.on_frame(now, connection, frame),
+            Input::ConnectionClosed { connection } => self.on_connection_closed(now, connection),
+            Input::EndpointsUpdated(update) => self.on_endpoints_updated(now, update),
+            Input::Watch(event) => self.on_watch_event(now, event),
+            Input::DatagramReceived { from, bytes } => {
+                self.events.push(Event::DatagramReceived { from, bytes });
+            }
+            Input::ConfigReloaded { discovery } => self.on_config_reloaded(now, discovery),
+            Input::ShutdownRequested => self.request_shutdown(now),
+            Input::ListenerClosed => self.lifecycle.on_listener_closed(),
+            Input::ProcessBatch => self.process_batch(now),
+        }
+        self.flush_connections(now);
+        self.exit_when_drained();
+        std::mem::take(&mut self.effects)
+    }
+}
+
+/// Hands out ids, each only once.
+#[derive(Debug, Default)]
+struct IdSequence {
+    last_id: u64,
+    last_query_group: u32,
+}
+
+impl IdSequence {
+    /// An id for a query, a part, a probe or a connection.
+    fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
+    }
+
+    /// A number that joins a query with its parts.
+    fn next_query_group(&mut self) -> u32 {
+        self.last_query_group = self.last_query_group.wrapping_add(1);
+        self.last_query_group
+    }
+}
--- /dev/null
+++ b/crates/mixer/src/reducer/queries.rs
@@ -0,0 +1,256 @@
+//! The open queries and their parts.
+
+use super::input::ClientId;
+use super::usage::DeduplicationKey;
+use bytes::Bytes;
+use cottonhill_decisions::{Class, Idempotency, Nanos, RequestId};
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+
+/// A query that waits for its reply.
+#[derive(Debug)]
+pub(super) struct Query {
+    /// The client's id for it, which no other open query has.
+    pub(super) request_id: Rc<str>,
+    /// The client that waits.
+    pub(super) client: ClientId,
+    /// The class's index in the settings.
+    pub(super) class: usize,
+    /// When the reply must be sent.
+    pub(super) deadline: Nanos,
+    /// The ids of its parts.
+    pub(super) parts: Vec<RequestId>,
+    /// The tenant's index in the settings.
+    pub(super) tenant: u32,
+    /// When it counts as received in the usage records.
+    pub(super) arrived_at: Nanos,
+    /// The client marked it as a retry.
+    pub(super) client_retry: bool,
+    /// Joins it with its retries; 0 if no usage is recorded.
+    pub(super) deduplication_key: DeduplicationKey,
+}
+
+/// The part of a query that one shard answers.
+#[derive(Debug)]
+pub(super) struct Part {
+    /// The query that it belongs to.
+    pub(super) query: RequestId,
+    /// The shard that answers it.
+    pub(super) shard: u32,
+    /// Its share of the query.
+    pub(super) weight: f64,
+    /// Its id in the frames to and from leaf servers.
+    pub(super) wire_id: Rc<str>,
+    /// The text of the query.
+    pub(super) text: Bytes,
+    /// Attempts made so far.
+    pub(super) attempts: u8,
+    /// Of the attempts, those at replicas in other zones.
+    pub(super) cross_zone_attempts: u8,
+    /// The first value received; `None` until then.
+    pub(super) value: Option<String>,
+    /// Number and time of each attempt that was handed to a socket and may have run; kept only where the class has an
+    /// idempotency window.
+    sent_attempts: Vec<(u8, Nanos)>,
+}
+
+impl Part {
+    /// A part without attempts.
+    pub(super) fn new(
+        query: RequestId,
+        shard: u32,
+        weight: f64,
+        wire_id: Rc<str>,
+        text: Bytes,
+    ) -> Part {
+        Part {
+            query,
+            shard,
+            weight,
+            wire_id,
+            text,
+            attempts: 0,
+            cross_zone_attempts: 0,
+            value: None,
+            sent_attempts: Vec::new(),
+        }
+    }
+
+    /// Counts one more attempt; returns its number.
+    pub(super) fn add_attempt(&mut self, cross_zone: bool) -> u8 {
+        let number = self.attempts;
+        self.attempts = self.attempts.saturating_add(1);
+        self.cross_zone_attempts = self
+            .cross_zone_attempts
+            .saturating_add(u8::from(cross_zone));
+        number
+    }
+
+    /// Forgets an attempt that is now known not to have run.
+    pub(super) fn forget_sent_attempt(&mut self, attempt: u8) {
+        self.sent_attempts.retain(|(number, _)| *number != attempt);
+    }
+
+    /// When the first attempt that may have run was handed to a socket.
+    fn first_sent_at(&self) -> Option<Nanos> {
+        self.sent_attempts.iter().map(|(_, sent_at)| *sent_at).min()
+    }
+}
+
+/// A query that is no longer open, with its parts in the order of the request.
+#[derive(Debug)]
+pub(super) struct EndedQuery {
+    pub(super) query: Query,
+    pub(super) parts: Vec<Part>,
+}
+
+impl EndedQuery {
+    /// The weights of all parts together.
+    pub(super) fn total_weight(&self) -> f64 {
+        self.parts.iter().map(|part| part.weight).sum()
+    }
+
+    /// The weights of the parts that have a value together.
+    pub(super) fn answered_weight(&self) -> f64 {
+        self.parts
+            .iter()
+            .filter(|part| part.value.is_some())
+            .map(|part| part.weight)
+            .sum()
+    }
+}
+
+/// The open queries and their parts, by id. A part is here exactly as long as its query.
+#[derive(Debug)]
+pub(super) struct Queries {
+    queries: BTreeMap<RequestId, Query>,
+    parts: BTreeMap<RequestId, Part>,
+    /// Number of parts without a value.
+    unanswered_parts: usize,
+    /// The clients' ids of the open queries.
+    request_ids: BTreeSet<Rc<str>>,
+    /// For each class, how long after the first attempt at a part another may start; `None` if there is no limit.
+    idempotency_windows: Vec<Option<Nanos>>,
+}
+
+impl Queries {
+    /// No query is open.
+    pub(super) fn new(classes: &[Class]) -> Queries {
+        Queries {
+            queries: BTreeMap::new(),
+            parts: BTreeMap::new(),
+            unanswered_parts: 0,
+            request_ids: BTreeSet::new(),
+            idempotency_windows: classes.iter().map(idempotency_window).collect(),
+        }
+    }
+
+    /// Number of open queries.
+    pub(super) fn len(&self) -> usize {
+        self.queries.len()
+    }
+
+    /// Whether no query is open.
+    pub(super) fn is_empty(&self) -> bool {
+        self.queries.is_empty()
+    }
+
+    /// Number of parts that no value was received for.
+    pub(super) fn unanswered_parts(&self) -> usize {
+        self.unanswered_parts
+    }
+
+    /// The ids of the open queries, in ascending order.
+    pub(super) fn ids(&self) -> Vec<RequestId> {
+        self.queries.keys().copied().collect()
+    }
+
+    /// Entries of all tables in here together.
+    pub(super) fn retained_entries(&self) -> usize {
+        self.queries.len() + self.parts.len() + self.request_ids.len()
+    }
+
+    /// Whether an open query has this id of its client's.
+    pub(super) fn contains_request_id(&self, request_id: &str) -> bool {
+        self.request_ids.contains(request_id)
+    }
+
+    /// An open query.
+    pub(super) fn get(&self, id: RequestId) -> Option<&Query> {
+        self.queries.get(&id)
+    }
+
+    /// A part of an open query.
+    pub(super) fn part_mut(&mut self, id: RequestId) -> Option<&mut Part> {
+        self.parts.get_mut(&id)
+    }
+
+    /// Adds a part; its query must be added next.
+    pub(super) fn insert_part(&mut self, id: RequestId, part: Part) {
+        self.parts.insert(id, part);
+        self.unanswered_parts += 1;
+    }
+
+    /// Adds a query whose parts have been added.
+    pub(super) fn insert(&mut self, id: RequestId, query: Query) {
+        self.request_ids.insert(query.request_id.clone());
+        self.queries.insert(id, query);
+    }
+
+    /// Removes a query and its parts.
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<EndedQuery> {
+        let query = self.queries.remove(&id)?;
+        self.request_ids.remove(&query.request_id);
+        let parts: Vec<Part> = query
+            .parts
+            .iter()
+            .filter_map(|part| self.parts.remove(part))
+            .collect();
+        self.unanswered_parts -= parts.iter().filter(|part| part.value.is_none()).count();
+        Some(EndedQuery { query, parts })
+    }
+
+    /// Keeps the value received for a part, unless it has one or its query has ended.
+    pub(super) fn record_value(&mut self, part: RequestId, value: &[u8]) {
+        let Some(part) = self.parts.get_mut(&part) else {
+            return;
+        };
+        if part.value.is_some() {
+            return;
+        }
+        // The codec has checked that it is text, so nothing is lost here.
+        part.value = Some(String::from_utf8_lossy(value).into_owned());
+        self.unanswered_parts -= 1;
+    }
+
+    /// Until when another attempt at a part may start. `None` if there is no limit, or no attempt may have run yet.
+    pub(super) fn attempt_start_deadline(&self, part: RequestId) -> Option<Nanos> {
+        let part = self.parts.get(&part)?;
+        let first_sent_at = part.first_sent_at()?;
+        Some(first_sent_at.saturating_add(self.idempotency_window_of(part)?))
+    }
+
+    /// Notes that an attempt at a part is handed to a socket, where its class has an idempotency window.
+    pub(super) fn record_sent_attempt(&mut self, part: RequestId, number: u8, now: Nanos) {
+        let has_window = self
+            .parts
+            .get(&part)
+            .is_some_and(|part| self.idempotency_window_of(part).is_some());
+        if !has_window {
+            return;
+        }
+        if let Some(part) = self.parts.get_mut(&part) {
+            part.sent_attempts.push((number, now));
+        }
+    }
+
+    fn idempotency_window_of(&self, part: &Part) -> Option<Nanos> {
+        let class = self.queries.get(&part.query)?.class;
+        self.idempotency_windows.get(class).copied().flatten()
+    }
+}
+
+/// How long the leaf servers recognise a repeated attempt of this class; `None` if they need not.
+fn idempotency_window(class: &Class) -> Option<Nanos> {
+    (class.idempotency == Idempotency::IdempotencyKey).then_some(class.idempotency_window)
+}
--- /dev/null
+++ b/crates/mixer/src/reducer/query_completion.rs
@@ -0,0 +1,160 @@
+//! How queries end: answered, rejected or failed.
+
+use super::queries::EndedQuery;
+use super::timers::Timer;
+use super::usage::QueryOutcome;
+use super::{Reducer, NANOS_PER_MS};
+use crate::log_targets;
+use crate::protocol::query_json::{Hit, Reply};
+use cottonhill_decisions::{Nanos, Outcome, RequestId};
+
+/// By how much the sum of the weights may fall short of a threshold: they are rounded.
+const WEIGHT_TOLERANCE: f64 = 1e-4;
+
+impl Reducer {
+    /// Answers a query with the values received.
+    pub(super) fn answer_query(&mut self, now: Nanos, id: RequestId, complete: bool) {
+        if let Some(ended) = self.end_query(now, id) {
+            let reply = self.build_answer(&ended, complete);
+            self.finish_query(now, id, &ended, reply);
+        }
+    }
+
+    /// Rejects a query.
+    pub(super) fn reject_query(&mut self, now: Nanos, id: RequestId, retry_after: Option<Nanos>) {
+        if let Some(ended) = self.end_query(now, id) {
+            self.counters.answered.refused += 1;
+            self.finish_query(now, id, &ended, Reply::Rejected { retry_after });
+        }
+    }
+
+    /// Fails a query.
+    pub(super) fn fail_query(&mut self, now: Nanos, id: RequestId) {
+        if let Some(ended) = self.end_query(now, id) {
+            self.counters.answered.failed += 1;
+            self.finish_query(now, id, &ended, Reply::Failed);
+        }
+    }
+
+    /// Removes a query and its parts. Attempts that were sent end on their own; those that wait for a connection are
+    /// never sent, whether or not the coordinator may cancel what was.
+    pub(super) fn end_query(&mut self, now: Nanos, id: RequestId) -> Option<EndedQuery> {
+        let ended = self.queries.remove(id)?;
+        for part in &ended.query.parts {
+            self.cancel_unsent_attempts(now, *part);
+        }
+        self.timers
+            .cancel(ended.query.deadline, Timer::QueryDeadline(id));
+        self.record_query_ended(id, ended.query.arrived_at);
+        Some(ended)
+    }
+
+    fn cancel_unsent_attempts(&mut self, now: Nanos, part: RequestId) {
+        let mut unsent = Vec::new();
+        for (id, attempt) in self.attempts.of_part(part) {
+            let waiting = self.connections.unsent_attempts(attempt.connection);
+            if waiting.contains(&id) {
+                unsent.push(id);
+            }
+        }
+        for attempt in unsent {
+            self.cancel_attempt(now, attempt, Outcome::Cancelled);
+        }
+    }
+
+    /// Records a query that has ended, and replies to its client.
+    fn finish_query(&mut self, now: Nanos, id: RequestId, ended: &EndedQuery, reply: Reply) {
+        self.record_query(ended, usage_outcome(ended, &reply));
+        log_query_ended(now, id, ended, &reply);
+        self.send_reply(now, ended.query.client, reply);
+    }
+
+    /// The answer from the values received. It never claims more than its parts bear out, whatever the coordinator
+    /// decided: an answer that overstates its coverage is worse than a failed query.
+    fn build_answer(&mut self, ended: &EndedQuery, complete: bool) -> Reply {
+        let is_complete = reaches(ended, &self.settings.completeness_thresholds);
+        let is_sufficient = reaches(ended, &self.settings.minimum_coverages);
+        if !is_sufficient || complete && !is_complete {
+            self.counters.faults.dishonest += 1;
+            self.counters.answered.failed += 1;
+            tracing::error!(
+                target: log_targets::BATCHES, landed = ended.answered_weight(),
+                whole = complete,
+                class = ended.query.class,
+                "an answer that its parts do not bear out"
+            );
+            return Reply::Failed;
+        }
+        if complete {
+            self.counters.answered.whole += 1;
+        } else {
+            self.counters.answered.partial += 1;
+        }
+        let hits = hits(ended);
+        Reply::Answer { complete, hits }
+    }
+}
+
+/// Whether the values received reach the threshold of the query's class.
+fn reaches(ended: &EndedQuery, thresholds: &[f64]) -> bool {
+    let threshold = thresholds.get(ended.query.class).copied().unwrap_or(1.0);
+    ended.answered_weight() + WEIGHT_TOLERANCE >= threshold * ended.total_weight().min(1.0)
+}
+
+fn hits(ended: &EndedQuery) -> Vec<Hit> {
+    let mut hits = Vec::new();
+    for part in &ended.parts {
+        if let Some(value) = &part.value {
+            hits.push(Hit {
+                shard: part.shard,
+                doc: value.clone(),
+            });
+        }
+    }
+    hits
+}
+
+/// The outcome that the usage records give to a reply.
+fn usage_outcome(ended: &EndedQuery, reply: &Reply) -> QueryOutcome {
+    match reply {
+        Reply::Answer { complete: true, .. } => QueryOutcome::Complete,
+        Reply::Answer { .. } => QueryOutcome::Partial(coverage_millionths(ended)),
+        Reply::Rejected { .. } => QueryOutcome::Rejected,
+        _ => QueryOutcome::Failed,
+    }
+}
+
+/// The share of the weight that was answered, in millionths.
+fn coverage_millionths(ended: &EndedQuery) -> u32 {
+    let coverage = ended.answered_weight() / ended.total_weight().max(f64::MIN_POSITIVE);
+    (coverage * 1e6).round().clamp(0.0, 1e6) as u32
+}
+
+fn log_query_ended(now: Nanos, id: RequestId, ended: &EndedQuery, reply: &Reply) {
+    if !tracing::enabled!(target: log_targets::BATCHES, tracing::Level::DEBUG) {
+        return;
+    }
+    let outcome = match reply {
+        Reply::Answer { complete: true, .. } => "whole",
+        Reply::Answer { .. } => "partial",
+        Reply::Rejected { .. } => "refused",
+        _ => "failed",
+    };
+    tracing::debug!(
+        target: log_targets::BATCHES, id,
+        class = ended.query.class,
+        left_ms = ended.query.deadline.saturating_sub(now) / NANOS_PER_MS,
+        attempts = attempts_by_shard(ended),
+        "query ended: {outcome}"
+    );
+}
+
+/// `SHARD:ATTEMPTS` for each part, with `+` where it has a value and `-` where it has none.
+fn attempts_by_shard(ended: &EndedQuery) -> String {
+    let mut parts = Vec::with_capacity(ended.parts.len());
+    for part in &ended.parts {
+        let sign = if part.value.is_some() { "+" } else { "-" };
+        parts.push(format!("{}:{}{sign}", part.shard, part.attempts));
+    }
+    parts.join(" ")
+}
--- a/crates/mixer/tests/connection.rs
+++ b/crates/mixer/tests/connection.rs
@@ -4,7 +4,9 @@
 mod harness;
 
 use cottonhill_mixer::protocol::leaf_frames::{LeafRequest, PartStatus};
-use cottonhill_mixer::reducer::leaf_connection::{Answered, AttemptId, Job, LeafConnection};
+use cottonhill_mixer::reducer::leaf_connection::{
+    AnswerTarget, AttemptId, CallAttempt, InterruptedAttempt, LeafConnection, QueuedFrame,
+};
 use harness::{Harness, MS};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -56,8 +58,8 @@
 struct Model {
     open: bool,
     stages: BTreeMap<AttemptId, Stage>,
-    frames: VecDeque<Job>,
-    writing: Option<Job>,
+    frames: VecDeque<QueuedFrame>,
+    writing: Option<QueuedFrame>,
     probes: VecDeque<u64>,
 }
 
@@ -68,7 +70,12 @@
 }
 
 fn wire(attempt: AttemptId) -> std::rc::Rc<str> {
-    format!("q.{}", attempt.0).into()
+    format!("q.{}", attempt.part).into()
+}
+
+fn call(attempt: AttemptId) -> QueuedFrame {
+    let wire_id = wire(attempt);
+    QueuedFrame::Call(vec![CallAttempt { attempt, wire_id }])
 }
 
 proptest! {
@@ -81,79 +88,82 @@
             let now = n as u64 * MS;
             match step {
                 Step::Queue => {
-                    let attempt = (n as u64, 0);
-                    connection.queue(attempt, wire(attempt), false, 1);
+                    let attempt = AttemptId { part: n as u64, number: 0 };
+                    connection.queue_attempt(attempt, wire(attempt), false, 1);
                     model.stages.insert(attempt, Stage::Waiting);
-                    model.frames.push_back(Job::Call(vec![(attempt, wire(attempt))]));
+                    model.frames.push_back(call(attempt));
                 }
                 Step::Open => {
-                    connection.opened(now);
+                    connection.on_connected(now);
                     model.open = true;
                 }
                 Step::Take => {
                     let due = model.open && model.writing.is_none();
                     let expected = if due { model.frames.pop_front() } else { None };
-                    prop_assert_eq!(connection.take_next(now), expected.clone());
-                    if let Some(Job::Call(call)) = &expected {
-                        model.stages.insert(call[0].0, Stage::Writing);
+                    prop_assert_eq!(connection.next_frame(now), expected.clone());
+                    if let Some(QueuedFrame::Call(call)) = &expected {
+                        model.stages.insert(call[0].attempt, Stage::Writing);
                     }
                     model.writing = expected.or(model.writing);
                 }
                 Step::Wrote => {
-                    connection.wrote();
+                    connection.on_frame_written();
                     match model.writing.take() {
-                        Some(Job::Call(call)) => {
-                            model.stages.entry(call[0].0).and_modify(|stage| *stage = Stage::Written);
+                        Some(QueuedFrame::Call(call)) => {
+                            model.stages.entry(call[0].attempt).and_modify(|stage| *stage = Stage::Written);
                         }
-                        Some(Job::Probe(probe)) => model.probes.push_back(probe),
+                        Some(QueuedFrame::Probe(probe)) => model.probes.push_back(probe),
                         _ => {}
                     }
                 }
                 Step::Answer(k) => {
                     let Some(attempt) = model.nth(k) else { continue };
                     let written = model.stages[&attempt] == Stage::Written;
-                    let expected = if written { Answered::Attempt(attempt) } else { Answered::Unknown };
-                    prop_assert_eq!(connection.answered(&wire(attempt)), expected);
-                    prop_assert_eq!(connection.answered("never.asked"), Answered::Unknown);
+                    let expected = if written { AnswerTarget::InFlight(attempt) } else { AnswerTarget::Unknown };
+                    prop_assert_eq!(connection.on_answer(&wire(attempt)), expected);
+                    prop_assert_eq!(connection.on_answer("never.asked"), AnswerTarget::Unknown);
                     if written {
-                        prop_assert_eq!(connection.answered(&wire(attempt)), Answered::Over, "a copy");
+                        prop_assert_eq!(connection.on_answer(&wire(attempt)), AnswerTarget::Finished, "a copy");
                         model.stages.remove(&attempt);
                     }
                 }
                 Step::Drop(k) => {
                     let Some(attempt) = model.nth(k) else { continue };
                     let went_out = model.stages.remove(&attempt) != Some(Stage::Waiting);
-                    prop_assert_eq!(connection.drop_attempt(attempt, now, MS), went_out);
-                    prop_assert!(!connection.drop_attempt(attempt, now, MS), "it is over");
-                    let heard = if went_out { Answered::Over } else { Answered::Unknown };
-                    prop_assert_eq!(connection.answered(&wire(attempt)), heard, "its answer may cross our words");
+                    prop_assert_eq!(connection.cancel_attempt(attempt, now, MS), went_out);
+                    prop_assert!(!connection.cancel_attempt(attempt, now, MS), "it is over");
+                    let heard = if went_out { AnswerTarget::Finished } else { AnswerTarget::Unknown };
+                    prop_assert_eq!(connection.on_answer(&wire(attempt)), heard, "its answer may cross our words");
                     if went_out {
-                        model.frames.push_back(Job::GiveUp(wire(attempt)));
+                        model.frames.push_back(QueuedFrame::Cancel(wire(attempt)));
                     } else {
-                        model.frames.retain(|job| *job != Job::Call(vec![(attempt, wire(attempt))]));
+                        model.frames.retain(|job| *job != call(attempt));
                     }
                 }
                 Step::Probe => {
                     connection.queue_probe(n as u64);
-                    model.frames.push_back(Job::Probe(n as u64));
+                    model.frames.push_back(QueuedFrame::Probe(n as u64));
                 }
-                Step::Probed => prop_assert_eq!(connection.probed(), model.probes.pop_front()),
+                Step::Probed => prop_assert_eq!(connection.on_probe_answer(), model.probes.pop_front()),
             }
             let waiting = model.stages.iter().filter(|(_, stage)| **stage == Stage::Waiting);
             let written = model.stages.iter().filter(|(_, stage)| **stage == Stage::Written);
             let written: Vec<AttemptId> = written.map(|(attempt, _)| *attempt).collect();
-            prop_assert_eq!(connection.spoilt(None).is_some(), !written.is_empty());
+            prop_assert_eq!(connection.attempt_of_malformed_answer(None).is_some(), !written.is_empty());
             for attempt in &written {
-                prop_assert_eq!(connection.spoilt(Some(&wire(*attempt))), Some(*attempt));
+                prop_assert_eq!(connection.attempt_of_malformed_answer(Some(&wire(*attempt))), Some(*attempt));
             }
-            prop_assert_eq!(connection.written().len(), written.len());
-            prop_assert_eq!(connection.unsent(), waiting.map(|(attempt, _)| *attempt).collect::<Vec<_>>());
+            prop_assert_eq!(connection.written_attempts().len(), written.len());
+            prop_assert_eq!(connection.unsent_attempts(), waiting.map(|(attempt, _)| *attempt).collect::<Vec<_>>());
             let busy = !(model.stages.is_empty() && model.frames.is_empty() && model.probes.is_empty());
             prop_assert_eq!(connection.is_idle(), !busy && model.writing.is_none());
         }
-        let (mut ended, _) = connection.end();
+        let mut ended = connection.into_interrupted().attempts;
         ended.sort();
-        let left = model.stages.iter().map(|(attempt, stage)| (*attempt, *stage == Stage::Written));
+        let left = model.stages.iter().map(|(attempt, stage)| InterruptedAttempt {
+            attempt: *attempt,
+            may_have_run: *stage == Stage::Written,
+        });
         prop_assert_eq!(ended, left.collect::<Vec<_>>());
     }
 
--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -49,7 +49,7 @@
     ("crates/mixer/src", r"LEAF_CONNECTIONS_PERCENT: usize = 40", "40% of the descriptors are for leaf servers"),
     ("crates/mixer/src", r"CLIENTS_PERCENT: usize = 45", "45% are for clients"),
     ("crates/mixer/src", r"RESERVED_DESCRIPTORS: usize = 20", "20 are the mixer's own"),
-    ("crates/mixer/src", r"MARGIN: Nanos = 8 \* MS", "8 ms are taken off a client's time"),
+    ("crates/mixer/src", r"CLIENT_TIMEOUT_MARGIN: Nanos = 8 \* NANOS_PER_MS", "8 ms are taken off a client's time"),
     ("crates/mixer/src", r"SILENT: Duration = Duration::from_secs\(3\)", "silence is noticed after 3 s"),
     ("crates/mixer/src", r"PUSHED_ANSWER: Duration = Duration::from_secs\(1\)", "a new watch is given 1 s"),
     ("crates/mixer/src", r"Effect::WatchEndpoints \{", "a reload opens the watch anew"),
