--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -46,10 +46,10 @@
 MARGIN_S, FADE, SPARE_BEATS, HEDGE, HEDGE_CAP, PROBE_SHARE = 0.008, 5.0, 2, (0.125, 0.4), 0.15, 0.1
 SILENT_S, SIGN_OF_LIFE_S, TRY_S, OPEN_CAP, BUFFERS = 3.0, 2.0, 1.0, 4_096, 2 * 16 * 1_024
 PREMISES = [
-    ("crates/mixer/src", r"LINK_HUNDREDTHS: usize = 40", "40% of the descriptors are for leaf servers"),
-    ("crates/mixer/src", r"CLIENT_HUNDREDTHS: usize = 45", "45% are for clients"),
-    ("crates/mixer/src", r"OWN_DESCRIPTORS: usize = 20", "20 are the mixer's own"),
-    ("crates/mixer/src", r"MARGIN: Nanos = 8 \* MS", "8 ms are taken off a client's time"),
+    ("crates/mixer/src", r"LEAF_CONNECTIONS_PERCENT: usize = 40", "40% of the descriptors are for leaf servers"),
+    ("crates/mixer/src", r"CLIENTS_PERCENT: usize = 45", "45% are for clients"),
+    ("crates/mixer/src", r"RESERVED_DESCRIPTORS: usize = 20", "20 are the mixer's own"),
+    ("crates/mixer/src", r"CLIENT_TIMEOUT_MARGIN: Nanos = 8 \* NANOS_PER_MS", "8 ms are taken off a client's time"),
     ("crates/mixer/src", r"SILENT: Duration = Duration::from_secs\(3\)", "silence is noticed after 3 s"),
     ("crates/mixer/src", r"PUSHED_ANSWER: Duration = Duration::from_secs\(1\)", "a new watch is given 1 s"),
     ("crates/mixer/src", r"Effect::WatchEndpoints \{", "a reload opens the watch anew"),
