--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -52,7 +52,10 @@
             Input::Start { seed, settings } => {
                 instances.insert(
                     who,
-                    Coordinator::new(settings::parse_decisions(&settings)?, seed),
+                    Coordinator::new(
+                        settings::parse_decisions(&settings).map_err(|e| e.to_string())?,
+                        seed,
+                    ),
                 );
                 pending.insert(who, Vec::new());
             }
--- a/crates/lab/src/scale/driver.rs
+++ b/crates/lab/src/scale/driver.rs
@@ -95,8 +95,8 @@
     pub fn new(fleet: Fleet, seed: u64) -> Result<Driver, String> {
         let text = fleet.mixer_settings();
         let (site, rules) = (
-            settings::parse_mixer(&text)?,
-            settings::parse_decisions(&text)?,
+            settings::parse_mixer(&text).map_err(|e| e.to_string())?,
+            settings::parse_decisions(&text).map_err(|e| e.to_string())?,
         );
         let state = Reducer::new(
             BEGIN,
--- a/crates/mixer/tests/protocol.rs
+++ b/crates/mixer/tests/protocol.rs
@@ -548,7 +548,7 @@
     );
     let mut broken = settings.clone();
     broken["tick_ns"] = 0.into();
-    assert!(config(&broken).unwrap_err().contains("tick_ns"));
+    assert!(config(&broken).unwrap_err().to_string().contains("tick_ns"));
     broken["extra"]["second_step"][0] = 3.into();
     assert!(config(&broken).is_err());
 }
