--- a/crates/mixer/src/config/mod.rs
+++ b/crates/mixer/src/config/mod.rs
@@ -1,36 +1,28 @@
-//! The configuration: one JSON file, with the settings flattened to the text of the simulator's wire so that
-//! one parser serves both.
+//! The configuration of one mixer: the platform's JSON file, and the settings in it.
+
+mod error;
+mod flatten;
+pub mod settings;
+
+pub use error::{ConfigError, SettingsError};
+pub use flatten::flatten;
 
 use crate::protocol::endpoint_updates::EndpointUpdate;
 use crate::protocol::query_json::QuerySchema;
-use crate::settings::{self, MixerSettings};
 use crate::transport::Addresses;
 use cottonhill_decisions::Settings;
 use serde::Deserialize;
 use serde_json::Value;
-use std::fmt::Write;
+use settings::MixerSettings;
 use std::net::SocketAddr;
 
-#[derive(Deserialize)]
-struct Limits {
-    sockets: usize,
-    /// A number; anything else states no limit.
-    #[serde(default)]
-    memory_mb: Value,
-}
-
-impl Limits {
-    /// Bytes of memory that may be used, where that is stated.
-    fn memory(&self) -> Option<usize> {
-        let bytes = self.memory_mb.as_f64()? * MEGABYTE;
-        (bytes >= 1.0).then_some(bytes as usize)
-    }
-}
-
-/// Descriptors that may be open where the configuration does not say.
-const SOCKETS: usize = 1024;
-const MEGABYTE: f64 = 1e6;
+/// The most file descriptors that a mixer uses, and what it uses where the configuration states no limit.
+const MAX_DESCRIPTORS: usize = 1024;
+const BYTES_PER_MEGABYTE: f64 = 1e6;
+/// The seed is written in hexadecimal.
+const SEED_RADIX: u32 = 16;
 
+/// The file as written. Error texts contain the names of this struct and the next, and their numbers of fields.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -43,156 +35,121 @@
     #[serde(default)]
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
-    #[serde(default)]
-    known: EndpointUpdate,
+    #[serde(default, rename = "known")]
+    cached_endpoints: EndpointUpdate,
     settings: Value,
 }
 
-/// All that a start needs.
+#[derive(Deserialize)]
+struct Limits {
+    #[serde(rename = "sockets")]
+    max_descriptors: usize,
+    /// No limit unless it is a number.
+    #[serde(default, rename = "memory_mb")]
+    memory_megabytes: Value,
+}
+
+impl Limits {
+    /// Bytes of memory that the process may use, if that is limited.
+    fn memory_limit(&self) -> Option<usize> {
+        let bytes = self.memory_megabytes.as_f64()? * BYTES_PER_MEGABYTE;
+        (bytes >= 1.0).then_some(bytes as usize)
+    }
+}
+
+/// The configuration of one mixer.
 #[derive(Clone, Debug)]
 pub struct Config {
+    /// The mixer's name.
     pub name: String,
+    /// Where clients connect.
     pub listen: SocketAddr,
+    /// The settings of the sockets and protocols.
     pub mixer_settings: MixerSettings,
+    /// The settings of the decisions.
     pub settings: Settings,
+    /// Seed of the mixer's random numbers; differs from mixer to mixer.
     pub seed: u64,
     /// File descriptors that may be open.
     pub max_descriptors: usize,
-    /// Bytes of memory that the process may use, where that is stated.
+    /// Bytes of memory that the process may use, if that is limited.
     pub memory_limit: Option<usize>,
-    /// The list of leaf servers that was in force before the start; it may be old.
+    /// The endpoint list that was current before the start; it may be stale.
     pub cached_endpoints: EndpointUpdate,
+    /// The services that the mixer uses.
     pub addresses: Addresses,
+    /// The names and bounds of the queries that it serves.
     pub query_schema: QuerySchema,
 }
 
 impl Config {
-    /// Reads the platform's configuration.
+    /// Parses the platform's configuration file.
     ///
     /// # Errors
-    /// It is no JSON of that form, or a setting or the seed can't be used; says which.
-    pub fn parse(text: &str) -> Result<Config, String> {
-        let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        let text = flatten(&file.settings)?;
-        let (settings, mixer_settings) = (
-            settings::parse_decisions(&text)?,
-            settings::parse_mixer(&text)?,
-        );
-        let seed =
-            u64::from_str_radix(&file.seed, 16).map_err(|_| format!("bad seed '{}'", file.seed))?;
-        let query_schema = QuerySchema {
-            classes: mixer_settings.classes.clone(),
-            tenants: mixer_settings.tenants.clone(),
-            default_timeouts: mixer_settings.deadlines.clone(),
-            minimum_coverages: mixer_settings.minimum_coverages.clone(),
-            shards: mixer_settings.shards,
-        };
-        let addresses = Addresses {
-            discovery: file.discovery,
-            peer_listen: file
-                .peer_listen
-                .filter(|_| mixer_settings.peer_messages_enabled),
-            peers: file.peers,
-            peers_all: file.peers_all,
-        };
-        let max_descriptors = file
-            .limits
-            .as_ref()
-            .map_or(SOCKETS, |limits| limits.sockets.min(SOCKETS));
-        let memory_limit = file.limits.as_ref().and_then(Limits::memory);
-        let File {
-            name,
-            listen,
-            known: cached_endpoints,
-            ..
-        } = file;
+    /// The file is not JSON of the expected form, or a setting or the seed can't be used.
+    pub fn parse(text: &str) -> Result<Config, ConfigError> {
+        let file: File = serde_json::from_str(text)?;
+        let settings_text = flatten(&file.settings)?;
+        let settings = settings::parse_decisions(&settings_text)?;
+        let mixer_settings = settings::parse_mixer(&settings_text)?;
+        let seed = parse_seed(&file.seed)?;
+        let limits = file.limits.as_ref();
         Ok(Config {
-            name,
-            listen,
+            seed,
+            max_descriptors: limits.map_or(MAX_DESCRIPTORS, |limits| {
+                limits.max_descriptors.min(MAX_DESCRIPTORS)
+            }),
+            memory_limit: limits.and_then(Limits::memory_limit),
+            addresses: Addresses {
+                discovery: file.discovery,
+                peer_listen: file
+                    .peer_listen
+                    .filter(|_| mixer_settings.peer_messages_enabled),
+                peers: file.peers,
+                peers_all: file.peers_all,
+            },
+            query_schema: query_schema(&mixer_settings),
+            name: file.name,
+            listen: file.listen,
             mixer_settings,
             settings,
-            seed,
-            max_descriptors,
-            memory_limit,
-            cached_endpoints,
-            addresses,
-            query_schema,
+            cached_endpoints: file.cached_endpoints,
         })
     }
-}
 
-impl Config {
-    /// What `next` states otherwise and only a start takes up.
+    /// The wire names of what `next` changes and only a restart applies.
     pub fn needs_restart(&self, next: &Config) -> Vec<&'static str> {
-        let changed = [
+        let limits_changed =
+            self.max_descriptors != next.max_descriptors || self.memory_limit != next.memory_limit;
+        let peer_listen_changed = self.addresses.peer_listen != next.addresses.peer_listen;
+        let changes = [
             ("name", self.name != next.name),
             ("listen", self.listen != next.listen),
-            (
-                "limits",
-                (self.max_descriptors, self.memory_limit)
-                    != (next.max_descriptors, next.memory_limit),
-            ),
-            (
-                "peer_listen",
-                self.addresses.peer_listen != next.addresses.peer_listen,
-            ),
+            ("limits", limits_changed),
+            ("peer_listen", peer_listen_changed),
             (
                 "settings",
                 self.mixer_settings != next.mixer_settings || self.settings != next.settings,
             ),
         ];
-        changed
+        changes
             .into_iter()
             .filter(|(_, changed)| *changed)
-            .map(|(what, _)| what)
+            .map(|(name, _)| name)
             .collect()
     }
 }
 
-/// Nested JSON as lines of `path=value`.
-pub fn flatten(settings: &Value) -> Result<String, String> {
-    if !settings.is_object() {
-        return Err("settings are no object".into());
-    }
-    let mut out = String::new();
-    put(&mut out, "", settings);
-    Ok(out)
-}
-
-fn put(out: &mut String, path: &str, value: &Value) {
-    let under = |name: &str| {
-        if path.is_empty() {
-            name.to_string()
-        } else {
-            format!("{path}.{name}")
-        }
-    };
-    match value {
-        Value::Object(fields) => fields
-            .iter()
-            .for_each(|(name, value)| put(out, &under(name), value)),
-        Value::Array(items) if items.iter().any(Value::is_object) => {
-            put(out, &under("count"), &items.len().into());
-            items
-                .iter()
-                .enumerate()
-                .for_each(|(i, item)| put(out, &under(&i.to_string()), item));
-        }
-        Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(plain).collect();
-            let _ = writeln!(out, "{path}={}", items.join(","));
-        }
-        _ => {
-            let _ = writeln!(out, "{path}={}", plain(value));
-        }
-    }
+fn parse_seed(text: &str) -> Result<u64, ConfigError> {
+    u64::from_str_radix(text, SEED_RADIX).map_err(|_| ConfigError::InvalidSeed(text.to_string()))
 }
 
-/// A value in one word: blanks and commas would split it, a line's end would forge a setting.
-fn plain(value: &Value) -> String {
-    match value {
-        Value::Null => String::new(),
-        Value::String(text) => text.replace([' ', ',', '\n', '\r'], "_"),
-        other => other.to_string(),
+fn query_schema(settings: &MixerSettings) -> QuerySchema {
+    QuerySchema {
+        classes: settings.classes.clone(),
+        tenants: settings.tenants.clone(),
+        default_timeouts: settings.deadlines.clone(),
+        minimum_coverages: settings.minimum_coverages.clone(),
+        shards: settings.shards,
     }
 }
--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -54,7 +54,7 @@
     ("crates/mixer/src", r"PUSHED_ANSWER: Duration = Duration::from_secs\(1\)", "a new watch is given 1 s"),
     ("crates/mixer/src", r"Effect::WatchEndpoints \{", "a reload opens the watch anew"),
     ("crates/mixer/src", r'"settings",\s+self\.mixer_settings != next\.mixer_settings', "settings wait for a restart"),
-    ("crates/mixer/src", r"OPEN_CAP: usize = 4096", "4,096 queries and parts may be open"),
+    ("crates/mixer/src", r"DEFAULT_MAX_OPEN_REQUESTS: usize = 4096", "4,096 queries and parts may be open"),
     ("crates/mixer/src", r"BUFFER: usize = 16 \* 1024", "a connection holds two of 16 KiB"),
     ("crates/decisions/src", r"FADE\w*: f64 = 5\.0", "what was learned fades over five targets"),
     ("crates/decisions/src", r"SPARE_INTERVALS: Nanos = 2", "two timer intervals are kept free before the target"),
