--- /dev/null
+++ b/crates/mixer/src/protocol/http/server_codec.rs
@@ -0,0 +1,133 @@
+//! The server's side of one connection.
+
+use super::body::{BodyError, BodyReader};
+use super::request_head::parse_request_head;
+use super::{Request, RequestError, Response, MAX_BODY_BYTES};
+use bytes::BytesMut;
+use cottonhill_decisions::Nanos;
+use std::io;
+use tokio_util::codec::{Decoder, Encoder};
+
+const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
+
+/// Decodes requests and encodes responses. After a rejected request it discards all input, since where the next
+/// request begins is not known.
+#[derive(Default)]
+pub struct ServerCodec {
+    /// The request that is being read, without its body, and the reader for the body.
+    partial_request: Option<(Request, BodyReader)>,
+    /// What has been read of the body.
+    body: BytesMut,
+    discards_input: bool,
+}
+
+impl ServerCodec {
+    /// Whether the head of a request has been read and its body is incomplete.
+    pub fn in_request(&self) -> bool {
+        self.partial_request.is_some()
+    }
+
+    /// Gives up the request that is being read; all further input is discarded.
+    pub fn abandon_request(&mut self) {
+        self.discards_input = true;
+    }
+
+    fn read_request(&mut self, src: &mut BytesMut) -> Result<Option<Request>, RequestError> {
+        if self.partial_request.is_none() {
+            self.partial_request = parse_request_head(src)?;
+        }
+        let Some((_, reader)) = &mut self.partial_request else {
+            return Ok(None);
+        };
+        let complete = reader
+            .read(src, &mut self.body, MAX_BODY_BYTES)
+            .map_err(body_rejection)?;
+        if !complete {
+            return Ok(None);
+        }
+        let body = std::mem::take(&mut self.body).freeze();
+        let request = self.partial_request.take();
+        Ok(request.map(|(head, _)| Request { body, ..head }))
+    }
+}
+
+fn body_rejection(error: BodyError) -> RequestError {
+    match error {
+        BodyError::MalformedChunk => RequestError::bad_request("bad chunk"),
+        BodyError::TooLarge => RequestError::body_too_large(),
+    }
+}
+
+impl Decoder for ServerCodec {
+    /// A request, or why it is rejected.
+    type Item = Result<Request, RequestError>;
+    type Error = io::Error;
+
+    fn decode(&mut self, src: &mut BytesMut) -> io::Result<Option<Self::Item>> {
+        if self.discards_input {
+            src.clear();
+            return Ok(None);
+        }
+        let item = self.read_request(src).transpose();
+        self.discards_input = matches!(item, Some(Err(_)));
+        Ok(item)
+    }
+
+    /// A client may close in the middle of a request: that ends the connection without an error.
+    fn decode_eof(&mut self, src: &mut BytesMut) -> io::Result<Option<Self::Item>> {
+        let item = self.decode(src)?;
+        if item.is_none() {
+            src.clear();
+        }
+        Ok(item)
+    }
+}
+
+impl Encoder<Response> for ServerCodec {
+    type Error = io::Error;
+
+    fn encode(&mut self, response: Response, dst: &mut BytesMut) -> io::Result<()> {
+        dst.extend_from_slice(response_head(&response).as_bytes());
+        dst.extend_from_slice(&response.body);
+        Ok(())
+    }
+}
+
+/// Status line, header fields and the empty line after them.
+fn response_head(response: &Response) -> String {
+    let mut head = format!(
+        "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
+        response.status,
+        reason_phrase(response.status),
+        response.body.len()
+    );
+    if let Some(retry_after) = response.retry_after {
+        // Rounded up, so that no client retries early.
+        let milliseconds = retry_after.div_ceil(NANOS_PER_MILLISECOND);
+        head += &format!("Retry-After: {:.3}\r\n", milliseconds as f64 / 1000.0);
+    }
+    if let Some(method) = response.allow {
+        head += &format!("Allow: {method}\r\n");
+    }
+    if response.close {
+        head += "Connection: close\r\n";
+    }
+    head += "\r\n";
+    head
+}
+
+fn reason_phrase(status: u16) -> &'static str {
+    match status {
+        200 => "OK",
+        400 => "Bad Request",
+        404 => "Not Found",
+        405 => "Method Not Allowed",
+        408 => "Request Timeout",
+        409 => "Conflict",
+        413 => "Content Too Large",
+        431 => "Request Header Fields Too Large",
+        503 => "Service Unavailable",
+        504 => "Gateway Timeout",
+        _ => "Error",
+    }
+}
--- /dev/null
+++ b/crates/mixer/src/protocol/http/watch_codec.rs
@@ -0,0 +1,159 @@
+//! The client's side of one watch on the endpoint list.
+
+use super::body::{BodyError, BodyReader};
+use super::framing::body_reader;
+use super::{MAX_HEADERS, MAX_HEAD_BYTES};
+use crate::protocol::endpoint_updates::{JsonObjectSplitter, UpdateError, MAX_UPDATE_BYTES};
+use bytes::{Buf, Bytes, BytesMut};
+use std::fmt;
+use std::io::{self, ErrorKind};
+use std::time::Duration;
+use tokio_util::codec::{Decoder, Encoder};
+
+const STATUS_OK: u16 = 200;
+
+/// A request for the endpoint list: one snapshot, or a watch.
+pub struct WatchRequest {
+    /// The value of `Host`.
+    pub host: String,
+    /// Watches the changes after this version; `None` requests a snapshot.
+    pub from_version: Option<u64>,
+}
+
+/// Discovery answered a request with a status other than 200.
+#[derive(Debug, PartialEq)]
+pub struct WatchRejected {
+    /// The HTTP status.
+    pub status: u16,
+    /// `Retry-After`: the least wait before the next request, if discovery states one.
+    pub retry_after: Option<Duration>,
+}
+
+impl std::error::Error for WatchRejected {}
+
+impl fmt::Display for WatchRejected {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        write!(f, "discovery answered {}", self.status)?;
+        match self.retry_after {
+            Some(wait) => write!(f, ", to come back in {} ms", wait.as_millis()),
+            None => Ok(()),
+        }
+    }
+}
+
+/// Sends one request, then reads JSON objects as they arrive in the response's body.
+pub struct WatchCodec {
+    /// The reader for the response's body, once its head was read.
+    body: Option<BodyReader>,
+    objects: JsonObjectSplitter,
+    max_object_bytes: usize,
+}
+
+impl Default for WatchCodec {
+    fn default() -> WatchCodec {
+        WatchCodec::new(MAX_UPDATE_BYTES)
+    }
+}
+
+impl WatchCodec {
+    /// A codec that rejects objects of more than `max_object_bytes`.
+    pub fn new(max_object_bytes: usize) -> WatchCodec {
+        WatchCodec {
+            body: None,
+            objects: JsonObjectSplitter::default(),
+            max_object_bytes,
+        }
+    }
+
+    /// Moves what has arrived of the body to the splitter; true once the body is complete.
+    fn read_body(&mut self, src: &mut BytesMut) -> io::Result<bool> {
+        let Some(body) = &mut self.body else {
+            return Ok(false);
+        };
+        let max_bytes = self.max_object_bytes;
+        body.read(src, self.objects.buffer(), max_bytes)
+            .map_err(|error| match error {
+                BodyError::MalformedChunk => invalid_data("bad chunk"),
+                BodyError::TooLarge => invalid_data(UpdateError::TooManyBytes { max_bytes }),
+            })
+    }
+}
+
+impl Encoder<WatchRequest> for WatchCodec {
+    type Error = io::Error;
+
+    fn encode(&mut self, request: WatchRequest, dst: &mut BytesMut) -> io::Result<()> {
+        let query = request
+            .from_version
+            .map(|version| format!("?watch=1&from={version}"))
+            .unwrap_or_default();
+        let host = request.host;
+        let head = format!("GET /api/targets{query} HTTP/1.1\r\nHost: {host}\r\n\r\n");
+        dst.extend_from_slice(head.as_bytes());
+        Ok(())
+    }
+}
+
+impl Decoder for WatchCodec {
+    /// A complete object, or no bytes where input arrived that completes none: it shows that discovery is alive.
+    type Item = Bytes;
+    type Error = io::Error;
+
+    fn decode(&mut self, src: &mut BytesMut) -> io::Result<Option<Bytes>> {
+        if self.body.is_none() {
+            self.body = parse_response_head(src)?;
+        }
+        if self.body.is_none() {
+            return Ok(None);
+        }
+        let unread_before = src.len();
+        let complete = self.read_body(src)?;
+        if let Some(object) = self.objects.next_object() {
+            return Ok(Some(object));
+        }
+        if src.len() < unread_before {
+            return Ok(Some(Bytes::new()));
+        }
+        if complete {
+            return Err(ErrorKind::UnexpectedEof.into());
+        }
+        Ok(None)
+    }
+}
+
+/// Takes a response's head from `src` and returns the reader for its body; `None` if the head is incomplete. A body
+/// without framing lasts until the connection ends.
+fn parse_response_head(src: &mut BytesMut) -> io::Result<Option<BodyReader>> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let mut head = httparse::Response::new(&mut headers);
+    let parsed = head.parse(src).map_err(|e| invalid_data(e.to_string()))?;
+    let head_length = match parsed {
+        httparse::Status::Complete(length) => length,
+        httparse::Status::Partial if src.len() <= MAX_HEAD_BYTES => return Ok(None),
+        httparse::Status::Partial => return Err(invalid_data("head too large")),
+    };
+    let status = head.code.unwrap_or_default();
+    if status != STATUS_OK {
+        return Err(invalid_data(WatchRejected {
+            status,
+            retry_after: retry_after(head.headers),
+        }));
+    }
+    let body = body_reader(head.headers).map_err(|error| invalid_data(error.reason()))?;
+    src.advance(head_length);
+    Ok(Some(body.unwrap_or(BodyReader::Length(usize::MAX))))
+}
+
+/// `Retry-After` in seconds, whole or decimal; a date or a malformed value counts as none.
+fn retry_after(headers: &[httparse::Header]) -> Option<Duration> {
+    let header = headers
+        .iter()
+        .find(|header| header.name.eq_ignore_ascii_case("retry-after"))?;
+    let value = std::str::from_utf8(header.value).ok()?;
+    let seconds: f64 = value.trim().parse().ok()?;
+    Duration::try_from_secs_f64(seconds).ok()
+}
+
+fn invalid_data(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> io::Error {
+    io::Error::new(ErrorKind::InvalidData, error)
+}
--- a/crates/mixer/src/protocol/mod.rs
+++ b/crates/mixer/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! Messages and their codecs; no sockets and no state beyond the message being read. Everything that comes
-//! from outside is checked here: what passes is safe to act on.
+//! Messages and their codecs, without sockets and with no state beyond the message that is being read. All outside
+//! input is validated here: what passes is safe to act on.
 
 pub mod endpoint_updates;
 pub mod http;
--- a/crates/mixer/src/transport/client_connections.rs
+++ b/crates/mixer/src/transport/client_connections.rs
@@ -285,9 +285,9 @@
             next = super::message(connection, &mut begun, REQUEST_TIMEOUT) => match next {
                 Ok(next) => return request_or_end(next),
                 Err(_) if in_request(connection) => {
-                    connection.codec_mut().give_up();
-                    let reason = "the request took too long";
-                    return Ok(ControlFlow::Continue(Err(RequestError { status: 408, reason })));
+                    connection.codec_mut().abandon_request();
+
+                    return Ok(ControlFlow::Continue(Err(RequestError::timed_out())));
                 }
                 Err(_) if opened.is_some() => return Ok(ControlFlow::Break(Ended::ByUs)),
                 // A spurious readiness: no request has begun.
--- a/crates/mixer/src/transport/discovery_watch.rs
+++ b/crates/mixer/src/transport/discovery_watch.rs
@@ -129,7 +129,7 @@
         };
         match read {
             Ok(listing) => Ok(listing),
-            Err(why) if why.is_over_bound() => {
+            Err(why) if why.is_too_large() => {
                 Err(self.refuse(UpdateFault::TooLarge, why.to_string()).await)
             }
             Err(why) => Err(self.refuse(UpdateFault::Malformed, why.to_string()).await),
@@ -156,9 +156,9 @@
     }
 
     async fn read(&mut self, connection: &mut Framed<TcpStream, WatchCodec>) -> io::Result<()> {
-        let (host, from) = (self.address.to_string(), self.index);
-        connection.send(WatchRequest { host, from }).await?;
-        tracing::debug!(target: log_targets::DISCOVERY_WATCH, address = %self.address, from, "discovery asked");
+        let (host, from_version) = (self.address.to_string(), self.index);
+        connection.send(WatchRequest { host, from_version }).await?;
+        tracing::debug!(target: log_targets::DISCOVERY_WATCH, address = %self.address, from = from_version, "discovery asked");
         self.report(Input::Watch(WatchEvent::Requested)).await;
         loop {
             let most = if self.had {
@@ -182,7 +182,7 @@
             self.index = Some(listing.version);
             self.refused = false;
             self.report(Input::EndpointsUpdated(listing)).await;
-            if from.is_none() {
+            if from_version.is_none() {
                 return Ok(());
             }
         }
