--- a/crates/mixer/tests/lists.rs
+++ b/crates/mixer/tests/lists.rs
@@ -87,7 +87,7 @@
         objects
             .buffer()
             .extend_from_slice((list.clone() + after).as_bytes());
-        let object = objects.whole().expect("a whole list");
+        let object = objects.next_object().expect("a whole list");
         assert_eq!(object.len(), list.len());
         assert!(
             object.is_unique(),
@@ -95,7 +95,7 @@
             after.len()
         );
         objects.buffer().extend_from_slice(b"}");
-        let next = objects.whole().expect("what follows is read on");
+        let next = objects.next_object().expect("what follows is read on");
         assert_eq!(next, after.trim().to_string() + "}");
     }
 }
@@ -342,11 +342,11 @@
     assert_eq!(
         refused,
         UpdateError::TooManyEntries {
-            index: 43,
+            version: 43,
             entries: MAX_ENTRIES + 2
         }
     );
-    assert!(refused.is_over_bound());
+    assert!(refused.is_too_large());
     assert_eq!(
         refused.to_string(),
         "131074 entries in version 43, 131072 at most are accepted"
--- a/crates/mixer/tests/protocol.rs
+++ b/crates/mixer/tests/protocol.rs
@@ -198,7 +198,7 @@
     assert_eq!(
         status(&format!(
             "GET / HTTP/1.1\r\nA: {}",
-            "x".repeat(http::MOST_HEAD)
+            "x".repeat(http::MAX_HEAD_BYTES)
         )),
         431
     );
