--- /dev/null
+++ b/crates/decisions/src/hedging.rs
@@ -0,0 +1,51 @@
+//! Hedging: sending a part that takes long to a second replica as well.
+
+use crate::latency_estimates::LatencyEstimates;
+use crate::retry_budget::RetryBudgetUsage;
+
+/// Deviations above the mean latency from which on an attempt is slow.
+const SLOW_DEVIATIONS: f64 = 4.0;
+/// Bounds of the time after which a part may be hedged, as fractions of its phase's duration: the hedged request needs
+/// time as well.
+pub const MIN_HEDGE_DELAY_FRACTION: f64 = 0.125;
+const MAX_HEDGE_DELAY_FRACTION: f64 = 0.4;
+/// Extra attempts below which hedged requests are always allowed.
+const MIN_HEDGE_LIMIT: f64 = 3.0;
+/// Extra attempts that are allowed for each part besides.
+const HEDGE_LIMIT_PER_PART: f64 = 0.15;
+/// Weight of one hedged part in the rate at which first attempts win.
+const WIN_RATE_SMOOTHING: f64 = 0.1;
+
+/// Limits hedged requests by how often they help, since they add to an overload.
+#[derive(Debug, Default)]
+pub struct Hedging {
+    /// Fraction of the hedged parts whose first attempt answered before the hedged request.
+    first_attempt_win_rate: f64,
+}
+
+impl Hedging {
+    /// A part with several attempts in flight was answered, by the first of them or not.
+    pub fn record_hedged_answer(&mut self, first_attempt_won: bool) {
+        let won = f64::from(u8::from(first_attempt_won));
+        self.first_attempt_win_rate += WIN_RATE_SMOOTHING * (won - self.first_attempt_win_rate);
+    }
+
+    /// Whether one more hedged request is allowed. The limit grows with the parts received or open, and falls to the
+    /// minimum where first attempts nearly always win.
+    pub fn allows_hedge(&self, usage: &RetryBudgetUsage, open_parts: usize) -> bool {
+        let parts = usage.recent_arrivals().max(open_parts);
+        let success_factor = (1.5 - 2.0 * self.first_attempt_win_rate).clamp(0.0, 1.0);
+        let limit = MIN_HEDGE_LIMIT + HEDGE_LIMIT_PER_PART * parts as f64 * success_factor;
+        (usage.recent_extra_attempts() as f64) < limit
+    }
+}
+
+/// How long to wait for an attempt of a phase of this duration before the part is hedged, ns.
+pub fn hedge_delay(latencies: &LatencyEstimates, phase_duration: f64) -> f64 {
+    let mean = latencies.fleet_mean_or_initial(phase_duration);
+    let slow = mean + SLOW_DEVIATIONS * latencies.fleet_deviation();
+    slow.clamp(
+        MIN_HEDGE_DELAY_FRACTION * phase_duration,
+        MAX_HEDGE_DELAY_FRACTION * phase_duration,
+    )
+}
--- /dev/null
+++ b/crates/decisions/src/latency_estimates.rs
@@ -0,0 +1,90 @@
+//! Estimates of the replicas' latencies.
+
+use crate::batch::Batch;
+use crate::replica_set::EndedAttempt;
+use crate::tables::replica_table::Replica;
+use crate::tables::statistics::MeanAndDeviation;
+use crate::timing::LATENESS_THRESHOLD;
+use crate::Outcome;
+
+/// Latency that is assumed before any is known, as a fraction of the time available.
+const INITIAL_LATENCY_FRACTION: f64 = 0.1;
+/// Weight of an answer in a replica's smoothed latency.
+pub const ANSWER_SMOOTHING: f64 = 0.2;
+/// Weight of a failed attempt in it. A replica that fails fast would otherwise look fast and draw all parts.
+const FAILURE_SMOOTHING: f64 = 0.6;
+/// Weight of an answer in the mean over all replicas, which sees far more of them.
+const FLEET_SMOOTHING: f64 = 0.03;
+
+/// Latency over all replicas, and how a replica's own is estimated from it.
+#[derive(Debug, Default)]
+pub struct LatencyEstimates {
+    fleet: MeanAndDeviation,
+}
+
+impl LatencyEstimates {
+    /// Records the latency of a successful attempt or probe, ns.
+    pub fn record_answer(&mut self, latency: f64) {
+        self.fleet.add(latency, FLEET_SMOOTHING);
+    }
+
+    /// Mean latency over all replicas, ns; `None` before the first answer.
+    pub fn fleet_mean(&self) -> Option<f64> {
+        self.fleet.mean()
+    }
+
+    /// Mean latency over all replicas, ns; before the first answer, a guess for attempts that have `time_available`.
+    pub fn fleet_mean_or_initial(&self, time_available: f64) -> f64 {
+        self.fleet
+            .mean()
+            .unwrap_or(INITIAL_LATENCY_FRACTION * time_available)
+    }
+
+    /// Mean deviation of the latency over all replicas, ns.
+    pub fn fleet_deviation(&self) -> f64 {
+        self.fleet.deviation()
+    }
+
+    /// The replica's latency, ns: smoothed, but never less than it has been silent, since a replica that is silent is
+    /// slow now and not only when it answers.
+    pub fn latency(&self, batch: &Batch, replica: &Replica) -> f64 {
+        self.smoothed_latency(batch, replica)
+            .max(replica.silent_for(batch.now) as f64)
+    }
+
+    /// The replica's smoothed latency, ns, fading to the mean over all replicas while there is no news of it.
+    pub fn smoothed_latency(&self, batch: &Batch, replica: &Replica) -> f64 {
+        let mean = self.fleet_mean_or_initial(batch.timing.shortest_objective);
+        let stats = replica.stats();
+        stats.latency.map_or(mean, |own| {
+            let age = batch.age_in_fade_times(stats.latency_updated_at);
+            mean + (own - mean) * (-age).exp()
+        })
+    }
+
+    /// The replica's smoothed latency after an attempt or probe has ended, ns; `failed` as in
+    /// [`crate::outlier_detection::is_failure`].
+    pub fn latency_after(
+        &self,
+        batch: &Batch,
+        replica: &Replica,
+        attempt: &EndedAttempt,
+        failed: bool,
+    ) -> f64 {
+        let age = (batch.now - attempt.sent_at) as f64;
+        let latency = self.latency(batch, replica);
+        let smoothed = self.smoothed_latency(batch, replica);
+        let sample = match attempt.outcome {
+            Outcome::Ok => age,
+            Outcome::NotSent => latency,
+            Outcome::Cancelled => age.max(latency),
+            _ => latency.max(LATENESS_THRESHOLD * batch.timing.shortest_objective),
+        };
+        let weight = if failed {
+            FAILURE_SMOOTHING
+        } else {
+            ANSWER_SMOOTHING
+        };
+        smoothed + weight * (sample - smoothed)
+    }
+}
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,22 +1,41 @@
 //! Every decision about queries and parts: admission, load shedding, replica choice, retries and hedging, and when a
 //! query is answered or rejected. Events go in, actions come out; the crate does no I/O and reads no clock.
+//!
+//! [`Coordinator`] applies each batch of events to the modules below, each of which owns the state of one concern.
+
+#![warn(missing_docs)]
 
 mod actions;
+mod admission;
+mod attempts;
+mod batch;
+mod client_timeouts;
+mod completion;
+mod connection_loss;
 mod coordinator;
-mod due_queue;
+mod endpoint_polling;
 mod events;
+mod health_check;
+mod hedging;
 mod ids;
-mod judged_parts;
-mod open_parts;
-mod open_queries;
-mod query;
-pub mod replica_table;
+mod latency_estimates;
+mod load_shedding;
+mod outlier_detection;
+mod query_arrival;
+mod replica_choice;
+mod replica_set;
+mod retry;
+mod retry_budget;
 mod settings;
-mod statistics;
+mod slow_start;
+mod tables;
+mod timer;
 mod timing;
+mod weight_cutoff;
 
 pub use actions::Action;
 pub use coordinator::Coordinator;
 pub use events::{Endpoint, EndpointStatus, EndpointUpdateKind, Event, LoadReport, Outcome};
 pub use ids::{Nanos, ReplicaId, RequestId};
 pub use settings::{Class, DiscoveryMode, Idempotency, RetryBudget, Settings};
+pub use tables::replica_table;
--- /dev/null
+++ b/crates/decisions/src/replica_set.rs
@@ -0,0 +1,204 @@
+//! The replicas, and all that is known of their health and load.
+
+use crate::batch::Batch;
+use crate::connection_loss::ConnectionLoss;
+use crate::health_check::HealthCheck;
+use crate::latency_estimates::{LatencyEstimates, ANSWER_SMOOTHING};
+use crate::outlier_detection;
+use crate::replica_choice::choose_replica;
+use crate::slow_start::{self, SlowStart};
+use crate::tables::query_table::Part;
+use crate::tables::replica_table::{ConnectionKind, ReplicaTable, Slot};
+use crate::{Endpoint, EndpointUpdateKind, Nanos, Outcome, ReplicaId, Settings};
+
+/// An attempt or probe that has ended.
+#[derive(Clone, Copy, Debug)]
+pub struct EndedAttempt {
+    /// When it was sent.
+    pub sent_at: Nanos,
+    /// The kind of connection that it was sent on.
+    pub connection: ConnectionKind,
+    /// How it ended.
+    pub outcome: Outcome,
+}
+
+/// The replicas of the endpoint list, and the owners of what is known of them.
+#[derive(Debug)]
+pub struct ReplicaSet {
+    /// The replicas and their stats.
+    pub table: ReplicaTable,
+    /// Estimates of their latencies.
+    pub latencies: LatencyEstimates,
+    slow_start: SlowStart,
+    connection_loss: ConnectionLoss,
+    health_check: HealthCheck,
+}
+
+impl ReplicaSet {
+    /// No replicas yet; `seed` determines the jitter of slow start.
+    pub fn new(settings: &Settings, seed: u64) -> Self {
+        ReplicaSet {
+            table: ReplicaTable::new(
+                settings.cells,
+                settings.replication_factor,
+                settings.max_parts_per_call.unwrap_or(1),
+            ),
+            latencies: LatencyEstimates::default(),
+            slow_start: SlowStart::new(seed),
+            connection_loss: ConnectionLoss::default(),
+            health_check: HealthCheck::default(),
+        }
+    }
+
+    /// A batch has started.
+    pub fn record_batch(&mut self, now: Nanos) {
+        self.slow_start.record_batch(now);
+    }
+
+    /// A query with so many parts was received.
+    pub fn record_query(&mut self, parts: usize) {
+        self.slow_start.record_query(parts);
+    }
+
+    /// Applies an endpoint update, and forgets replicas that are long gone.
+    pub fn apply_update(
+        &mut self,
+        batch: &Batch,
+        kind: EndpointUpdateKind,
+        endpoints: &[Endpoint],
+    ) {
+        let snapshot = kind != EndpointUpdateKind::Delta;
+        self.table.apply_update(endpoints, snapshot);
+        let fade_time = batch.timing.fade_time() as Nanos;
+        self.table.forget_gone(batch.now.saturating_sub(fade_time));
+    }
+
+    /// Whether there is news of a replica within the fade time.
+    pub fn is_known(&self, batch: &Batch, slot: Slot) -> bool {
+        let last_alive_at = self.table.replica(slot).stats().last_alive_at;
+        batch.age_in_fade_times(last_alive_at) < 1.0
+    }
+
+    /// Chooses the replica that gets a part; `None` if none may.
+    pub fn choose(&mut self, batch: &mut Batch, part: &Part) -> Option<Slot> {
+        choose_replica(
+            batch,
+            &mut self.table,
+            &self.latencies,
+            &self.slow_start,
+            part,
+        )
+    }
+
+    /// Records a part that is sent to a replica now; the kind of connection that it is sent on.
+    pub fn record_send(&mut self, batch: &mut Batch, slot: Slot) -> ConnectionKind {
+        let connection = self
+            .connection_loss
+            .prepare_connection(batch, &mut self.table, slot);
+        self.table.open_part(slot, batch.now);
+        if slow_start::is_enabled(batch.settings) {
+            let since = batch.now.saturating_sub(batch.settings.overload_window);
+            self.table.record_send(slot, batch.now, since);
+        }
+        connection
+    }
+
+    /// Records the end of an attempt or probe at a replica.
+    pub fn record_end(&mut self, batch: &mut Batch, slot: Slot, attempt: EndedAttempt) {
+        self.update_stats(batch, slot, &attempt);
+        self.table.close_part(slot, attempt.sent_at);
+        match attempt.outcome {
+            Outcome::Ok => {
+                self.slow_start.record_answer(batch);
+                let latency = (batch.now - attempt.sent_at) as f64;
+                self.latencies.record_answer(latency);
+                self.record_alive(batch, slot);
+                self.connection_loss
+                    .record_attempt(batch, attempt.connection, false);
+            }
+            Outcome::Error | Outcome::Rejected => self.record_alive(batch, slot),
+            Outcome::ConnectFailed | Outcome::ConnectionReset | Outcome::TimedOut => {
+                self.record_silence(batch, slot, attempt.sent_at);
+            }
+            Outcome::Cancelled | Outcome::NotSent => {}
+        }
+    }
+
+    fn update_stats(&mut self, batch: &Batch, slot: Slot, attempt: &EndedAttempt) {
+        let replica = self.table.replica(slot);
+        let failed = outlier_detection::is_failure(batch, &self.latencies, replica, attempt);
+        let latency = self
+            .latencies
+            .latency_after(batch, replica, attempt, failed);
+        let stats = self.table.stats_mut(slot);
+        match attempt.outcome {
+            Outcome::NotSent => return,
+            Outcome::Rejected => stats.full_until = outlier_detection::full_until(batch),
+            Outcome::Ok => {
+                let oldest_sent_at = stats.open().oldest_sent_at().unwrap_or(attempt.sent_at);
+                let busy_since = stats.last_answer_at.max(oldest_sent_at);
+                let interval = (batch.now - busy_since) as f64;
+                stats.answer_interval.add(interval, ANSWER_SMOOTHING);
+                stats.last_answer_at = batch.now;
+            }
+            _ => {}
+        }
+        stats.latency = Some(latency);
+        stats.latency_updated_at = batch.now;
+        let responded = matches!(attempt.outcome, Outcome::Error | Outcome::Rejected);
+        if failed && !responded {
+            stats.lost_connections.push(attempt.connection);
+        }
+    }
+
+    /// Records the end of a probe.
+    pub fn record_probe(
+        &mut self,
+        batch: &mut Batch,
+        replica: ReplicaId,
+        outcome: Outcome,
+        latency: Nanos,
+    ) {
+        let Some(slot) = self.table.slot(replica) else {
+            return;
+        };
+        match outcome {
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::ConnectionReset => {
+                let probe = EndedAttempt {
+                    sent_at: batch.now.saturating_sub(latency),
+                    connection: ConnectionKind::Active,
+                    outcome,
+                };
+                self.record_end(batch, slot, probe);
+            }
+            Outcome::Ok => self.record_alive(batch, slot),
+            _ => {}
+        }
+    }
+
+    /// Records that a replica has started to respond.
+    pub fn record_stream_start(&mut self, batch: &mut Batch, replica: ReplicaId) {
+        if let Some(slot) = self.table.slot(replica) {
+            self.record_alive(batch, slot);
+        }
+    }
+
+    fn record_alive(&mut self, batch: &mut Batch, slot: Slot) {
+        for connection in outlier_detection::record_alive(batch, &mut self.table, slot) {
+            self.connection_loss.record_attempt(batch, connection, true);
+        }
+    }
+
+    /// Ejects a replica that has been silent since an attempt was sent to it at `sent_at`.
+    pub fn record_silence(&mut self, batch: &mut Batch, slot: Slot, sent_at: Nanos) {
+        if outlier_detection::eject_silent(batch, &mut self.table, slot, sent_at) {
+            let id = self.table.replica(slot).id();
+            self.health_check.record_ejection(batch, id);
+        }
+    }
+
+    /// Probes replicas without recent news, if many are suspected.
+    pub fn probe_quiet_replicas(&mut self, batch: &mut Batch) {
+        self.health_check.probe_quiet_replicas(batch, &self.table);
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/tables/mod.rs
@@ -0,0 +1,10 @@
+//! The data that the decisions read and update: replicas, open queries, and statistics. Nothing here decides anything.
+
+pub(crate) mod due_queue;
+pub(crate) mod in_flight;
+pub(crate) mod open_parts;
+pub(crate) mod query_table;
+pub(crate) mod recent_outcomes;
+mod replica;
+pub mod replica_table;
+pub(crate) mod statistics;
--- /dev/null
+++ b/crates/decisions/src/tables/open_parts.rs
@@ -0,0 +1,103 @@
+//! The parts in flight at one replica, and the calls that they share. The totals are kept up to date, so that reading
+//! them costs the same however many parts are in flight.
+
+use crate::Nanos;
+use std::collections::VecDeque;
+
+/// Parts that were sent to one replica at one time; they share calls.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SentParts {
+    /// When they were sent.
+    pub sent_at: Nanos,
+    /// How many of them are in flight; at least 1.
+    pub parts: u32,
+}
+
+/// The parts in flight at one replica.
+#[derive(Debug, Default, PartialEq)]
+pub struct OpenParts {
+    by_time: VecDeque<SentParts>,
+    parts: u32,
+    /// Calls that they fill, partly filled ones included.
+    calls: u32,
+}
+
+impl OpenParts {
+    /// No parts.
+    pub const NONE: OpenParts = OpenParts {
+        by_time: VecDeque::new(),
+        parts: 0,
+        calls: 0,
+    };
+
+    /// Whether no part is in flight.
+    pub fn is_empty(&self) -> bool {
+        self.by_time.is_empty()
+    }
+
+    /// How many parts are in flight.
+    pub fn parts(&self) -> u32 {
+        self.parts
+    }
+
+    /// The parts in flight by the time when they were sent, oldest first.
+    pub fn by_time(&self) -> impl Iterator<Item = &SentParts> {
+        self.by_time.iter()
+    }
+
+    /// When the oldest part in flight was sent.
+    pub fn oldest_sent_at(&self) -> Option<Nanos> {
+        self.by_time.front().map(|oldest| oldest.sent_at)
+    }
+
+    /// When the newest part in flight was sent.
+    pub fn newest_sent_at(&self) -> Option<Nanos> {
+        self.by_time.back().map(|newest| newest.sent_at)
+    }
+
+    /// Calls in flight, of at most `max_parts_per_call` parts each; one that was opened at `now` and has room for one
+    /// more part is not counted.
+    pub fn calls(&self, now: Nanos, max_parts_per_call: u32) -> u32 {
+        let newest = self.by_time.back().filter(|newest| newest.sent_at == now);
+        let has_room =
+            newest.is_some_and(|newest| !newest.parts.is_multiple_of(max_parts_per_call));
+        self.calls - u32::from(has_room)
+    }
+
+    /// Adds a part that is sent now; times must not go back.
+    pub fn add(&mut self, now: Nanos, max_parts_per_call: u32) {
+        if self.newest_sent_at() != Some(now) {
+            self.by_time.push_back(SentParts {
+                sent_at: now,
+                parts: 0,
+            });
+        }
+        if let Some(newest) = self.by_time.back_mut() {
+            self.calls += u32::from(newest.parts.is_multiple_of(max_parts_per_call));
+            newest.parts += 1;
+            self.parts += 1;
+        }
+    }
+
+    /// Removes a part that was sent at `sent_at`; false where no such part is in flight.
+    pub fn remove(&mut self, sent_at: Nanos, max_parts_per_call: u32) -> bool {
+        let found = self
+            .by_time
+            .binary_search_by_key(&sent_at, |sent| sent.sent_at);
+        let Ok(index) = found else {
+            return false;
+        };
+        self.parts -= 1;
+        let sent = &mut self.by_time[index];
+        sent.parts -= 1;
+        self.calls -= u32::from(sent.parts.is_multiple_of(max_parts_per_call));
+        if sent.parts == 0 {
+            self.by_time.remove(index);
+        }
+        if self.by_time.is_empty() {
+            // Frees the memory: most replicas have nothing in flight.
+            self.by_time = VecDeque::new();
+        }
+        true
+    }
+}
--- /dev/null
+++ b/crates/decisions/src/tables/replica_table.rs
@@ -0,0 +1,356 @@
+//! The replicas of the endpoint list, by id and by cell.
+//!
+//! The table keeps its counts as entries change and forgets replicas that are gone by a queue, so that a lookup costs as
+//! much as the shard has holders and a change as much as it has entries, however large the fleet is.
+
+pub use super::replica::{ConnectionKind, Replica, ReplicaStats, SlowStartJitter};
+use crate::{Endpoint, EndpointStatus, Nanos, ReplicaId};
+use std::borrow::Cow;
+use std::cell::Cell;
+use std::cmp::Reverse;
+use std::collections::{BinaryHeap, HashMap};
+
+/// Position of a replica in its table; valid until the next endpoint update.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Slot(u32);
+
+impl Slot {
+    fn index(self) -> usize {
+        self.0 as usize
+    }
+}
+
+/// A replica that is gone, in the queue of those to forget.
+type Expiry = Reverse<(Nanos, Slot)>;
+
+/// All replicas that are listed, and those gone that are not forgotten yet.
+#[derive(Debug)]
+pub struct ReplicaTable {
+    cells: u32,
+    replication_factor: u32,
+    max_parts_per_call: u32,
+    /// Includes free slots.
+    replicas: Vec<Replica>,
+    /// Slots of replicas that were forgotten.
+    free_slots: Vec<Slot>,
+    slots: HashMap<ReplicaId, Slot>,
+    /// The replicas of each cell in the order of their ids.
+    by_cell: Vec<Vec<Slot>>,
+    ready: usize,
+    suspected_and_ready: usize,
+    /// Replicas that are gone, by the time of their last latency update when they were queued.
+    expiries: BinaryHeap<Expiry>,
+    visited: Cell<u64>,
+}
+
+/// A table in which no shard has holders.
+impl Default for ReplicaTable {
+    fn default() -> Self {
+        ReplicaTable::new(1, 0, 1)
+    }
+}
+
+impl ReplicaTable {
+    /// A table for `cells` cells, where shard `s` is held by the replicas of the cells `s` to
+    /// `s + replication_factor - 1`, modulo `cells`, and a call has at most `max_parts_per_call` parts.
+    pub fn new(cells: u32, replication_factor: u32, max_parts_per_call: u32) -> Self {
+        ReplicaTable {
+            cells: cells.max(1),
+            replication_factor,
+            max_parts_per_call: max_parts_per_call.max(1),
+            replicas: Vec::new(),
+            free_slots: Vec::new(),
+            slots: HashMap::new(),
+            by_cell: Vec::new(),
+            ready: 0,
+            suspected_and_ready: 0,
+            expiries: BinaryHeap::new(),
+            visited: Cell::new(0),
+        }
+    }
+
+    /// Calls in flight at a replica; one that was opened at `now` and has room for one more part is not counted.
+    pub fn calls_in_flight(&self, replica: &Replica, now: Nanos) -> u32 {
+        replica.stats().open.calls(now, self.max_parts_per_call)
+    }
+
+    /// How many replicas are known, those gone and not forgotten included.
+    pub fn len(&self) -> usize {
+        self.slots.len()
+    }
+
+    /// Whether no replica is known.
+    pub fn is_empty(&self) -> bool {
+        self.slots.is_empty()
+    }
+
+    /// How many replicas are listed as ready.
+    pub fn ready_count(&self) -> usize {
+        self.ready
+    }
+
+    /// How many of the ready replicas are suspected.
+    pub fn suspected_ready_count(&self) -> usize {
+        self.suspected_and_ready
+    }
+
+    /// How many replicas were looked at so far, as holders of a shard or by a walk: a measure of cost, for tests.
+    pub fn replicas_visited(&self) -> u64 {
+        self.visited.get()
+    }
+
+    /// The position of a replica; `None` if it is not known.
+    pub fn slot(&self, id: ReplicaId) -> Option<Slot> {
+        self.slots.get(&id).copied()
+    }
+
+    /// The replica at a position.
+    pub fn replica(&self, slot: Slot) -> &Replica {
+        &self.replicas[slot.index()]
+    }
+
+    /// The replica of this id; `None` if it is not known.
+    pub fn get(&self, id: ReplicaId) -> Option<&Replica> {
+        self.slot(id).map(|slot| self.replica(slot))
+    }
+
+    /// The stats of a replica, to be changed.
+    pub fn stats_mut(&mut self, slot: Slot) -> &mut ReplicaStats {
+        self.replicas[slot.index()].stats.get_or_insert_default()
+    }
+
+    /// The holders of a shard, whatever their status, in the order of their ids.
+    pub fn holders(&self, shard: u32) -> Cow<'_, [Slot]> {
+        let mut cells = self.cells_of(shard).filter(|cell| !cell.is_empty());
+        let Some(first) = cells.next() else {
+            return Cow::Borrowed(&[]);
+        };
+        let Some(second) = cells.next() else {
+            self.count_visits(first.len());
+            return Cow::Borrowed(first);
+        };
+        let mut holders = [first.as_slice(), second].concat();
+        holders.extend(cells.flatten());
+        holders.sort_unstable_by_key(|slot| self.replica(*slot).id);
+        self.count_visits(holders.len());
+        Cow::Owned(holders)
+    }
+
+    /// Whether any holder of a shard is ready.
+    pub fn has_ready_holder(&self, shard: u32) -> bool {
+        self.holders(shard)
+            .iter()
+            .any(|slot| self.replica(*slot).is_ready())
+    }
+
+    /// The cells that hold a shard, each once, as far as any replica was listed in them.
+    fn cells_of(&self, shard: u32) -> impl Iterator<Item = &Vec<Slot>> {
+        let cells = u64::from(self.cells);
+        let first = u64::from(shard % self.cells);
+        let holding = u64::from(self.replication_factor.min(self.cells));
+        let listed = self.by_cell.len() as u64;
+        // Walks the shorter of the two: the cells that hold the shard, or those that are listed.
+        let (by_shard, by_list) = if holding <= listed {
+            (0..holding, 0..0)
+        } else {
+            (0..0, 0..listed)
+        };
+        let from_shard = by_shard.map(move |offset| (first + offset) % cells);
+        let from_list = by_list.filter(move |cell| (cell + cells - first) % cells < holding);
+        from_shard
+            .chain(from_list)
+            .filter_map(|cell| self.by_cell.get(cell as usize))
+    }
+
+    /// The ready replicas in the order of their ids. Walks over all replicas.
+    pub fn ready_slots(&self) -> Vec<Slot> {
+        self.count_visits(self.replicas.len());
+        let slots = (0..self.replicas.len() as u32).map(Slot);
+        let mut ready: Vec<Slot> = slots
+            .filter(|slot| self.replica(*slot).is_ready())
+            .collect();
+        ready.sort_unstable_by_key(|slot| self.replica(*slot).id);
+        ready
+    }
+
+    fn count_visits(&self, replicas: usize) {
+        self.visited.set(self.visited.get() + replicas as u64);
+    }
+
+    /// Applies entries of the endpoint list, in order; the replicas that a `snapshot` does not name are gone.
+    pub fn apply_update(&mut self, endpoints: &[Endpoint], snapshot: bool) {
+        if !snapshot {
+            for endpoint in endpoints {
+                self.apply_entry(endpoint);
+            }
+            self.count_visits(endpoints.len());
+            return;
+        }
+        let additional = endpoints.len().saturating_sub(self.replicas.len());
+        self.replicas.reserve_exact(additional);
+        let additional = endpoints.len().saturating_sub(self.slots.len());
+        self.slots.reserve(additional);
+        let mut listed = Vec::new();
+        for endpoint in endpoints {
+            let slot = self.apply_entry(endpoint);
+            listed.resize(self.replicas.len(), false);
+            listed[slot.index()] = true;
+        }
+        self.count_visits(endpoints.len() + self.replicas.len());
+        listed.resize(self.replicas.len(), false);
+        self.remove_unlisted(&listed);
+    }
+
+    /// Sets the status of the replicas that are not listed, by slot, to gone.
+    fn remove_unlisted(&mut self, listed: &[bool]) {
+        for (index, listed) in listed.iter().enumerate() {
+            if !listed {
+                self.change(Slot(index as u32), |replica| {
+                    replica.status = EndpointStatus::Gone;
+                });
+            }
+        }
+    }
+
+    fn apply_entry(&mut self, endpoint: &Endpoint) -> Slot {
+        let slot = self
+            .slot(endpoint.replica)
+            .unwrap_or_else(|| self.add(endpoint));
+        if self.replica(slot).cell != endpoint.cell {
+            self.leave_cell(slot);
+            self.replicas[slot.index()].cell = endpoint.cell;
+            self.join_cell(slot);
+        }
+        self.change(slot, |replica| {
+            replica.zone = endpoint.zone;
+            replica.status = endpoint.status;
+            if endpoint.status == EndpointStatus::Ready && replica.started != endpoint.started {
+                replica.restart(endpoint.started);
+            }
+        });
+        self.queue_expiry(slot);
+        slot
+    }
+
+    /// Adds a replica that counts as gone until its entry is applied.
+    fn add(&mut self, endpoint: &Endpoint) -> Slot {
+        let replica = Replica::new(endpoint);
+        let slot = match self.free_slots.pop() {
+            Some(slot) => {
+                self.replicas[slot.index()] = replica;
+                slot
+            }
+            None => {
+                self.replicas.push(replica);
+                Slot(self.replicas.len() as u32 - 1)
+            }
+        };
+        self.slots.insert(endpoint.replica, slot);
+        self.join_cell(slot);
+        slot
+    }
+
+    /// Changes a replica's status or suspicion and keeps the counts and the queue of expiries true.
+    fn change(&mut self, slot: Slot, change: impl FnOnce(&mut Replica)) {
+        let replica = &mut self.replicas[slot.index()];
+        let status_before = replica.status;
+        let suspected_before = replica.is_suspected_and_ready();
+        change(replica);
+        let status_after = replica.status;
+        let suspected_after = replica.is_suspected_and_ready();
+        self.ready += usize::from(status_after == EndpointStatus::Ready);
+        self.ready -= usize::from(status_before == EndpointStatus::Ready);
+        self.suspected_and_ready += usize::from(suspected_after);
+        self.suspected_and_ready -= usize::from(suspected_before);
+        if status_before != EndpointStatus::Gone && status_after == EndpointStatus::Gone {
+            self.queue_expiry(slot);
+        }
+    }
+
+    /// Sets whether a replica is suspected to have failed.
+    pub fn set_suspected(&mut self, slot: Slot, suspected: bool) {
+        self.change(slot, |replica| replica.suspected = suspected);
+    }
+
+    /// Records a part that is sent to a replica now.
+    pub fn open_part(&mut self, slot: Slot, now: Nanos) {
+        let max_parts_per_call = self.max_parts_per_call;
+        self.stats_mut(slot).open.add(now, max_parts_per_call);
+    }
+
+    /// Keeps the time of a send that is made now, and those of the sends since `since`.
+    pub fn record_send(&mut self, slot: Slot, now: Nanos, since: Nanos) {
+        let sends = &mut self.stats_mut(slot).recent_sends;
+        sends.push(now);
+        sends.forget_before(since);
+    }
+
+    /// Records the end of a part that was sent to a replica at `sent_at`.
+    pub fn close_part(&mut self, slot: Slot, sent_at: Nanos) {
+        let max_parts_per_call = self.max_parts_per_call;
+        let open = &mut self.stats_mut(slot).open;
+        if open.remove(sent_at, max_parts_per_call) && open.is_empty() {
+            self.queue_expiry(slot);
+        }
+    }
+
+    /// Forgets the replicas that are gone, have no part in flight, and whose latency was not updated after
+    /// `updated_until`.
+    pub fn forget_gone(&mut self, updated_until: Nanos) {
+        while let Some(Reverse((updated_at, slot))) = self.expiries.peek().copied() {
+            if updated_at > updated_until {
+                return;
+            }
+            self.expiries.pop();
+            self.count_visits(1);
+            let replica = &mut self.replicas[slot.index()];
+            replica.queued_for_expiry = false;
+            if replica.status != EndpointStatus::Gone || !replica.stats().open.is_empty() {
+                continue;
+            }
+            if replica.stats().latency_updated_at > updated_until {
+                self.queue_expiry(slot);
+            } else {
+                self.forget(slot);
+            }
+        }
+    }
+
+    /// Queues a replica that is gone to be forgotten, unless it is queued already.
+    fn queue_expiry(&mut self, slot: Slot) {
+        let replica = &mut self.replicas[slot.index()];
+        if replica.status != EndpointStatus::Gone || replica.queued_for_expiry {
+            return;
+        }
+        replica.queued_for_expiry = true;
+        let updated_at = replica.stats().latency_updated_at;
+        self.expiries.push(Reverse((updated_at, slot)));
+    }
+
+    fn forget(&mut self, slot: Slot) {
+        self.leave_cell(slot);
+        let replica = &mut self.replicas[slot.index()];
+        replica.stats = None;
+        self.slots.remove(&replica.id);
+        self.free_slots.push(slot);
+    }
+
+    fn leave_cell(&mut self, slot: Slot) {
+        let cell = self.cell_index(slot);
+        self.by_cell[cell].retain(|other| *other != slot);
+    }
+
+    fn join_cell(&mut self, slot: Slot) {
+        let cell = self.cell_index(slot);
+        if self.by_cell.len() <= cell {
+            self.by_cell.resize_with(cell + 1, Vec::new);
+        }
+        let id = self.replica(slot).id;
+        let position = self.by_cell[cell].partition_point(|other| self.replica(*other).id < id);
+        self.by_cell[cell].insert(position, slot);
+    }
+
+    fn cell_index(&self, slot: Slot) -> usize {
+        (u32::from(self.replica(slot).cell) % self.cells) as usize
+    }
+}
--- a/crates/decisions/src/statistics.rs
+++ b/crates/decisions/src/tables/statistics.rs
@@ -1,16 +1,16 @@
-//! Running figures: times in a window, a count that fades, a mean with its deviation, what is usual. They decide
-//! nothing.
+//! Running statistics: times in a window, a decaying count, a mean with its deviation, a majority vote.
 
 use crate::Nanos;
 use std::collections::VecDeque;
 
-/// Times of the latest events, oldest first.
+/// Times of recent events, oldest first.
 #[derive(Debug, Default, PartialEq)]
 pub struct TimeWindow {
     times: VecDeque<Nanos>,
 }
 
 impl TimeWindow {
+    /// A window without events.
     pub const EMPTY: TimeWindow = TimeWindow {
         times: VecDeque::new(),
     };
@@ -20,39 +20,37 @@
         self.times.push_back(now);
     }
 
-    /// Drops the events from before `since`.
+    /// Drops the events before `since`.
     pub fn forget_before(&mut self, since: Nanos) {
         while self.times.front().is_some_and(|at| *at < since) {
             self.times.pop_front();
         }
     }
 
+    /// How many events are kept.
     pub fn len(&self) -> usize {
         self.times.len()
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.times.is_empty()
-    }
-
-    /// How many were at `since` or later.
+    /// How many events were at `since` or later.
     pub fn count_from(&self, since: Nanos) -> usize {
         self.times.len() - self.times.partition_point(|at| *at < since)
     }
 }
 
-/// A count of events that fades exponentially.
+/// A count of events that decays exponentially.
 #[derive(Debug, Default)]
-pub struct FadingCount {
+pub struct DecayingCount {
     count: f64,
-    counted: Nanos,
+    counted_at: Nanos,
 }
 
-impl FadingCount {
-    /// Counts an event; what was counted before fades over `memory` nanoseconds.
+impl DecayingCount {
+    /// Counts an event; earlier events decay with the time constant `memory`, ns.
     pub fn add(&mut self, now: Nanos, memory: f64) {
-        let kept = (-((now - self.counted) as f64) / memory).exp();
-        (self.count, self.counted) = (self.count * kept + 1.0, now);
+        let kept = (-((now - self.counted_at) as f64) / memory).exp();
+        self.count = self.count * kept + 1.0;
+        self.counted_at = now;
     }
 
     /// The count as of the last event.
@@ -61,7 +59,7 @@
     }
 }
 
-/// A smoothed mean.
+/// An exponentially weighted mean.
 #[derive(Debug, Default, PartialEq)]
 pub struct SmoothedMean {
     mean: Option<f64>,
@@ -71,19 +69,19 @@
     /// The mean of no samples.
     pub const NONE: SmoothedMean = SmoothedMean { mean: None };
 
-    /// Adds a sample of this weight; the mean with it.
+    /// Adds a sample of this weight and returns the new mean.
     pub fn add(&mut self, sample: f64, weight: f64) -> f64 {
         let mean = self.mean.unwrap_or(sample);
         *self.mean.insert(mean + weight * (sample - mean))
     }
 
-    /// None before the first sample.
+    /// The mean; `None` before the first sample.
     pub fn mean(&self) -> Option<f64> {
         self.mean
     }
 }
 
-/// A smoothed mean and the smoothed deviation from it.
+/// An exponentially weighted mean and the mean deviation from it.
 #[derive(Debug, Default)]
 pub struct MeanAndDeviation {
     mean: Option<f64>,
@@ -98,42 +96,45 @@
         self.mean = Some(mean + weight * (sample - mean));
     }
 
-    /// None before the first sample.
+    /// The mean; `None` before the first sample.
     pub fn mean(&self) -> Option<f64> {
         self.mean
     }
 
+    /// The mean deviation; 0 before the second sample.
     pub fn deviation(&self) -> f64 {
         self.deviation
     }
 }
 
-/// The client timeout that most queries have, by a running majority vote.
+/// The most common duration, by a running majority vote.
 #[derive(Debug, Default)]
-pub struct UsualTimeout {
-    timeout: Nanos,
+pub struct MajorityDuration {
+    duration: Nanos,
     lead: u32,
 }
 
-impl UsualTimeout {
-    /// Takes a vote: for what is usual within `tolerance`, else against it. The lead grows to `most` votes.
-    pub fn vote(&mut self, timeout: Nanos, tolerance: Nanos, most: u32) {
+impl MajorityDuration {
+    /// Counts a vote: for the current majority if `duration` is within `tolerance` of it, else against it. The lead
+    /// grows to `max_lead` votes.
+    pub fn vote(&mut self, duration: Nanos, tolerance: Nanos, max_lead: u32) {
         if self.lead == 0 {
-            (self.timeout, self.lead) = (timeout, 1);
-        } else if self.is_like(timeout, tolerance) {
-            self.lead = (self.lead + 1).min(most);
+            self.duration = duration;
+            self.lead = 1;
+        } else if self.is_near(duration, tolerance) {
+            self.lead = (self.lead + 1).min(max_lead);
         } else {
             self.lead -= 1;
         }
     }
 
-    /// Whether any leads.
+    /// Whether any duration leads.
     pub fn is_known(&self) -> bool {
         self.lead > 0
     }
 
-    /// Whether a timeout is the usual one, or that was the last one to lead.
-    pub fn is_like(&self, timeout: Nanos, tolerance: Nanos) -> bool {
-        timeout.abs_diff(self.timeout) <= tolerance
+    /// Whether a duration is within `tolerance` of the last one to lead.
+    pub fn is_near(&self, duration: Nanos, tolerance: Nanos) -> bool {
+        duration.abs_diff(self.duration) <= tolerance
     }
 }
--- /dev/null
+++ b/crates/decisions/src/weight_cutoff.rs
@@ -0,0 +1,93 @@
+//! The weight cutoff: while many parts are late or rejected, the lightest parts of queries are not sent.
+
+use crate::batch::Batch;
+use crate::tables::query_table::Query;
+use crate::tables::recent_outcomes::RecentOutcomes;
+use crate::timing::NS_PER_SECOND;
+use crate::Nanos;
+
+/// Maximum of the cutoff, as a fraction of a phase's weight.
+const MAX_CUTOFF: f64 = 0.125;
+/// By how much the cutoff rises at a time, as a fraction of a phase's weight.
+const CUTOFF_STEP: f64 = MAX_CUTOFF / 4.0;
+/// Fraction of the recent parts that were late or rejected above which the cutoff rises.
+const MAX_BAD_FRACTION: f64 = 0.1;
+/// Recent parts below which that fraction is noise.
+const MIN_OUTCOMES: usize = 8;
+/// Least time between two changes of the cutoff, ns.
+const MIN_CHANGE_INTERVAL_NS: Nanos = NS_PER_SECOND;
+/// Time without overload after which the cutoff returns to zero, ns.
+const RECOVERY_TIME_NS: Nanos = 2 * NS_PER_SECOND;
+
+/// The weight below which parts are not sent.
+#[derive(Debug, Default)]
+pub struct WeightCutoff {
+    /// As a fraction of a phase's weight; 0 while all parts are sent.
+    cutoff: f64,
+    changed_at: Nanos,
+    last_overload_at: Nanos,
+}
+
+impl WeightCutoff {
+    /// Raises the cutoff during overload, and resets it after.
+    pub fn update(&mut self, batch: &mut Batch, outcomes: &RecentOutcomes) {
+        let overloaded = is_overloaded(outcomes);
+        if overloaded {
+            self.last_overload_at = batch.now;
+        }
+        if batch.now.saturating_sub(self.changed_at) < MIN_CHANGE_INTERVAL_NS {
+            return;
+        }
+        let since_overload = batch.now.saturating_sub(self.last_overload_at);
+        if overloaded {
+            self.change(batch, (self.cutoff + CUTOFF_STEP).min(MAX_CUTOFF));
+        } else if since_overload >= RECOVERY_TIME_NS {
+            self.change(batch, 0.0);
+        }
+    }
+
+    fn change(&mut self, batch: &mut Batch, cutoff: f64) {
+        if cutoff == self.cutoff {
+            return;
+        }
+        if self.cutoff == 0.0 {
+            let line = "weight cutoff raised from zero: light parts are not sent";
+            batch.log_lines.push(line.into());
+        } else if cutoff == 0.0 {
+            batch.log_lines.push("weight cutoff back at zero".into());
+        }
+        self.cutoff = cutoff;
+        self.changed_at = batch.now;
+    }
+
+    /// Skips parts lighter than the cutoff, lightest first, but never so many that the rest falls below the class's
+    /// minimum coverage. The higher the cutoff, the more of the weight above that may go.
+    pub fn skip_light_parts(&self, batch: &Batch, query: &mut Query) {
+        let minimum_coverage = batch.class(query).minimum_coverage;
+        if self.cutoff <= 0.0 || minimum_coverage >= 1.0 {
+            return;
+        }
+        let sent_weight: f64 = query
+            .parts
+            .iter()
+            .filter(|part| !part.skipped)
+            .map(|part| part.weight)
+            .sum();
+        let mut spare_weight = (sent_weight - minimum_coverage) * self.cutoff / MAX_CUTOFF;
+        for index in query.parts_by_weight() {
+            let part = &mut query.parts[index];
+            if part.weight >= self.cutoff || part.weight > spare_weight {
+                return;
+            }
+            if !part.skipped {
+                spare_weight -= part.weight;
+            }
+            part.skipped = true;
+        }
+    }
+}
+
+fn is_overloaded(outcomes: &RecentOutcomes) -> bool {
+    let count = outcomes.len();
+    count >= MIN_OUTCOMES && outcomes.bad_count() as f64 > MAX_BAD_FRACTION * count as f64
+}
--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -58,9 +58,9 @@
     ("crates/mixer/src", r"BUFFER: usize = 16 \* 1024", "a connection holds two of 16 KiB"),
     ("crates/decisions/src", r"FADE\w*: f64 = 5\.0", "what was learned fades over five targets"),
     ("crates/decisions/src", r"SPARE_INTERVALS: Nanos = 2", "two timer intervals are kept free before the target"),
-    ("crates/decisions/src", r"COPY_DELAY_LEAST: f64 = 0\.125;\nconst COPY_DELAY_MOST: f64 = 0\.4", "bounds of the hedging delay"),
-    ("crates/decisions/src", r"COPIES_SHARE: f64 = 0\.15", "15% of the parts may get a second copy"),
-    ("crates/decisions/src", r"PROBE_SHARE: f64 = 0\.1", "probes go out from a tenth suspected on"),
+    ("crates/decisions/src", r"MIN_HEDGE_DELAY_FRACTION: f64 = 0\.125;\nconst MAX_HEDGE_DELAY_FRACTION: f64 = 0\.4", "bounds of the hedging delay"),
+    ("crates/decisions/src", r"HEDGE_LIMIT_PER_PART: f64 = 0\.15", "15% of the parts may get a second copy"),
+    ("crates/decisions/src", r"MIN_SUSPECTED_FRACTION: f64 = 0\.1", "probes go out from a tenth suspected on"),
 ]
 
 # ---- What follows at once ------------------------------------------------------------------------------------------
@@ -362,7 +362,7 @@
         ["with sockets and parsing", f"{of(sockets, 'cores')} (S17)", "1 core", verdict(sockets, 1.0),
          "event loop, one thread", "`mixer/src/transport`"],
         ["69 ms at p99", f"leaf servers' p{100 * (1 - LATE_SHARE):.3f}", "69 ms less the mixer's share",
-         verdict(None, 0), "hedged requests with a cap", "`coordinator/retries.rs`"],
+         verdict(None, 0), "hedged requests with a cap", "`hedging.rs`"],
         ["open queries and parts", number(open_parts), f"{OPEN_CAP:,} (`open_cap`)", verdict(open_parts, OPEN_CAP),
          "admission control", "`state/clients.rs`"],
         ["connections to leaf servers", f"{number(LEAVES)} (full mesh)", number(LINKS), verdict(LEAVES, LINKS),
@@ -401,7 +401,7 @@
     return [
         ["**Leaf server**: parts", f"{number(LEAF_RATE)} /s, to {number(LEAF_RATE * (1 + HEDGE_CAP))} with copies",
          "not told", verdict(None, 0), "load shedding by refusal, retry budget",
-         "`coordinator/admission.rs`, `retries.rs`"],
+         "`load_shedding.rs`, `retry_budget.rs`"],
         ["connections", f"{number(MIXERS)} (full mesh)", "not told", verdict(None, 0), "deterministic subsetting",
          "missing"],
         ["cold start", "one part in 4 to 5 mixers, by chance", "N + 2 root(N) + 2",
