--- a/crates/decisions/tests/due_queries.rs
+++ b/crates/decisions/tests/due_queries.rs
@@ -56,7 +56,7 @@
         Action::Fail { .. } => "fail",
         Action::Probe { .. } => "probe",
         Action::CloseIdleConnections { .. } => "close",
-        Action::Log(text) if text.starts_with("cutoff off") => "cutoff",
+        Action::Log(text) if text.starts_with("weight cutoff raised") => "cutoff",
         _ => "other",
     }
 }
--- a/crates/decisions/tests/module.rs
+++ b/crates/decisions/tests/module.rs
@@ -282,7 +282,7 @@
         }
         bed.run(20, 1750)
     };
-    assert!(logs(&pressed, "cutoff off zero"));
+    assert!(logs(&pressed, "cutoff raised from zero"));
     let (id, after) = bed.query(1760, 1, &[0.6, 0.39, 0.01]);
     let own: Vec<u64> = sends(&after)
         .into_iter()
@@ -326,7 +326,7 @@
         bed.run(from + 10, from + 690);
     }
     let up = bed.run(1400, 3500);
-    assert!(logs(&up, "cutoff off zero") && !logs(&up, "cutoff back"));
+    assert!(logs(&up, "cutoff raised from zero") && !logs(&up, "cutoff back"));
     bed.query(3510, 0, &[1.0]);
     let after: Vec<Action> = (36..=60).flat_map(|t| bed.tick(t * 100)).collect();
     assert!(
@@ -353,7 +353,7 @@
     let mut bed = Bed::new(settings(vec![class(2000, 0.5)]), 3);
     bed.query(0, 0, &[0.6, 0.3, 0.1]);
     let actions = bed.run(10, 1900);
-    assert!(!logs(&actions, "cutoff off zero"));
+    assert!(!logs(&actions, "cutoff raised from zero"));
 }
 
 #[test]
@@ -1094,7 +1094,7 @@
             let (part, replica) = sends(&actions)[0];
             seen.extend(bed.end(at + i * 10 + 5, part, 0, replica, Outcome::ConnectFailed));
         }
-        assert_eq!(logs(&seen, "cutoff off zero"), heard);
+        assert_eq!(logs(&seen, "cutoff raised from zero"), heard);
     }
 }
 
--- a/crates/decisions/tests/replica_table.rs
+++ b/crates/decisions/tests/replica_table.rs
@@ -153,7 +153,7 @@
     match step {
         Step::Time(by) => *now += by,
         Step::List { endpoints, whole } => {
-            table.list(&endpoints, whole);
+            table.apply_update(&endpoints, whole);
             walk.list(&endpoints, whole);
             table.forget_gone(now.saturating_sub(FADE));
             walk.forget_gone(now.saturating_sub(FADE));
@@ -161,7 +161,7 @@
         Step::Open(id) => {
             let Some(slot) = table
                 .slot(ReplicaId(id))
-                .filter(|slot| table.at(*slot).is_ready())
+                .filter(|slot| table.replica(*slot).is_ready())
             else {
                 return;
             };
@@ -190,8 +190,8 @@
             let Some(slot) = table.slot(ReplicaId(id)) else {
                 return;
             };
-            let traffic = table.traffic_mut(slot);
-            (traffic.learned, traffic.latency) = (*now, Some(1.5));
+            let stats = table.stats_mut(slot);
+            (stats.latency_updated_at, stats.latency) = (*now, Some(1.5));
             let plain = walk.replicas.get_mut(&ReplicaId(id)).unwrap();
             (plain.learned, plain.latency) = (*now, Some(1.5));
         }
@@ -212,19 +212,19 @@
         started: replica.started(),
         status: replica.status(),
         suspected: replica.suspected(),
-        learned: replica.traffic().learned,
-        latency: replica.traffic().latency,
+        learned: replica.stats().latency_updated_at,
+        latency: replica.stats().latency,
         open: replica
-            .traffic()
+            .stats()
             .open()
             .by_time()
-            .map(|open| (open.sent, open.parts))
+            .map(|open| (open.sent_at, open.parts))
             .collect(),
     })
 }
 
 fn ids(table: &ReplicaTable, slots: &[Slot]) -> Vec<ReplicaId> {
-    slots.iter().map(|slot| table.at(*slot).id()).collect()
+    slots.iter().map(|slot| table.replica(*slot).id()).collect()
 }
 
 proptest! {
@@ -245,17 +245,17 @@
             for id in (1..=REPLICAS).map(ReplicaId) {
                 let known = known(&table, id);
                 prop_assert_eq!(known.as_ref(), walk.replicas.get(&id));
-                let open = |r: &Replica| (r.traffic().open().parts(), r.traffic().open().calls(now, CALL_PARTS));
+                let open = |r: &Replica| (r.stats().open().parts(), r.stats().open().calls(now, CALL_PARTS));
                 prop_assert_eq!(table.get(id).map_or((0, 0), open), walk.out(id, now));
             }
             for shard in (0..10).chain([65_530, 99_999, 100_001, u32::MAX]) {
                 prop_assert_eq!(ids(&table, &table.holders(shard)), walk.holders(shard));
             }
             let ready = walk.ready();
-            prop_assert_eq!(table.ready(), ready.len());
-            prop_assert_eq!(ids(&table, &table.walk_ready()), ready.clone());
+            prop_assert_eq!(table.ready_count(), ready.len());
+            prop_assert_eq!(ids(&table, &table.ready_slots()), ready.clone());
             let suspected = ready.iter().filter(|id| walk.replicas[id].suspected).count();
-            prop_assert_eq!(table.suspected_and_ready(), suspected);
+            prop_assert_eq!(table.suspected_ready_count(), suspected);
         }
     }
 }
@@ -273,23 +273,23 @@
 }
 
 fn visits(table: &mut ReplicaTable, mut of: impl FnMut(&mut ReplicaTable)) -> u64 {
-    let before = table.visited();
+    let before = table.replicas_visited();
     of(table);
-    table.visited() - before
+    table.replicas_visited() - before
 }
 
 #[test]
 fn a_lookup_and_a_change_visit_no_more_in_a_large_fleet() {
     let counts = |replicas: u64| {
         let mut table = ReplicaTable::new(replicas.div_ceil(3) as u32, 1, 1);
-        table.list(&fleet(replicas), true);
+        table.apply_update(&fleet(replicas), true);
         let lookup = visits(&mut table, |table| drop(table.holders(7)));
         let gone = Endpoint {
             status: EndpointStatus::Gone,
             ..fleet(replicas)[10].clone()
         };
         let change = visits(&mut table, |table| {
-            table.list(std::slice::from_ref(&gone), false);
+            table.apply_update(std::slice::from_ref(&gone), false);
             table.forget_gone(0);
         });
         assert_eq!(
@@ -311,16 +311,16 @@
         status: EndpointStatus::Gone,
         ..ready[0].clone()
     }];
-    table.list(&ready, false);
+    table.apply_update(&ready, false);
     let slot = table.slot(ReplicaId(1)).unwrap();
-    table.traffic_mut(slot).learned = 100;
+    table.stats_mut(slot).latency_updated_at = 100;
     for _ in 0..50 {
-        table.list(&gone, false);
+        table.apply_update(&gone, false);
         table.forget_gone(50);
-        table.list(&ready, false);
+        table.apply_update(&ready, false);
         table.forget_gone(50);
     }
-    table.list(&gone, false);
+    table.apply_update(&gone, false);
     assert_eq!(
         visits(&mut table, |table| table.forget_gone(99)),
         0,
@@ -333,11 +333,11 @@
 #[test]
 fn what_is_learned_of_one_that_is_gone_puts_off_when_it_is_forgotten() {
     let mut table = ReplicaTable::new(1, 1, 1);
-    table.list(&fleet(2), true);
+    table.apply_update(&fleet(2), true);
     let slot = table.slot(ReplicaId(1)).unwrap();
-    table.traffic_mut(slot).learned = 100;
-    table.list(&fleet(2)[1..], true);
-    table.traffic_mut(slot).learned = 120;
+    table.stats_mut(slot).latency_updated_at = 100;
+    table.apply_update(&fleet(2)[1..], true);
+    table.stats_mut(slot).latency_updated_at = 120;
     table.forget_gone(119);
     assert_eq!(table.len(), 2);
     table.forget_gone(120);
