--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -41,7 +41,7 @@
         if is_hopeless(class, query) || time_left < usual_latency(class, replicas) {
             return false;
         }
-        skip_slow_parts(batch, &replicas.table, query, max_latency)
+        skip_slow_parts(batch, replicas.table(), query, max_latency)
     }
 
     /// Priority weight per part against the usual one: queries with a high priority for little work may wait longer.
@@ -66,7 +66,7 @@
 /// never be seen to end.
 fn usual_latency(class: &Class, replicas: &ReplicaSet) -> f64 {
     replicas
-        .latencies
+        .latencies()
         .fleet_mean()
         .unwrap_or(0.0)
         .min(MAX_LATENCY_FRACTION * class.latency_objective as f64)
--- a/crates/decisions/src/completion.rs
+++ b/crates/decisions/src/completion.rs
@@ -1,13 +1,12 @@
 //! Completion: when a query is answered, and when it is given up, which rejects or fails it.
 
-use crate::attempts::part_due_at;
 use crate::batch::Batch;
-use crate::hedging::hedge_delay;
+use crate::hedging::{hedge_delay, MIN_HEDGE_DELAY_FRACTION};
 use crate::replica_set::ReplicaSet;
 use crate::retry::may_attempt_again;
 use crate::retry_budget::RetryBudgetUsage;
 use crate::tables::query_table::{Part, Query};
-use crate::timing::{phase_count, phase_duration};
+use crate::timing::{phase_count, phase_duration, LATENESS_THRESHOLD};
 use crate::{Action, Class, Idempotency, Nanos, ReplicaId};
 use std::collections::BTreeSet;
 
@@ -133,7 +132,7 @@
         return Decision::GiveUp;
     }
     // Parts answered by then clear a query that met failing replicas by chance.
-    let max_wait = hedge_delay(&replicas.latencies, batch.timing.shortest_objective);
+    let max_wait = hedge_delay(replicas.latencies(), batch.timing.shortest_objective);
     let phase_age = (batch.now - query.phase_started_at) as f64;
     if query_of_death && phase_age <= max_wait {
         return Decision::Wait;
@@ -167,7 +166,7 @@
     may_attempt_again(batch, class, part)
         && (part.attempts.is_empty()
             || usage.allows_extra_attempt(batch.settings, class, query.objective_at))
-        && replicas.table.has_ready_holder(part.shard)
+        && replicas.table().has_ready_holder(part.shard)
 }
 
 /// The action that ends a query without an answer. A rejected query may safely be sent again.
@@ -198,7 +197,7 @@
     let parts_due_at = query
         .phase_parts()
         .filter(|part| !part.answered && !part.skipped)
-        .map(|part| part_due_at(batch.now, part, query.phase_started_at, duration))
+        .map(|part| part_due_at(batch.now, query, part, duration))
         .min()
         .unwrap_or(Nanos::MAX);
     let answer_at = answer_time(batch, query);
@@ -212,6 +211,31 @@
         .min(answer_due_at)
 }
 
+/// The earliest time at which a part of the present phase that is neither answered nor skipped may be retried, hedged or
+/// late. Where nothing is in flight, the retry budget, the endpoint list or other queries may allow an attempt in any
+/// batch.
+fn part_due_at(now: Nanos, query: &Query, part: &Part, phase_duration: f64) -> Nanos {
+    let Some(last) = part.attempts.last().filter(|_| part.is_in_flight()) else {
+        return now;
+    };
+    let min_hedge_delay = (MIN_HEDGE_DELAY_FRACTION * phase_duration) as Nanos;
+    let hedge_at = last.sent_at.saturating_add(min_hedge_delay);
+    if part.outcome_recorded {
+        return hedge_at;
+    }
+    let lateness = (LATENESS_THRESHOLD * phase_duration) as Nanos;
+    hedge_at.min(query.phase_started_at.saturating_add(lateness))
+}
+
+/// When an answer of the query earns nothing any more: its attempts expire then.
+pub fn expires_at(class: &Class, query: &Query) -> Nanos {
+    if class.late_weight_fraction > 0.0 {
+        query.deadline
+    } else {
+        query.objective_at
+    }
+}
+
 /// When the present phase has to be over: just before the latency objective, halfway there if another phase follows.
 fn phase_end(batch: &Batch, query: &Query) -> Nanos {
     let end = query.objective_at.saturating_sub(spare_time(batch));
--- a/crates/decisions/src/coordinator.rs
+++ b/crates/decisions/src/coordinator.rs
@@ -10,16 +10,12 @@
 use crate::query_arrival::QueryArrival;
 use crate::replica_set::ReplicaSet;
 use crate::tables::query_table::{Query, QueryTable};
-use crate::tables::recent_outcomes::RecentOutcomes;
 use crate::timer::Timer;
-use crate::timing::{phase_count, Timing, NS_PER_SECOND};
+use crate::timing::{phase_count, Timing};
 use crate::weight_cutoff::WeightCutoff;
 use crate::{Action, Endpoint, EndpointUpdateKind, Event, Nanos, Outcome, RequestId, Settings};
 use std::collections::BTreeSet;
 
-/// How long the outcomes of parts are kept, ns.
-const OUTCOME_WINDOW_NS: Nanos = NS_PER_SECOND;
-
 /// Makes the decisions of one coordinator.
 ///
 /// It is given events in batches and answers each batch with actions. It holds no clock, no thread and nothing global:
@@ -50,7 +46,7 @@
 
     /// How many replicas were looked at so far: a measure of cost, for tests.
     pub fn replicas_visited(&self) -> u64 {
-        self.state.replicas.table.replicas_visited()
+        self.state.replicas.table().replicas_visited()
     }
 
     /// How many times an open query was processed so far: a measure of cost, for tests.
@@ -84,7 +80,6 @@
     replicas: ReplicaSet,
     queries: QueryTable,
     attempts: Attempts,
-    recent_outcomes: RecentOutcomes,
     client_timeouts: ClientTimeouts,
     admission: Admission,
     load_shedding: LoadShedding,
@@ -101,7 +96,6 @@
             replicas: ReplicaSet::new(settings, seed),
             queries: QueryTable::default(),
             attempts: Attempts::default(),
-            recent_outcomes: RecentOutcomes::default(),
             client_timeouts: ClientTimeouts::default(),
             admission: Admission::default(),
             load_shedding: LoadShedding::default(),
@@ -117,7 +111,7 @@
         self.queries.retained_entries()
             + self.attempts.retained_entries()
             + self.client_timeouts.retained_entries()
-            + self.replicas.table.len()
+            + self.replicas.table().len()
     }
 
     fn process_batch(&mut self, batch: &mut Batch, events: &[Event]) {
@@ -127,8 +121,8 @@
         for event in events {
             self.apply_event(batch, event, &mut queries_with_new_parts);
         }
-        self.forget_expired(batch);
-        self.weight_cutoff.update(batch, &self.recent_outcomes);
+        self.attempts.forget_expired(batch);
+        self.weight_cutoff.update(batch);
         for query in queries_with_new_parts {
             self.start_query_parts(batch, query);
         }
@@ -163,7 +157,7 @@
                 shard,
                 weight,
             } => {
-                self.attempts.budget_usage.record_arrival(batch.now);
+                self.attempts.record_arrival(batch.now);
                 let weight = sanitize_weight(weight);
                 let query = self.queries.add_part(id, group, shard, weight);
                 queries_with_new_parts.extend(query);
@@ -208,7 +202,7 @@
     }
 
     fn open_query(&mut self, batch: &Batch, arrival: QueryArrival) {
-        self.attempts.budget_usage.record_arrival(batch.now);
+        self.attempts.record_arrival(batch.now);
         let Some(class) = batch.settings.classes.get(arrival.class) else {
             return;
         };
@@ -218,42 +212,35 @@
     }
 
     fn end_attempt(&mut self, batch: &mut Batch, part: RequestId, number: u8, outcome: Outcome) {
-        let ended = self
-            .attempts
-            .record_end(batch, &mut self.replicas, part, number, outcome);
-        let Some(connect_failure_is_bad) = ended else {
+        let Some(attempt) = self.attempts.remove_in_flight(part, number) else {
             return;
         };
+        // A replica without recent news may just be slow to connect.
+        let connect_failure_is_overload = batch.settings.retry_budget.is_some()
+            || self.replicas.has_recent_news(batch, attempt.replica);
+        self.replicas.record_end(batch, &attempt, outcome);
         let Some(part) = self.queries.part_mut(part) else {
             return;
         };
-        if let Some(attempt) = part.attempts.get_mut(usize::from(number)) {
-            attempt.end(outcome);
-        }
+        part.end_attempt(number, outcome);
         let succeeded = outcome == Outcome::Ok;
         if succeeded && !part.answered && part.is_in_flight() {
             self.attempts.record_hedged_answer(part, number);
         }
         part.answered |= succeeded;
-        let rejected = outcome == Outcome::Rejected;
-        let bad = rejected || outcome == Outcome::ConnectFailed && connect_failure_is_bad;
-        if (part.answered || bad) && !part.outcome_recorded {
-            part.outcome_recorded = true;
-            self.recent_outcomes.record(batch.now, bad);
-        }
-        if rejected && number > 0 {
+        self.weight_cutoff.record_attempt_end(
+            batch.now,
+            part,
+            outcome,
+            connect_failure_is_overload,
+        );
+        if outcome == Outcome::Rejected && number > 0 {
             self.load_shedding.record_repeated_rejection();
         } else if succeeded {
             self.load_shedding.record_answer();
         }
     }
 
-    fn forget_expired(&mut self, batch: &Batch) {
-        let since = batch.now.saturating_sub(OUTCOME_WINDOW_NS);
-        self.recent_outcomes.forget_before(since);
-        self.attempts.forget_expired(batch);
-    }
-
     /// Rejects a query, or sends the parts that were received for its present phase.
     fn start_query_parts(&mut self, batch: &mut Batch, id: RequestId) {
         let Some(mut query) = self.queries.remove(id) else {
@@ -292,7 +279,7 @@
             return;
         };
         self.queries_processed += 1;
-        let usage = &self.attempts.budget_usage;
+        let usage = self.attempts.budget_usage();
         match completion::decide(batch, &self.replicas, usage, &query) {
             Decision::Answer { complete } => {
                 self.answer_query(batch, query, complete);
@@ -308,7 +295,7 @@
             Decision::Retry => self.attempts.retry_and_hedge(
                 batch,
                 &mut self.replicas,
-                &mut self.recent_outcomes,
+                &mut self.weight_cutoff,
                 &mut query,
                 self.queries.part_count(),
             ),
--- a/crates/decisions/src/hedging.rs
+++ b/crates/decisions/src/hedging.rs
@@ -1,7 +1,10 @@
 //! Hedging: sending a part that takes long to a second replica as well.
 
+use crate::batch::Batch;
 use crate::latency_estimates::LatencyEstimates;
+use crate::replica_set::ReplicaSet;
 use crate::retry_budget::RetryBudgetUsage;
+use crate::tables::query_table::{Attempt, Part};
 
 /// Deviations above the mean latency from which on an attempt is slow.
 const SLOW_DEVIATIONS: f64 = 4.0;
@@ -49,3 +52,39 @@
         MAX_HEDGE_DELAY_FRACTION * phase_duration,
     )
 }
+
+/// Whether to consider hedging a part whose last attempt has been in flight for longer than `hedge_delay`. That says
+/// something of its replica if the replica has been silent since, or if at least half of the query's parts are answered.
+pub fn is_due(
+    batch: &Batch,
+    replicas: &ReplicaSet,
+    last: &Attempt,
+    hedge_delay: f64,
+    half_answered: bool,
+) -> bool {
+    let in_flight_for = (batch.now - last.sent_at) as f64;
+    if in_flight_for <= hedge_delay {
+        return false;
+    }
+    let replica = replicas.table().get(last.replica);
+    let silent_since_sent =
+        replica.is_none_or(|replica| replica.stats().last_alive_at <= last.sent_at);
+    half_answered || silent_since_sent
+}
+
+/// Whether the best replica for a hedged request is expected to answer within the time that the part has been in flight.
+pub fn has_faster_replica(
+    batch: &mut Batch,
+    replicas: &mut ReplicaSet,
+    part: &Part,
+    last: &Attempt,
+) -> bool {
+    let Some(slot) = replicas.choose(batch, part) else {
+        return false;
+    };
+    let replica = replicas.table().replica(slot);
+    let latency = replicas.latencies().smoothed_latency(batch, replica);
+    let calls = replicas.table().calls_in_flight(replica, batch.now) + 1;
+    let in_flight_for = (batch.now - last.sent_at) as f64;
+    latency * f64::from(calls) < in_flight_for
+}
--- a/crates/decisions/src/replica_set.rs
+++ b/crates/decisions/src/replica_set.rs
@@ -7,7 +7,8 @@
 use crate::outlier_detection;
 use crate::replica_choice::choose_replica;
 use crate::slow_start::{self, SlowStart};
-use crate::tables::query_table::Part;
+use crate::tables::in_flight::InFlightAttempt;
+use crate::tables::query_table::{Attempt, Part};
 use crate::tables::replica_table::{ConnectionKind, ReplicaTable, Slot};
 use crate::{Endpoint, EndpointUpdateKind, Nanos, Outcome, ReplicaId, Settings};
 
@@ -25,10 +26,8 @@
 /// The replicas of the endpoint list, and the owners of what is known of them.
 #[derive(Debug)]
 pub struct ReplicaSet {
-    /// The replicas and their stats.
-    pub table: ReplicaTable,
-    /// Estimates of their latencies.
-    pub latencies: LatencyEstimates,
+    table: ReplicaTable,
+    latencies: LatencyEstimates,
     slow_start: SlowStart,
     connection_loss: ConnectionLoss,
     health_check: HealthCheck,
@@ -50,6 +49,16 @@
         }
     }
 
+    /// The replicas and their stats.
+    pub fn table(&self) -> &ReplicaTable {
+        &self.table
+    }
+
+    /// Estimates of the replicas' latencies.
+    pub fn latencies(&self) -> &LatencyEstimates {
+        &self.latencies
+    }
+
     /// A batch has started.
     pub fn record_batch(&mut self, now: Nanos) {
         self.slow_start.record_batch(now);
@@ -73,10 +82,12 @@
         self.table.forget_gone(batch.now.saturating_sub(fade_time));
     }
 
-    /// Whether there is news of a replica within the fade time.
-    pub fn is_known(&self, batch: &Batch, slot: Slot) -> bool {
-        let last_alive_at = self.table.replica(slot).stats().last_alive_at;
-        batch.age_in_fade_times(last_alive_at) < 1.0
+    /// Whether a replica is known and gave a sign of life within the fade time.
+    pub fn has_recent_news(&self, batch: &Batch, replica: ReplicaId) -> bool {
+        self.table.get(replica).is_some_and(|replica| {
+            let last_alive_at = replica.stats().last_alive_at;
+            batch.age_in_fade_times(last_alive_at) < 1.0
+        })
     }
 
     /// Chooses the replica that gets a part; `None` if none may.
@@ -103,8 +114,19 @@
         connection
     }
 
-    /// Records the end of an attempt or probe at a replica.
-    pub fn record_end(&mut self, batch: &mut Batch, slot: Slot, attempt: EndedAttempt) {
+    /// Records the end of an attempt.
+    pub fn record_end(&mut self, batch: &mut Batch, attempt: &InFlightAttempt, outcome: Outcome) {
+        if let Some(slot) = self.table.slot(attempt.replica) {
+            let ended = EndedAttempt {
+                sent_at: attempt.sent_at,
+                connection: attempt.connection,
+                outcome,
+            };
+            self.record_end_at(batch, slot, ended);
+        }
+    }
+
+    fn record_end_at(&mut self, batch: &mut Batch, slot: Slot, attempt: EndedAttempt) {
         self.update_stats(batch, slot, &attempt);
         self.table.close_part(slot, attempt.sent_at);
         match attempt.outcome {
@@ -118,7 +140,7 @@
             }
             Outcome::Error | Outcome::Rejected => self.record_alive(batch, slot),
             Outcome::ConnectFailed | Outcome::ConnectionReset | Outcome::TimedOut => {
-                self.record_silence(batch, slot, attempt.sent_at);
+                self.eject_if_silent(batch, slot, attempt.sent_at);
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
@@ -169,7 +191,7 @@
                     connection: ConnectionKind::Active,
                     outcome,
                 };
-                self.record_end(batch, slot, probe);
+                self.record_end_at(batch, slot, probe);
             }
             Outcome::Ok => self.record_alive(batch, slot),
             _ => {}
@@ -189,8 +211,14 @@
         }
     }
 
-    /// Ejects a replica that has been silent since an attempt was sent to it at `sent_at`.
-    pub fn record_silence(&mut self, batch: &mut Batch, slot: Slot, sent_at: Nanos) {
+    /// Ejects a replica that has been silent since an attempt was sent to it.
+    pub fn record_silence(&mut self, batch: &mut Batch, attempt: &Attempt) {
+        if let Some(slot) = self.table.slot(attempt.replica) {
+            self.eject_if_silent(batch, slot, attempt.sent_at);
+        }
+    }
+
+    fn eject_if_silent(&mut self, batch: &mut Batch, slot: Slot, sent_at: Nanos) {
         if outlier_detection::eject_silent(batch, &mut self.table, slot, sent_at) {
             let id = self.table.replica(slot).id();
             self.health_check.record_ejection(batch, id);
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -28,7 +28,7 @@
 }
 
 impl Limits {
-    fn new(settings: &Settings) -> Option<Self> {
+    fn from_settings(settings: &Settings) -> Option<Self> {
         Some(Limits {
             initial_capacity: settings.slow_start_initial_capacity?,
             overload_multiple: settings.overload_multiple?,
@@ -84,7 +84,7 @@
         latencies: &LatencyEstimates,
         replica: &Replica,
     ) -> bool {
-        let Some(limits) = Limits::new(batch.settings) else {
+        let Some(limits) = Limits::from_settings(batch.settings) else {
             return true;
         };
         if !is_warming_up(batch, replica) {
@@ -105,7 +105,7 @@
             answer_memory(settings).min(running_for.max(settings.slow_start_duration) as f64);
         let parts_per_query = self.parts_per_query.mean().unwrap_or(0.0);
         let expected_rate = settings.fleet_rate_limit * parts_per_query
-            / coordinators(settings)
+            / fleet_size(settings)
             / NS_PER_SECOND as f64;
         let expected_rate = if proven {
             expected_rate
@@ -141,7 +141,7 @@
 
 /// Whether the settings limit the load of replicas that are warming up.
 pub fn is_enabled(settings: &Settings) -> bool {
-    Limits::new(settings).is_some()
+    Limits::from_settings(settings).is_some()
 }
 
 fn is_warming_up(batch: &Batch, replica: &Replica) -> bool {
@@ -169,14 +169,14 @@
             / settings.slow_start_duration as f64;
     let parts = limits.overload_multiple * capacity * usual_parts;
     let jitter = replica.stats().slow_start_jitter.parts;
-    (parts.max(1.0 / coordinators(settings)) + jitter).floor()
+    (parts.max(1.0 / fleet_size(settings)) + jitter).floor()
 }
 
 fn overload_window(settings: &Settings) -> Nanos {
     settings.overload_window.max(1)
 }
 
-fn coordinators(settings: &Settings) -> f64 {
+fn fleet_size(settings: &Settings) -> f64 {
     f64::from(settings.fleet_size.max(1))
 }
 
--- a/crates/decisions/src/tables/query_table.rs
+++ b/crates/decisions/src/tables/query_table.rs
@@ -23,8 +23,7 @@
 }
 
 impl Attempt {
-    /// Records how it ended.
-    pub fn end(&mut self, outcome: Outcome) {
+    fn end(&mut self, outcome: Outcome) {
         self.in_flight = false;
         self.connection_reset = outcome == Outcome::ConnectionReset;
         self.did_not_execute = outcome.did_not_execute();
@@ -53,6 +52,13 @@
 }
 
 impl Part {
+    /// Records how its attempt of this number ended.
+    pub fn end_attempt(&mut self, number: u8, outcome: Outcome) {
+        if let Some(attempt) = self.attempts.get_mut(usize::from(number)) {
+            attempt.end(outcome);
+        }
+    }
+
     /// Whether an attempt is in flight.
     pub fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
--- a/crates/decisions/src/tables/replica.rs
+++ b/crates/decisions/src/tables/replica.rs
@@ -52,6 +52,7 @@
     pub recent_sends: TimeWindow,
     /// Offset to its capacity while it is warming up.
     pub slow_start_jitter: SlowStartJitter,
+    /// The parts in flight there.
     pub(super) open: OpenParts,
 }
 
@@ -87,13 +88,19 @@
 /// One replica.
 #[derive(Debug)]
 pub struct Replica {
+    /// Its id.
     pub(super) id: ReplicaId,
+    /// When it last started; 0 means long ago.
     pub(super) started: Nanos,
     /// `None` until the first contact, to save memory.
     pub(super) stats: Option<Box<ReplicaStats>>,
+    /// The cell whose shards it holds.
     pub(super) cell: u16,
+    /// The zone that it is in.
     pub(super) zone: u16,
+    /// Whether it may get requests, by the endpoint list.
     pub(super) status: EndpointStatus,
+    /// See [`Replica::suspected`].
     pub(super) suspected: bool,
     /// Whether it is in the table's queue of replicas to forget.
     pub(super) queued_for_expiry: bool,
@@ -168,6 +175,7 @@
         self.stats().open.newest_sent_at() == Some(now)
     }
 
+    /// Whether it is suspected although the endpoint list has it as ready.
     pub(super) fn is_suspected_and_ready(&self) -> bool {
         self.suspected && self.is_ready()
     }
--- a/crates/decisions/src/weight_cutoff.rs
+++ b/crates/decisions/src/weight_cutoff.rs
@@ -1,10 +1,10 @@
 //! The weight cutoff: while many parts are late or rejected, the lightest parts of queries are not sent.
 
 use crate::batch::Batch;
-use crate::tables::query_table::Query;
+use crate::tables::query_table::{Part, Query};
 use crate::tables::recent_outcomes::RecentOutcomes;
 use crate::timing::NS_PER_SECOND;
-use crate::Nanos;
+use crate::{Nanos, Outcome};
 
 /// Maximum of the cutoff, as a fraction of a phase's weight.
 const MAX_CUTOFF: f64 = 0.125;
@@ -14,14 +14,17 @@
 const MAX_BAD_FRACTION: f64 = 0.1;
 /// Recent parts below which that fraction is noise.
 const MIN_OUTCOMES: usize = 8;
+/// How long the outcomes of parts count, ns.
+const OUTCOME_WINDOW_NS: Nanos = NS_PER_SECOND;
 /// Least time between two changes of the cutoff, ns.
 const MIN_CHANGE_INTERVAL_NS: Nanos = NS_PER_SECOND;
 /// Time without overload after which the cutoff returns to zero, ns.
 const RECOVERY_TIME_NS: Nanos = 2 * NS_PER_SECOND;
 
-/// The weight below which parts are not sent.
+/// The weight below which parts are not sent, and the recent outcomes of parts that it follows from.
 #[derive(Debug, Default)]
 pub struct WeightCutoff {
+    outcomes: RecentOutcomes,
     /// As a fraction of a phase's weight; 0 while all parts are sent.
     cutoff: f64,
     changed_at: Nanos,
@@ -29,9 +32,43 @@
 }
 
 impl WeightCutoff {
+    /// Records that a part is late, unless its outcome is recorded already.
+    pub fn record_late_part(&mut self, now: Nanos, part: &mut Part) {
+        self.record_outcome(now, part, true);
+    }
+
+    /// Records that an attempt of a part has ended, unless the part's outcome is recorded already. A failed attempt is
+    /// no outcome unless it means lost capacity: the replica rejected the part, or could not be connected to and
+    /// `connect_failure_is_overload`.
+    pub fn record_attempt_end(
+        &mut self,
+        now: Nanos,
+        part: &mut Part,
+        outcome: Outcome,
+        connect_failure_is_overload: bool,
+    ) {
+        let bad = match outcome {
+            Outcome::Rejected => true,
+            Outcome::ConnectFailed => connect_failure_is_overload,
+            _ => false,
+        };
+        if part.answered || bad {
+            self.record_outcome(now, part, bad);
+        }
+    }
+
+    fn record_outcome(&mut self, now: Nanos, part: &mut Part, bad: bool) {
+        if !part.outcome_recorded {
+            part.outcome_recorded = true;
+            self.outcomes.record(now, bad);
+        }
+    }
+
     /// Raises the cutoff during overload, and resets it after.
-    pub fn update(&mut self, batch: &mut Batch, outcomes: &RecentOutcomes) {
-        let overloaded = is_overloaded(outcomes);
+    pub fn update(&mut self, batch: &mut Batch) {
+        let since = batch.now.saturating_sub(OUTCOME_WINDOW_NS);
+        self.outcomes.forget_before(since);
+        let overloaded = is_overloaded(&self.outcomes);
         if overloaded {
             self.last_overload_at = batch.now;
         }
