--- a/crates/decisions/tests/weight_cutoff.rs
+++ b/crates/decisions/tests/weight_cutoff.rs
@@ -5,7 +5,7 @@
 use cottonhill_decisions::{Action, Outcome};
 use support::{class, is_logged, parts_sent_after, sent_parts, settings, Harness, SentPart};
 
-const CUTOFF_RAISED: &str = "cutoff off zero";
+const CUTOFF_RAISED: &str = "cutoff raised from zero";
 const CUTOFF_RESET: &str = "cutoff back";
 
 /// Ten queries at once, of which no part is answered.
