--- a/crates/mixer/src/transport/buffer_pool.rs
+++ b/crates/mixer/src/transport/buffer_pool.rs
@@ -1,4 +1,4 @@
-//! A pool of buffers of one size: each connection takes two while it is open.
+//! A pool of buffers of one size: each connection uses two while it is open.
 
 use bytes::BytesMut;
 use std::cell::RefCell;
@@ -6,48 +6,49 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::{Encoder, Framed, FramedParts};
 
-/// Bytes of one buffer: room for the head of a request and for nearly every frame and answer.
-pub const BUFFER: usize = 16 * 1024;
-/// Free buffers that are kept: 4 MiB in all.
-const MOST_FREE: usize = 256;
+/// Bytes of one buffer, enough for the head of a request and for nearly every frame and answer.
+pub const BUFFER_BYTES: usize = 16 * 1024;
+/// Free buffers that are kept for reuse: 4 MiB in all.
+const MAX_FREE_BUFFERS: usize = 256;
 
 /// The free buffers; clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Pool(Rc<RefCell<Vec<BytesMut>>>);
+pub struct BufferPool(Rc<RefCell<Vec<BytesMut>>>);
 
-impl Pool {
-    fn take(&self) -> BytesMut {
+impl BufferPool {
+    fn acquire(&self) -> BytesMut {
         self.0
             .borrow_mut()
             .pop()
-            .unwrap_or_else(|| BytesMut::with_capacity(BUFFER))
+            .unwrap_or_else(|| BytesMut::with_capacity(BUFFER_BYTES))
     }
 
-    /// Takes a buffer back. One that had to grow for a large message is freed, or all would end up large.
-    fn give(&self, mut buffer: BytesMut) {
+    /// Keeps a buffer for reuse. One that grew for a large message is freed, or in time all would be large.
+    fn release(&self, mut buffer: BytesMut) {
         buffer.clear();
         let mut free = self.0.borrow_mut();
-        if free.len() < MOST_FREE && buffer.try_reclaim(BUFFER) && buffer.capacity() == BUFFER {
+        let has_room = free.len() < MAX_FREE_BUFFERS;
+        if has_room && buffer.try_reclaim(BUFFER_BYTES) && buffer.capacity() == BUFFER_BYTES {
             free.push(buffer);
         }
     }
 
-    /// A connection that writes messages of type `M`, with two buffers of the pool.
+    /// A framed connection that writes messages of type `M`, with two buffers of the pool.
     pub fn frame<M, T: AsyncRead + AsyncWrite, C: Encoder<M>>(
         &self,
         io: T,
         codec: C,
     ) -> Framed<T, C> {
         let mut parts = FramedParts::new::<M>(io, codec);
-        parts.read_buf = self.take();
-        parts.write_buf = self.take();
+        parts.read_buf = self.acquire();
+        parts.write_buf = self.acquire();
         Framed::from_parts(parts)
     }
 
-    /// Takes a connection's buffers back and drops the connection.
-    pub fn recover<T: AsyncRead + AsyncWrite, C>(&self, framed: Framed<T, C>) {
+    /// Closes a framed connection and keeps its buffers for reuse.
+    pub fn close<T: AsyncRead + AsyncWrite, C>(&self, framed: Framed<T, C>) {
         let parts = framed.into_parts();
-        self.give(parts.read_buf);
-        self.give(parts.write_buf);
+        self.release(parts.read_buf);
+        self.release(parts.write_buf);
     }
 }
--- /dev/null
+++ b/crates/mixer/src/transport/client_listener.rs
@@ -0,0 +1,69 @@
+//! The listener for native clients.
+
+use super::client_connection::serve_client;
+use super::shared::Shared;
+use crate::log_targets;
+use crate::reducer::Input;
+use std::io;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{sleep, timeout, Duration};
+
+/// The wait after a failed accept (no descriptors left) before the next.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// On shutdown the listener is closed once no connection has arrived for this time.
+const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(10);
+
+/// Accepts connections until shutdown, keeping at most `max_clients` open.
+///
+/// Connections that have arrived by shutdown are accepted, too, as far as there is room: closing a listener resets the
+/// connections in its backlog.
+pub async fn listen(shared: Shared, listener: TcpListener, max_clients: usize) {
+    accept_until_shutdown(&shared, &listener, max_clients).await;
+    accept_backlog(&shared, &listener, max_clients).await;
+    drop(listener);
+    shared.send_input(Input::ListenerClosed).await;
+}
+
+async fn accept_until_shutdown(shared: &Shared, listener: &TcpListener, max_clients: usize) {
+    let mut listener_closed = shared.listener_closed.subscribe();
+    loop {
+        // Cancellation loses nothing: a connection leaves the backlog only when this completes.
+        tokio::select! {
+            biased;
+            _ = listener_closed.wait_for(|closed| *closed) => return,
+            accepted = accept_with_capacity(shared, listener, max_clients) => match accepted {
+                Ok(stream) => start_client(shared, stream).await,
+                Err(e) => {
+                    tracing::warn!(target: log_targets::CLIENT_CONNECTIONS, "accept: {e}");
+                    sleep(ACCEPT_RETRY_DELAY).await;
+                }
+            },
+        }
+    }
+}
+
+async fn accept_backlog(shared: &Shared, listener: &TcpListener, max_clients: usize) {
+    while shared.client_count() < max_clients {
+        let Ok(Ok((stream, _))) = timeout(LAST_ACCEPT_TIMEOUT, listener.accept()).await else {
+            return;
+        };
+        start_client(shared, stream).await;
+    }
+}
+
+async fn accept_with_capacity(
+    shared: &Shared,
+    listener: &TcpListener,
+    max_clients: usize,
+) -> io::Result<TcpStream> {
+    shared.client_capacity(max_clients).await;
+    let (stream, _) = listener.accept().await?;
+    Ok(stream)
+}
+
+/// Registers a client and starts its task. The reducer knows of the client before the task runs.
+async fn start_client(shared: &Shared, stream: TcpStream) {
+    let (client, commands) = shared.register_client();
+    shared.send_input(Input::ClientOpened { client }).await;
+    tokio::task::spawn_local(serve_client(shared.clone(), client, stream, commands));
+}
--- a/crates/mixer/src/transport/clock.rs
+++ b/crates/mixer/src/transport/clock.rs
@@ -1,4 +1,4 @@
-//! The mixer's one clock: Unix time as read at the start, plus the monotonic time since.
+//! The mixer's clock: Unix time as read at the start, plus the monotonic time since.
 
 use cottonhill_decisions::Nanos;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -7,8 +7,9 @@
 /// A clock that never steps, whose times can be compared with the start times that discovery states.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    began: Instant,
-    unix: Nanos,
+    started_at: Instant,
+    /// Unix nanoseconds at `started_at`.
+    unix_at_start: Nanos,
 }
 
 impl Clock {
@@ -18,18 +19,18 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            began: Instant::now(),
-            unix: unix.as_nanos() as Nanos,
+            started_at: Instant::now(),
+            unix_at_start: unix.as_nanos() as Nanos,
         }
     }
 
     /// The time in Unix nanoseconds.
     pub fn now(&self) -> Nanos {
-        self.unix + self.began.elapsed().as_nanos() as Nanos
+        self.unix_at_start + self.started_at.elapsed().as_nanos() as Nanos
     }
 
     /// The instant of a time in Unix nanoseconds, for timers; the clock's start for times before it.
-    pub fn instant(&self, at: Nanos) -> Instant {
-        self.began + Duration::from_nanos(at.saturating_sub(self.unix))
+    pub fn instant(&self, unix: Nanos) -> Instant {
+        self.started_at + Duration::from_nanos(unix.saturating_sub(self.unix_at_start))
     }
 }
--- a/crates/mixer/src/transport/discovery_watch.rs
+++ b/crates/mixer/src/transport/discovery_watch.rs
@@ -1,190 +1,255 @@
-//! The watch on discovery: one long answer, asked for again whenever it ends or falls silent.
+//! The watch on discovery: one long response, requested again whenever it ends or falls silent.
 
-use super::buffer_pool::Pool;
+use super::buffer_pool::BufferPool;
 use crate::log_targets;
 use crate::protocol::endpoint_updates::{self, EndpointUpdate, UpdateError};
 use crate::protocol::http::{WatchCodec, WatchRejected, WatchRequest};
 use crate::reducer::watch_policy::WatchEnd;
-use crate::reducer::{Input, WatchPolicy};
-use crate::reducer::{UpdateFault, WatchEvent};
+use crate::reducer::{Input, UpdateFault, WatchEvent, WatchPolicy};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
+use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, Instant};
 use tokio_util::codec::Framed;
 
-/// One mixer's watch on one discovery, over all its connections.
-struct Follower {
-    pool: Pool,
-    /// Where what discovery tells goes.
-    lists: mpsc::Sender<Input>,
-    watching: WatchPolicy,
+type WatchConnection = Framed<TcpStream, WatchCodec>;
+
+/// Watches the endpoint list as a serving mixer does, with a buffer pool of its own, and sends what happens as inputs
+/// for the reducer. It starts after version `from_version`, or with a snapshot if that is `None`, and never returns.
+pub async fn watch_endpoints(
+    updates: mpsc::Sender<Input>,
+    policy: WatchPolicy,
     address: SocketAddr,
-    /// How far the list was followed; none where the whole list has to come first.
-    index: Option<u64>,
-    /// This watch has brought a sign of life.
-    had: bool,
-    /// The last message that was no sign of life was refused.
-    refused: bool,
+    from_version: Option<u64>,
+) {
+    let buffers = BufferPool::default();
+    DiscoveryWatch::new(buffers, updates, policy, address, from_version)
+        .run()
+        .await;
 }
 
-/// Follows the list from version `index` on, or from the whole list, for ever.
-pub(super) async fn follow(
-    pool: Pool,
-    lists: mpsc::Sender<Input>,
-    watching: WatchPolicy,
+/// The watch on one discovery address, over all its connections.
+pub(super) struct DiscoveryWatch {
+    buffers: BufferPool,
+    updates: mpsc::Sender<Input>,
+    policy: WatchPolicy,
     address: SocketAddr,
-    index: Option<u64>,
-) {
-    let mut follower = Follower {
-        pool,
-        lists,
-        watching,
-        address,
-        index,
-        had: false,
-        refused: false,
-    };
-    let mut failing = false;
-    loop {
-        follower.had = false;
-        let began = Instant::now();
-        let Err(why) = follower.watch().await else {
-            continue;
-        };
-        failing &= !follower.had;
-        let silent = why.kind() == ErrorKind::TimedOut;
-        follower
-            .report(Input::Watch(WatchEvent::Ended { silent }))
-            .await;
-        let retry_after = why
-            .get_ref()
-            .and_then(|e| e.downcast_ref::<WatchRejected>())
-            .and_then(|e| e.retry_after);
-        let ended = WatchEnd {
-            duration: began.elapsed(),
-            received: follower.had,
+    /// The version of the last update; `None` if a snapshot has to come first.
+    version: Option<u64>,
+    /// The present connection has delivered an update or a heartbeat.
+    received_any: bool,
+    /// The last update was rejected, and the log says so.
+    rejection_logged: bool,
+    /// The last connection ended without delivering anything, and the log says so.
+    failure_logged: bool,
+}
+
+impl DiscoveryWatch {
+    /// A watch that starts after version `from_version`, or with a snapshot if that is `None`.
+    pub(super) fn new(
+        buffers: BufferPool,
+        updates: mpsc::Sender<Input>,
+        policy: WatchPolicy,
+        address: SocketAddr,
+        from_version: Option<u64>,
+    ) -> DiscoveryWatch {
+        DiscoveryWatch {
+            buffers,
+            updates,
+            policy,
+            address,
+            version: from_version,
+            received_any: false,
+            rejection_logged: false,
+            failure_logged: false,
+        }
+    }
+
+    /// Keeps the watch up; never returns.
+    pub(super) async fn run(mut self) {
+        loop {
+            self.received_any = false;
+            let started_at = Instant::now();
+            if let Err(error) = self.watch_once().await {
+                let delay = self.connection_ended(started_at, error).await;
+                sleep(delay).await;
+            }
+        }
+    }
+
+    /// Reports and logs the end of a connection. Returns the delay before the next one.
+    async fn connection_ended(&mut self, started_at: Instant, error: io::Error) -> Duration {
+        self.failure_logged &= !self.received_any;
+        let silent = error.kind() == ErrorKind::TimedOut;
+        self.send_event(WatchEvent::Ended { silent }).await;
+        let delay = self.policy.next_delay(WatchEnd {
+            duration: started_at.elapsed(),
+            received: self.received_any,
             silent,
-            retry_after,
-        };
-        let wait = follower.watching.next_delay(ended);
-        let (index, wait_ms) = (follower.index, wait.as_millis());
-        if !failing {
-            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "watch on discovery ended: {why}");
+            retry_after: retry_after(&error),
+        });
+        self.log_end(delay, &error);
+        self.failure_logged = true;
+        delay
+    }
+
+    /// Logs the first of several failures at a higher level than the ones that follow.
+    fn log_end(&self, delay: Duration, error: &io::Error) {
+        let DiscoveryWatch {
+            address,
+            version: index,
+            ..
+        } = self;
+        let wait_ms = delay.as_millis();
+        if self.failure_logged {
+            tracing::debug!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "discovery asked again without success: {error}");
         } else {
-            // The first one was logged; the log is not for the tries that follow.
-            tracing::debug!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "discovery asked again without success: {why}");
+            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "watch on discovery ended: {error}");
         }
-        failing = true;
-        sleep(wait).await;
     }
-}
 
-impl Follower {
-    async fn report(&self, input: Input) {
-        let _ = self.lists.send(input).await;
+    /// Connects and reads until the connection ends, or until the snapshot that had to come first is here.
+    async fn watch_once(&mut self) -> io::Result<()> {
+        let connecting = TcpStream::connect(self.address);
+        let stream = timeout(self.policy.connect_timeout(), connecting)
+            .await
+            .map_err(|_| ErrorKind::TimedOut)??;
+        let codec = WatchCodec::new(self.policy.max_update_bytes());
+        let mut connection = self.buffers.frame::<WatchRequest, _, _>(stream, codec);
+        let result = self.request_and_read(&mut connection).await;
+        self.buffers.close(connection);
+        result
     }
 
-    /// Asks and reads until the watch ends, or the whole list that had to come first is in.
-    async fn watch(&mut self) -> io::Result<()> {
-        let connect = timeout(
-            self.watching.connect_timeout(),
-            TcpStream::connect(self.address),
-        );
-        let stream = connect.await.map_err(|_| ErrorKind::TimedOut)??;
-        let codec = WatchCodec::new(self.watching.max_update_bytes());
-        let mut connection = self.pool.frame::<WatchRequest, _, _>(stream, codec);
-        let watched = self.read(&mut connection).await;
-        self.pool.recover(connection);
-        watched
+    async fn request_and_read(&mut self, connection: &mut WatchConnection) -> io::Result<()> {
+        let from_version = self.version;
+        let host = self.address.to_string();
+        connection.send(WatchRequest { host, from_version }).await?;
+        tracing::debug!(target: log_targets::DISCOVERY_WATCH, address = %self.address, from = from_version, "discovery asked");
+        self.send_event(WatchEvent::Requested).await;
+        loop {
+            let message = self.next_message(connection).await?;
+            let update = self.parse_update(message).await?;
+            self.received_any = true;
+            let Some(update) = update else {
+                self.send_event(WatchEvent::Heartbeat).await;
+                continue;
+            };
+            self.accept_update(update).await?;
+            if from_version.is_none() {
+                return Ok(());
+            }
+        }
     }
 
-    /// A message can't be taken. From the same version on it would come again, and what it was to announce is not
-    /// known: the list in force stays, and the whole list is asked for next.
-    async fn refuse(&mut self, fault: UpdateFault, why: String) -> io::Error {
-        let (address, in_force) = (self.address, self.index);
-        if !std::mem::replace(&mut self.refused, true) {
-            tracing::warn!(target: log_targets::DISCOVERY_WATCH, %address, in_force, ?fault, "list refused, the one in force stays: {why}");
-        }
-        self.index = None;
-        self.report(Input::Watch(WatchEvent::UpdateRejected(fault)))
-            .await;
-        io::Error::new(ErrorKind::InvalidData, why)
+    /// The next message, or `TimedOut` if discovery is silent for too long.
+    async fn next_message(
+        &self,
+        connection: &mut WatchConnection,
+    ) -> io::Result<io::Result<Bytes>> {
+        let silence_limit = if self.received_any {
+            self.policy.silence_timeout()
+        } else {
+            self.policy.answer_timeout()
+        };
+        timeout(silence_limit, connection.next())
+            .await
+            .map_err(|_| ErrorKind::TimedOut)?
+            .ok_or(ErrorKind::UnexpectedEof.into())
     }
 
-    /// The list in a message; none where it is a sign of life alone.
-    async fn listing(&mut self, message: io::Result<Bytes>) -> io::Result<Option<EndpointUpdate>> {
-        let read = match message {
+    /// The update in a message; `None` for a heartbeat.
+    async fn parse_update(
+        &mut self,
+        message: io::Result<Bytes>,
+    ) -> io::Result<Option<EndpointUpdate>> {
+        let parsed = match message {
             Ok(object) => endpoint_updates::parse(&object),
-            Err(error) => match error
-                .get_ref()
-                .and_then(|source| source.downcast_ref::<UpdateError>())
-            {
-                Some(refused) => Err(refused.clone()),
-                None => return Err(error),
-            },
+            Err(error) => Err(update_error(error)?),
         };
-        match read {
-            Ok(listing) => Ok(listing),
-            Err(why) if why.is_too_large() => {
-                Err(self.refuse(UpdateFault::TooLarge, why.to_string()).await)
+        match parsed {
+            Ok(update) => Ok(update),
+            Err(error) => {
+                let fault = if error.is_too_large() {
+                    UpdateFault::TooLarge
+                } else {
+                    UpdateFault::Malformed
+                };
+                Err(self.reject_update(fault, error.to_string()).await)
             }
-            Err(why) => Err(self.refuse(UpdateFault::Malformed, why.to_string()).await),
         }
     }
 
-    /// Refuses changes whose version is below the one in force. A whole list is right whatever its version: discovery
-    /// may have begun anew.
-    async fn check_version(&mut self, listing: &EndpointUpdate) -> io::Result<()> {
-        let (index, address) = (listing.version, self.address);
-        let Some(in_force) = self.index.filter(|in_force| index < *in_force) else {
+    async fn accept_update(&mut self, update: EndpointUpdate) -> io::Result<()> {
+        self.check_version(&update).await?;
+        self.version = Some(update.version);
+        self.rejection_logged = false;
+        self.send_input(Input::EndpointsUpdated(update)).await;
+        Ok(())
+    }
+
+    /// Rejects a delta whose version is below the current one. A snapshot is valid whatever its version: discovery may
+    /// have started anew.
+    async fn check_version(&mut self, update: &EndpointUpdate) -> io::Result<()> {
+        let index = update.version;
+        let Some(in_force) = self.version.filter(|current| index < *current) else {
             return Ok(());
         };
-        if listing.snapshot {
+        if update.snapshot {
+            let address = self.address;
             tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index, in_force, "a whole list of an earlier version is taken");
-            self.report(Input::Watch(WatchEvent::VersionRegressed))
-                .await;
+            self.send_event(WatchEvent::VersionRegressed).await;
             return Ok(());
         }
-        let why = format!(
+        let reason = format!(
             "changes up to version {index}, {in_force} is in force: {in_force} or later is valid"
         );
-        Err(self.refuse(UpdateFault::VersionRegressed, why).await)
+        Err(self
+            .reject_update(UpdateFault::VersionRegressed, reason)
+            .await)
     }
 
-    async fn read(&mut self, connection: &mut Framed<TcpStream, WatchCodec>) -> io::Result<()> {
-        let (host, from_version) = (self.address.to_string(), self.index);
-        connection.send(WatchRequest { host, from_version }).await?;
-        tracing::debug!(target: log_targets::DISCOVERY_WATCH, address = %self.address, from = from_version, "discovery asked");
-        self.report(Input::Watch(WatchEvent::Requested)).await;
-        loop {
-            let most = if self.had {
-                self.watching.silence_timeout()
-            } else {
-                self.watching.answer_timeout()
-            };
-            let message = timeout(most, connection.next())
-                .await
-                .map_err(|_| ErrorKind::TimedOut)?;
-            let Some(message) = message else {
-                return Err(ErrorKind::UnexpectedEof.into());
-            };
-            let listing = self.listing(message).await?;
-            self.had = true;
-            let Some(listing) = listing else {
-                self.report(Input::Watch(WatchEvent::Heartbeat)).await;
-                continue;
-            };
-            self.check_version(&listing).await?;
-            self.index = Some(listing.version);
-            self.refused = false;
-            self.report(Input::EndpointsUpdated(listing)).await;
-            if from_version.is_none() {
-                return Ok(());
-            }
+    /// Reports and logs a rejected update. The next request is for a snapshot: after the current version the same
+    /// update would come again, and what it was to change is not known.
+    async fn reject_update(&mut self, fault: UpdateFault, reason: String) -> io::Error {
+        let (address, in_force) = (self.address, self.version);
+        if !self.rejection_logged {
+            tracing::warn!(target: log_targets::DISCOVERY_WATCH, %address, in_force, ?fault, "list refused, the one in force stays: {reason}");
         }
+        self.rejection_logged = true;
+        self.version = None;
+        self.send_event(WatchEvent::UpdateRejected(fault)).await;
+        io::Error::new(ErrorKind::InvalidData, reason)
     }
+
+    async fn send_event(&self, event: WatchEvent) {
+        self.send_input(Input::Watch(event)).await;
+    }
+
+    async fn send_input(&self, input: Input) {
+        // Fails only when the driver has ended, which ends this task, too.
+        let _ = self.updates.send(input).await;
+    }
+}
+
+/// Why the codec rejected an update.
+///
+/// # Errors
+/// The same error, if it is not about an update.
+fn update_error(error: io::Error) -> io::Result<UpdateError> {
+    let source = error.get_ref();
+    match source.and_then(|source| source.downcast_ref::<UpdateError>()) {
+        Some(rejected) => Ok(rejected.clone()),
+        None => Err(error),
+    }
+}
+
+/// The least wait before the next request, if discovery stated one when it rejected this one.
+fn retry_after(error: &io::Error) -> Option<Duration> {
+    let rejected = error.get_ref()?.downcast_ref::<WatchRejected>()?;
+    rejected.retry_after
 }
--- /dev/null
+++ b/crates/mixer/src/transport/leaf_connection.rs
@@ -0,0 +1,150 @@
+//! Connections to leaf servers, one task each.
+
+use super::message_timeout::next_message;
+use super::shared::{Shared, MAX_QUEUED_COMMANDS};
+use crate::log_targets;
+use crate::protocol::leaf_frames::{LeafCodec, LeafRequest, LeafResponse};
+use crate::reducer::{ConnectionId, Input};
+use futures_util::SinkExt;
+use std::io;
+use std::net::SocketAddr;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+use tokio::task::AbortHandle;
+use tokio::time::error::Elapsed;
+use tokio::time::{Duration, Instant};
+use tokio_util::codec::Framed;
+
+/// A frame has to be complete within this time of its first byte. Answers are a packet each: the rest of one that was
+/// cut short never arrives, and everything in flight on the connection would wait for it.
+const FRAME_TIMEOUT: Duration = Duration::from_millis(100);
+
+type FrameConnection = Framed<TcpStream, LeafCodec>;
+
+/// The driver's handle of a connection; dropping it closes the connection.
+pub struct LeafConnectionHandle {
+    frames: mpsc::Sender<LeafRequest>,
+    task: AbortHandle,
+}
+
+impl LeafConnectionHandle {
+    /// Queues a frame. The reducer issues one at a time, so that the queue has room; if it had none, the connection
+    /// would be closed, since a frame must not be lost unnoticed.
+    pub fn write(&self, frame: LeafRequest) {
+        if self.frames.try_send(frame).is_err() && !self.is_finished() {
+            tracing::error!(target: log_targets::LEAF_CONNECTIONS, "a connection to a leaf server has too many frames waiting");
+            self.task.abort();
+        }
+    }
+
+    /// Whether the connection has ended.
+    pub fn is_finished(&self) -> bool {
+        self.task.is_finished()
+    }
+}
+
+impl Drop for LeafConnectionHandle {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+/// Connects to a leaf server in a task of its own, which reports the connection's events to the reducer.
+pub fn connect(
+    shared: Shared,
+    connection: ConnectionId,
+    address: SocketAddr,
+) -> LeafConnectionHandle {
+    let (frames, frame_queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
+    let task = tokio::task::spawn_local(async move {
+        if let Err(e) = run_connection(&shared, connection, address, frame_queue).await {
+            tracing::debug!(target: log_targets::LEAF_CONNECTIONS, link = connection, %address, "leaf connection: {e}");
+        }
+        shared
+            .send_input(Input::ConnectionClosed { connection })
+            .await;
+    });
+    LeafConnectionHandle {
+        frames,
+        task: task.abort_handle(),
+    }
+}
+
+/// Connects, then writes and reads frames until either side ends the connection.
+///
+/// # Errors
+/// What the connect or the socket reports.
+async fn run_connection(
+    shared: &Shared,
+    connection: ConnectionId,
+    address: SocketAddr,
+    frame_queue: mpsc::Receiver<LeafRequest>,
+) -> io::Result<()> {
+    let stream = TcpStream::connect(address).await?;
+    stream.set_nodelay(true)?;
+    let codec = LeafCodec::default();
+    let mut framed = shared.buffers.frame::<LeafRequest, _, _>(stream, codec);
+    shared
+        .send_input(Input::ConnectionOpened { connection })
+        .await;
+    let result = exchange_frames(shared, connection, &mut framed, frame_queue).await;
+    shared.buffers.close(framed);
+    result
+}
+
+async fn exchange_frames(
+    shared: &Shared,
+    connection: ConnectionId,
+    framed: &mut FrameConnection,
+    mut frame_queue: mpsc::Receiver<LeafRequest>,
+) -> io::Result<()> {
+    let mut started_at = None;
+    loop {
+        tokio::select! {
+            biased;
+            frame = frame_queue.recv() => {
+                let Some(frame) = frame else { return Ok(()) };
+                framed.send(frame).await?;
+                shared.send_input(Input::FrameWritten { connection }).await;
+            }
+            received = next_message(framed, &mut started_at, FRAME_TIMEOUT) => {
+                match received_frame(received, framed, &mut started_at)? {
+                    Received::Frame(frame) => {
+                        shared.send_input(Input::FrameReceived { connection, frame }).await;
+                    }
+                    Received::Nothing => {}
+                    Received::End => return Ok(()),
+                }
+            }
+        }
+    }
+}
+
+/// The result of a read.
+enum Received {
+    Frame(LeafResponse),
+    /// A spurious readiness: no frame has started.
+    Nothing,
+    /// The leaf server closed the connection.
+    End,
+}
+
+fn received_frame(
+    received: Result<Option<io::Result<LeafResponse>>, Elapsed>,
+    framed: &mut FrameConnection,
+    started_at: &mut Option<Instant>,
+) -> io::Result<Received> {
+    match received {
+        Ok(Some(frame)) => frame.map(Received::Frame),
+        Ok(None) => Ok(Received::End),
+        Err(_) if framed.read_buffer().is_empty() => {
+            *started_at = None;
+            Ok(Received::Nothing)
+        }
+        Err(_) => {
+            let received = framed.read_buffer().clone();
+            let malformed = framed.codec_mut().abandon_frame(&received);
+            Ok(Received::Frame(malformed))
+        }
+    }
+}
--- a/crates/mixer/src/transport/peers.rs
+++ b/crates/mixer/src/transport/peers.rs
@@ -1,54 +1,100 @@
-//! Datagrams between the mixers of a tier. They may be lost: nothing depends on the arrival of one.
+//! Datagrams between the mixers of a fleet. They may be lost: nothing depends on the arrival of one.
 
-use super::{Addresses, Shared};
+use super::buffer_pool::BUFFER_BYTES;
+use super::shared::Shared;
+use super::Addresses;
 use crate::log_targets;
 use crate::reducer::Input;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use tokio::net::UdpSocket;
+use tokio::task::AbortHandle;
 
-/// The addresses of the other mixers, by their numbers, and the one that reaches all.
+/// The addresses of the other mixers.
 #[derive(Clone, Debug)]
-pub struct Book {
+struct PeerAddresses {
+    /// By the mixers' numbers.
     peers: Vec<SocketAddr>,
+    /// Reaches all other mixers.
     all: Option<SocketAddr>,
 }
 
-impl Book {
-    /// The address book of a configuration.
-    pub fn new(addresses: &Addresses) -> Book {
-        Book {
+impl PeerAddresses {
+    fn new(addresses: &Addresses) -> PeerAddresses {
+        PeerAddresses {
             peers: addresses.peers.clone(),
             all: addresses.peers_all,
         }
     }
 
-    /// Sends a datagram to one mixer, or to all. It is dropped if the socket has no room or the number is unknown.
-    pub fn send(&self, socket: &UdpSocket, to: Option<u32>, bytes: &[u8]) {
-        let address = match to {
-            Some(peer) => self.peers.get(peer as usize).copied(),
+    /// The address of one mixer, or the one that reaches all; `None` if it is not configured.
+    fn address(&self, peer: Option<u32>) -> Option<SocketAddr> {
+        match peer {
+            Some(number) => self.peers.get(number as usize).copied(),
             None => self.all,
+        }
+    }
+
+    fn number(&self, address: SocketAddr) -> Option<u32> {
+        let index = self.peers.iter().position(|peer| *peer == address)?;
+        Some(index as u32)
+    }
+}
+
+/// The socket for datagrams, and the task that receives them.
+pub struct PeerSocket {
+    socket: Rc<UdpSocket>,
+    addresses: PeerAddresses,
+    receiver: AbortHandle,
+}
+
+impl PeerSocket {
+    /// Starts receiving on a socket.
+    pub fn start(shared: &Shared, socket: UdpSocket, addresses: &Addresses) -> PeerSocket {
+        PeerSocket::start_receiver(shared, Rc::new(socket), addresses)
+    }
+
+    /// Replaces the addresses of the other mixers. The socket stays as it is.
+    pub fn set_addresses(&mut self, shared: &Shared, addresses: &Addresses) {
+        self.receiver.abort();
+        *self = PeerSocket::start_receiver(shared, self.socket.clone(), addresses);
+    }
+
+    fn start_receiver(shared: &Shared, socket: Rc<UdpSocket>, addresses: &Addresses) -> PeerSocket {
+        let addresses = PeerAddresses::new(addresses);
+        let receiving = receive(shared.clone(), socket.clone(), addresses.clone());
+        PeerSocket {
+            socket,
+            addresses,
+            receiver: tokio::task::spawn_local(receiving).abort_handle(),
+        }
+    }
+
+    /// Sends a datagram to one mixer, or to all if `peer` is `None`. It is dropped if the socket's buffer is full or
+    /// the number is unknown.
+    pub fn send(&self, peer: Option<u32>, bytes: &[u8]) {
+        let Some(address) = self.addresses.address(peer) else {
+            return;
         };
-        if let Some(Err(e)) = address.map(|address| socket.try_send_to(bytes, address)) {
+        if let Err(e) = self.socket.try_send_to(bytes, address) {
             tracing::debug!(target: log_targets::PEERS, "datagram not sent: {e}");
         }
     }
 }
 
-/// Reports the datagrams of known mixers to the reducer; those of other senders are dropped.
-pub async fn listen(shared: Shared, socket: Rc<UdpSocket>, book: Book) {
-    let mut buffer = [0; super::buffer_pool::BUFFER];
+/// Passes the datagrams of known mixers to the reducer; those of other senders are dropped.
+async fn receive(shared: Shared, socket: Rc<UdpSocket>, addresses: PeerAddresses) {
+    let mut buffer = [0; BUFFER_BYTES];
     loop {
-        // An error here is about a datagram sent before, to a mixer that is down.
+        // An error here is about an earlier datagram, to a mixer that is down.
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
-        if let Some(from) = book.peers.iter().position(|peer| *peer == sender) {
-            let input = Input::DatagramReceived {
-                from: from as u32,
-                bytes: buffer[..length].to_vec(),
-            };
-            let _ = shared.inputs.send(input).await;
+        if let Some(from) = addresses.number(sender) {
+            let bytes = buffer[..length].to_vec();
+            shared
+                .send_input(Input::DatagramReceived { from, bytes })
+                .await;
         }
     }
 }
--- a/crates/mixer/src/transport/query_client.rs
+++ b/crates/mixer/src/transport/query_client.rs
@@ -1,20 +1,21 @@
-//! Queries from inside the process: fronts of other protocols ask the same reducer as native clients do.
+//! Queries from inside the process: fronts of other protocols use the same reducer as native clients do.
 
-use super::client_connections::Command;
-use super::{Shared, MOST_COMMANDS};
+use super::client_connection::ClientCommand;
+use super::shared::Shared;
 use crate::protocol::query_json::{ClientRequest, QueryRequest, QuerySchema, Reply};
 use crate::reducer::{ClientId, Input};
 use cottonhill_decisions::Nanos;
 use std::rc::Rc;
-use tokio::sync::mpsc;
+use tokio::sync::mpsc::error::TrySendError;
 
-/// Asks queries of the reducer, each as a client of its own. Only for tasks of the mixer's own `LocalSet`.
+/// Sends queries to the reducer, each as a client of its own. Only for tasks of the mixer's own `LocalSet`.
 #[derive(Clone)]
 pub struct QueryClient {
     shared: Shared,
 }
 
-/// The registration of a client whose one query is open. Dropped before the reply, it reports that the client left.
+/// The registration of a client whose one query is open. Dropping it reports to the reducer that the client
+/// disconnected.
 struct Registration {
     shared: Shared,
     client: ClientId,
@@ -22,15 +23,12 @@
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.shared.clients.borrow_mut().remove(&self.client);
-        self.shared.client_ended.notify_one();
-        let (inputs, closed) = (
-            self.shared.inputs.clone(),
-            Input::ClientClosed {
-                client: self.client,
-            },
-        );
-        if let Err(mpsc::error::TrySendError::Full(closed)) = inputs.try_send(closed) {
+        self.shared.unregister_client(self.client);
+        let inputs = self.shared.inputs.clone();
+        let closed = Input::ClientClosed {
+            client: self.client,
+        };
+        if let Err(TrySendError::Full(closed)) = inputs.try_send(closed) {
             tokio::task::spawn_local(async move {
                 let _ = inputs.send(closed).await;
             });
@@ -48,49 +46,40 @@
         &self.shared.query_schema
     }
 
-    /// The time in Unix nanoseconds, by the mixer's one clock.
+    /// The time in Unix nanoseconds, by the mixer's clock.
     pub fn now(&self) -> Nanos {
         self.shared.clock.now()
     }
 
-    /// Asks a query that arrived at `arrived` (Unix nanoseconds) and waits for its one reply; [`Reply::Failed`] if the
-    /// mixer ends before. Dropping the future withdraws the query, as a client that closes its connection does.
+    /// Sends a query that arrived at `received_at` (Unix nanoseconds) and waits for its reply; [`Reply::Failed`] if the
+    /// mixer ends before. Dropping the future cancels the query, as a client that disconnects does.
     pub async fn ask(&self, received_at: Nanos, query: QueryRequest) -> Reply {
-        let client = self.shared.client();
-        let (commands, mut replies) = mpsc::channel(MOST_COMMANDS);
-        self.shared.clients.borrow_mut().insert(client, commands);
-        let registration = Registration {
+        let (client, mut commands) = self.shared.register_client();
+        // Until the reply is here or the future is dropped.
+        let _registration = Registration {
             shared: self.shared.clone(),
             client,
         };
-        let _ = registration
-            .shared
-            .inputs
-            .send(Input::ClientOpened { client })
-            .await;
-        let request = Ok(ClientRequest::Query(query));
-        let _ = registration
-            .shared
-            .inputs
-            .send(Input::RequestReceived {
-                client,
-                received_at,
-                request,
-            })
-            .await;
+        self.shared.send_input(Input::ClientOpened { client }).await;
+        let input = Input::RequestReceived {
+            client,
+            received_at,
+            request: Ok(ClientRequest::Query(query)),
+        };
+        self.shared.send_input(input).await;
         loop {
-            match replies.recv().await {
-                Some(Command::Reply(reply, _)) => return *reply,
-                // Crossed by the query, which is taken.
-                Some(Command::Close { .. }) => {}
+            match commands.recv().await {
+                Some(ClientCommand::Reply { reply, .. }) => return *reply,
+                // Sent before the reducer knew of the query, which is served.
+                Some(ClientCommand::Close { .. }) => {}
                 None => return Reply::Failed,
             }
         }
     }
 
-    /// Returns once the mixer takes no more connections: it is about to end.
+    /// Returns once the mixer accepts no more connections: it is about to shut down.
     pub async fn stopped(&self) {
-        let mut stopped = self.shared.stopped.subscribe();
-        let _ = stopped.wait_for(|stopped| *stopped).await;
+        let mut listener_closed = self.shared.listener_closed.subscribe();
+        let _ = listener_closed.wait_for(|closed| *closed).await;
     }
 }
--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -55,7 +55,7 @@
     ("crates/mixer/src", r"Effect::WatchEndpoints \{", "a reload opens the watch anew"),
     ("crates/mixer/src", r'"settings",\s+self\.mixer_settings != next\.mixer_settings', "settings wait for a restart"),
     ("crates/mixer/src", r"DEFAULT_MAX_OPEN_REQUESTS: usize = 4096", "4,096 queries and parts may be open"),
-    ("crates/mixer/src", r"BUFFER: usize = 16 \* 1024", "a connection holds two of 16 KiB"),
+    ("crates/mixer/src", r"BUFFER_BYTES: usize = 16 \* 1024", "a connection holds two of 16 KiB"),
     ("crates/decisions/src", r"FADE\w*: f64 = 5\.0", "what was learned fades over five targets"),
     ("crates/decisions/src", r"SPARE_INTERVALS: Nanos = 2", "two timer intervals are kept free before the target"),
     ("crates/decisions/src", r"COPY_DELAY_LEAST: f64 = 0\.125;\nconst COPY_DELAY_MOST: f64 = 0\.4", "bounds of the hedging delay"),
