--- a/crates/cottonhill/src/program.rs
+++ b/crates/cottonhill/src/program.rs
@@ -190,7 +190,7 @@
         listener,
         addresses,
         controls,
-        transport::Beside {
+        transport::Integrations {
             recorder,
             fronts: fronts.start,
         },
--- a/crates/cottonhill/src/recorder.rs
+++ b/crates/cottonhill/src/recorder.rs
@@ -42,7 +42,7 @@
     }
 
     /// A mark that is lost is made good by the next one.
-    fn mark(&mut self, mark: Watermark) {
+    fn record_watermark(&mut self, mark: Watermark) {
         self.0.offer(writer::mark(
             mark.sequence,
             mark.complete_until / MS,
@@ -50,15 +50,15 @@
         ));
     }
 
-    fn written(&self) -> watch::Receiver<u64> {
+    fn written_sequence(&self) -> watch::Receiver<u64> {
         self.0.watch()
     }
 
-    fn stall(&self) -> Duration {
+    fn max_write_delay(&self) -> Duration {
         self.0.stall_bound()
     }
 
-    fn note_unrecorded(&mut self) {
+    fn count_unrecorded_reply(&mut self) {
         self.0.note_late();
     }
 
--- a/crates/lab/src/hollow/mixer.rs
+++ b/crates/lab/src/hollow/mixer.rs
@@ -7,7 +7,7 @@
 use cottonhill_mixer::config::Config;
 use cottonhill_mixer::protocol::endpoint_updates::EndpointUpdate;
 use cottonhill_mixer::reducer::{Effect, Input, Reducer};
-use cottonhill_mixer::transport::{follow_list, Clock, MOST_LISTS};
+use cottonhill_mixer::transport::{watch_endpoints, Clock, MAX_QUEUED_UPDATES};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -79,7 +79,7 @@
     address: SocketAddr,
     from_version: Option<u64>,
 ) -> AbortHandle {
-    let following = follow_list(lists.clone(), state.watch_policy(), address, from_version);
+    let following = watch_endpoints(lists.clone(), state.watch_policy(), address, from_version);
     tokio::task::spawn_local(following).abort_handle()
 }
 
@@ -104,7 +104,7 @@
         &EndpointUpdate::default(),
         max_descriptors,
     );
-    let (lists, mut listed) = mpsc::channel(MOST_LISTS);
+    let (lists, mut listed) = mpsc::channel(MAX_QUEUED_UPDATES);
     let watch = follow(&lists, &state, addresses.discovery, None);
     let mut mixer = Hollow {
         state,
--- a/crates/mixer/tests/recording.rs
+++ b/crates/mixer/tests/recording.rs
@@ -19,14 +19,14 @@
     fn record(&mut self, _: UsageRecord) -> bool {
         self.room
     }
-    fn mark(&mut self, _: Watermark) {}
-    fn written(&self) -> watch::Receiver<u64> {
+    fn record_watermark(&mut self, _: Watermark) {}
+    fn written_sequence(&self) -> watch::Receiver<u64> {
         self.written.subscribe()
     }
-    fn stall(&self) -> Duration {
+    fn max_write_delay(&self) -> Duration {
         Duration::from_millis(5)
     }
-    fn note_unrecorded(&mut self) {
+    fn count_unrecorded_reply(&mut self) {
         self.without.set(self.without.get() + 1);
     }
     fn close(&mut self) {}
@@ -77,7 +77,7 @@
     assert!(pending.pop_ready().is_none());
     pending.close_client(2);
     written.send_replace(2);
-    pending.progress().await;
+    pending.wait_for_records().await;
     assert_eq!(
         pending.pop_ready().map(|r| (r.client, r.close)),
         Some((1, false))
