--- a/crates/cottonhill/tests/reload.rs
+++ b/crates/cottonhill/tests/reload.rs
@@ -148,7 +148,9 @@
     fs::write(&program.config, text(&old.1)).unwrap();
     program.signal("-HUP", "read again").await;
     let _third = asked(&old.0, 43).await;
-    program.signal("-TERM", "served all").await;
+    program
+        .signal("-TERM", "shutdown complete, all accepted requests answered")
+        .await;
     assert!(program.child.wait().unwrap().success());
 }
 
--- a/crates/mixer/src/log_targets.rs
+++ b/crates/mixer/src/log_targets.rs
@@ -1,5 +1,5 @@
-//! The targets of the crate's log lines. Settings files name them ([log] targets), so they stay as they are when
-//! modules are renamed or split.
+//! The targets of the crate's log lines. Settings files name them (key `targets` of section `log`), so they stay as they
+//! are when modules are renamed or split.
 
 /// Attempts of parts at leaf servers.
 pub const ATTEMPTS: &str = "cottonhill_mixer::routing::state::attempts";
--- a/crates/mixer/src/protocol/endpoint_updates/message.rs
+++ b/crates/mixer/src/protocol/endpoint_updates/message.rs
@@ -190,10 +190,10 @@
             } = invalid;
             match name {
                 Some(name) => {
-                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index, entry, name, "listed with what can't be used: {reason}")
+                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index, entry, name, "invalid entry in endpoint update: {reason}")
                 }
                 None => {
-                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index, entry, "listed without a name: {reason}")
+                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index, entry, "unnamed entry in endpoint update: {reason}")
                 }
             }
         }
@@ -202,7 +202,7 @@
             tracing::warn!(
                 target: log_targets::ENDPOINT_UPDATES, index,
                 more,
-                "further entries were listed with what can't be used"
+                "further invalid entries in endpoint update"
             );
         }
     }
--- a/crates/mixer/src/transport/client_connection.rs
+++ b/crates/mixer/src/transport/client_connection.rs
@@ -100,7 +100,7 @@
         Ok(ConnectionEnd::CloseLingering) => connection.linger(LINGER_TIME).await,
         Ok(ConnectionEnd::CloseImmediately) => connection.linger(Duration::ZERO).await,
         Err(e) => {
-            tracing::debug!(target: log_targets::CLIENT_CONNECTIONS, client, "client connection: {e}")
+            tracing::debug!(target: log_targets::CLIENT_CONNECTIONS, client, "client connection failed: {e}")
         }
     }
     shared.buffers.close(connection.http);
--- a/crates/mixer/src/transport/client_listener.rs
+++ b/crates/mixer/src/transport/client_listener.rs
@@ -34,7 +34,7 @@
             accepted = accept_with_capacity(shared, listener, max_clients) => match accepted {
                 Ok(stream) => start_client(shared, stream).await,
                 Err(e) => {
-                    tracing::warn!(target: log_targets::CLIENT_CONNECTIONS, "accept: {e}");
+                    tracing::warn!(target: log_targets::CLIENT_CONNECTIONS, "accept failed: {e}");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
--- a/crates/mixer/src/transport/discovery_watch.rs
+++ b/crates/mixer/src/transport/discovery_watch.rs
@@ -106,9 +106,9 @@
         } = self;
         let wait_ms = delay.as_millis();
         if self.failure_logged {
-            tracing::debug!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "discovery asked again without success: {error}");
+            tracing::debug!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "endpoint watch failed again: {error}");
         } else {
-            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "watch on discovery ended: {error}");
+            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "endpoint watch ended: {error}");
         }
     }
 
@@ -129,7 +129,7 @@
         let from_version = self.version;
         let host = self.address.to_string();
         connection.send(WatchRequest { host, from_version }).await?;
-        tracing::debug!(target: log_targets::DISCOVERY_WATCH, address = %self.address, from = from_version, "discovery asked");
+        tracing::debug!(target: log_targets::DISCOVERY_WATCH, address = %self.address, from = from_version, "endpoint list requested");
         self.send_event(WatchEvent::Requested).await;
         loop {
             let message = self.next_message(connection).await?;
@@ -201,7 +201,7 @@
         };
         if update.snapshot {
             let address = self.address;
-            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index, in_force, "a whole list of an earlier version is taken");
+            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index, in_force, "snapshot with a lower version accepted");
             self.send_event(WatchEvent::VersionRegressed).await;
             return Ok(());
         }
@@ -218,7 +218,7 @@
     async fn reject_update(&mut self, fault: UpdateFault, reason: String) -> io::Error {
         let (address, in_force) = (self.address, self.version);
         if !self.rejection_logged {
-            tracing::warn!(target: log_targets::DISCOVERY_WATCH, %address, in_force, ?fault, "list refused, the one in force stays: {reason}");
+            tracing::warn!(target: log_targets::DISCOVERY_WATCH, %address, in_force, ?fault, "endpoint update rejected, current list kept: {reason}");
         }
         self.rejection_logged = true;
         self.version = None;
--- a/crates/mixer/src/transport/driver.rs
+++ b/crates/mixer/src/transport/driver.rs
@@ -320,7 +320,7 @@
     fn command_client(&self, client: ClientId, command: ClientCommand) {
         // The queue is full only if the task waits for a client that does not read; that client loses its reply.
         if self.shared.command_client(client, command).is_err() {
-            tracing::debug!(target: log_targets::TRANSPORT, client, "a client's connection is over or stuck");
+            tracing::debug!(target: log_targets::TRANSPORT, client, "command to client dropped, connection closed or blocked");
         }
     }
 
@@ -333,7 +333,7 @@
 
     fn exit(&mut self, counters: &Counters) {
         let counters = serde_json::to_string(counters).unwrap_or_default();
-        tracing::info!(target: log_targets::TRANSPORT, counters, "served all that was taken");
+        tracing::info!(target: log_targets::TRANSPORT, counters, "shutdown complete, all accepted requests answered");
         self.exited = true;
     }
 
--- a/crates/mixer/src/transport/leaf_connection.rs
+++ b/crates/mixer/src/transport/leaf_connection.rs
@@ -32,7 +32,7 @@
     /// would be closed, since a frame must not be lost unnoticed.
     pub fn write(&self, frame: LeafRequest) {
         if self.frames.try_send(frame).is_err() && !self.is_finished() {
-            tracing::error!(target: log_targets::LEAF_CONNECTIONS, "a connection to a leaf server has too many frames waiting");
+            tracing::error!(target: log_targets::LEAF_CONNECTIONS, "frame queue of a leaf connection is full, connection closed");
             self.task.abort();
         }
     }
@@ -58,7 +58,7 @@
     let (frames, frame_queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
     let task = tokio::task::spawn_local(async move {
         if let Err(e) = run_connection(&shared, connection, address, frame_queue).await {
-            tracing::debug!(target: log_targets::LEAF_CONNECTIONS, link = connection, %address, "leaf connection: {e}");
+            tracing::debug!(target: log_targets::LEAF_CONNECTIONS, link = connection, %address, "leaf connection failed: {e}");
         }
         shared
             .send_input(Input::ConnectionClosed { connection })
--- a/crates/mixer/tests/lists.rs
+++ b/crates/mixer/tests/lists.rs
@@ -207,11 +207,18 @@
         .iter()
         .all(|e| e.status == Status::Draining && e.address.is_none()));
     assert_eq!(
-        logs.with("WARN", &["index=43", "listed with what can't be used"])
+        logs.with("WARN", &["index=43", "invalid entry in endpoint update"])
             .len(),
-        17
+        16
+    );
+    logs.assert_one(
+        "WARN",
+        &[
+            "index=43",
+            "more=24",
+            "further invalid entries in endpoint update",
+        ],
     );
-    logs.assert_one("WARN", &["more=24"]);
     let mut harness = Harness::new(1);
     let change = harness.change(false, &[]);
     let Input::EndpointsUpdated(change) = change else {
@@ -549,7 +556,11 @@
         );
         logs.assert_one(
             "INFO",
-            &["index=1", "in_force=3", "whole list of an earlier version"],
+            &[
+                "index=1",
+                "in_force=3",
+                "snapshot with a lower version accepted",
+            ],
         );
         assert!(
             !is_served(around.mixer, "gone").await,
