--- a/crates/mixer/src/reducer/client_requests.rs
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -91,7 +91,7 @@
     fn stats_json(&self, now: Nanos) -> Vec<u8> {
         let stats = Stats {
             counters: &self.counters,
-            list: self.replicas.index,
+            list: self.replicas.version(),
             heard_ms_ago: self.discovery.ms_since_heard(now),
         };
         serde_json::to_vec_pretty(&stats).unwrap_or_default()
--- a/crates/mixer/src/reducer/connection_handling.rs
+++ b/crates/mixer/src/reducer/connection_handling.rs
@@ -165,7 +165,7 @@
             return None;
         }
         let id = self.ids.next_id();
-        let address = self.replicas.connect(replica, id)?;
+        let address = self.replicas.add_connection(replica, id)?;
         self.effects.push(Effect::Connect {
             connection: id,
             address,
@@ -211,7 +211,7 @@
         if let Some(due) = connection.idle_timer {
             self.timers.cancel(due, Timer::IdleTimeout(id));
         }
-        self.replicas.disconnect(replica, id);
+        self.replicas.remove_connection(replica, id);
         let interrupted = connection.into_interrupted();
         for attempt in interrupted.attempts {
             let outcome = if attempt.may_have_run {
--- a/crates/mixer/src/reducer/discovery.rs
+++ b/crates/mixer/src/reducer/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: the endpoint updates that it sends, the watch on it, and a switch to another address.
 
-use super::replicas::Change;
+use super::replicas::EndpointChanges;
 use super::timers::Timer;
 use super::{Effect, Reducer, UpdateFault, WatchEvent, WatchPolicy, NANOS_PER_MS};
 use crate::log_targets;
@@ -74,25 +74,25 @@
         let (index, snapshot) = (update.version, update.snapshot);
         let entries = update.entries.len();
         let invalid_entries = update.invalid_entries as u64;
-        let changes = self.replicas.take(now, update);
+        let changes = self.replicas.apply_update(now, update);
         self.count_update(invalid_entries, &changes);
         tracing::debug!(
             target: log_targets::CONNECTIONS, index,
             lines = entries,
             whole = snapshot,
-            changed = changes.members.len(),
+            changed = changes.endpoints.len(),
             leaving = changes.leaving.len(),
             since_heard_ms = self.discovery.ms_since_heard(now),
             "list taken"
         );
         self.discovery.last_heard_at = now;
-        if self.replicas.any_ready() {
+        if self.replicas.has_ready() {
             self.lifecycle.on_ready_endpoint();
         }
         // A snapshot was reduced to what it changes, too: endpoints that it leaves out are in there as gone.
         self.events.push(Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Delta,
-            endpoints: changes.members,
+            endpoints: changes.endpoints,
         });
         // What waits for a replica that is draining or gone is never sent, nor what waits for an address that a
         // replica has left.
@@ -102,18 +102,18 @@
                 self.withdraw_unsent_attempts(now, connection);
             }
         }
-        for connection in changes.left {
+        for connection in changes.stale_connections {
             self.withdraw_unsent_attempts(now, connection);
         }
         self.on_discovery_settled(now);
     }
 
-    fn count_update(&mut self, invalid_entries: u64, changes: &Change) {
+    fn count_update(&mut self, invalid_entries: u64, changes: &EndpointChanges) {
         self.counters.lists += 1;
         let bad_lists = &mut self.counters.bad_lists;
         bad_lists.unusable += invalid_entries;
-        bad_lists.repeated += changes.repeated;
-        bad_lists.unknown += changes.unknown;
+        bad_lists.repeated += changes.duplicate_entries;
+        bad_lists.unknown += changes.unknown_removals;
     }
 
     pub(super) fn on_discovery_timeout(&mut self, now: Nanos) {
@@ -122,7 +122,7 @@
         }
         self.counters.watches.unheard += 1;
         tracing::warn!(
-            target: log_targets::BATCHES, index = self.replicas.index,
+            target: log_targets::BATCHES, index = self.replicas.version(),
             "discovery is silent: the list held before is in force"
         );
         self.on_discovery_settled(now);
@@ -183,11 +183,11 @@
             return;
         };
         self.counters.reloads.taken += 1;
-        let mut from_version = Some(self.replicas.index);
+        let mut from_version = Some(self.replicas.version());
         if self.discovery.watch_policy.versions_differ_by_address() {
             // Versions of another address don't compare with the current one.
             from_version = None;
-            let settled_at = self.replicas.moved(now);
+            let settled_at = self.replicas.on_discovery_switched(now);
             self.timers.cancel_switch_settled();
             self.timers.set(settled_at, Timer::SwitchSettled(address));
         }
--- a/crates/mixer/src/reducer/dispatch.rs
+++ b/crates/mixer/src/reducer/dispatch.rs
@@ -235,7 +235,7 @@
         tracing::debug!(
             target: log_targets::ATTEMPTS, replica = replica.0,
             parts = parts.len(),
-            index = self.replicas.index,
+            index = self.replicas.version(),
             since_heard_ms = self.discovery.ms_since_heard(now),
             "call written"
         );
--- a/crates/mixer/src/reducer/mod.rs
+++ b/crates/mixer/src/reducer/mod.rs
@@ -93,7 +93,7 @@
         descriptors: usize,
     ) -> Reducer {
         let mut replicas = Replicas::new(mixer_settings.zones.clone());
-        let endpoints = replicas.take_copy(now, cached_endpoints).members;
+        let endpoints = replicas.apply_update_ref(now, cached_endpoints).endpoints;
         let mut reducer = Reducer {
             events: vec![Event::EndpointsUpdated {
                 kind: EndpointUpdateKind::CachedSnapshot,
@@ -103,7 +103,7 @@
             counters: Counters::default(),
             ids: IdSequence::default(),
             timers: Timers::default(),
-            lifecycle: Lifecycle::new(replicas.any_ready(), &mixer_settings.deadlines),
+            lifecycle: Lifecycle::new(replicas.has_ready(), &mixer_settings.deadlines),
             descriptor_budget: DescriptorBudget::new(descriptors),
             discovery: Discovery::new(now, &mixer_settings, &settings, seed),
             replicas,
@@ -134,7 +134,7 @@
 
     /// The version of the current endpoint list, from which a watch continues.
     pub fn endpoint_list_version(&self) -> u64 {
-        self.replicas.index
+        self.replicas.version()
     }
 
     /// The most clients that may be connected, those included that are being closed.
@@ -158,7 +158,7 @@
             + self.clients.len()
             + self.connections.len()
             + self.timers.len()
-            + self.replicas.known()
+            + self.replicas.len()
             + self.coordinator.retained_entries()
     }
 
--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -1,5 +1,5 @@
-//! The leaf servers as discovery has announced them, and their numbers for the decision module. Changes are applied
-//! in time proportional to their entries, whatever the size of the fleet.
+//! The leaf servers as discovery has announced them, with their ids for the coordinator. Updates are applied in time
+//! proportional to their entries, whatever the size of the fleet.
 
 use super::input::ConnectionId;
 use super::replica_table::{Replica, ReplicaTable, Slot};
@@ -9,58 +9,59 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// What a list changes.
+/// How long, in nanoseconds, an update may lag behind what discovery had to announce: after a switch to another
+/// address, its updates count as current from then on, and a replica that is gone is remembered for as long.
+pub const LATE_UPDATE_WINDOW: Nanos = 6_000_000_000;
+
+/// How many odd entries of each kind are logged for one update; the counters have all.
+const MAX_LOGGED_ENTRIES: u64 = 16;
+
+/// Stands for a zone that the settings do not name.
+const UNKNOWN_ZONE: u16 = u16::MAX;
+
+const NANOS_PER_MS: Nanos = 1_000_000;
+
+/// What an update changes.
 #[derive(Debug, Default)]
-pub struct Change {
-    /// The entries of changes; of a whole list those that differ from what was in force, and what it leaves out as
-    /// gone.
-    pub members: Vec<Endpoint>,
-    /// The replicas that may get nothing new from now on.
+pub struct EndpointChanges {
+    /// For a delta, its entries. For a snapshot, those entries that differ from the list before, and as gone the
+    /// replicas that it leaves out.
+    pub endpoints: Vec<Endpoint>,
+    /// The replicas that must not get new attempts from now on.
     pub leaving: Vec<ReplicaId>,
-    /// Connections to addresses that replicas have left.
-    pub left: Vec<ConnectionId>,
-    /// Entries whose name had come before in the same list: the last one holds.
-    pub repeated: u64,
-    /// Entries that take away what was not in the list in force.
-    pub unknown: u64,
+    /// Connections to addresses that their replicas have left.
+    pub stale_connections: Vec<ConnectionId>,
+    /// Number of entries for a name that came before in the same update; the last one is used.
+    pub duplicate_entries: u64,
+    /// Number of entries that remove a server that was not listed.
+    pub unknown_removals: u64,
 }
 
-/// The replicas listed, and those gone that still have connections or may be meant by a late list. Each name has one
-/// number while it is known; no number is given twice.
+/// The replicas that are listed, and those gone that still have connections or that a late update may mention. A name
+/// has one id while it is known; no id is ever used twice.
 #[derive(Debug, Default)]
 pub struct Replicas {
     table: ReplicaTable,
-    /// Connections of each replica that has any, oldest first; those to an address that it has left are not among
-    /// them.
+    /// Connections of each replica that has any, oldest first, without those to an address that it has left.
     connections: HashMap<ReplicaId, Vec<ConnectionId>>,
-    /// When those that are gone were announced so.
-    gone: HashMap<ReplicaId, Nanos>,
-    /// When those that are gone are to be forgotten, the first one first. One that has connections then is in it
-    /// again once they have ended.
+    /// Since when the replicas are gone that are.
+    gone_since: HashMap<ReplicaId, Nanos>,
+    /// When the replicas that are gone are to be forgotten, the first one first. One that still has connections then
+    /// is added again once they have ended.
     expiry: BTreeSet<(Nanos, ReplicaId)>,
-    /// How many are ready.
+    /// Number of replicas that are ready.
     ready: usize,
-    last: u64,
+    last_id: u64,
+    /// The names of the zones, in the order of the settings.
     zones: Vec<String>,
-    /// The version of the list in force.
-    pub index: u64,
-    /// Until then lists may come from a discovery that is behind the one before it.
-    behind_until: Nanos,
-    visited: u64,
+    version: u64,
+    /// Until then, updates may come from a discovery that lags behind the one before.
+    lagging_until: Nanos,
+    visited_records: u64,
 }
 
-/// Within this time, ns, whatever discovery had to announce counts as announced; a list that it sends later is its
-/// present one.
-pub const LATE: Nanos = 6_000_000_000;
-
-/// Entries of one list that are logged for what is odd about them; the counters have all.
-const MOST_LOGGED: u64 = 16;
-
-/// A zone that the settings do not name: nobody's own.
-const NO_ZONE: u16 = u16::MAX;
-
-/// An entry as it is applied.
-struct Stated {
+/// What an entry says of a replica, with what it leaves out.
+struct ResolvedEntry {
     name: Box<str>,
     address: Address,
     cell: u16,
@@ -70,15 +71,15 @@
 }
 
 /// An entry that was applied.
-struct Put {
+struct AppliedEntry {
     slot: Slot,
-    member: Endpoint,
-    /// Something that the decision module knows has changed.
-    differs: bool,
+    endpoint: Endpoint,
+    /// Something that the coordinator knows of has changed.
+    changed: bool,
 }
 
 impl Replicas {
-    /// None yet; `zones` are the names of the zones in the order of the settings.
+    /// No replica is known. `zones` are the names of the zones, in the order of the settings.
     pub fn new(zones: Vec<String>) -> Replicas {
         Replicas {
             zones,
@@ -86,333 +87,379 @@
         }
     }
 
-    /// A replica by its number.
+    /// The version of the current endpoint list.
+    pub fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// The replica with this id.
     pub fn get(&self, id: ReplicaId) -> Option<&Replica> {
         self.table.get(id)
     }
 
-    /// The number of a name.
-    pub fn id(&self, name: &str) -> Option<ReplicaId> {
-        self.table
-            .at(self.table.slot_of_name(name)?)
-            .map(|replica| replica.id)
+    /// The id of the replica with this name.
+    pub fn id_of_name(&self, name: &str) -> Option<ReplicaId> {
+        let slot = self.table.slot_of_name(name)?;
+        self.table.at(slot).map(|replica| replica.id)
     }
 
-    /// How many are known, those gone included.
-    pub fn known(&self) -> usize {
+    /// Number of replicas, with those gone that are remembered.
+    pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether any may get something new.
-    pub fn any_ready(&self) -> bool {
+    /// Whether no replica is known.
+    pub fn is_empty(&self) -> bool {
+        self.table.is_empty()
+    }
+
+    /// Whether any replica is ready.
+    pub fn has_ready(&self) -> bool {
         self.ready > 0
     }
 
-    /// Records that lists have looked at so far.
-    pub fn visited(&self) -> u64 {
-        self.visited
+    /// Number of records that updates have looked at so far: what they cost.
+    pub fn visited_records(&self) -> u64 {
+        self.visited_records
     }
 
-    /// The connections to where a replica is, oldest first.
+    /// The connections to the address of a replica, oldest first.
     pub fn connections(&self, id: ReplicaId) -> &[ConnectionId] {
         self.connections.get(&id).map_or(&[], Vec::as_slice)
     }
 
-    /// Notes a new connection to a replica; returns where it leads, none where the replica is not known.
-    pub fn connect(&mut self, id: ReplicaId, connection: ConnectionId) -> Option<SocketAddr> {
+    /// Adds a connection to a replica. Returns the address to connect to; `None` if the replica is not known.
+    pub fn add_connection(
+        &mut self,
+        id: ReplicaId,
+        connection: ConnectionId,
+    ) -> Option<SocketAddr> {
         let address = self.table.get(id)?.address();
         self.connections.entry(id).or_default().push(connection);
         Some(address)
     }
 
-    /// Notes that a connection has ended.
-    pub fn disconnect(&mut self, id: ReplicaId, connection: ConnectionId) {
+    /// Removes a connection that has ended.
+    pub fn remove_connection(&mut self, id: ReplicaId, connection: ConnectionId) {
         let Some(connections) = self.connections.get_mut(&id) else {
             return;
         };
         connections.retain(|other| *other != connection);
         if connections.is_empty() {
-            self.take_links(id);
+            self.remove_all_connections(id);
         }
     }
 
-    /// Takes all connections off a replica.
-    fn take_links(&mut self, id: ReplicaId) -> Vec<ConnectionId> {
-        if let Some(since) = self.gone.get(&id) {
-            self.expiry.insert((since + LATE, id));
+    fn remove_all_connections(&mut self, id: ReplicaId) -> Vec<ConnectionId> {
+        if let Some(since) = self.gone_since.get(&id) {
+            self.expiry.insert((since + LATE_UPDATE_WINDOW, id));
         }
         self.connections.remove(&id).unwrap_or_default()
     }
 
-    /// Lists come from elsewhere from now on. That one may have yet to hear what was announced before: until it must
-    /// have, it brings nothing back that is leaving. Returns when that is.
-    pub fn moved(&mut self, now: Nanos) -> Nanos {
-        self.behind_until = now + LATE;
-        self.behind_until
+    /// Updates come from another address from now on. Discovery there may have yet to hear what was announced before:
+    /// until it must have, it can't make a replica ready that is draining or gone. Returns when that is.
+    pub fn on_discovery_switched(&mut self, now: Nanos) -> Nanos {
+        self.lagging_until = now + LATE_UPDATE_WINDOW;
+        self.lagging_until
     }
 
-    /// Applies a list, whole or changed.
-    pub fn take(&mut self, now: Nanos, listing: EndpointUpdate) -> Change {
-        let EndpointUpdate {
-            version,
-            snapshot,
-            entries,
-            ..
-        } = listing;
-        self.apply(now, version, snapshot, entries.into_iter())
+    /// Applies an update.
+    pub fn apply_update(&mut self, now: Nanos, update: EndpointUpdate) -> EndpointChanges {
+        let (version, snapshot) = (update.version, update.snapshot);
+        self.apply_entries(now, version, snapshot, update.entries.into_iter())
     }
 
-    /// The same with a list that is kept elsewhere.
-    pub fn take_copy(&mut self, now: Nanos, listing: &EndpointUpdate) -> Change {
-        self.apply(
-            now,
-            listing.version,
-            listing.snapshot,
-            listing.entries.iter().cloned(),
-        )
+    /// Applies an update that the caller keeps.
+    pub fn apply_update_ref(&mut self, now: Nanos, update: &EndpointUpdate) -> EndpointChanges {
+        let entries = update.entries.iter().cloned();
+        self.apply_entries(now, update.version, update.snapshot, entries)
     }
 
-    fn apply(
+    fn apply_entries(
         &mut self,
         now: Nanos,
-        index: u64,
-        whole: bool,
+        version: u64,
+        snapshot: bool,
         entries: impl ExactSizeIterator<Item = EndpointEntry>,
-    ) -> Change {
-        self.forget(now);
+    ) -> EndpointChanges {
+        self.forget_expired(now);
         if self.table.is_empty() {
             self.table.reserve(entries.len());
         }
-        let mut change = Change::default();
+        let mut changes = EndpointChanges::default();
         let mut listed: HashSet<Slot> = HashSet::with_capacity(entries.len());
         for entry in entries {
-            self.visited += 1;
-            let known = self.table.slot_of_name(&entry.name);
-            if known.is_none() && takes_away(&entry, whole) {
-                change.unknown += 1;
-                if change.unknown <= MOST_LOGGED {
-                    let (name, status) = (&entry.name, entry.status);
-                    let (in_force, known) = (self.index, self.table.len());
-                    tracing::info!(
-                        target: log_targets::REPLICAS, index,
-                        name,
-                        ?status,
-                        in_force,
-                        known,
-                        "takes away a server that is not listed"
-                    );
-                }
+            let applied = self.apply_entry(now, version, snapshot, entry, &mut changes);
+            let Some(applied) = applied else { continue };
+            if !listed.insert(applied.slot) {
+                self.on_duplicate_entry(version, &applied, &mut changes);
             }
-            let Some(stated) = self.stated(now, entry, known) else {
-                continue;
-            };
-            let put = self.put(now, stated, known, &mut change.left);
-            let Some(Put {
-                slot,
-                member,
-                differs,
-            }) = put
-            else {
-                continue;
-            };
-            if !listed.insert(slot) {
-                change.repeated += 1;
-                if change.repeated <= MOST_LOGGED {
-                    let (name, status) = (
-                        self.table.at(slot).map(|replica| &*replica.name),
-                        member.status,
-                    );
-                    tracing::warn!(
-                        target: log_targets::REPLICAS, index,
-                        name,
-                        standing = ?status,
-                        "listed twice in one list: the last entry holds"
-                    );
-                }
-            }
-            if differs || !whole {
-                change.members.push(member);
+            if applied.changed || !snapshot {
+                changes.endpoints.push(applied.endpoint);
             }
         }
-        if whole {
-            self.remove_unlisted(now, &listed, &mut change.members);
+        if snapshot {
+            self.remove_unlisted(now, &listed, &mut changes.endpoints);
         }
-        self.index = index;
-        let leaves = |member: &&Endpoint| {
-            self.get(member.replica)
-                .is_some_and(|r| r.status != EndpointStatus::Ready)
-        };
-        change.leaving = change
-            .members
-            .iter()
-            .filter(leaves)
-            .map(|member| member.replica)
-            .collect();
-        change
+        self.version = version;
+        changes.leaving = self.leaving_among(&changes.endpoints);
+        changes
     }
 
-    /// Forgets those that are gone for long: they have nothing left to end, and no late list can mean them.
-    fn forget(&mut self, now: Nanos) {
-        while let Some((due, id)) = self.expiry.first().copied().filter(|(due, _)| *due <= now) {
+    /// Forgets the replicas that have been gone for long: they have no connections left, and no late update can mention
+    /// them.
+    fn forget_expired(&mut self, now: Nanos) {
+        while let Some(&(due, id)) = self.expiry.first() {
+            if due > now {
+                return;
+            }
             self.expiry.remove(&(due, id));
-            self.visited += 1;
+            self.visited_records += 1;
             if !self.connections.contains_key(&id) {
-                self.gone.remove(&id);
+                self.gone_since.remove(&id);
                 self.table.remove(id);
             }
         }
     }
 
-    /// What an entry states, given the record of its name; none where nobody knows its address.
-    fn stated(&self, now: Nanos, entry: EndpointEntry, known: Option<Slot>) -> Option<Stated> {
-        let known = known.and_then(|slot| self.table.at(slot));
-        let started = entry.started_ms.saturating_mul(1_000_000);
-        let behind = now < self.behind_until;
-        let leaving =
-            known.filter(|r| behind && r.status != EndpointStatus::Ready && started <= r.started);
+    /// Applies an entry; `None` if it changes nothing, as the address is not known.
+    fn apply_entry(
+        &mut self,
+        now: Nanos,
+        version: u64,
+        snapshot: bool,
+        entry: EndpointEntry,
+        changes: &mut EndpointChanges,
+    ) -> Option<AppliedEntry> {
+        self.visited_records += 1;
+        let known = self.table.slot_of_name(&entry.name);
+        if known.is_none() && is_removal(&entry, snapshot) {
+            self.on_unknown_removal(version, &entry, changes);
+        }
+        let resolved = self.resolve_entry(now, entry, known)?;
+        self.update_replica(now, resolved, known, &mut changes.stale_connections)
+    }
+
+    fn on_unknown_removal(
+        &self,
+        version: u64,
+        entry: &EndpointEntry,
+        changes: &mut EndpointChanges,
+    ) {
+        changes.unknown_removals += 1;
+        if changes.unknown_removals > MAX_LOGGED_ENTRIES {
+            return;
+        }
+        tracing::info!(
+            target: log_targets::REPLICAS, index = version,
+            name = entry.name,
+            status = ?entry.status,
+            in_force = self.version,
+            known = self.table.len(),
+            "takes away a server that is not listed"
+        );
+    }
+
+    fn on_duplicate_entry(
+        &self,
+        version: u64,
+        applied: &AppliedEntry,
+        changes: &mut EndpointChanges,
+    ) {
+        changes.duplicate_entries += 1;
+        if changes.duplicate_entries > MAX_LOGGED_ENTRIES {
+            return;
+        }
+        let replica = self.table.at(applied.slot);
+        tracing::warn!(
+            target: log_targets::REPLICAS, index = version,
+            name = replica.map(|replica| &*replica.name),
+            standing = ?applied.endpoint.status,
+            "listed twice in one list: the last entry holds"
+        );
+    }
+
+    /// Those of the endpoints that must not get new attempts.
+    fn leaving_among(&self, endpoints: &[Endpoint]) -> Vec<ReplicaId> {
+        let is_leaving = |id: &ReplicaId| {
+            self.get(*id)
+                .is_some_and(|replica| replica.status != EndpointStatus::Ready)
+        };
+        endpoints
+            .iter()
+            .map(|endpoint| endpoint.replica)
+            .filter(is_leaving)
+            .collect()
+    }
+
+    /// Completes an entry from the record of its name, if there is one. `None` if the address is not known.
+    fn resolve_entry(
+        &self,
+        now: Nanos,
+        entry: EndpointEntry,
+        known: Option<Slot>,
+    ) -> Option<ResolvedEntry> {
+        let replica = known.and_then(|slot| self.table.at(slot));
+        let started = entry.started_ms.saturating_mul(NANOS_PER_MS);
         let status = match entry.status {
-            // What is up can't be reached without an address; it may have left where it was.
-            Status::Up if entry.address.is_some() => {
-                leaving.map_or(EndpointStatus::Ready, |r| r.status)
-            }
+            // A server that is up can't be reached without an address: it may have left the one that is known.
+            Status::Up if entry.address.is_some() => self
+                .status_before_lagging_update(now, replica, started)
+                .unwrap_or(EndpointStatus::Ready),
             Status::Up | Status::Draining => EndpointStatus::Draining,
             Status::Removed => EndpointStatus::Gone,
         };
-        let address = entry.address.or_else(|| known.map(|r| r.address.clone()))?;
-        let zone = self.zones.iter().position(|zone| **zone == *entry.zone);
-        let zone = zone.map_or(NO_ZONE, |zone| zone as u16);
-        Some(Stated {
+        let address = entry
+            .address
+            .or_else(|| replica.map(|replica| replica.address.clone()))?;
+        Some(ResolvedEntry {
             name: entry.name,
             address,
             cell: entry.cell,
-            zone,
+            zone: self.zone_index(&entry.zone),
             started,
             status,
         })
     }
 
-    /// Puts what is stated of a name into its record, which is a new one where there is none.
-    fn put(
+    /// The status that a replica keeps although an update lists it as up, since the update may lag behind: draining or
+    /// gone, unless the server has been restarted.
+    fn status_before_lagging_update(
+        &self,
+        now: Nanos,
+        replica: Option<&Replica>,
+        started: Nanos,
+    ) -> Option<EndpointStatus> {
+        let replica = replica?;
+        let is_lagging = now < self.lagging_until;
+        let was_restarted = started > replica.started;
+        let is_leaving = replica.status != EndpointStatus::Ready;
+        (is_lagging && is_leaving && !was_restarted).then_some(replica.status)
+    }
+
+    /// The zone's index in the settings.
+    fn zone_index(&self, name: &str) -> u16 {
+        let index = self.zones.iter().position(|zone| zone == name);
+        index.map_or(UNKNOWN_ZONE, |index| index as u16)
+    }
+
+    /// Updates the record of a replica, which is a new one if there is none. Connections to an address that it has left
+    /// are moved to `stale_connections`.
+    fn update_replica(
         &mut self,
         now: Nanos,
-        stated: Stated,
+        entry: ResolvedEntry,
         known: Option<Slot>,
-        left: &mut Vec<ConnectionId>,
-    ) -> Option<Put> {
-        let Stated {
+        stale_connections: &mut Vec<ConnectionId>,
+    ) -> Option<AppliedEntry> {
+        let ResolvedEntry {
             name,
             address,
             cell,
             zone,
             started,
             status,
-        } = stated;
-        let slot = known.unwrap_or_else(|| self.add(name, address.clone(), started));
+        } = entry;
+        let slot = known.unwrap_or_else(|| self.add_replica(name, address.clone(), started));
         let replica = self.table.at_mut(slot)?;
         let id = replica.id;
-        let member = Endpoint {
-            replica: id,
-            cell,
-            zone,
-            started,
-            status,
-        };
-        let same = (replica.cell, replica.zone, replica.status) == (cell, zone, status)
+        let unchanged = (replica.cell, replica.zone, replica.status) == (cell, zone, status)
             && replica.started == started
             && !replica.started_earlier;
-        let moved = replica.address != address;
+        let address_changed = replica.address != address;
         replica.started_earlier = started < replica.started;
         replica.started = started.max(replica.started);
-        (replica.address, replica.cell, replica.zone) = (address, cell, zone);
-        self.stand(now, slot, status);
-        if moved {
-            left.extend(self.take_links(id));
+        replica.address = address;
+        replica.cell = cell;
+        replica.zone = zone;
+        self.set_status(now, slot, status);
+        if address_changed {
+            stale_connections.extend(self.remove_all_connections(id));
         }
-        Some(Put {
+        Some(AppliedEntry {
             slot,
-            member,
-            differs: known.is_none() || !same,
+            endpoint: Endpoint {
+                replica: id,
+                cell,
+                zone,
+                started,
+                status,
+            },
+            changed: known.is_none() || !unchanged,
         })
     }
 
-    /// Adds a record under the next number, for what is stated of it to be put in.
-    fn add(&mut self, name: Box<str>, address: Address, started: Nanos) -> Slot {
-        self.last += 1;
-        let id = ReplicaId(self.last);
-        // Numbers are this process's own: the name is what ties the logs of a fleet together.
+    /// Adds a record with the next id; the rest of it is filled in by the caller.
+    fn add_replica(&mut self, name: Box<str>, address: Address, started: Nanos) -> Slot {
+        self.last_id += 1;
+        let id = ReplicaId(self.last_id);
+        // Each process has ids of its own: logs of several mixers can be joined only by name.
         tracing::debug!(target: log_targets::REPLICAS, replica = id.0, name, address = %SocketAddr::from(&address), "replica numbered");
-        let (cell, zone, status) = (0, NO_ZONE, EndpointStatus::Draining);
         self.table.insert(Replica {
             id,
             name,
             address,
             started,
-            cell,
-            zone,
-            status,
+            cell: 0,
+            zone: UNKNOWN_ZONE,
+            status: EndpointStatus::Draining,
             started_earlier: false,
         })
     }
 
-    /// Sets how a replica stands, with all that is counted by it.
-    fn stand(&mut self, now: Nanos, slot: Slot, status: EndpointStatus) {
+    /// Sets the status of a replica, with everything that is counted or remembered by it.
+    fn set_status(&mut self, now: Nanos, slot: Slot, status: EndpointStatus) {
         let Some(replica) = self.table.at_mut(slot) else {
             return;
         };
-        let (id, before) = (replica.id, std::mem::replace(&mut replica.status, status));
+        let id = replica.id;
+        let before = std::mem::replace(&mut replica.status, status);
         self.ready -= usize::from(before == EndpointStatus::Ready);
         self.ready += usize::from(status == EndpointStatus::Ready);
-        if status != EndpointStatus::Gone {
-            if let Some(since) = self.gone.remove(&id) {
-                self.expiry.remove(&(since + LATE, id));
-            }
-        } else {
-            let since = *self.gone.entry(id).or_insert(now);
-            self.expiry.insert((since + LATE, id));
+        if status == EndpointStatus::Gone {
+            let since = *self.gone_since.entry(id).or_insert(now);
+            self.expiry.insert((since + LATE_UPDATE_WINDOW, id));
+        } else if let Some(since) = self.gone_since.remove(&id) {
+            self.expiry.remove(&(since + LATE_UPDATE_WINDOW, id));
         }
     }
 
-    /// Whom a whole list leaves out is gone.
-    fn remove_unlisted(&mut self, now: Nanos, listed: &HashSet<Slot>, members: &mut Vec<Endpoint>) {
-        self.visited += self.table.len() as u64;
-        let unlisted = |(slot, r): &(Slot, &Replica)| {
-            r.status != EndpointStatus::Gone && !listed.contains(slot)
-        };
-        let mut unlisted: Vec<(ReplicaId, Slot)> = self
-            .table
-            .iter()
-            .filter(unlisted)
-            .map(|(slot, r)| (r.id, slot))
-            .collect();
+    /// Marks the replicas as gone that a snapshot leaves out.
+    fn remove_unlisted(
+        &mut self,
+        now: Nanos,
+        listed: &HashSet<Slot>,
+        endpoints: &mut Vec<Endpoint>,
+    ) {
+        self.visited_records += self.table.len() as u64;
+        let mut unlisted: Vec<(ReplicaId, Slot)> = Vec::new();
+        for (slot, replica) in self.table.iter() {
+            if replica.status != EndpointStatus::Gone && !listed.contains(&slot) {
+                unlisted.push((replica.id, slot));
+            }
+        }
         unlisted.sort_unstable();
-        for (replica, slot) in unlisted {
-            self.stand(now, slot, EndpointStatus::Gone);
-            let Some(&Replica {
-                cell,
-                zone,
-                started,
-                status,
-                ..
-            }) = self.table.at(slot)
-            else {
-                continue;
-            };
-            members.push(Endpoint {
-                replica,
-                cell,
-                zone,
-                started,
-                status,
-            });
+        for (_, slot) in unlisted {
+            self.set_status(now, slot, EndpointStatus::Gone);
+            if let Some(replica) = self.table.at(slot) {
+                endpoints.push(Endpoint {
+                    replica: replica.id,
+                    cell: replica.cell,
+                    zone: replica.zone,
+                    started: replica.started,
+                    status: replica.status,
+                });
+            }
         }
     }
 }
 
-/// Whether an entry only takes away: of a name that is not known it changes nothing that was in force.
-fn takes_away(entry: &EndpointEntry, whole: bool) -> bool {
+/// Whether an entry only removes: of a name that is not known it changes nothing.
+fn is_removal(entry: &EndpointEntry, snapshot: bool) -> bool {
     match entry.status {
         Status::Up => false,
-        Status::Draining => !whole,
+        Status::Draining => !snapshot,
         Status::Removed => true,
     }
 }
--- a/crates/mixer/tests/lists.rs
+++ b/crates/mixer/tests/lists.rs
@@ -11,7 +11,7 @@
 };
 use cottonhill_mixer::protocol::http::WatchCodec;
 use cottonhill_mixer::protocol::query_json::Reply;
-use cottonhill_mixer::reducer::replicas::{Replicas, LATE};
+use cottonhill_mixer::reducer::replicas::{Replicas, LATE_UPDATE_WINDOW};
 use cottonhill_mixer::reducer::Input;
 use harness::Harness;
 use logs::Logs;
@@ -75,8 +75,8 @@
     assert_eq!(objects.len(), 1);
     let listing = endpoint_updates::parse(&objects[0]).unwrap().unwrap();
     let mut replicas = Replicas::new(vec!["north".into()]);
-    assert_eq!(replicas.take(0, listing).members.len(), PLANNED);
-    assert_eq!(replicas.known(), PLANNED);
+    assert_eq!(replicas.apply_update(0, listing).endpoints.len(), PLANNED);
+    assert_eq!(replicas.len(), PLANNED);
 }
 
 #[test]
@@ -287,7 +287,7 @@
     );
     let change: Vec<_> = status.iter().map(|_| (9, "removed", 0)).collect();
     harness.listed(false, &change);
-    harness.pass(LATE / 1_000_000 + 1);
+    harness.pass(LATE_UPDATE_WINDOW / 1_000_000 + 1);
     harness.listed(false, &[]);
     harness.pass(60_000);
     assert_eq!(
--- a/crates/mixer/tests/replicas.rs
+++ b/crates/mixer/tests/replicas.rs
@@ -7,7 +7,7 @@
 };
 use cottonhill_mixer::protocol::endpoint_updates::{self, EndpointEntry, EndpointUpdate, Status};
 use cottonhill_mixer::reducer::replica_table::Replica;
-use cottonhill_mixer::reducer::replicas::{Change, Replicas, LATE};
+use cottonhill_mixer::reducer::replicas::{EndpointChanges, Replicas, LATE_UPDATE_WINDOW};
 use cottonhill_mixer::reducer::ConnectionId;
 use cottonhill_mixer::{settings, Coordinator};
 use proptest::prelude::*;
@@ -54,7 +54,7 @@
 impl Oracle {
     fn take(&mut self, now: u64, listing: &EndpointUpdate) -> Expected {
         self.known.retain(|_, r| {
-            r.gone.is_none_or(|gone| now < gone + LATE) || !r.connections.is_empty()
+            r.gone.is_none_or(|gone| now < gone + LATE_UPDATE_WINDOW) || !r.connections.is_empty()
         });
         let known = &self.known;
         self.numbers.retain(|_, id| known.contains_key(id));
@@ -276,11 +276,11 @@
             .unwrap()
             .unwrap();
         let expected = self.oracle.take(self.now, &listing);
-        let change = self.replicas.take(self.now, listing);
+        let change = self.replicas.apply_update(self.now, listing);
         self.compare(&change, &expected);
         let list = Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Delta,
-            endpoints: change.members,
+            endpoints: change.endpoints,
         };
         let oracle_list = Event::EndpointsUpdated {
             kind: expected.kind,
@@ -295,10 +295,10 @@
         self.decide(list, oracle_list);
     }
 
-    fn compare(&self, change: &Change, expected: &Expected) {
-        assert_eq!(change.left, expected.left);
+    fn compare(&self, change: &EndpointChanges, expected: &Expected) {
+        assert_eq!(change.stale_connections, expected.left);
         assert_eq!(
-            (change.repeated, change.unknown),
+            (change.duplicate_entries, change.unknown_removals),
             (expected.repeated, expected.unknown)
         );
         let leaving: BTreeSet<ReplicaId> = change.leaving.iter().copied().collect();
@@ -316,16 +316,16 @@
             newly.is_subset(&leaving),
             "{newly:?} leave now, {leaving:?} are withdrawn"
         );
-        assert_eq!(self.replicas.known(), self.oracle.known.len());
+        assert_eq!(self.replicas.len(), self.oracle.known.len());
         let ready = self
             .oracle
             .known
             .values()
             .any(|r| r.status == EndpointStatus::Ready);
-        assert_eq!(self.replicas.any_ready(), ready);
+        assert_eq!(self.replicas.has_ready(), ready);
         for name in (0..4).map(|name| format!("s-{name}")) {
             assert_eq!(
-                self.replicas.id(&name),
+                self.replicas.id_of_name(&name),
                 self.oracle.numbers.get(&name).copied(),
                 "{name}"
             );
@@ -398,12 +398,12 @@
     }
 
     fn connect(&mut self, name: u8) {
-        let Some(id) = self.replicas.id(&format!("s-{name}")) else {
+        let Some(id) = self.replicas.id_of_name(&format!("s-{name}")) else {
             return;
         };
         self.next += 10;
         let connection = self.next;
-        let at = self.replicas.connect(id, connection);
+        let at = self.replicas.add_connection(id, connection);
         let plain = self.oracle.known.get_mut(&id).unwrap();
         plain.connections.push(connection);
         assert_eq!(at, Some(plain.address));
@@ -415,7 +415,7 @@
             let (id, connection) = self
                 .connections
                 .remove(usize::from(dice) % self.connections.len());
-            self.replicas.disconnect(id, connection);
+            self.replicas.remove_connection(id, connection);
             if let Some(plain) = self.oracle.known.get_mut(&id) {
                 plain.connections.retain(|other| *other != connection);
             }
@@ -423,8 +423,11 @@
     }
 
     fn moved(&mut self) {
-        self.oracle.behind_until = self.now + LATE;
-        assert_eq!(self.replicas.moved(self.now), self.now + LATE);
+        self.oracle.behind_until = self.now + LATE_UPDATE_WINDOW;
+        assert_eq!(
+            self.replicas.on_discovery_switched(self.now),
+            self.now + LATE_UPDATE_WINDOW
+        );
     }
 }
 
@@ -454,7 +457,7 @@
         3 => (0u8..4).prop_map(Step::Connect),
         3 => any::<u8>().prop_map(Step::Disconnect),
         1 => Just(Step::Moved),
-        3 => prop_oneof![0u64..400, 1000u64..7000, Just(LATE / MS)].prop_map(Step::Pass),
+        3 => prop_oneof![0u64..400, 1000u64..7000, Just(LATE_UPDATE_WINDOW / MS)].prop_map(Step::Pass),
     ];
     prop::collection::vec(step, 1..60)
 }
@@ -509,32 +512,32 @@
 fn fleet(servers: u64) -> Replicas {
     let entries: Vec<String> = (0..servers).map(|server| entry(server, "up")).collect();
     let mut replicas = Replicas::new(vec!["north".into()]);
-    replicas.take(0, listing(1, true, &entries));
+    replicas.apply_update(0, listing(1, true, &entries));
     replicas
 }
 
 /// Records that are looked at for a change of one entry, one that goes and is forgotten, and a whole list of no news.
 fn visits(servers: u64) -> [u64; 3] {
     let mut replicas = fleet(servers);
-    let mut before = replicas.visited();
+    let mut before = replicas.visited_records();
     let mut since_last = |replicas: &Replicas| {
-        let visited = replicas.visited();
+        let visited = replicas.visited_records();
         visited - std::mem::replace(&mut before, visited)
     };
-    let change = replicas.take(MS, listing(2, false, &[entry(1, "draining")]));
-    assert_eq!((change.members.len(), change.leaving.len()), (1, 1));
+    let change = replicas.apply_update(MS, listing(2, false, &[entry(1, "draining")]));
+    assert_eq!((change.endpoints.len(), change.leaving.len()), (1, 1));
     let one = since_last(&replicas);
-    replicas.take(2 * MS, listing(3, false, &[entry(1, "removed")]));
-    replicas.take(LATE + 2 * MS, listing(4, false, &[]));
-    assert_eq!(replicas.known() as u64, servers - 1);
+    replicas.apply_update(2 * MS, listing(3, false, &[entry(1, "removed")]));
+    replicas.apply_update(LATE_UPDATE_WINDOW + 2 * MS, listing(4, false, &[]));
+    assert_eq!(replicas.len() as u64, servers - 1);
     let gone = since_last(&replicas);
     let entries: Vec<String> = (0..servers)
         .filter(|s| *s != 1)
         .map(|server| entry(server, "up"))
         .collect();
-    let change = replicas.take(LATE + 3 * MS, listing(5, true, &entries));
+    let change = replicas.apply_update(LATE_UPDATE_WINDOW + 3 * MS, listing(5, true, &entries));
     assert!(
-        change.members.is_empty() && change.leaving.is_empty(),
+        change.endpoints.is_empty() && change.leaving.is_empty(),
         "nothing has changed"
     );
     [one, gone, since_last(&replicas)]
@@ -578,9 +581,9 @@
     let mut entries: Vec<String> = (0..99).map(|server| entry(server, "up")).collect();
     entries[5] = entry(5, "draining");
     entries.push(entry(100, "up"));
-    let change = replicas.take(MS, listing(2, true, &entries));
+    let change = replicas.apply_update(MS, listing(2, true, &entries));
     let found: Vec<_> = change
-        .members
+        .endpoints
         .iter()
         .map(|m| (m.replica.0, m.status))
         .collect();
