--- a/crates/mixer/src/reducer/attempt_results.rs
+++ b/crates/mixer/src/reducer/attempt_results.rs
@@ -81,7 +81,7 @@
         else {
             return;
         };
-        self.counters.connections.spoilt += 1;
+        self.counters.connections.malformed += 1;
         tracing::info!(
             target: log_targets::CONNECTIONS, link = id,
             replica = replica.0,
@@ -168,7 +168,7 @@
         outcome: Outcome,
         report: LoadReport,
     ) {
-        self.counters.ended.count(outcome);
+        self.counters.attempt_outcomes.count(outcome);
         self.events.push(Event::AttemptEnded {
             part: id.part,
             attempt: id.number,
--- a/crates/mixer/src/reducer/batch.rs
+++ b/crates/mixer/src/reducer/batch.rs
@@ -54,7 +54,7 @@
 
     /// Guards the rule that every accepted query is answered in time, should the coordinator miss one.
     fn on_query_deadline(&mut self, now: Nanos, id: RequestId) {
-        self.counters.faults.last_moment += 1;
+        self.counters.faults.deadline_reached += 1;
         tracing::error!(target: log_targets::BATCHES, id, "query still open at the last moment");
         self.events.push(Event::ClientDisconnected { id });
         self.fail_query(now, id);
@@ -96,7 +96,7 @@
             self.counters.sent.datagrams += 1;
             self.effects.push(Effect::SendDatagram { to, bytes });
         } else {
-            self.counters.faults.stray += 1;
+            self.counters.faults.invalid_actions += 1;
         }
     }
 }
--- a/crates/mixer/src/reducer/client_requests.rs
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -48,7 +48,7 @@
         let Some(id) = client.open_query else {
             return;
         };
-        self.counters.answered.client_gone += 1;
+        self.counters.replies.client_disconnected += 1;
         self.events.push(Event::ClientDisconnected { id });
         if let Some(ended) = self.end_query(now, id) {
             self.limit_write_after_disconnect(now, &ended.query.parts);
@@ -91,14 +91,14 @@
     fn stats_json(&self, now: Nanos) -> Vec<u8> {
         let stats = Stats {
             counters: &self.counters,
-            list: self.replicas.version(),
-            heard_ms_ago: self.discovery.ms_since_heard(now),
+            endpoint_list_version: self.replicas.version(),
+            ms_since_discovery_heard: self.discovery.ms_since_heard(now),
         };
         serde_json::to_vec_pretty(&stats).unwrap_or_default()
     }
 
     fn reject_invalid_request(&mut self, now: Nanos, client: ClientId, error: RequestError) {
-        self.counters.taken.rejected += 1;
+        self.counters.requests.invalid += 1;
         // Not above debug: a client that sends nothing else could fill the log.
         tracing::debug!(
             target: log_targets::CLIENTS, client,
@@ -129,7 +129,7 @@
         }
         let open_parts = self.queries.unanswered_parts();
         if self.queries.len() + open_parts >= self.settings.max_open_requests {
-            self.counters.taken.over_cap += 1;
+            self.counters.requests.over_limit += 1;
             tracing::info!(
                 target: log_targets::CLIENTS, queries = self.queries.len(),
                 open_parts,
@@ -139,7 +139,7 @@
         }
         let time_left = self.time_left(now, received_at, &request);
         if time_left == 0 {
-            self.counters.taken.too_late += 1;
+            self.counters.requests.no_time_left += 1;
             tracing::info!(
                 target: log_targets::CLIENTS, timeout_ms = request.timeout / NANOS_PER_MS,
                 "no time left: query refused"
@@ -196,9 +196,9 @@
             client_retry: request.client_retry,
         });
         let parts = self.accept_parts(id, group, &request);
-        self.counters.taken.queries += 1;
-        self.counters.taken.parts += parts.len() as u64;
-        self.counters.taken.repeats += u64::from(request.client_retry);
+        self.counters.requests.queries += 1;
+        self.counters.requests.parts += parts.len() as u64;
+        self.counters.requests.client_retries += u64::from(request.client_retry);
         let deadline = now + time_left;
         self.timers.set(deadline, Timer::QueryDeadline(id));
         let query = Query {
--- a/crates/mixer/src/reducer/connection_handling.rs
+++ b/crates/mixer/src/reducer/connection_handling.rs
@@ -33,7 +33,7 @@
             .get(id)
             .map(|connection| connection.phase())
         {
-            Some(Phase::Connecting) => self.counters.connections.failed += 1,
+            Some(Phase::Connecting) => self.counters.connections.connect_failed += 1,
             Some(Phase::Open) => self.counters.connections.broken += 1,
             None => {}
         }
@@ -46,7 +46,7 @@
             .get(id)
             .map(|connection| connection.phase());
         if phase == Some(Phase::Connecting) {
-            self.counters.connections.failed += 1;
+            self.counters.connections.connect_failed += 1;
             self.close_connection(now, id);
         }
     }
@@ -95,7 +95,7 @@
             connection.idle_timer = Some(due);
             self.timers.set(due, Timer::IdleTimeout(id));
         } else {
-            self.counters.connections.idle += 1;
+            self.counters.connections.idle_timeouts += 1;
             self.close_connection(now, id);
         }
     }
@@ -113,7 +113,7 @@
                 .set(due, Timer::WriteStalled(id, handed_over_at));
         }
         let unsent = connection.unsent_attempts();
-        self.counters.watches.withdrawn += unsent.len() as u64;
+        self.counters.watches.withdrawn_attempts += unsent.len() as u64;
         for attempt in unsent {
             self.cancel_attempt(now, attempt, Outcome::NotSent);
         }
@@ -131,7 +131,7 @@
         if writing_since != Some(handed_over_at) {
             return;
         }
-        self.counters.connections.stuck += 1;
+        self.counters.connections.write_stalled += 1;
         tracing::info!(
             target: log_targets::CONNECTIONS, link = id,
             "a call was not taken by its connection while it might begin: closed"
--- a/crates/mixer/src/reducer/counters.rs
+++ b/crates/mixer/src/reducer/counters.rs
@@ -1,83 +1,134 @@
-//! What the mixer has taken, sent and answered since its start.
+//! Counters of what has happened since the start. `/-/stats` and the log line at the exit have them as JSON; a field
+//! whose key there differs states it.
 
 use cottonhill_decisions::Outcome;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The counters as they are asked for, with the list in force: its version, and how long ago discovery was heard.
+/// What `/-/stats` shows: the counters, and how fresh the endpoint list is.
 #[derive(Serialize)]
 pub struct Stats<'a> {
+    /// The counters.
     #[serde(flatten)]
     pub counters: &'a Counters,
-    pub list: u64,
-    pub heard_ms_ago: u64,
+    /// The version of the current endpoint list.
+    #[serde(rename = "list")]
+    pub endpoint_list_version: u64,
+    /// Milliseconds since discovery last sent an update or a heartbeat.
+    #[serde(rename = "heard_ms_ago")]
+    pub ms_since_discovery_heard: u64,
 }
 
+/// All counters.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Counters {
-    pub taken: Taken,
-    pub sent: Sent,
-    pub ended: Ended,
-    pub answered: Answered,
-    pub connections: Connections,
-    /// Lists applied, whole ones and changes.
-    pub lists: u64,
-    pub bad_lists: BadLists,
-    pub watches: Watches,
-    /// Records of use handed on; 0 where none are kept.
-    pub recorded: u64,
-    /// Of the records, those of each tenant and class that the settings name: `TENANT CLASS`.
-    #[serde(skip_serializing_if = "BTreeMap::is_empty")]
-    pub recorded_of: BTreeMap<String, u64>,
-    pub reloads: Reloads,
+    /// Requests of clients.
+    #[serde(rename = "taken")]
+    pub requests: RequestCounters,
+    /// What was sent to leaf servers and other mixers.
+    pub sent: SentCounters,
+    /// How attempts ended.
+    #[serde(rename = "ended")]
+    pub attempt_outcomes: OutcomeCounters,
+    /// How accepted queries ended.
+    #[serde(rename = "answered")]
+    pub replies: ReplyCounters,
+    /// Connections of clients and to leaf servers.
+    pub connections: ConnectionCounters,
+    /// Endpoint updates applied, snapshots and deltas.
+    #[serde(rename = "lists")]
+    pub endpoint_updates: u64,
+    /// What was wrong with endpoint updates.
+    #[serde(rename = "bad_lists")]
+    pub update_faults: UpdateFaultCounters,
+    /// The watch on discovery.
+    pub watches: WatchCounters,
+    /// Usage records handed on; 0 if no usage is recorded.
+    #[serde(rename = "recorded")]
+    pub usage_records: u64,
+    /// The usage records by `TENANT CLASS`, as the settings name them.
+    #[serde(rename = "recorded_of", skip_serializing_if = "BTreeMap::is_empty")]
+    pub usage_records_by_class: BTreeMap<String, u64>,
+    /// Times that the configuration was read again.
+    pub reloads: ReloadCounters,
     /// What must never happen; each is logged with its cause.
-    pub faults: Faults,
+    pub faults: FaultCounters,
 }
 
+/// Requests of clients.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Taken {
+pub struct RequestCounters {
+    /// Queries accepted.
     pub queries: u64,
+    /// Parts of the queries accepted.
     pub parts: u64,
-    pub repeats: u64,
-    /// Requests turned away before any decision: malformed, or over the cap on what is open.
-    pub rejected: u64,
-    pub over_cap: u64,
-    /// Queries whose client had no time left when they came.
-    pub too_late: u64,
+    /// Of the queries accepted, those that their clients marked as retries.
+    #[serde(rename = "repeats")]
+    pub client_retries: u64,
+    /// Requests that can't be served: malformed, or with the id of an open query.
+    #[serde(rename = "rejected")]
+    pub invalid: u64,
+    /// Queries rejected since the limit of open queries and parts was reached.
+    #[serde(rename = "over_cap")]
+    pub over_limit: u64,
+    /// Queries rejected since their clients had no time left when they were received.
+    #[serde(rename = "too_late")]
+    pub no_time_left: u64,
 }
 
+/// What was sent to leaf servers and other mixers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Sent {
+pub struct SentCounters {
+    /// Calls handed to sockets; one carries one or more attempts.
     pub calls: u64,
+    /// Attempts that the coordinator decided on, those included that were not sent after all.
     pub attempts: u64,
-    pub further_attempts: u64,
-    pub give_ups: u64,
+    /// Of the attempts, those beside the first at a part: retries and hedged requests.
+    #[serde(rename = "further_attempts")]
+    pub extra_attempts: u64,
+    /// Cancellations of attempts.
+    #[serde(rename = "give_ups")]
+    pub cancellations: u64,
+    /// Probes of leaf servers.
     pub probes: u64,
+    /// Datagrams to other mixers.
     pub datagrams: u64,
 }
 
+/// How attempts ended, by [`Outcome`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Ended {
+pub struct OutcomeCounters {
+    /// [`Outcome::Ok`].
     pub ok: u64,
+    /// [`Outcome::Error`].
     pub error: u64,
-    pub refused: u64,
+    /// [`Outcome::Rejected`].
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// [`Outcome::TimedOut`].
     pub timed_out: u64,
-    pub unreachable: u64,
-    pub broken: u64,
+    /// [`Outcome::ConnectFailed`].
+    #[serde(rename = "unreachable")]
+    pub connect_failed: u64,
+    /// [`Outcome::ConnectionReset`].
+    #[serde(rename = "broken")]
+    pub connection_reset: u64,
+    /// [`Outcome::Cancelled`].
     pub cancelled: u64,
+    /// [`Outcome::NotSent`].
     pub not_sent: u64,
 }
 
-impl Ended {
+impl OutcomeCounters {
     /// Counts an attempt that ended so.
     pub(super) fn count(&mut self, outcome: Outcome) {
         let counter = match outcome {
             Outcome::Ok => &mut self.ok,
             Outcome::Error => &mut self.error,
-            Outcome::Rejected => &mut self.refused,
+            Outcome::Rejected => &mut self.rejected,
             Outcome::TimedOut => &mut self.timed_out,
-            Outcome::ConnectFailed => &mut self.unreachable,
-            Outcome::ConnectionReset => &mut self.broken,
+            Outcome::ConnectFailed => &mut self.connect_failed,
+            Outcome::ConnectionReset => &mut self.connection_reset,
             Outcome::Cancelled => &mut self.cancelled,
             Outcome::NotSent => &mut self.not_sent,
         };
@@ -85,79 +136,118 @@
     }
 }
 
+/// How accepted queries ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Answered {
-    pub whole: u64,
+pub struct ReplyCounters {
+    /// Answered from all parts.
+    #[serde(rename = "whole")]
+    pub complete: u64,
+    /// Answered from some of the parts.
     pub partial: u64,
-    pub refused: u64,
+    /// Rejected by the coordinator.
+    #[serde(rename = "refused")]
+    pub rejected: u64,
+    /// Failed.
     pub failed: u64,
-    pub client_gone: u64,
+    /// Not replied to, since the client had disconnected.
+    #[serde(rename = "client_gone")]
+    pub client_disconnected: u64,
 }
 
+/// Connections of clients and to leaf servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Connections {
+pub struct ConnectionCounters {
+    /// Connections of clients accepted.
     pub clients: u64,
+    /// Connects to leaf servers started.
     pub opened: u64,
-    pub failed: u64,
+    /// Connects to leaf servers that failed or timed out.
+    #[serde(rename = "failed")]
+    pub connect_failed: u64,
+    /// Connections that leaf servers reset or closed.
     pub broken: u64,
+    /// Times that a connection fell silent: an attempt was left unanswered and nothing was received since.
     pub silent: u64,
-    /// Closed since something came on them that can't be read.
-    pub spoilt: u64,
-    pub idle: u64,
-    /// Closed with a call that the socket had not taken while it might begin.
-    pub stuck: u64,
-    /// Idle ones closed to make room for one to another leaf server.
+    /// Connections closed since a malformed answer was received.
+    #[serde(rename = "spoilt")]
+    pub malformed: u64,
+    /// Connections closed since they were idle for too long.
+    #[serde(rename = "idle")]
+    pub idle_timeouts: u64,
+    /// Connections closed since their socket had not taken a call by the time until which it could start.
+    #[serde(rename = "stuck")]
+    pub write_stalled: u64,
+    /// Idle connections closed to make room for one to another leaf server.
     pub evicted: u64,
 }
 
 /// The watch on discovery.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Watches {
-    /// Calls to discovery.
-    pub asked: u64,
-    /// Watches and calls that ended otherwise than with the list that was asked for.
+pub struct WatchCounters {
+    /// Watches and snapshots requested.
+    #[serde(rename = "asked")]
+    pub requested: u64,
+    /// Watches and requests that ended without what was asked for.
     pub ended: u64,
     /// Of those ended, the ones that had fallen silent.
     pub silent: u64,
-    /// Parts withdrawn before their first byte since a list announced that their replica leaves or has moved.
-    pub withdrawn: u64,
-    /// Starts that went on from the remembered list, as discovery was silent.
-    pub unheard: u64,
+    /// Attempts withdrawn before they were handed to a socket, since an update announced that their replica leaves or
+    /// has another address.
+    #[serde(rename = "withdrawn")]
+    pub withdrawn_attempts: u64,
+    /// Starts that went on from the cached endpoint list, as discovery sent none in time.
+    #[serde(rename = "unheard")]
+    pub startup_timeouts: u64,
 }
 
-/// What was wrong with what discovery sent; each is logged with where it was found. A message that is refused leaves
-/// the list in force as it is, and the whole list is asked for.
+/// What was wrong with endpoint updates; each is logged with where it was found. A rejected update leaves the endpoint
+/// list as it is, and a snapshot is requested.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct BadLists {
-    /// Messages refused since they are longer than any that is accepted.
-    pub over_bound: u64,
-    /// Messages refused since they can't be read, or change nobody knows whom.
-    pub unreadable: u64,
-    /// Changes refused since their version is below the one in force.
-    pub went_back: u64,
-    /// Whole lists taken whose version is below the one before: discovery began anew.
-    pub whole_went_back: u64,
-    /// Entries that can't be used: whom they name gets nothing new.
-    pub unusable: u64,
-    /// Entries of a name that came before in the same list: the last one holds.
-    pub repeated: u64,
-    /// Entries that take away a server that was not listed.
-    pub unknown: u64,
+pub struct UpdateFaultCounters {
+    /// Updates rejected since they are larger than any that is accepted.
+    #[serde(rename = "over_bound")]
+    pub too_large: u64,
+    /// Updates rejected since they can't be parsed, or change an endpoint without naming it.
+    #[serde(rename = "unreadable")]
+    pub malformed: u64,
+    /// Deltas rejected since their version is lower than the current one.
+    #[serde(rename = "went_back")]
+    pub version_regressed: u64,
+    /// Snapshots applied although their version is lower than the current one: discovery has started anew.
+    #[serde(rename = "whole_went_back")]
+    pub snapshot_version_regressed: u64,
+    /// Entries that can't be used; the endpoint that they name gets no new attempts.
+    #[serde(rename = "unusable")]
+    pub invalid_entries: u64,
+    /// Entries for a name that came before in the same update; the last one is used.
+    #[serde(rename = "repeated")]
+    pub duplicate_entries: u64,
+    /// Entries that remove a server that was not listed.
+    #[serde(rename = "unknown")]
+    pub unknown_removals: u64,
 }
 
-/// Times the configuration was read again.
+/// Times that the configuration was read again.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Reloads {
-    pub taken: u64,
-    pub bad: u64,
+pub struct ReloadCounters {
+    /// Applied.
+    #[serde(rename = "taken")]
+    pub applied: u64,
+    /// Not applied, since the configuration is invalid.
+    #[serde(rename = "bad")]
+    pub invalid: u64,
 }
 
+/// What must never happen.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Faults {
-    /// Queries that were open until the last moment and failed then.
-    pub last_moment: u64,
-    /// Answers that claimed more than their parts bear out.
-    pub dishonest: u64,
-    /// Actions on what does not exist.
-    pub stray: u64,
+pub struct FaultCounters {
+    /// Queries that failed since they were still open at their deadline.
+    #[serde(rename = "last_moment")]
+    pub deadline_reached: u64,
+    /// Answers that claimed more than their parts bear out; they were replaced by failures.
+    #[serde(rename = "dishonest")]
+    pub overstated_answers: u64,
+    /// Actions on what does not exist or is not allowed.
+    #[serde(rename = "stray")]
+    pub invalid_actions: u64,
 }
--- a/crates/mixer/src/reducer/discovery.rs
+++ b/crates/mixer/src/reducer/discovery.rs
@@ -109,18 +109,18 @@
     }
 
     fn count_update(&mut self, invalid_entries: u64, changes: &EndpointChanges) {
-        self.counters.lists += 1;
-        let bad_lists = &mut self.counters.bad_lists;
-        bad_lists.unusable += invalid_entries;
-        bad_lists.repeated += changes.duplicate_entries;
-        bad_lists.unknown += changes.unknown_removals;
+        self.counters.endpoint_updates += 1;
+        let bad_lists = &mut self.counters.update_faults;
+        bad_lists.invalid_entries += invalid_entries;
+        bad_lists.duplicate_entries += changes.duplicate_entries;
+        bad_lists.unknown_removals += changes.unknown_removals;
     }
 
     pub(super) fn on_discovery_timeout(&mut self, now: Nanos) {
         if !self.lifecycle.is_awaiting_discovery() {
             return;
         }
-        self.counters.watches.unheard += 1;
+        self.counters.watches.startup_timeouts += 1;
         tracing::warn!(
             target: log_targets::BATCHES, index = self.replicas.version(),
             "discovery is silent: the list held before is in force"
@@ -160,18 +160,20 @@
 
     pub(super) fn on_watch_event(&mut self, now: Nanos, event: WatchEvent) {
         let watches = &mut self.counters.watches;
-        let bad_lists = &mut self.counters.bad_lists;
+        let bad_lists = &mut self.counters.update_faults;
         match event {
-            WatchEvent::Requested => watches.asked += 1,
+            WatchEvent::Requested => watches.requested += 1,
             WatchEvent::Heartbeat => self.discovery.last_heard_at = now,
             WatchEvent::Ended { silent } => {
                 watches.ended += 1;
                 watches.silent += u64::from(silent);
             }
-            WatchEvent::UpdateRejected(UpdateFault::TooLarge) => bad_lists.over_bound += 1,
-            WatchEvent::UpdateRejected(UpdateFault::Malformed) => bad_lists.unreadable += 1,
-            WatchEvent::UpdateRejected(UpdateFault::VersionRegressed) => bad_lists.went_back += 1,
-            WatchEvent::VersionRegressed => bad_lists.whole_went_back += 1,
+            WatchEvent::UpdateRejected(UpdateFault::TooLarge) => bad_lists.too_large += 1,
+            WatchEvent::UpdateRejected(UpdateFault::Malformed) => bad_lists.malformed += 1,
+            WatchEvent::UpdateRejected(UpdateFault::VersionRegressed) => {
+                bad_lists.version_regressed += 1
+            }
+            WatchEvent::VersionRegressed => bad_lists.snapshot_version_regressed += 1,
         }
     }
 
@@ -179,10 +181,10 @@
     /// watch. The endpoint list, connections and queries stay.
     pub(super) fn on_config_reloaded(&mut self, now: Nanos, discovery: Option<SocketAddr>) {
         let Some(address) = discovery else {
-            self.counters.reloads.bad += 1;
+            self.counters.reloads.invalid += 1;
             return;
         };
-        self.counters.reloads.taken += 1;
+        self.counters.reloads.applied += 1;
         let mut from_version = Some(self.replicas.version());
         if self.discovery.watch_policy.versions_differ_by_address() {
             // Versions of another address don't compare with the current one.
--- a/crates/mixer/src/reducer/dispatch.rs
+++ b/crates/mixer/src/reducer/dispatch.rs
@@ -22,7 +22,7 @@
     ) {
         let cross_zone = self.is_in_other_zone(replica);
         let Some(part) = self.queries.part_mut(part_id) else {
-            self.counters.faults.stray += 1;
+            self.counters.faults.invalid_actions += 1;
             tracing::error!(target: log_targets::ATTEMPTS, id = part_id, "a send for a part that is over");
             return;
         };
@@ -34,7 +34,7 @@
         let query = part.query;
         let expires_at = self.attempt_expiry(now, query, expires_at);
         self.counters.sent.attempts += 1;
-        self.counters.sent.further_attempts += u64::from(id.number > 0);
+        self.counters.sent.extra_attempts += u64::from(id.number > 0);
         let is_allowed = usize::from(id.number) < self.settings.max_attempts && expires_at > now;
         if !self.is_ready(replica) || !is_allowed {
             return self.end_unplaced_attempt(id, replica, Outcome::NotSent);
@@ -198,7 +198,7 @@
         match frame {
             QueuedFrame::Call(call) => self.encode_call(now, replica, call),
             QueuedFrame::Cancel(wire_id) => {
-                self.counters.sent.give_ups += 1;
+                self.counters.sent.cancellations += 1;
                 Some(LeafRequest::Cancel(wire_id))
             }
             QueuedFrame::Probe(_) => {
--- a/crates/mixer/src/reducer/query_completion.rs
+++ b/crates/mixer/src/reducer/query_completion.rs
@@ -23,7 +23,7 @@
     /// Rejects a query.
     pub(super) fn reject_query(&mut self, now: Nanos, id: RequestId, retry_after: Option<Nanos>) {
         if let Some(ended) = self.end_query(now, id) {
-            self.counters.answered.refused += 1;
+            self.counters.replies.rejected += 1;
             self.finish_query(now, id, &ended, Reply::Rejected { retry_after });
         }
     }
@@ -31,7 +31,7 @@
     /// Fails a query.
     pub(super) fn fail_query(&mut self, now: Nanos, id: RequestId) {
         if let Some(ended) = self.end_query(now, id) {
-            self.counters.answered.failed += 1;
+            self.counters.replies.failed += 1;
             self.finish_query(now, id, &ended, Reply::Failed);
         }
     }
@@ -75,8 +75,8 @@
         let is_complete = reaches(ended, &self.settings.completeness_thresholds);
         let is_sufficient = reaches(ended, &self.settings.minimum_coverages);
         if !is_sufficient || complete && !is_complete {
-            self.counters.faults.dishonest += 1;
-            self.counters.answered.failed += 1;
+            self.counters.faults.overstated_answers += 1;
+            self.counters.replies.failed += 1;
             tracing::error!(
                 target: log_targets::BATCHES, landed = ended.answered_weight(),
                 whole = complete,
@@ -86,9 +86,9 @@
             return Reply::Failed;
         }
         if complete {
-            self.counters.answered.whole += 1;
+            self.counters.replies.complete += 1;
         } else {
-            self.counters.answered.partial += 1;
+            self.counters.replies.partial += 1;
         }
         let hits = hits(ended);
         Reply::Answer { complete, hits }
--- a/crates/mixer/src/reducer/usage_recorder.rs
+++ b/crates/mixer/src/reducer/usage_recorder.rs
@@ -160,10 +160,10 @@
         let tenant = self.tenant_name(record.tenant);
         let class = self.class_name(record.class);
         let tenant_and_class = format!("{tenant} {class}");
-        self.counters.recorded += 1;
+        self.counters.usage_records += 1;
         *self
             .counters
-            .recorded_of
+            .usage_records_by_class
             .entry(tenant_and_class)
             .or_default() += 1;
         self.effects.push(Effect::RecordUsage(record));
--- a/crates/mixer/tests/connection.rs
+++ b/crates/mixer/tests/connection.rs
@@ -193,9 +193,9 @@
             prop_assert!(replies.len() == 1 || gone && replies.is_empty(), "client {client}: {replies:?}");
         }
         let counters = harness.state.counters().clone();
-        let e = &counters.ended;
-        let known = e.ok + e.error + e.refused + e.unreachable + e.not_sent;
-        let ended = known + e.timed_out + e.broken + e.cancelled;
+        let e = &counters.attempt_outcomes;
+        let known = e.ok + e.error + e.rejected + e.connect_failed + e.not_sent;
+        let ended = known + e.timed_out + e.connection_reset + e.cancelled;
         prop_assert_eq!(ended, counters.sent.attempts, "each attempt ends once");
         prop_assert_eq!(&counters.faults, &Default::default());
         prop_assert!(harness.frames.iter().all(|(_, f)| !matches!(f, LeafRequest::Call(parts) if parts.is_empty())));
--- a/crates/mixer/tests/gone.rs
+++ b/crates/mixer/tests/gone.rs
@@ -33,7 +33,7 @@
         harness.open_all();
         harness.pass(1500);
         assert_eq!(harness.calls().len(), 0);
-        assert_eq!(harness.state.counters().answered.client_gone, 1);
+        assert_eq!(harness.state.counters().replies.client_disconnected, 1);
     }
 }
 
@@ -122,7 +122,7 @@
                 !harness.connections.contains_key(&connection),
                 "it may go out at any moment"
             );
-            assert_eq!(harness.state.counters().connections.stuck, 1);
+            assert_eq!(harness.state.counters().connections.write_stalled, 1);
         }
     }
 }
@@ -139,7 +139,7 @@
     harness.begin(connection);
     harness.pass(1000);
     assert!(harness.connections.contains_key(&connection));
-    assert_eq!(harness.state.counters().connections.stuck, 0);
+    assert_eq!(harness.state.counters().connections.write_stalled, 0);
 }
 
 #[test]
--- a/crates/mixer/tests/leaving.rs
+++ b/crates/mixer/tests/leaving.rs
@@ -70,7 +70,7 @@
     harness.open_all();
     harness.answer_all();
     assert!(whole(harness.reply(client)));
-    assert_eq!(harness.state.counters().watches.unheard, 1);
+    assert_eq!(harness.state.counters().watches.startup_timeouts, 1);
 }
 
 #[test]
@@ -144,7 +144,7 @@
     harness.open_all();
     harness.answer_all();
     assert!(whole(harness.reply(client)), "{:?}", harness.reply(client));
-    assert_eq!(harness.state.counters().connections.stuck, 1);
+    assert_eq!(harness.state.counters().connections.write_stalled, 1);
 }
 
 #[test]
--- a/crates/mixer/tests/lists.rs
+++ b/crates/mixer/tests/lists.rs
@@ -222,7 +222,7 @@
         invalid_entries: 40,
         ..change
     }));
-    assert_eq!(harness.state.counters().bad_lists.unusable, 40);
+    assert_eq!(harness.state.counters().update_faults.invalid_entries, 40);
 }
 
 #[test]
@@ -247,7 +247,7 @@
             let mut harness = Harness::new(1);
             harness.told(&harness::address(1), last);
             harness.listed(snapshot, &[(1, first, 0), (1, last, 0)]);
-            assert_eq!(harness.state.counters().bad_lists.repeated, 1);
+            assert_eq!(harness.state.counters().update_faults.duplicate_entries, 1);
             logs.assert_one("WARN", &["index=2", "s-1", "twice"]);
             let client = harness.ask(1, &[1.0]);
             harness.open_all();
@@ -267,7 +267,7 @@
     let change: Vec<_> = status.iter().map(|status| (9, *status, 0)).collect();
     harness.listed(false, &change);
     assert_eq!(
-        harness.state.counters().bad_lists.unknown,
+        harness.state.counters().update_faults.unknown_removals,
         u64::from(status.is_some())
     );
     let client = harness.ask(1, &[1.0]);
@@ -291,7 +291,7 @@
     harness.listed(false, &[]);
     harness.pass(60_000);
     assert_eq!(
-        harness.state.counters().bad_lists.unknown,
+        harness.state.counters().update_faults.unknown_removals,
         u64::from(status.is_some()),
         "known by the second change"
     );
@@ -309,7 +309,7 @@
     let mut harness = Harness::new(1);
     harness.listed(true, &[(1, "up", 0), (2, "draining", 0)]);
     assert_eq!(
-        harness.state.counters().bad_lists.unknown,
+        harness.state.counters().update_faults.unknown_removals,
         0,
         "a whole list names who drains"
     );
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -73,9 +73,9 @@
     let mut harness = Harness::new(1);
     harness.ask(1, &[1.0]);
     harness.pass(249);
-    assert_eq!(harness.state.counters().ended.unreachable, 0);
+    assert_eq!(harness.state.counters().attempt_outcomes.connect_failed, 0);
     harness.pass(2);
-    assert!(harness.state.counters().ended.unreachable >= 1);
+    assert!(harness.state.counters().attempt_outcomes.connect_failed >= 1);
     assert!(calls(&harness).is_empty());
 }
 
@@ -91,7 +91,7 @@
         calls(&harness).is_empty(),
         "its first byte would break the rule"
     );
-    assert_eq!(harness.state.counters().ended.not_sent, 1);
+    assert_eq!(harness.state.counters().attempt_outcomes.not_sent, 1);
 }
 
 #[test]
@@ -102,8 +102,8 @@
     harness.break_off(connection);
     assert_eq!(
         (
-            harness.state.counters().ended.unreachable,
-            harness.state.counters().ended.broken
+            harness.state.counters().attempt_outcomes.connect_failed,
+            harness.state.counters().attempt_outcomes.connection_reset
         ),
         (1, 0)
     );
@@ -114,8 +114,8 @@
     harness.break_off(connection);
     assert_eq!(
         (
-            harness.state.counters().ended.unreachable,
-            harness.state.counters().ended.broken
+            harness.state.counters().attempt_outcomes.connect_failed,
+            harness.state.counters().attempt_outcomes.connection_reset
         ),
         (0, 1)
     );
@@ -169,7 +169,7 @@
         .state
         .apply(START + 2100 * MS, Input::FrameWritten { connection });
     assert_eq!(effects, [], "its time was the aim of 2 s");
-    assert_eq!(harness.state.counters().ended.not_sent, 1);
+    assert_eq!(harness.state.counters().attempt_outcomes.not_sent, 1);
 }
 
 #[test]
@@ -185,7 +185,7 @@
         .iter()
         .any(|(_, frame)| *frame == LeafRequest::Cancel("q1.0".into())));
     harness.answer_to(connection, "q1.0", PartStatus::Ok);
-    assert_eq!(harness.state.counters().ended.ok, 0);
+    assert_eq!(harness.state.counters().attempt_outcomes.ok, 0);
     assert!(
         harness.replies[&first].is_empty(),
         "nobody is there to be told"
@@ -213,7 +213,7 @@
         .filter(|client| refused(harness.reply(**client)))
         .count();
     assert_eq!(
-        harness.state.counters().taken.over_cap,
+        harness.state.counters().requests.over_limit,
         10,
         "ten queries of five parts fill the cap of 60"
     );
@@ -298,7 +298,7 @@
     let client = harness.ask(0, &[0.5, 0.5]);
     harness.pass(10_000);
     assert!(harness.replies[&client][0].0 < START + 5000 * MS);
-    assert_eq!(harness.state.counters().faults.last_moment, 0);
+    assert_eq!(harness.state.counters().faults.deadline_reached, 0);
 }
 
 #[test]
@@ -431,9 +431,9 @@
             .0;
         let there = harness.out[&connection].len() as u64;
         harness.spoil(connection, named);
-        let ended = harness.state.counters().ended.clone();
+        let ended = harness.state.counters().attempt_outcomes.clone();
         assert_eq!(
-            (ended.error, ended.cancelled, ended.broken),
+            (ended.error, ended.cancelled, ended.connection_reset),
             (1, there - 1, 0)
         );
         assert!(
@@ -461,8 +461,11 @@
     harness.stuck = true;
     harness.ask(1, &[1.0]);
     harness.spoil(connection, true);
-    let ended = &harness.state.counters().ended;
-    assert_eq!((ended.error, ended.broken, ended.unreachable), (1, 1, 0));
+    let ended = &harness.state.counters().attempt_outcomes;
+    assert_eq!(
+        (ended.error, ended.connection_reset, ended.connect_failed),
+        (1, 1, 0)
+    );
 }
 
 #[test]
@@ -473,11 +476,11 @@
     let connection = *harness.connections.keys().next().unwrap();
     harness.answer_to(connection, "q1.1", PartStatus::Ok);
     harness.answer_to(connection, "q1.1", PartStatus::Ok);
-    assert_eq!(harness.state.counters().connections.spoilt, 0);
+    assert_eq!(harness.state.counters().connections.malformed, 0);
     harness.answer_to(connection, "q9.0", PartStatus::Ok);
-    assert_eq!(harness.state.counters().connections.spoilt, 1);
+    assert_eq!(harness.state.counters().connections.malformed, 1);
     assert_eq!(
-        harness.state.counters().ended.error,
+        harness.state.counters().attempt_outcomes.error,
         1,
         "the one that was out has failed"
     );
@@ -503,7 +506,7 @@
         held.push(harness.state.retained_entries());
     }
     assert!(held[1..].iter().all(|now| *now <= held[0] + 5), "{held:?}");
-    assert_eq!(harness.state.counters().answered.whole, 400);
+    assert_eq!(harness.state.counters().replies.complete, 400);
 }
 
 #[test]
--- a/crates/mixer/tests/usage.rs
+++ b/crates/mixer/tests/usage.rs
@@ -77,13 +77,13 @@
         "without a gap"
     );
     let counters = harness.state.counters();
-    assert_eq!(counters.recorded, numbers.len() as u64);
+    assert_eq!(counters.usage_records, numbers.len() as u64);
     assert_eq!(
-        counters.recorded_of.values().sum::<u64>(),
-        counters.recorded
+        counters.usage_records_by_class.values().sum::<u64>(),
+        counters.usage_records
     );
     assert_eq!(
-        counters.recorded_of.keys().collect::<Vec<_>>(),
+        counters.usage_records_by_class.keys().collect::<Vec<_>>(),
         ["all lookup"]
     );
 }
@@ -169,7 +169,7 @@
         (
             harness.records.len(),
             harness.marks.len(),
-            harness.state.counters().recorded
+            harness.state.counters().usage_records
         ),
         (0, 0, 0)
     );
