--- a/crates/cottonhill/tests/golden.rs
+++ b/crates/cottonhill/tests/golden.rs
@@ -243,6 +243,46 @@
     assert_runs("ledger.txt", directory.path(), &commands);
 }
 
+/// A correction of a closed period, one of an open period, one whose id is taken, and the documents that are sent.
+#[test]
+fn corrections_and_exports_come_out_as_recorded() {
+    let directory = tempfile::tempdir().unwrap();
+    copy_ledger_data(directory.path());
+    let settings = directory.path().join("ledger.ini");
+    let text = fs::read_to_string(&settings).unwrap() + "\n[export]\nfolder = documents\n";
+    fs::write(&settings, text).unwrap();
+    let correct = |period, id| {
+        let mut command = ledger(&["correct", "--tenant", "gamma", "--amount", "-45"]);
+        command.extend(["--reason", "wrong class", "--author", "op1"]);
+        command.extend(["--period", period, "--id", id]);
+        command
+    };
+    let commands = [
+        correct("2026-12-03T09:34:10Z", "c-3"),
+        correct("2026-12-03T09:34:10Z", "c-3"),
+        correct("2026-12-03T09:34:15Z", "c-4"),
+        correct("2026-12-03T09:35:30Z", "c-5"),
+        correct("noon", "c-6"),
+        ledger(&["status"]),
+        ledger(&["export", "--within", "soon"]),
+        ledger(&["export", "--format", "csv"]),
+        ledger(&["status"]),
+        ledger(&["verify"]),
+    ];
+    let commands: Vec<&[&str]> = commands.iter().map(Vec::as_slice).collect();
+    assert_runs("ledger_corrections.txt", directory.path(), &commands);
+    let documents = fs::read_dir(directory.path().join("documents")).unwrap();
+    let mut paths: Vec<_> = documents.map(|entry| entry.unwrap().path()).collect();
+    paths.sort();
+    let mut text = String::new();
+    for path in paths {
+        let name = path.file_name().unwrap().to_str().unwrap();
+        let bytes = fs::read(&path).unwrap();
+        text += &format!("{name} {}\n", cottonhill_ledger::store::digest(&bytes));
+    }
+    assert_golden("ledger_documents.txt", &text);
+}
+
 /// Bytes of a usage log, and of the store's file, that are not as they were written.
 #[test]
 fn damage_to_recorded_data_is_reported_as_recorded() {
