--- /dev/null
+++ b/crates/cottonhill/src/commands/ledger/context.rs
@@ -0,0 +1,81 @@
+//! What most ledger commands begin with: the settings and the store that they name.
+
+use crate::error::{CommandError, ConfigurationError, RuntimeError, UsageError};
+use crate::files::InputFiles;
+use crate::schema::SCHEMA;
+use cottonhill_ledger::period::Period;
+use cottonhill_ledger::settings::Ledger as LedgerSettings;
+use cottonhill_ledger::settle::Bounds;
+use cottonhill_ledger::store::Store;
+use std::path::PathBuf;
+
+/// The settings of the settlement and where its store is.
+pub struct LedgerContext {
+    /// Settings of the settlement.
+    pub settings: LedgerSettings,
+    /// The store's file.
+    pub store_path: PathBuf,
+}
+
+impl LedgerContext {
+    /// Reads the settings.
+    ///
+    /// # Errors
+    /// Settings that can't be used, or that name no store.
+    pub fn read(files: &InputFiles) -> Result<LedgerContext, CommandError> {
+        let settings = LedgerSettings::read(&files.read_settings()?, &SCHEMA)?;
+        let store_path = settings.store.clone();
+        let store_path = store_path.ok_or(ConfigurationError::NoStore)?;
+        Ok(LedgerContext {
+            settings,
+            store_path,
+        })
+    }
+
+    /// Opens a store that is there already: a command that only reads must not create one.
+    ///
+    /// # Errors
+    /// There is none, or it can't be opened.
+    pub fn open_existing_store(&self) -> Result<Store, RuntimeError> {
+        if !self.store_path.exists() {
+            return Err(RuntimeError::MissingStore(self.store_path.clone()));
+        }
+        Store::open(&self.store_path).map_err(|source| RuntimeError::OpenStore {
+            path: self.store_path.clone(),
+            source,
+        })
+    }
+
+    /// How late a retry may arrive, and how far clocks may be apart.
+    pub fn bounds(&self) -> Bounds {
+        Bounds {
+            horizon: self.settings.horizon,
+            skew: self.settings.skew,
+        }
+    }
+
+    /// The closed or open period that starts at a timestamp as `periods` prints it.
+    ///
+    /// # Errors
+    /// The text is no timestamp, or no period starts there.
+    pub fn find_period(&self, store: &Store, start: &str) -> Result<Period, CommandError> {
+        let timestamp: jiff::Timestamp = start
+            .parse()
+            .map_err(|_| UsageError::InvalidTimestamp(start.to_string()))?;
+        let start_ms = timestamp.as_millisecond();
+        let known = store.periods()?;
+        let period = known
+            .into_iter()
+            .map(|(period, _)| period)
+            .find(|period| period.start == start_ms)
+            .unwrap_or_else(|| self.settings.calendar.at(start_ms));
+        if period.start != start_ms {
+            return Err(UsageError::NoSuchPeriod {
+                requested: start.to_string(),
+                start: period.name(),
+            }
+            .into());
+        }
+        Ok(period)
+    }
+}
--- /dev/null
+++ b/crates/cottonhill/src/commands/ledger/key.rs
@@ -0,0 +1,14 @@
+//! `cottonhill ledger key`: the key of an Idempotency-Key in the ledger.
+
+use crate::error::CommandResult;
+use crate::output;
+use cottonhill_mixer::reducer::usage;
+
+/// Prints the key in hexadecimal.
+///
+/// # Errors
+/// Standard output can't be written.
+pub fn run(class: &str, idempotency_key: &str) -> CommandResult {
+    let key = usage::key_of_client(class, idempotency_key);
+    output::print(format!("{key:016x}\n").as_bytes())
+}
--- /dev/null
+++ b/crates/cottonhill/src/commands/ledger/progress.rs
@@ -0,0 +1,13 @@
+//! Progress bars on standard error, where it is a terminal.
+
+use indicatif::{ProgressBar, ProgressDrawTarget};
+use std::io::IsTerminal;
+
+/// A bar of so many steps.
+pub fn bar(steps: usize, message: &'static str) -> ProgressBar {
+    let bar = ProgressBar::new(steps as u64).with_message(message);
+    if !std::io::stderr().is_terminal() {
+        bar.set_draw_target(ProgressDrawTarget::hidden());
+    }
+    bar
+}
--- /dev/null
+++ b/crates/cottonhill/src/commands/ledger/reconcile.rs
@@ -0,0 +1,169 @@
+//! `cottonhill ledger reconcile`: the ledger beside what others counted.
+
+use super::context::LedgerContext;
+use crate::error::{CommandError, CommandResult, RuntimeError, UsageError};
+use crate::output::{self, Format, FormatOption, ResultTable};
+use cottonhill_ledger::reconcile::{self, ClientUse, Reconciled};
+use cottonhill_ledger::store::{Standing, Store};
+use serde_json::{json, Value};
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::{Path, PathBuf};
+
+const TOTAL_COLUMNS: [&str; 8] = [
+    "period",
+    "tenant",
+    "class",
+    "ledger",
+    "client",
+    "ledger_answered",
+    "client_answered",
+    "equal",
+];
+const DIFFERENCE_COLUMNS: [&str; 7] = ["what", "tenant", "class", "at", "key", "ledger", "client"];
+/// Every time there is, in Unix milliseconds.
+const ALL_TIME: (i64, i64) = (i64::MIN, i64::MAX);
+/// The key of `/-/stats` with the records by tenant and class.
+const RECORDED_BY_TENANT_AND_CLASS: &str = "recorded_of";
+
+/// Arguments of `reconcile`; the comments on the fields are the help texts.
+#[derive(clap::Args)]
+pub struct Arguments {
+    /// CSV with the columns at_ms, tenant, class, outcome, tries, key
+    #[arg(long, value_name = "FILE")]
+    clients: Option<PathBuf>,
+    /// NAME=FILE: the answer of a mixer's /-/stats
+    #[arg(long, value_name = "NAME=FILE")]
+    counters: Vec<String>,
+    #[command(flatten)]
+    format: FormatOption,
+}
+
+/// Prints both sides and what differs.
+///
+/// # Errors
+/// Something differs, or a file or the store can't be read.
+pub fn run(context: &LedgerContext, arguments: &Arguments) -> CommandResult {
+    let store = context.open_existing_store()?;
+    if arguments.clients.is_none() && arguments.counters.is_empty() {
+        return Err(UsageError::NothingToReconcile.into());
+    }
+    let mut differences = 0;
+    if let Some(path) = &arguments.clients {
+        differences += with_clients(context, &store, path, arguments.format.format)?;
+    }
+    let members = store.standings()?;
+    for counters in &arguments.counters {
+        differences += with_counters(&store, &members, counters)?;
+    }
+    if differences > 0 {
+        return Err(RuntimeError::Differences(differences).into());
+    }
+    Ok(())
+}
+
+/// Compares with the records of clients; returns how many totals and uses differ.
+fn with_clients(
+    context: &LedgerContext,
+    store: &Store,
+    path: &Path,
+    format: Format,
+) -> Result<usize, CommandError> {
+    let uses = read_client_uses(path)?;
+    let calendar = &context.settings.calendar;
+    let reconciled = reconcile::with_clients(store, calendar, context.bounds(), ALL_TIME, &uses)?;
+    totals_table(&reconciled).print(format)?;
+    if !reconciled.differences.is_empty() {
+        differences_table(&reconciled).print(format)?;
+    }
+    Ok(reconciled.unequal() + reconciled.differences.len())
+}
+
+fn read_client_uses(path: &Path) -> Result<Vec<ClientUse>, RuntimeError> {
+    let read_error = |source| RuntimeError::ReadCsv {
+        path: path.to_path_buf(),
+        source,
+    };
+    let reader = csv::Reader::from_path(path).map_err(read_error)?;
+    let rows: Result<Vec<ClientUse>, csv::Error> = reader.into_deserialize().collect();
+    rows.map_err(read_error)
+}
+
+fn totals_table(reconciled: &Reconciled) -> ResultTable {
+    let mut table = ResultTable::new(&TOTAL_COLUMNS);
+    for ((period, tenant, class), pair) in &reconciled.totals {
+        let equal = pair.ledger == pair.client && pair.ledger_answered == pair.client_answered;
+        table.push(vec![
+            json!(period),
+            json!(tenant),
+            json!(class),
+            json!(pair.ledger),
+            json!(pair.client),
+            json!(pair.ledger_answered),
+            json!(pair.client_answered),
+            json!(equal),
+        ]);
+    }
+    table
+}
+
+fn differences_table(reconciled: &Reconciled) -> ResultTable {
+    let mut table = ResultTable::new(&DIFFERENCE_COLUMNS);
+    for difference in &reconciled.differences {
+        table.push(vec![
+            json!(difference.what),
+            json!(difference.tenant),
+            json!(difference.class),
+            json!(difference.at),
+            json!(difference.key),
+            json!(difference.ledger),
+            json!(difference.client),
+        ]);
+    }
+    table
+}
+
+/// Compares with the counters of one mixer's latest run, given as `NAME=FILE`; returns how many differ.
+fn with_counters(
+    store: &Store,
+    members: &[Standing],
+    counters: &str,
+) -> Result<usize, CommandError> {
+    let (member, file) = counters
+        .split_once('=')
+        .ok_or_else(|| UsageError::InvalidCounters(counters.to_string()))?;
+    let mixer_counts = read_counters(Path::new(file))?;
+    let latest = members.iter().find(|state| state.member == member);
+    let incarnation = latest.map_or(0, |state| state.position.incarnation);
+    let ledger_counts = store.recorded(member, incarnation)?;
+    let names: BTreeSet<&String> = ledger_counts.keys().chain(mixer_counts.keys()).collect();
+    let mut differences = 0;
+    for name in names {
+        let (in_mixer, in_ledger) = (mixer_counts.get(name), ledger_counts.get(name));
+        if in_mixer == in_ledger {
+            continue;
+        }
+        differences += 1;
+        let text = format!(
+            "mixer {member}, {name}: it has recorded {} in this run, the ledger holds {}\n",
+            in_mixer.copied().unwrap_or_default(),
+            in_ledger.copied().unwrap_or_default()
+        );
+        output::print(text.as_bytes())?;
+    }
+    Ok(differences)
+}
+
+/// Records by tenant and class, as the mixer counts them.
+fn read_counters(path: &Path) -> Result<BTreeMap<String, u64>, RuntimeError> {
+    let path = || path.to_path_buf();
+    let text = std::fs::read_to_string(path()).map_err(|source| RuntimeError::ReadFile {
+        path: path(),
+        source,
+    })?;
+    let stats: Value = serde_json::from_str(&text).map_err(|source| RuntimeError::ReadJson {
+        path: path(),
+        source,
+    })?;
+    let counts = stats[RECORDED_BY_TENANT_AND_CLASS].clone();
+    Ok(serde_json::from_value(counts).unwrap_or_default())
+}
--- /dev/null
+++ b/crates/cottonhill/src/commands/ledger/status.rs
@@ -0,0 +1,79 @@
+//! `cottonhill ledger status`: how far each mixer's records are in the ledger.
+
+use super::context::LedgerContext;
+use crate::error::{CommandError, CommandResult};
+use crate::output::{self, Format, ResultTable};
+use cottonhill_ledger::period::stamp;
+use cottonhill_ledger::store::{Standing, Store};
+use serde_json::{json, Value};
+use std::collections::BTreeSet;
+
+const COLUMNS: [&str; 9] = [
+    "member",
+    "configured",
+    "incarnation",
+    "sequence",
+    "complete",
+    "records",
+    "lost",
+    "died",
+    "damaged",
+];
+/// Columns that only a member with records has a value of.
+const RECORD_COLUMNS: usize = COLUMNS.len() - 2;
+
+/// Prints the state of each member, configured or with records in the store.
+///
+/// # Errors
+/// The store can't be read.
+pub fn run(context: &LedgerContext, format: Format) -> CommandResult {
+    let store = context.open_existing_store()?;
+    let states = store.standings()?;
+    let mut table = ResultTable::new(&COLUMNS);
+    for name in member_names(context, &states) {
+        let configured = context.settings.members.contains_key(name);
+        let state = states.iter().find(|state| state.member == name);
+        let mut row = vec![json!(name), json!(configured)];
+        row.extend(state.map_or(vec![Value::Null; RECORD_COLUMNS], record_values));
+        table.push(row);
+    }
+    table.print(format)?;
+    if format == Format::Table {
+        print_summary(context, &store)?;
+    }
+    Ok(())
+}
+
+fn member_names<'a>(context: &'a LedgerContext, states: &'a [Standing]) -> BTreeSet<&'a str> {
+    let configured = context.settings.members.keys().map(String::as_str);
+    let with_records = states.iter().map(|state| state.member.as_str());
+    configured.chain(with_records).collect()
+}
+
+fn record_values(state: &Standing) -> Vec<Value> {
+    vec![
+        json!(state.position.incarnation),
+        json!(state.position.sequence),
+        json!(stamp(state.complete)),
+        json!(state.records),
+        json!(state.lost),
+        json!(state.died),
+        json!(state.damaged),
+    ]
+}
+
+/// The next period to close, and how many documents wait to be sent.
+fn print_summary(context: &LedgerContext, store: &Store) -> Result<(), CommandError> {
+    let next_period = store
+        .next_period(&context.settings.calendar)?
+        .map_or("none".into(), |period| period.name());
+    let export = &context.settings.export;
+    let (to_folder, to_url) = (export.folder.is_some(), export.url.is_some());
+    let unsent = if to_folder || to_url {
+        store.outbox(to_folder, to_url)?.len()
+    } else {
+        0
+    };
+    let text = format!("\nnext period to close: {next_period}\ndocuments to send: {unsent}\n");
+    output::print(text.as_bytes())
+}
--- /dev/null
+++ b/crates/cottonhill/src/files.rs
@@ -0,0 +1,54 @@
+//! The two files that every command may need: the platform's configuration of a mixer, and the settings.
+
+use crate::error::{CommandError, ConfigurationError};
+use crate::schema::SCHEMA;
+use cottonhill_ini::Settings;
+use cottonhill_mixer::config::Config;
+use std::path::{Path, PathBuf};
+
+/// The options that name the files, on every command. The comments on the fields are the help texts.
+#[derive(clap::Args, Clone)]
+pub struct InputFiles {
+    /// The platform's configuration of this mixer, in JSON
+    #[arg(long, env = "BALANCER_CONFIG", global = true, value_name = "FILE")]
+    pub config: Option<PathBuf>,
+    /// Our own settings, in INI; the defaults hold without it
+    #[arg(long, env = "COTTONHILL_SETTINGS", global = true, value_name = "FILE")]
+    pub settings: Option<PathBuf>,
+}
+
+impl InputFiles {
+    /// Reads the settings that the command line or the environment names; the defaults where neither does.
+    ///
+    /// # Errors
+    /// The file can't be read, or holds unknown keys or values that can't be used.
+    pub fn read_settings(&self) -> Result<Settings, CommandError> {
+        let Some(path) = &self.settings else {
+            return Ok(Settings::defaults());
+        };
+        let text = std::fs::read_to_string(path).map_err(|source| {
+            ConfigurationError::UnreadableSettings {
+                path: path.clone(),
+                source,
+            }
+        })?;
+        Ok(Settings::read(&SCHEMA, &path.display().to_string(), &text)?)
+    }
+}
+
+/// Reads the platform's configuration of a mixer.
+///
+/// # Errors
+/// The file can't be read, or is malformed.
+pub fn read_configuration(path: &Path) -> Result<Config, ConfigurationError> {
+    let text = std::fs::read_to_string(path).map_err(|source| {
+        ConfigurationError::UnreadableConfiguration {
+            path: path.to_path_buf(),
+            source,
+        }
+    })?;
+    Config::parse(&text).map_err(|error| ConfigurationError::InvalidConfiguration {
+        path: path.to_path_buf(),
+        reason: error.to_string(),
+    })
+}
--- a/crates/cottonhill/src/main.rs
+++ b/crates/cottonhill/src/main.rs
@@ -1,79 +1,28 @@
 //! `cottonhill`: the mixer and its ledger on one command line.
+//!
+//! [`commands`] holds one module for each subcommand, [`mixer`] runs the mixer's process, and [`files`] reads what both
+//! are told by: the platform's configuration and the settings, against the one [`schema`].
 
-mod check;
 mod commands;
-mod fronts;
-mod logs;
+mod error;
+mod files;
+mod log_targets;
+mod logging;
+mod mixer;
 mod output;
-mod program;
-mod recorder;
-mod settings;
+mod schema;
 
-use clap::{CommandFactory, Parser, Subcommand};
-use output::Failure;
-use std::path::PathBuf;
+use clap::Parser;
+use commands::CommandLine;
 use std::process::ExitCode;
 
-const EXAMPLES: &str = "\
-Examples:
-  cottonhill check --config mixer.json --settings cottonhill.ini
-  cottonhill serve --config mixer.json
-  cottonhill ledger statement --settings cottonhill.ini --format csv
-  cottonhill completions bash > /etc/bash_completion.d/cottonhill
-
-Exit codes: 0 done, 1 failed while running, 2 wrong use of the command line, 3 wrong configuration or settings.";
-
-/// A query mixer over replicated shards, and the ledger of what it was used for.
-#[derive(Parser)]
-#[command(version, about, after_help = EXAMPLES)]
-struct Line {
-    #[command(flatten)]
-    files: Files,
-    #[command(subcommand)]
-    command: Option<Command>,
-}
-
-/// The files that every command may need.
-#[derive(clap::Args, Clone)]
-pub struct Files {
-    /// The platform's configuration of this mixer, in JSON
-    #[arg(long, env = "BALANCER_CONFIG", global = true, value_name = "FILE")]
-    pub config: Option<PathBuf>,
-    /// Our own settings, in INI; the defaults hold without it
-    #[arg(long, env = "COTTONHILL_SETTINGS", global = true, value_name = "FILE")]
-    pub settings: Option<PathBuf>,
-}
-
-#[derive(Subcommand)]
-enum Command {
-    /// Serve queries until told to end (what happens without a command)
-    Serve,
-    /// Validate both files and print what is in force and where each value came from
-    Check,
-    /// The ledger of use by tenant
-    #[command(subcommand)]
-    Ledger(commands::Ledger),
-    /// Print a completion script for a shell
-    Completions { shell: clap_complete::Shell },
-}
-
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let done = match line.command {
-        None | Some(Command::Serve) => program::run(&line.files),
-        Some(Command::Check) => check::run(&line.files),
-        Some(Command::Ledger(command)) => commands::run(&line.files, command),
-        Some(Command::Completions { shell }) => {
-            let mut script = Vec::new();
-            clap_complete::generate(shell, &mut Line::command(), "cottonhill", &mut script);
-            output::print(&script)
-        }
-    };
-    match done {
+    match commands::run(CommandLine::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failure { code, message }) => {
+        Err(error) => {
+            let message = error.to_string();
             eprintln!("cottonhill: {}", message.trim().replace('\n', " "));
-            ExitCode::from(code)
+            ExitCode::from(error.exit_code())
         }
     }
 }
--- /dev/null
+++ b/crates/cottonhill/src/mixer/fronts.rs
@@ -0,0 +1,54 @@
+//! Fronts of other protocols, as the settings ask for them.
+
+use super::bind;
+use crate::error::{CommandError, ConfigurationError};
+use crate::log_targets::FRONTS;
+use crate::schema::SCHEMA;
+use cottonhill_ini::Settings;
+use cottonhill_mixer::transport::StartFront;
+use cottonhill_opensearch::front;
+use cottonhill_opensearch::index::Front;
+use cottonhill_opensearch::tls::{Files, Tls};
+use std::rc::Rc;
+
+/// The fronts that are on.
+#[derive(Default)]
+pub struct Fronts {
+    /// Starts each of them once the transport runs.
+    pub start: Vec<StartFront>,
+    /// Certificate and key, which a reload reads again.
+    pub tls: Option<Rc<Tls>>,
+}
+
+/// Opens the listeners of all fronts that are on.
+///
+/// # Errors
+/// Settings or a certificate that can't be used, or an address that can't be bound.
+pub async fn open(settings: &Settings) -> Result<Fronts, CommandError> {
+    let Some(opensearch) = Front::read(settings, &SCHEMA)? else {
+        return Ok(Fronts::default());
+    };
+    let tls = opensearch.tls.clone().map(load_tls).transpose()?;
+    let address = opensearch.listen;
+    let listener = bind(address).await?;
+    tracing::info!(
+        target: FRONTS,
+        %address,
+        indices = opensearch.indices.len(),
+        tls = tls.is_some(),
+        "OpenSearch-style front"
+    );
+    let front_tls = tls.clone();
+    let start: StartFront =
+        Box::new(move |queries| front::start(opensearch, front_tls, listener, queries));
+    Ok(Fronts {
+        start: vec![start],
+        tls,
+    })
+}
+
+fn load_tls(files: Files) -> Result<Rc<Tls>, ConfigurationError> {
+    Tls::load(files)
+        .map(Rc::new)
+        .map_err(|error| ConfigurationError::InvalidCertificate(error.to_string()))
+}
--- /dev/null
+++ b/crates/cottonhill/src/mixer/mod.rs
@@ -0,0 +1,113 @@
+//! The mixer's process: what is opened at its start, and what signals do to it while it runs.
+
+mod fronts;
+mod reload;
+mod signals;
+mod usage_recorder;
+
+pub use reload::MixerContext;
+
+use crate::error::{CommandResult, RuntimeError};
+use crate::log_targets::PROGRAM;
+use cottonhill_ledger::settings::UsageLog;
+use cottonhill_ledger::writer::{self, Writer};
+use cottonhill_mixer::config::Config;
+use cottonhill_mixer::protocol::endpoint_updates::EndpointUpdate;
+use cottonhill_mixer::reducer::Reducer;
+use cottonhill_mixer::transport::{self, Clock};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+use usage_recorder::UsageLogRecorder;
+
+/// Serves queries until a signal ends the mixer. Must run inside a `LocalSet`.
+///
+/// # Errors
+/// A socket, signal handler or usage log that can't be opened.
+pub async fn serve(mut context: MixerContext, usage_log: Option<UsageLog>) -> CommandResult {
+    // A list may be large, and only the start needs it.
+    let cached_endpoints = std::mem::take(&mut context.config.cached_endpoints);
+    let config = context.config.clone();
+    let fronts = fronts::open(&context.settings).await?;
+    context.tls = fronts.tls;
+    let (sender, controls) = mpsc::channel(1);
+    signals::forward_signals(&Rc::new(context), &sender)?;
+    log_start(&config, &cached_endpoints);
+    let clock = Clock::start();
+    let writer = match &usage_log {
+        Some(usage_log) => Some(start_writer(usage_log, &config, clock.now())?),
+        None => None,
+    };
+    let reducer = new_reducer(&config, cached_endpoints, usage_log.as_ref(), clock.now());
+    let listener = bind(config.listen).await?;
+    let integrations = transport::Beside {
+        recorder: writer.map(|writer| Box::new(UsageLogRecorder(writer)) as _),
+        fronts: fronts.start,
+    };
+    transport::serve(
+        reducer,
+        clock,
+        config.query_schema,
+        listener,
+        config.addresses,
+        controls,
+        integrations,
+    )
+    .await
+    .map_err(RuntimeError::ListenForPeers)?;
+    Ok(())
+}
+
+fn log_start(config: &Config, cached_endpoints: &EndpointUpdate) {
+    tracing::info!(
+        target: PROGRAM,
+        name = config.name,
+        listen = %config.listen,
+        known = cached_endpoints.entries.len(),
+        open_cap = config.mixer_settings.max_open_requests,
+        "starting"
+    );
+    tracing::debug!(target: PROGRAM, settings = ?config.settings, "settings in force");
+}
+
+/// Opens the usage log. `now` is Unix nanoseconds by the mixer's clock.
+fn start_writer(usage_log: &UsageLog, config: &Config, now: u64) -> Result<Writer, RuntimeError> {
+    let settings = &config.mixer_settings;
+    let names = writer::Names {
+        mixer: config.name.clone(),
+        classes: settings.classes.clone(),
+        give_up: settings.deadlines.clone(),
+        tenants: settings.tenants.clone(),
+    };
+    writer::start(usage_log, names, now).map_err(RuntimeError::UsageLog)
+}
+
+fn new_reducer(
+    config: &Config,
+    cached_endpoints: EndpointUpdate,
+    usage_log: Option<&UsageLog>,
+    now: u64,
+) -> Reducer {
+    let mut reducer = Reducer::new(
+        now,
+        config.mixer_settings.clone(),
+        config.settings.clone(),
+        config.seed,
+        &cached_endpoints,
+        config.max_descriptors,
+    );
+    if let Some(memory_limit) = config.memory_limit {
+        reducer.limit_memory(memory_limit);
+    }
+    if let Some(usage_log) = usage_log {
+        reducer.record_usage(usage_log.mark.as_nanos() as u64);
+    }
+    reducer
+}
+
+async fn bind(address: SocketAddr) -> Result<TcpListener, RuntimeError> {
+    TcpListener::bind(address)
+        .await
+        .map_err(|source| RuntimeError::Listen { address, source })
+}
--- /dev/null
+++ b/crates/cottonhill/src/mixer/reload.rs
@@ -0,0 +1,92 @@
+//! Reload: both files and the certificate are read again on SIGHUP.
+
+use crate::error::CommandError;
+use crate::files::{self, InputFiles};
+use crate::log_targets::PROGRAM;
+use crate::logging::Logging;
+use crate::schema::SCHEMA;
+use cottonhill_ini::Settings;
+use cottonhill_mixer::config::Config;
+use cottonhill_mixer::transport::Addresses;
+use cottonhill_opensearch::tls::Tls;
+use std::path::Path;
+use std::rc::Rc;
+
+/// What a mixer was started with, and what a reload changes.
+pub struct MixerContext {
+    /// Where configuration and settings are read from.
+    pub files: InputFiles,
+    /// The configuration at the start.
+    pub config: Config,
+    /// The settings at the start.
+    pub settings: Settings,
+    /// The running logger.
+    pub logging: Logging,
+    /// Certificate and key of the OpenSearch-style front, where it has some.
+    pub tls: Option<Rc<Tls>>,
+}
+
+impl MixerContext {
+    /// Reads everything again and returns the addresses of the new configuration. Nothing of a file that can't be used
+    /// is put in force, the previous one stays; `None` if that is the configuration.
+    pub fn reload(&self) -> Option<Addresses> {
+        self.reload_settings();
+        self.reload_certificate();
+        self.reload_configuration(self.files.config.as_ref()?)
+    }
+
+    fn reload_settings(&self) {
+        match self.apply_settings() {
+            Ok(settings) => {
+                let restart = self.settings.needs_restart(&settings, &SCHEMA).join(", ");
+                if !restart.is_empty() {
+                    tracing::warn!(
+                        target: PROGRAM,
+                        restart,
+                        "changed in the settings, but only a restart takes it up"
+                    );
+                }
+            }
+            Err(error) => {
+                tracing::error!(target: PROGRAM, "the settings stay as they were: {error}");
+            }
+        }
+    }
+
+    fn apply_settings(&self) -> Result<Settings, CommandError> {
+        let settings = self.files.read_settings()?;
+        self.logging.reload(&settings)?;
+        Ok(settings)
+    }
+
+    fn reload_certificate(&self) {
+        let Some(tls) = &self.tls else { return };
+        match tls.reload() {
+            Ok(()) => tracing::info!(target: PROGRAM, "certificate and key read again"),
+            Err(error) => {
+                tracing::error!(target: PROGRAM, "the certificate stays as it was: {error}");
+            }
+        }
+    }
+
+    fn reload_configuration(&self, path: &Path) -> Option<Addresses> {
+        let config = match files::read_configuration(path) {
+            Ok(config) => config,
+            Err(error) => {
+                tracing::error!(target: PROGRAM, "the configuration stays as it was: {error}");
+                return None;
+            }
+        };
+        let restart = self.config.needs_restart(&config).join(", ");
+        if !restart.is_empty() {
+            tracing::warn!(
+                target: PROGRAM,
+                restart,
+                "changed in the configuration, but only a restart takes it up"
+            );
+        }
+        let addresses = config.addresses;
+        tracing::info!(target: PROGRAM, discovery = %addresses.discovery, "configuration read again");
+        Some(addresses)
+    }
+}
--- /dev/null
+++ b/crates/cottonhill/src/mixer/usage_recorder.rs
@@ -0,0 +1,76 @@
+//! The mixer's usage records on their way into the usage log.
+
+use cottonhill_ledger::wire::entry::What;
+use cottonhill_ledger::wire::{Outcome as WireOutcome, Record};
+use cottonhill_ledger::writer::{self, Writer};
+use cottonhill_mixer::reducer::usage::{QueryOutcome, UsageRecord, Watermark};
+use cottonhill_mixer::transport::Recorder;
+use std::time::Duration;
+use tokio::sync::watch;
+
+const NANOS_PER_MS: u64 = 1_000_000;
+
+/// Hands usage records and watermarks to the writer of the usage log.
+pub struct UsageLogRecorder(pub Writer);
+
+/// An outcome as the log states it, with the share of a partial answer in millionths.
+fn wire_outcome(outcome: QueryOutcome) -> (WireOutcome, u32) {
+    match outcome {
+        QueryOutcome::Complete => (WireOutcome::Whole, 0),
+        QueryOutcome::Partial(share) => (WireOutcome::Partial, share),
+        QueryOutcome::Rejected => (WireOutcome::Refused, 0),
+        QueryOutcome::Failed => (WireOutcome::Failed, 0),
+        QueryOutcome::ClientDisconnected => (WireOutcome::Left, 0),
+    }
+}
+
+fn wire_record(usage: &UsageRecord) -> Record {
+    let (outcome, share) = wire_outcome(usage.outcome);
+    Record {
+        sequence: usage.sequence,
+        tenant: usage.tenant,
+        class: u32::from(usage.class),
+        arrived_ms: usage.arrived / NANOS_PER_MS,
+        outcome: outcome.into(),
+        share,
+        parts: usage.parts,
+        attempts: usage.attempts,
+        crossed: usage.cross_zone_attempts,
+        repeat: usage.client_retry,
+        key: usage.key,
+        keyed: usage.key_from_client,
+    }
+}
+
+impl Recorder for UsageLogRecorder {
+    fn record(&mut self, usage: UsageRecord) -> bool {
+        let accepted = self.0.offer(What::Record(wire_record(&usage)));
+        if !accepted {
+            self.0.note_lost();
+        }
+        accepted
+    }
+
+    /// A mark that is lost is made good by the next one.
+    fn mark(&mut self, mark: Watermark) {
+        let complete_until_ms = mark.complete_until / NANOS_PER_MS;
+        let mark = writer::mark(mark.sequence, complete_until_ms, mark.last);
+        self.0.offer(mark);
+    }
+
+    fn written(&self) -> watch::Receiver<u64> {
+        self.0.watch()
+    }
+
+    fn stall(&self) -> Duration {
+        self.0.stall_bound()
+    }
+
+    fn note_unrecorded(&mut self) {
+        self.0.note_late();
+    }
+
+    fn close(&mut self) {
+        self.0.finish();
+    }
+}
--- a/crates/cottonhill/src/output.rs
+++ b/crates/cottonhill/src/output.rs
@@ -1,49 +1,124 @@
-//! What commands print and how they fail.
+//! What commands print: tables for people, JSON and CSV for programs.
 
+use crate::error::{CommandError, CommandResult, RuntimeError};
+use clap::ValueEnum;
+use comfy_table::Table;
+use serde_json::Value;
 use std::io::{self, ErrorKind, Write};
 
-/// Why a command ended without success: one line for standard error, and the exit code.
-#[derive(Debug)]
-pub struct Failure {
-    pub code: u8,
-    pub message: String,
+/// How a table is printed. The variants have no doc comments, which would turn up in the help texts.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
+pub enum Format {
+    #[default]
+    Table,
+    Json,
+    Csv,
 }
 
-impl Failure {
-    /// Something went wrong while running.
-    pub fn running(message: impl ToString) -> Failure {
-        Failure {
-            code: 1,
-            message: message.to_string(),
+/// The option that says how a table is printed. The comment on the field is the help text.
+#[derive(clap::Args)]
+pub struct FormatOption {
+    /// How to print: a table for people, JSON or CSV for programs
+    #[arg(long, value_enum, default_value_t)]
+    pub format: Format,
+}
+
+/// Writes to standard output. A reader that has read enough and closed the pipe is no failure.
+///
+/// # Errors
+/// Standard output can't be written.
+pub fn print(bytes: &[u8]) -> CommandResult {
+    let mut output = io::stdout().lock();
+    match output.write_all(bytes).and_then(|()| output.flush()) {
+        Err(error) if error.kind() != ErrorKind::BrokenPipe => {
+            Err(RuntimeError::StandardOutput(error).into())
         }
+        _ => Ok(()),
     }
+}
 
-    /// The command line asks for what makes no sense.
-    pub fn usage(message: impl ToString) -> Failure {
-        Failure {
-            code: 2,
-            message: message.to_string(),
+/// A table for people, without borders.
+pub fn text_table<T: ToString>(header: impl IntoIterator<Item = T>) -> Table {
+    let mut table = Table::new();
+    let header = header.into_iter().map(|name| name.to_string());
+    table
+        .load_preset(comfy_table::presets::NOTHING)
+        .set_header(header);
+    table
+}
+
+/// Rows of named columns, printed in the form that is asked for.
+pub struct ResultTable {
+    columns: Vec<&'static str>,
+    rows: Vec<Vec<Value>>,
+}
+
+impl ResultTable {
+    /// A table with these columns and no rows.
+    pub fn new(columns: &[&'static str]) -> ResultTable {
+        ResultTable {
+            columns: columns.to_vec(),
+            rows: Vec::new(),
         }
     }
 
-    /// A file of configuration or settings does not do.
-    pub fn configuration(message: impl ToString) -> Failure {
-        Failure {
-            code: 3,
-            message: message.to_string(),
+    /// Appends a row with one value for each column.
+    pub fn push(&mut self, row: Vec<Value>) {
+        self.rows.push(row);
+    }
+
+    /// Prints the table.
+    ///
+    /// # Errors
+    /// Standard output can't be written.
+    pub fn print(self, format: Format) -> CommandResult {
+        let bytes = match format {
+            Format::Table => self.to_text().into_bytes(),
+            Format::Json => self.into_json().into_bytes(),
+            Format::Csv => self.to_csv()?,
+        };
+        print(&bytes)
+    }
+
+    fn to_text(&self) -> String {
+        let mut table = text_table(self.columns.iter().map(|name| name.to_uppercase()));
+        for row in &self.rows {
+            table.add_row(row.iter().map(cell_text));
         }
+        format!("{table}\n")
     }
-}
 
-pub type Done = Result<(), Failure>;
+    fn into_json(self) -> String {
+        let columns = self.columns;
+        let object = |row: Vec<Value>| {
+            let names = columns.iter().map(|name| name.to_string());
+            Value::Object(names.zip(row).collect())
+        };
+        let objects: Vec<Value> = self.rows.into_iter().map(object).collect();
+        format!("{:#}\n", Value::Array(objects))
+    }
 
-/// Writes to standard output. Whoever reads it may have read enough: a closed pipe is no failure.
-pub fn print(bytes: &[u8]) -> Done {
-    let mut out = io::stdout().lock();
-    match out.write_all(bytes).and_then(|()| out.flush()) {
-        Err(e) if e.kind() != ErrorKind::BrokenPipe => {
-            Err(Failure::running(format!("standard output: {e}")))
+    fn to_csv(&self) -> Result<Vec<u8>, CommandError> {
+        let mut writer = csv::Writer::from_writer(Vec::new());
+        writer
+            .write_record(&self.columns)
+            .map_err(RuntimeError::FormatCsv)?;
+        for row in &self.rows {
+            writer
+                .write_record(row.iter().map(cell_text))
+                .map_err(RuntimeError::FormatCsv)?;
         }
-        _ => Ok(()),
+        let bytes = writer
+            .into_inner()
+            .map_err(|error| RuntimeError::FormatCsv(error.into_error().into()))?;
+        Ok(bytes)
+    }
+}
+
+fn cell_text(value: &Value) -> String {
+    match value {
+        Value::String(text) => text.clone(),
+        Value::Null => "-".into(),
+        other => other.to_string(),
     }
 }
