--- a/crates/cottonhill/src/commands/ledger/serve.rs
+++ b/crates/cottonhill/src/commands/ledger/serve.rs
@@ -46,7 +46,7 @@
         target: COMMANDS,
         store = %context.store_path.display(),
         members = context.settings.members.len(),
-        "settlement starts"
+        "settlement starting"
     );
     settlement::serve(context.store_path, context.settings, controls).await?;
     Ok(())
@@ -68,11 +68,11 @@
         match reload.read() {
             Ok((settings, ledger)) => {
                 let restart = reload.settings.needs_restart(&settings, &SCHEMA).join(", ");
-                tracing::info!(target: COMMANDS, restart, "settings read again");
+                tracing::info!(target: COMMANDS, restart, "settings reloaded");
                 let _ = controls.send(Control::Reload(Box::new(ledger))).await;
             }
             Err(error) => {
-                tracing::error!(target: COMMANDS, "the settings stay as they were: {error}");
+                tracing::error!(target: COMMANDS, "settings reload failed, previous settings stay in force: {error}");
             }
         }
     }
--- a/crates/cottonhill/src/mixer/fronts.rs
+++ b/crates/cottonhill/src/mixer/fronts.rs
@@ -36,7 +36,7 @@
         %address,
         indices = opensearch.indices.len(),
         tls = tls.is_some(),
-        "OpenSearch-style front"
+        "OpenSearch-style front listening"
     );
     let front_tls = tls.clone();
     let start: StartFront =
--- a/crates/cottonhill/src/mixer/mod.rs
+++ b/crates/cottonhill/src/mixer/mod.rs
@@ -66,7 +66,7 @@
         listen = %config.listen,
         known = cached_endpoints.entries.len(),
         open_cap = config.mixer_settings.max_open_requests,
-        "starting"
+        "mixer starting"
     );
     tracing::debug!(target: PROGRAM, settings = ?config.settings, "settings in force");
 }
--- a/crates/cottonhill/src/mixer/reload.rs
+++ b/crates/cottonhill/src/mixer/reload.rs
@@ -43,12 +43,12 @@
                     tracing::warn!(
                         target: PROGRAM,
                         restart,
-                        "changed in the settings, but only a restart takes it up"
+                        "changed settings need a restart"
                     );
                 }
             }
             Err(error) => {
-                tracing::error!(target: PROGRAM, "the settings stay as they were: {error}");
+                tracing::error!(target: PROGRAM, "settings reload failed, previous settings stay in force: {error}");
             }
         }
     }
@@ -62,9 +62,9 @@
     fn reload_certificate(&self) {
         let Some(tls) = &self.tls else { return };
         match tls.reload() {
-            Ok(()) => tracing::info!(target: PROGRAM, "certificate and key read again"),
+            Ok(()) => tracing::info!(target: PROGRAM, "certificate and key reloaded"),
             Err(error) => {
-                tracing::error!(target: PROGRAM, "the certificate stays as it was: {error}");
+                tracing::error!(target: PROGRAM, "certificate reload failed, previous certificate stays in force: {error}");
             }
         }
     }
@@ -73,7 +73,7 @@
         let config = match files::read_configuration(path) {
             Ok(config) => config,
             Err(error) => {
-                tracing::error!(target: PROGRAM, "the configuration stays as it was: {error}");
+                tracing::error!(target: PROGRAM, "configuration reload failed, previous configuration stays in force: {error}");
                 return None;
             }
         };
@@ -82,11 +82,11 @@
             tracing::warn!(
                 target: PROGRAM,
                 restart,
-                "changed in the configuration, but only a restart takes it up"
+                "changed configuration needs a restart"
             );
         }
         let addresses = config.addresses;
-        tracing::info!(target: PROGRAM, discovery = %addresses.discovery, "configuration read again");
+        tracing::info!(target: PROGRAM, discovery = %addresses.discovery, "configuration reloaded");
         Some(addresses)
     }
 }
--- a/crates/cottonhill/src/mixer/signals.rs
+++ b/crates/cottonhill/src/mixer/signals.rs
@@ -37,7 +37,7 @@
         let control = if kind == SignalKind::hangup() {
             Control::Reload(context.reload())
         } else {
-            tracing::info!(target: PROGRAM, "told to end");
+            tracing::info!(target: PROGRAM, "shutdown requested");
             Control::Terminate
         };
         // The transport may have ended.
