--- a/crates/decisions/tests/batch_cost.rs
+++ b/crates/decisions/tests/batch_cost.rs
@@ -1,16 +1,16 @@
-//! What a batch costs, in operations: it depends on the parts of its queries and their holders, not on the size of
-//! the fleet or on all that is open.
+//! What a batch costs, in operations: it depends on the parts of its queries and their holders, not on the size of the
+//! fleet or on all that is open.
+
+mod support;
 
-use cottonhill_decisions::Coordinator;
 use cottonhill_decisions::{
-    Action, Class, Endpoint, EndpointStatus, EndpointUpdateKind, Event, LoadReport, Outcome,
-    ReplicaId, Settings,
+    Action, Class, Coordinator, Endpoint, EndpointStatus, EndpointUpdateKind, Event, LoadReport,
+    Outcome, ReplicaId, RequestId, Settings,
 };
+use support::{MS, START};
 
-const MS: u64 = 1_000_000;
-const START: u64 = 100_000 * MS;
-const COPIES: u64 = 3;
-const PARTS: u64 = 69;
+const REPLICAS_PER_SHARD: u64 = 3;
+const PARTS_PER_QUERY: u64 = 69;
 
 fn settings(replicas: u64) -> Settings {
     let class = Class {
@@ -22,7 +22,7 @@
     };
     Settings {
         classes: vec![class],
-        cells: replicas.div_ceil(COPIES) as u32,
+        cells: replicas.div_ceil(REPLICAS_PER_SHARD) as u32,
         replication_factor: 1,
         fleet_size: 1,
         batch_interval: 5 * MS,
@@ -30,7 +30,7 @@
         cancellation_enabled: true,
         hedging_enabled: true,
         probing_enabled: true,
-        // So that the room of cold servers is worked out, too.
+        // So that the limit of warming replicas is worked out, too.
         slow_start_initial_capacity: Some(0.25),
         slow_start_duration: 6000 * MS,
         overload_multiple: Some(2.0),
@@ -39,64 +39,64 @@
     }
 }
 
-fn member(replica: u64) -> Endpoint {
+fn endpoint(index: u64) -> Endpoint {
     // The third holder of each shard has just started.
-    let started = if replica % COPIES == 2 { START - MS } else { 0 };
-    let cell = (replica / COPIES) as u16;
+    let has_just_started = index % REPLICAS_PER_SHARD == 2;
     Endpoint {
-        replica: ReplicaId(replica + 1),
-        cell,
+        replica: ReplicaId(index + 1),
+        cell: (index / REPLICAS_PER_SHARD) as u16,
         zone: 0,
-        started,
+        started: if has_just_started { START - MS } else { 0 },
         status: EndpointStatus::Ready,
     }
 }
 
-struct Fleet {
-    module: Coordinator,
+/// One coordinator of a fleet of leaf servers, and the actions of its last batch.
+struct Harness {
+    coordinator: Coordinator,
     now: u64,
     actions: Vec<Action>,
 }
 
-impl Fleet {
-    fn new(replicas: u64) -> Fleet {
-        let module = Coordinator::new(settings(replicas), 7);
-        let mut fleet = Fleet {
-            module,
+impl Harness {
+    fn new(replicas: u64) -> Harness {
+        let mut harness = Harness {
+            coordinator: Coordinator::new(settings(replicas), 7),
             now: START,
             actions: Vec::new(),
         };
-        fleet.batch(
-            0,
-            &[Event::EndpointsUpdated {
-                kind: EndpointUpdateKind::Snapshot,
-                endpoints: (0..replicas).map(member).collect(),
-            }],
-        );
-        fleet
+        let snapshot = Event::EndpointsUpdated {
+            kind: EndpointUpdateKind::Snapshot,
+            endpoints: (0..replicas).map(endpoint).collect(),
+        };
+        harness.process(0, &[snapshot]);
+        harness
     }
 
-    /// Takes events so many milliseconds after the last ones; what that visited.
-    fn batch(&mut self, after: u64, events: &[Event]) -> u64 {
-        self.now += after * MS;
+    /// Processes a batch so many ms after the last one; how many replicas that visited.
+    fn process(&mut self, after_ms: u64, events: &[Event]) -> u64 {
+        self.now += after_ms * MS;
         self.actions.clear();
-        let before = self.module.replicas_visited();
-        self.module
+        let before = self.coordinator.replicas_visited();
+        self.coordinator
             .process_batch(self.now, events, &mut self.actions);
-        self.module.replicas_visited() - before
+        self.coordinator.replicas_visited() - before
     }
 
-    fn query(&mut self, id: u64) -> u64 {
-        self.query_after(5, id)
+    fn send_query(&mut self, id: RequestId) -> u64 {
+        self.process(5, &query(id))
     }
 
-    fn query_after(&mut self, after: u64, id: u64) -> u64 {
-        self.batch(after, &query(id))
+    /// Processes a batch 5 ms after the last one; how many queries that processed.
+    fn queries_processed_by(&mut self, events: &[Event]) -> u64 {
+        let before = self.coordinator.queries_processed();
+        self.process(5, events);
+        self.coordinator.queries_processed() - before
     }
 
     /// The end of the parts sent last.
     fn outcomes(&self, outcome: Outcome) -> Vec<Event> {
-        let ended = |action: &Action| match *action {
+        let attempt_ended = |action: &Action| match *action {
             Action::Send { part, replica, .. } => Some(Event::AttemptEnded {
                 part,
                 attempt: 0,
@@ -106,99 +106,98 @@
             }),
             _ => None,
         };
-        self.actions.iter().filter_map(ended).collect()
+        self.actions.iter().filter_map(attempt_ended).collect()
     }
 }
 
 /// A query with its parts.
-fn query(id: u64) -> Vec<Event> {
-    let (group, client_timeout) = (id as u32, 6000 * MS);
+fn query(id: RequestId) -> Vec<Event> {
+    let group = id as u32;
     let mut events = vec![Event::QueryReceived {
         id,
         group,
         class: 0,
         tenant: 0,
-        client_timeout,
+        client_timeout: 6000 * MS,
         network_delay: 0,
         work: None,
         client_retry: false,
     }];
-    let part = |i| Event::PartReceived {
-        id: id + 1 + i,
+    let part = |index| Event::PartReceived {
+        id: id + 1 + index,
         group,
-        shard: i as u32,
-        weight: 1.0 / PARTS as f64,
+        shard: index as u32,
+        weight: 1.0 / PARTS_PER_QUERY as f64,
     };
-    events.extend((0..PARTS).map(part));
+    events.extend((0..PARTS_PER_QUERY).map(part));
     events
 }
 
-/// A query, the answers to its parts, one that fails, one that is silent, and a change of the list.
-fn visits(replicas: u64) -> Vec<u64> {
-    let mut fleet = Fleet::new(replicas);
-    let mut visits = vec![fleet.query(1000)];
-    let answers = fleet.outcomes(Outcome::Ok);
-    visits.push(fleet.batch(60, &answers));
-    visits.push(fleet.query(2000));
-    let failures = fleet.outcomes(Outcome::ConnectionReset);
-    visits.push(fleet.batch(60, &failures[..5]));
-    visits.push(fleet.batch(400, &[]));
+/// Replicas visited for a query, the answers to its parts, a second query of which some parts fail and the others are
+/// silent, and an endpoint update.
+fn replicas_visited(replicas: u64) -> Vec<u64> {
+    let mut harness = Harness::new(replicas);
+    let mut visited = vec![harness.send_query(1000)];
+    let answers = harness.outcomes(Outcome::Ok);
+    visited.push(harness.process(60, &answers));
+    visited.push(harness.send_query(2000));
+    let failures = harness.outcomes(Outcome::ConnectionReset);
+    visited.push(harness.process(60, &failures[..5]));
+    visited.push(harness.process(400, &[]));
     let gone = Endpoint {
         status: EndpointStatus::Gone,
-        ..member(0)
+        ..endpoint(0)
     };
-    let new = Endpoint {
+    let added = Endpoint {
         replica: ReplicaId(replicas + 1),
-        ..member(0)
+        ..endpoint(0)
+    };
+    let update = Event::EndpointsUpdated {
+        kind: EndpointUpdateKind::Delta,
+        endpoints: vec![gone, added],
     };
-    visits.push(fleet.batch(
-        5,
-        &[Event::EndpointsUpdated {
-            kind: EndpointUpdateKind::Delta,
-            endpoints: vec![gone, new],
-        }],
-    ));
-    visits
+    visited.push(harness.process(5, &[update]));
+    visited
 }
 
 #[test]
-fn a_batch_visits_as_many_replicas_in_a_large_fleet_as_in_a_small_one() {
-    let small = visits(300);
-    assert!(small[0] >= PARTS * COPIES, "{small:?}");
-    assert_eq!(small, visits(30_000));
+fn replicas_visited_per_batch_do_not_grow_with_fleet_size() {
+    let small_fleet = replicas_visited(300);
+    assert!(
+        small_fleet[0] >= PARTS_PER_QUERY * REPLICAS_PER_SHARD,
+        "{small_fleet:?}"
+    );
+    assert_eq!(small_fleet, replicas_visited(30_000));
 }
 
-/// How many queries are tended for a query and for each answer to its parts, beside so many that are open.
-fn tended(open: u64) -> Vec<u64> {
-    let mut fleet = Fleet::new(300);
-    for i in 0..open {
-        fleet.query_after(0, 1_000_000 + i * 1000);
+/// Queries processed for a query, for each answer to its parts and for an empty batch, beside so many that are open.
+fn queries_processed(open_queries: u64) -> Vec<u64> {
+    let mut harness = Harness::new(300);
+    for i in 0..open_queries {
+        harness.process(0, &query(1_000_000 + i * 1000));
     }
-    let mut tended = Vec::new();
-    let mut batch = |fleet: &mut Fleet, events: &[Event]| {
-        let before = fleet.module.queries_processed();
-        fleet.batch(5, events);
-        tended.push(fleet.module.queries_processed() - before);
-    };
-    batch(&mut fleet, &query(1000));
-    for answer in fleet.outcomes(Outcome::Ok) {
-        batch(&mut fleet, &[answer]);
-        if fleet.now > START + 100 * MS {
-            // The others come to the time of their copies.
+    let mut processed = vec![harness.queries_processed_by(&query(1000))];
+    for answer in harness.outcomes(Outcome::Ok) {
+        processed.push(harness.queries_processed_by(&[answer]));
+        if harness.now > START + 100 * MS {
+            // The others are about to be hedged.
             break;
         }
     }
-    batch(&mut fleet, &[]);
-    tended
+    processed.push(harness.queries_processed_by(&[]));
+    processed
 }
 
 #[test]
-fn a_batch_tends_no_more_queries_where_many_are_open() {
-    let few = tended(8);
+fn queries_processed_per_batch_do_not_grow_with_open_queries() {
+    let few_open = queries_processed(8);
     assert!(
-        few.len() > 10 && few[..few.len() - 1].iter().all(|count| *count == 1),
-        "{few:?}"
+        few_open.len() > 10
+            && few_open[..few_open.len() - 1]
+                .iter()
+                .all(|count| *count == 1),
+        "{few_open:?}"
     );
-    assert_eq!(few[few.len() - 1], 0, "nothing happened");
-    assert_eq!(few, tended(512));
+    assert_eq!(few_open[few_open.len() - 1], 0, "nothing happened");
+    assert_eq!(few_open, queries_processed(512));
 }
--- a/crates/decisions/tests/due_queries.rs
+++ b/crates/decisions/tests/due_queries.rs
@@ -1,62 +1,77 @@
-//! A coordinator that tends queries when they are due, against one that tends every open query in every batch.
+//! A coordinator that processes queries when they are due, against one that processes every open query in every batch.
 
 mod random_events;
 
-use cottonhill_decisions::Action;
-use cottonhill_decisions::Coordinator;
+use cottonhill_decisions::{Action, Coordinator};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use random_events::Script;
 use std::collections::BTreeMap;
 
 const BATCHES: usize = 600;
+const ACTION_KINDS: [&str; 9] = [
+    "send", "cancel", "complete", "partial", "reject", "fail", "probe", "close", "cutoff",
+];
 
-/// Plays one random deployment at both; what was done, by kind, and how often each tended a query.
-fn play(seed: u64) -> (BTreeMap<&'static str, u64>, u64, u64) {
+/// How often each kind of action was taken.
+type ActionCounts = BTreeMap<&'static str, u64>;
+
+/// What both coordinators did in one random deployment.
+struct Comparison {
+    actions: ActionCounts,
+    /// Queries processed by the coordinator that processes those that are due.
+    due_processed: u64,
+    /// Queries processed by the one that processes all.
+    all_processed: u64,
+}
+
+/// Runs one random deployment at both coordinators and checks that they act alike.
+fn compare_coordinators(seed: u64) -> Comparison {
     let mut script = Script::new(seed);
-    let mut normal = Coordinator::new(script.settings(), seed);
-    let mut thorough = Coordinator::new(script.settings(), seed);
-    thorough.process_all_queries();
-    let (mut actions, mut kinds) = (Vec::new(), BTreeMap::new());
+    let mut due_only = Coordinator::new(script.settings(), seed);
+    let mut all_queries = Coordinator::new(script.settings(), seed);
+    all_queries.process_all_queries();
+    let mut actions = Vec::new();
+    let mut counts = ActionCounts::new();
     for batch in 0..BATCHES {
-        let (now, events) = script.batch(&actions);
-        let mut other = Vec::new();
+        let (now, events) = script.next_batch(&actions);
+        let mut expected = Vec::new();
         actions.clear();
-        normal.process_batch(now, &events, &mut actions);
-        thorough.process_batch(now, &events, &mut other);
+        due_only.process_batch(now, &events, &mut actions);
+        all_queries.process_batch(now, &events, &mut expected);
         assert_eq!(
-            actions, other,
+            actions, expected,
             "seed {seed}, batch {batch}: due queries only against all queries"
         );
         assert_eq!(
-            normal.retained_entries(),
-            thorough.retained_entries(),
+            due_only.retained_entries(),
+            all_queries.retained_entries(),
             "seed {seed}, batch {batch}"
         );
         for action in &actions {
-            *kinds.entry(kind(action)).or_default() += 1;
+            *counts.entry(action_kind(action)).or_default() += 1;
         }
     }
-    (
-        kinds,
-        normal.queries_processed(),
-        thorough.queries_processed(),
-    )
+    Comparison {
+        actions: counts,
+        due_processed: due_only.queries_processed(),
+        all_processed: all_queries.queries_processed(),
+    }
 }
 
-fn kind(action: &Action) -> &'static str {
+fn action_kind(action: &Action) -> &'static str {
     match action {
         Action::Send { .. } => "send",
         Action::Cancel { .. } => "cancel",
-        Action::Answer { complete: true, .. } => "whole",
+        Action::Answer { complete: true, .. } => "complete",
         Action::Answer {
             complete: false, ..
         } => "partial",
-        Action::Reject { .. } => "refuse",
+        Action::Reject { .. } => "reject",
         Action::Fail { .. } => "fail",
         Action::Probe { .. } => "probe",
         Action::CloseIdleConnections { .. } => "close",
-        Action::Log(text) if text.starts_with("cutoff off") => "cutoff",
+        Action::Log(line) if line.starts_with("cutoff off") => "cutoff",
         _ => "other",
     }
 }
@@ -67,29 +82,32 @@
     })]
 
     #[test]
-    fn the_actions_are_those_of_one_that_tends_every_open_query_in_every_batch(seed in any::<u64>()) {
-        play(seed);
+    fn processing_due_queries_matches_processing_all_queries(seed in any::<u64>()) {
+        compare_coordinators(seed);
     }
 }
 
 /// The comparison means little unless the random deployments meet everything that a coordinator does.
 #[test]
-fn the_random_deployments_meet_every_kind_of_action_and_the_due_ones_are_few() {
-    let (mut all, mut due, mut every) = (BTreeMap::new(), 0, 0);
+fn random_deployments_produce_every_kind_of_action_and_few_due_queries() {
+    let mut actions = ActionCounts::new();
+    let (mut due_processed, mut all_processed) = (0, 0);
     for seed in 0..60 {
-        let (kinds, normal, thorough) = play(seed);
-        kinds
-            .into_iter()
-            .for_each(|(kind, count)| *all.entry(kind).or_default() += count);
-        (due, every) = (due + normal, every + thorough);
+        let comparison = compare_coordinators(seed);
+        for (kind, count) in comparison.actions {
+            *actions.entry(kind).or_default() += count;
+        }
+        due_processed += comparison.due_processed;
+        all_processed += comparison.all_processed;
     }
-    for kind in [
-        "send", "cancel", "whole", "partial", "refuse", "fail", "probe", "close", "cutoff",
-    ] {
+    for kind in ACTION_KINDS {
         assert!(
-            all.get(kind).is_some_and(|count: &u64| *count > 50),
-            "{kind}: {all:?}"
+            actions.get(kind).is_some_and(|count| *count > 50),
+            "{kind}: {actions:?}"
         );
     }
-    assert!(2 * due < every, "{due} of {every}");
+    assert!(
+        2 * due_processed < all_processed,
+        "{due_processed} of {all_processed}"
+    );
 }
--- a/crates/decisions/tests/random_events/mod.rs
+++ b/crates/decisions/tests/random_events/mod.rs
@@ -1,20 +1,20 @@
-//! Random deployments and random events: lists, queries, parts, outcomes and departures that follow from what a
-//! coordinator has asked for. The same seed and actions give the same batches.
+//! Random deployments and random events: endpoint updates, queries, parts, outcomes and disconnects that follow from the
+//! actions of a coordinator. The same seed and actions give the same batches.
 
 use cottonhill_decisions::{
     Action, Class, DiscoveryMode, Endpoint, EndpointStatus, EndpointUpdateKind, Event, Idempotency,
-    LoadReport, Outcome, ReplicaId, RequestId, RetryBudget, Settings,
+    LoadReport, Nanos, Outcome, ReplicaId, RequestId, RetryBudget, Settings,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-const MS: u64 = 1_000_000;
-/// Most queries that are open at once.
-const MOST_OPEN: usize = 40;
+/// One millisecond, ns.
+const MS: Nanos = 1_000_000;
+const MAX_OPEN_QUERIES: usize = 40;
 
 /// Settings of a random deployment; times are multiples of 5 ms, so that batches fall on the edges of its rules.
-pub fn settings(random: &mut fastrand::Rng) -> Settings {
+fn settings(random: &mut fastrand::Rng) -> Settings {
     let classes = (0..random.u32(1..=3)).map(|_| class(random)).collect();
-    let cold = random.bool();
+    let slow_start = random.bool();
     let cells = random.u32(1..=8);
     Settings {
         classes,
@@ -31,10 +31,10 @@
         hedging_enabled: random.u32(..4) > 0,
         probing_enabled: random.bool(),
         max_retry_after: *pick(random, &[0, 500 * MS]),
-        slow_start_initial_capacity: cold.then_some(0.25),
-        slow_start_duration: if cold { 3000 * MS } else { 0 },
-        overload_multiple: cold.then_some(2.0),
-        overload_window: if cold { 500 * MS } else { 0 },
+        slow_start_initial_capacity: slow_start.then_some(0.25),
+        slow_start_duration: if slow_start { 3000 * MS } else { 0 },
+        overload_multiple: slow_start.then_some(2.0),
+        overload_window: if slow_start { 500 * MS } else { 0 },
         retry_budget: random.bool().then(|| RetryBudget {
             minimum: f64::from(random.u32(..10)),
             ratio: *pick(random, &[0.0, 0.1, 0.5]),
@@ -52,11 +52,11 @@
 }
 
 fn class(random: &mut fastrand::Rng) -> Class {
-    let aim = *pick(random, &[200, 1000, 2000]) * MS;
+    let latency_objective = *pick(random, &[200, 1000, 2000]) * MS;
     Class {
-        latency_objective: aim,
+        latency_objective,
         objective_per_expected_work: random.bool().then_some(2.0),
-        deadline: aim * random.u64(1..=3),
+        deadline: latency_objective * random.u64(1..=3),
         idempotency: *pick(
             random,
             &[
@@ -80,8 +80,8 @@
     &from[random.usize(..from.len())]
 }
 
-/// A random line of the list, of few replicas, so that they go, return, restart and move.
-pub fn member(random: &mut fastrand::Rng, now: u64, cells: u32, replicas: u64) -> Endpoint {
+/// A random entry of the endpoint list, of few replicas, so that they leave, return, restart and move.
+fn endpoint(random: &mut fastrand::Rng, now: Nanos, cells: u32, replicas: u64) -> Endpoint {
     Endpoint {
         replica: ReplicaId(random.u64(1..=replicas)),
         cell: random.u16(..cells as u16 + 2),
@@ -110,26 +110,28 @@
     group: u32,
 }
 
-/// What happens to one coordinator, batch by batch.
+/// The events of one random deployment, batch by batch.
 pub struct Script {
     random: fastrand::Rng,
     settings: Settings,
     replicas: u64,
     now: u64,
-    last: u64,
-    open: Vec<OpenQuery>,
-    /// Outcomes to come, by time.
-    due: BTreeMap<(u64, u64), Event>,
+    last_id: RequestId,
+    open_queries: Vec<OpenQuery>,
+    /// Events to come, by their time and the order of scheduling.
+    scheduled: BTreeMap<(Nanos, u64), Event>,
     /// Attempts made of each part.
     attempts: BTreeMap<RequestId, u8>,
-    /// Replicas that never answer, that break every call, and that turn everything away.
+    /// Replicas that never answer.
     silent: BTreeSet<ReplicaId>,
-    breaking: BTreeSet<ReplicaId>,
-    full: BTreeSet<ReplicaId>,
-    /// Queries a batch, in hundredths.
-    load: u32,
-    /// Batches between two changes of how a replica behaves, and between two lists.
-    calm: u32,
+    /// Replicas that reset the connection of each call.
+    resetting: BTreeSet<ReplicaId>,
+    /// Replicas that reject every part.
+    rejecting: BTreeSet<ReplicaId>,
+    /// Chance that a batch brings one more query, in percent.
+    load_percent: u32,
+    /// Mean number of batches between two changes of how a replica behaves, and between two endpoint updates.
+    change_interval: u32,
 }
 
 impl Script {
@@ -137,23 +139,23 @@
         let mut random = fastrand::Rng::with_seed(seed);
         let settings = settings(&mut random);
         let replicas = random.u64(1..=24);
-        let load = *pick(&mut random, &[3, 10, 30]);
-        let calm = *pick(&mut random, &[10, 60, 400]);
+        let load_percent = *pick(&mut random, &[3, 10, 30]);
+        let change_interval = *pick(&mut random, &[10, 60, 400]);
         let start = *pick(&mut random, &[0, 100_000 * MS]);
         Script {
             random,
             settings,
             replicas,
             now: start,
-            last: 0,
-            open: Vec::new(),
-            due: BTreeMap::new(),
+            last_id: 0,
+            open_queries: Vec::new(),
+            scheduled: BTreeMap::new(),
             attempts: BTreeMap::new(),
             silent: BTreeSet::new(),
-            breaking: BTreeSet::new(),
-            full: BTreeSet::new(),
-            load,
-            calm,
+            resetting: BTreeSet::new(),
+            rejecting: BTreeSet::new(),
+            load_percent,
+            change_interval,
         }
     }
 
@@ -161,15 +163,15 @@
         self.settings.clone()
     }
 
-    fn number(&mut self) -> u64 {
-        self.last += 1;
-        self.last
+    fn next_id(&mut self) -> RequestId {
+        self.last_id += 1;
+        self.last_id
     }
 
     /// The next batch, after these actions of the last one.
-    pub fn batch(&mut self, actions: &[Action]) -> (u64, Vec<Event>) {
+    pub fn next_batch(&mut self, actions: &[Action]) -> (u64, Vec<Event>) {
         for action in actions {
-            self.follow(action);
+            self.react_to(action);
         }
         self.now += match self.random.u32(..20) {
             0 => 0,
@@ -180,30 +182,30 @@
             _ => 5 * MS,
         };
         let mut events = Vec::new();
-        if self.last == 0 {
-            let endpoints = (0..3 * self.replicas).map(|_| self.member()).collect();
+        if self.last_id == 0 {
+            let endpoints = (0..3 * self.replicas).map(|_| self.endpoint()).collect();
             events.push(Event::EndpointsUpdated {
                 kind: EndpointUpdateKind::Snapshot,
                 endpoints,
             });
-            self.number();
+            self.next_id();
         }
         while let Some(entry) = self
-            .due
+            .scheduled
             .first_entry()
             .filter(|entry| entry.key().0 <= self.now)
         {
             events.push(entry.remove());
         }
-        self.moods();
-        self.lists(&mut events);
-        self.queries(&mut events);
-        self.departures(&mut events);
+        self.change_replica_behavior();
+        self.add_endpoint_update(&mut events);
+        self.add_queries(&mut events);
+        self.add_client_disconnect(&mut events);
         (self.now, events)
     }
 
-    fn member(&mut self) -> Endpoint {
-        member(
+    fn endpoint(&mut self) -> Endpoint {
+        endpoint(
             &mut self.random,
             self.now,
             self.settings.cells,
@@ -211,25 +213,25 @@
         )
     }
 
-    /// Now and then replicas fall silent, break or fill up, and recover.
-    fn moods(&mut self) {
-        if self.random.u32(..self.calm) > 0 {
+    /// Now and then a replica falls silent, resets connections, rejects parts or recovers.
+    fn change_replica_behavior(&mut self) {
+        if self.random.u32(..self.change_interval) > 0 {
             return;
         }
         let replica = ReplicaId(self.random.u64(1..=self.replicas));
-        for mood in [&mut self.silent, &mut self.breaking, &mut self.full] {
-            mood.remove(&replica);
+        for replicas in [&mut self.silent, &mut self.resetting, &mut self.rejecting] {
+            replicas.remove(&replica);
         }
         match self.random.u32(..5) {
             0 => self.silent.insert(replica),
-            1 => self.breaking.insert(replica),
-            2 => self.full.insert(replica),
+            1 => self.resetting.insert(replica),
+            2 => self.rejecting.insert(replica),
             _ => false,
         };
     }
 
-    fn lists(&mut self, events: &mut Vec<Event>) {
-        if self.random.u32(..self.calm) > 0 {
+    fn add_endpoint_update(&mut self, events: &mut Vec<Event>) {
+        if self.random.u32(..self.change_interval) > 0 {
             return;
         }
         let kind = match self.random.u32(..8) {
@@ -238,24 +240,26 @@
             2 => EndpointUpdateKind::RequestFailed,
             _ => EndpointUpdateKind::Delta,
         };
-        let most = match kind {
+        let max_entries = match kind {
             EndpointUpdateKind::RequestFailed => 0,
             EndpointUpdateKind::Delta => 4,
             _ => 2 * self.replicas,
         };
-        let endpoints = (0..self.random.u64(..=most))
-            .map(|_| self.member())
+        let endpoints = (0..self.random.u64(..=max_entries))
+            .map(|_| self.endpoint())
             .collect();
         events.push(Event::EndpointsUpdated { kind, endpoints });
     }
 
-    fn queries(&mut self, events: &mut Vec<Event>) {
-        while self.open.len() < MOST_OPEN && self.random.u32(..100) < self.load {
+    fn add_queries(&mut self, events: &mut Vec<Event>) {
+        while self.open_queries.len() < MAX_OPEN_QUERIES
+            && self.random.u32(..100) < self.load_percent
+        {
             let class = self.random.usize(..self.settings.classes.len());
             let deadline = self.settings.classes[class].deadline;
             let query = OpenQuery {
-                id: self.number(),
-                group: self.last as u32,
+                id: self.next_id(),
+                group: self.last_id as u32,
             };
             events.push(Event::QueryReceived {
                 id: query.id,
@@ -271,19 +275,19 @@
                 work: self.random.bool().then_some(50 * MS),
                 client_retry: self.random.u32(..8) == 0,
             });
-            self.open.push(query);
+            self.open_queries.push(query);
             if self.random.u32(..20) > 0 {
-                self.parts(query.group, events);
+                self.add_parts(query.group, events);
             }
         }
         // Further parts of a query that is open, in a later batch.
-        if !self.open.is_empty() && self.random.u32(..40) == 0 {
-            let group = self.open[self.random.usize(..self.open.len())].group;
-            self.parts(group, events);
+        if !self.open_queries.is_empty() && self.random.u32(..40) == 0 {
+            let group = self.open_queries[self.random.usize(..self.open_queries.len())].group;
+            self.add_parts(group, events);
         }
     }
 
-    fn parts(&mut self, group: u32, events: &mut Vec<Event>) {
+    fn add_parts(&mut self, group: u32, events: &mut Vec<Event>) {
         let count = self.random.u32(1..=8);
         for _ in 0..count {
             let shard = self.random.u32(..2 * self.settings.cells + 1);
@@ -293,7 +297,7 @@
                 self.random.f64() * 0.3
             };
             events.push(Event::PartReceived {
-                id: self.number(),
+                id: self.next_id(),
                 group,
                 shard,
                 weight,
@@ -301,124 +305,123 @@
         }
     }
 
-    fn departures(&mut self, events: &mut Vec<Event>) {
-        if !self.open.is_empty() && self.random.u32(..30) == 0 {
-            let gone = self.open.swap_remove(self.random.usize(..self.open.len()));
-            events.push(Event::ClientDisconnected { id: gone.id });
+    fn add_client_disconnect(&mut self, events: &mut Vec<Event>) {
+        if !self.open_queries.is_empty() && self.random.u32(..30) == 0 {
+            let disconnected = self
+                .open_queries
+                .swap_remove(self.random.usize(..self.open_queries.len()));
+            events.push(Event::ClientDisconnected {
+                id: disconnected.id,
+            });
         }
     }
 
-    fn later(&mut self, after: u64, event: Event) {
-        let number = self.number();
-        self.due.insert((self.now + after, number), event);
+    fn schedule(&mut self, after: Nanos, event: Event) {
+        let order = self.next_id();
+        self.scheduled.insert((self.now + after, order), event);
     }
 
-    fn follow(&mut self, action: &Action) {
+    fn react_to(&mut self, action: &Action) {
         match *action {
             Action::Send {
                 part,
                 replica,
                 expires_at,
-            } => self.follow_send(part, replica, expires_at),
+            } => self.schedule_attempt_end(part, replica, expires_at),
             Action::Cancel { part, attempt } if self.random.bool() => {
                 let after = self.random.u64(..3) * 5 * MS;
-                self.later(
+                self.schedule(
                     after,
-                    ended(part, attempt, ReplicaId(0), Outcome::Cancelled),
+                    attempt_ended(part, attempt, ReplicaId(0), Outcome::Cancelled),
                 );
             }
-            Action::Probe { replica } => {
-                let answers = !self.silent.contains(&replica) && self.random.u32(..4) > 0;
-                let outcome = if answers {
-                    Outcome::Ok
-                } else {
-                    Outcome::TimedOut
-                };
-                let latency = if answers { 5 * MS } else { 250 * MS };
-                let report = LoadReport::new();
-                self.later(
-                    latency,
-                    Event::ProbeEnded {
-                        replica,
-                        outcome,
-                        latency,
-                        report,
-                    },
-                );
-            }
-            Action::Answer { query, .. } => self.follow_answer(query),
+            Action::Probe { replica } => self.schedule_probe_end(replica),
+            Action::Answer { query, .. } => self.schedule_second_phase(query),
             Action::Reject { query, .. } | Action::Fail { query } => {
-                self.open.retain(|q| q.id != query)
+                self.open_queries.retain(|open| open.id != query)
             }
             _ => {}
         }
     }
 
-    fn follow_send(&mut self, part: RequestId, replica: ReplicaId, until: u64) {
-        let attempt = self.attempts.entry(part).or_default();
-        let number = *attempt;
-        *attempt += 1;
-        let left = until.saturating_sub(self.now);
-        let outcome = if self.silent.contains(&replica) {
-            *pick(
-                &mut self.random,
-                &[Outcome::TimedOut, Outcome::ConnectFailed],
-            )
-        } else if self.breaking.contains(&replica) {
-            Outcome::ConnectionReset
-        } else if self.full.contains(&replica) {
-            Outcome::Rejected
-        } else if self.random.u32(..12) == 0 {
-            *pick(
-                &mut self.random,
-                &[
-                    Outcome::Error,
-                    Outcome::NotSent,
-                    Outcome::Rejected,
-                    Outcome::TimedOut,
-                ],
-            )
+    fn schedule_probe_end(&mut self, replica: ReplicaId) {
+        let answers = !self.silent.contains(&replica) && self.random.u32(..4) > 0;
+        let (outcome, latency) = if answers {
+            (Outcome::Ok, 5 * MS)
         } else {
-            Outcome::Ok
+            (Outcome::TimedOut, 250 * MS)
+        };
+        let probe_ended = Event::ProbeEnded {
+            replica,
+            outcome,
+            latency,
+            report: LoadReport::new(),
         };
+        self.schedule(latency, probe_ended);
+    }
+
+    fn schedule_attempt_end(&mut self, part: RequestId, replica: ReplicaId, expires_at: Nanos) {
+        let next_attempt = self.attempts.entry(part).or_default();
+        let attempt = *next_attempt;
+        *next_attempt += 1;
+        let outcome = self.pick_outcome(replica);
         let after = match (outcome, self.random.u32(..10)) {
-            (Outcome::TimedOut, _) => left,
+            (Outcome::TimedOut, _) => expires_at.saturating_sub(self.now),
             (_, 0) => self.random.u64(..400) * 5 * MS,
             (_, 1..4) => self.random.u64(..80) * 5 * MS,
             _ => self.random.u64(1..12) * 5 * MS,
         };
         if self.random.u32(..10) == 0 {
-            self.later(
-                after / 2,
-                Event::StreamStarted {
-                    part,
-                    attempt: number,
-                    replica,
-                },
-            );
+            let stream_started = Event::StreamStarted {
+                part,
+                attempt,
+                replica,
+            };
+            self.schedule(after / 2, stream_started);
+        }
+        self.schedule(after, attempt_ended(part, attempt, replica, outcome));
+    }
+
+    fn pick_outcome(&mut self, replica: ReplicaId) -> Outcome {
+        const FAILURES_OF_SILENT: [Outcome; 2] = [Outcome::TimedOut, Outcome::ConnectFailed];
+        const RARE_FAILURES: [Outcome; 4] = [
+            Outcome::Error,
+            Outcome::NotSent,
+            Outcome::Rejected,
+            Outcome::TimedOut,
+        ];
+        if self.silent.contains(&replica) {
+            *pick(&mut self.random, &FAILURES_OF_SILENT)
+        } else if self.resetting.contains(&replica) {
+            Outcome::ConnectionReset
+        } else if self.rejecting.contains(&replica) {
+            Outcome::Rejected
+        } else if self.random.u32(..12) == 0 {
+            *pick(&mut self.random, &RARE_FAILURES)
+        } else {
+            Outcome::Ok
         }
-        self.later(after, ended(part, number, replica, outcome));
     }
 
-    /// After the first of two steps the parts of the second may follow; a query without them ends by itself.
-    fn follow_answer(&mut self, query: RequestId) {
-        let Some(i) = self.open.iter().position(|q| q.id == query) else {
+    /// After the first phase the parts of the second may follow; a query without them ends by itself.
+    fn schedule_second_phase(&mut self, query: RequestId) {
+        let Some(i) = self.open_queries.iter().position(|open| open.id == query) else {
             return;
         };
-        let two_steps = self
+        let has_two_phases = self
             .settings
             .classes
             .iter()
             .any(|class| class.second_phase_parts > 0);
-        if !two_steps || self.random.u32(..4) == 0 {
-            self.open.swap_remove(i);
+        if !has_two_phases || self.random.u32(..4) == 0 {
+            self.open_queries.swap_remove(i);
             return;
         }
-        let group = self.open[i].group;
+        let group = self.open_queries[i].group;
         for _ in 0..self.random.u32(..4) {
             let shard = self.random.u32(..self.settings.cells);
-            let id = self.number();
-            self.later(
+            let id = self.next_id();
+            self.schedule(
                 5 * MS,
                 Event::PartReceived {
                     id,
@@ -431,7 +434,7 @@
     }
 }
 
-fn ended(part: RequestId, attempt: u8, replica: ReplicaId, outcome: Outcome) -> Event {
+fn attempt_ended(part: RequestId, attempt: u8, replica: ReplicaId, outcome: Outcome) -> Event {
     Event::AttemptEnded {
         part,
         attempt,
