--- a/crates/decisions/tests/replica_table.rs
+++ b/crates/decisions/tests/replica_table.rs
@@ -1,122 +1,142 @@
-//! The replica table against a plain walk over all replicas, and what it visits.
+//! The replica table against a full scan of all replicas, and how many entries it visits.
 
 use cottonhill_decisions::replica_table::{Replica, ReplicaTable, Slot};
-use cottonhill_decisions::{Endpoint, EndpointStatus, ReplicaId};
+use cottonhill_decisions::{Endpoint, EndpointStatus, Nanos, ReplicaId};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long what was learned of one that is gone is kept.
-const FADE: u64 = 50;
+/// How long what was observed of a removed replica is kept, ns.
+const RETENTION: Nanos = 50;
 const REPLICAS: u64 = 8;
-const CALL_PARTS: u32 = 2;
+const PARTS_PER_CALL: u32 = 2;
+/// The latency that steps record.
+const LATENCY: f64 = 1.5;
 
-/// The oracle: every question is answered by a walk over all replicas.
+/// The oracle: every question is answered by a scan of all replicas.
 #[derive(Default)]
-struct Walk {
+struct FullScan {
     cells: u32,
-    reach: u32,
-    replicas: BTreeMap<ReplicaId, Plain>,
+    replication_factor: u32,
+    replicas: BTreeMap<ReplicaId, ExpectedReplica>,
 }
 
 #[derive(Debug, Default, PartialEq)]
-struct Plain {
+struct ExpectedReplica {
     cell: u16,
     zone: u16,
-    started: u64,
+    started: Nanos,
     status: EndpointStatus,
     suspected: bool,
-    learned: u64,
+    last_observed: Nanos,
     latency: Option<f64>,
-    open: BTreeMap<u64, u32>,
+    /// Parts in flight, by when they were sent.
+    parts_in_flight: BTreeMap<Nanos, u32>,
 }
 
-impl Walk {
-    fn list(&mut self, endpoints: &[Endpoint], whole: bool) {
-        let listed: BTreeSet<ReplicaId> = endpoints.iter().map(|m| m.replica).collect();
-        for (_, replica) in self
-            .replicas
-            .iter_mut()
-            .filter(|(id, _)| whole && !listed.contains(id))
-        {
-            replica.status = EndpointStatus::Gone;
+/// Parts in flight at a replica, and calls that cannot be shared with a part that is sent now.
+type InFlight = (u32, u32);
+
+impl FullScan {
+    fn update(&mut self, endpoints: &[Endpoint], snapshot: bool) {
+        if snapshot {
+            self.remove_unlisted(endpoints);
         }
-        for member in endpoints {
-            let new = Plain {
-                started: member.started,
-                ..Plain::default()
+        for endpoint in endpoints {
+            let new = ExpectedReplica {
+                started: endpoint.started,
+                ..ExpectedReplica::default()
             };
-            let replica = self.replicas.entry(member.replica).or_insert(new);
-            (replica.cell, replica.zone, replica.status) =
-                (member.cell, member.zone, member.status);
-            if member.status == EndpointStatus::Ready && replica.started != member.started {
-                (replica.started, replica.suspected, replica.latency) =
-                    (member.started, false, None);
+            let replica = self.replicas.entry(endpoint.replica).or_insert(new);
+            replica.cell = endpoint.cell;
+            replica.zone = endpoint.zone;
+            replica.status = endpoint.status;
+            if endpoint.status == EndpointStatus::Ready && replica.started != endpoint.started {
+                replica.started = endpoint.started;
+                replica.suspected = false;
+                replica.latency = None;
             }
         }
     }
 
-    fn forget_gone(&mut self, faded: u64) {
-        let kept =
-            |r: &Plain| r.status != EndpointStatus::Gone || !r.open.is_empty() || r.learned > faded;
-        self.replicas.retain(|_, replica| kept(replica));
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<ReplicaId> = endpoints.iter().map(|e| e.replica).collect();
+        for (id, replica) in &mut self.replicas {
+            if !listed.contains(id) {
+                replica.status = EndpointStatus::Gone;
+            }
+        }
+    }
+
+    /// Forgets removed replicas without parts in flight that were last observed at `until` or before.
+    fn forget_removed(&mut self, until: Nanos) {
+        self.replicas.retain(|_, replica| {
+            replica.status != EndpointStatus::Gone
+                || !replica.parts_in_flight.is_empty()
+                || replica.last_observed > until
+        });
     }
 
     fn holders(&self, shard: u32) -> Vec<ReplicaId> {
-        let holds = |cell: u16| {
-            (u32::from(cell) + self.cells - shard % self.cells) % self.cells < self.reach
+        let holds_shard = |cell: u16| {
+            let cells_after_shard =
+                (u32::from(cell) + self.cells - shard % self.cells) % self.cells;
+            cells_after_shard < self.replication_factor
         };
         self.replicas
             .iter()
-            .filter(|(_, r)| holds(r.cell))
+            .filter(|(_, replica)| holds_shard(replica.cell))
             .map(|(id, _)| *id)
             .collect()
     }
 
-    /// Parts out at a replica, and calls that have no room for one sent now.
-    fn out(&self, id: ReplicaId, now: u64) -> (u32, u32) {
+    fn in_flight(&self, id: ReplicaId, now: Nanos) -> InFlight {
         let Some(replica) = self.replicas.get(&id) else {
             return (0, 0);
         };
-        let full = |(sent, parts): (&u64, &u32)| {
+        let full_calls = |(sent, parts): (&Nanos, &u32)| {
             if *sent == now {
-                parts / CALL_PARTS
+                parts / PARTS_PER_CALL
             } else {
-                parts.div_ceil(CALL_PARTS)
+                parts.div_ceil(PARTS_PER_CALL)
             }
         };
         (
-            replica.open.values().sum(),
-            replica.open.iter().map(full).sum(),
+            replica.parts_in_flight.values().sum(),
+            replica.parts_in_flight.iter().map(full_calls).sum(),
         )
     }
 
     fn ready(&self) -> Vec<ReplicaId> {
-        let ready = self
-            .replicas
+        self.replicas
             .iter()
-            .filter(|(_, r)| r.status == EndpointStatus::Ready);
-        ready.map(|(id, _)| *id).collect()
+            .filter(|(_, replica)| replica.status == EndpointStatus::Ready)
+            .map(|(id, _)| *id)
+            .collect()
     }
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Time(u64),
-    List {
+    AdvanceTime(Nanos),
+    UpdateEndpoints {
         endpoints: Vec<Endpoint>,
-        whole: bool,
+        snapshot: bool,
     },
-    Open(u64),
-    /// The oldest part that is out at a replica is back.
-    Close(u64),
-    Learn(u64),
-    Suspect(u64, bool),
+    SendPart(ReplicaId),
+    /// The oldest part in flight at a replica ends.
+    EndPart(ReplicaId),
+    RecordLatency(ReplicaId),
+    SetSuspected(ReplicaId, bool),
 }
 
-fn a_member() -> impl Strategy<Value = Endpoint> {
+fn any_endpoint() -> impl Strategy<Value = Endpoint> {
     let cell = prop_oneof![8 => 0u16..10, 1 => 0..=u16::MAX];
-    let status = prop_oneof![2 => Just(EndpointStatus::Ready), 1 => Just(EndpointStatus::Draining), 1 => Just(EndpointStatus::Gone)];
+    let status = prop_oneof![
+        2 => Just(EndpointStatus::Ready),
+        1 => Just(EndpointStatus::Draining),
+        1 => Just(EndpointStatus::Gone),
+    ];
     (1..=REPLICAS, cell, 0u16..3, 0u64..3, status).prop_map(
         |(replica, cell, zone, started, status)| Endpoint {
             replica: ReplicaId(replica),
@@ -128,93 +148,177 @@
     )
 }
 
-fn a_step() -> impl Strategy<Value = Step> {
-    let replica = 1..=REPLICAS;
+fn any_step() -> impl Strategy<Value = Step> {
+    let duration = prop_oneof![Just(0u64), 1u64..30, Just(RETENTION)];
+    let replica = (1..=REPLICAS).prop_map(ReplicaId);
+    let update = |max_entries, snapshot| {
+        prop::collection::vec(any_endpoint(), 0..max_entries).prop_map(move |endpoints| {
+            Step::UpdateEndpoints {
+                endpoints,
+                snapshot,
+            }
+        })
+    };
     prop_oneof![
-        2 => prop_oneof![Just(0u64), 1u64..30, Just(FADE)].prop_map(Step::Time),
-        2 => prop::collection::vec(a_member(), 0..4).prop_map(|endpoints| Step::List { endpoints, whole: false }),
-        1 => prop::collection::vec(a_member(), 0..16).prop_map(|endpoints| Step::List { endpoints, whole: true }),
-        2 => replica.clone().prop_map(Step::Open),
-        2 => replica.clone().prop_map(Step::Close),
-        1 => replica.clone().prop_map(Step::Learn),
-        1 => (replica, any::<bool>()).prop_map(|(replica, suspected)| Step::Suspect(replica, suspected)),
+        2 => duration.prop_map(Step::AdvanceTime),
+        2 => update(4, false),
+        1 => update(16, true),
+        2 => replica.clone().prop_map(Step::SendPart),
+        2 => replica.clone().prop_map(Step::EndPart),
+        1 => replica.clone().prop_map(Step::RecordLatency),
+        1 => (replica, any::<bool>()).prop_map(|(id, suspected)| Step::SetSuspected(id, suspected)),
     ]
 }
 
-/// Cells and reach: few cells, more than any replica names, and a reach past the number of cells.
-fn a_layout() -> impl Strategy<Value = (u32, u32)> {
+/// Cells and replication factor: few cells, more than any endpoint names, and a factor above the number of cells.
+fn any_layout() -> impl Strategy<Value = (u32, u32)> {
     prop_oneof![
         4 => (1u32..8, 0u32..10),
         1 => (Just(100_000u32), prop_oneof![0u32..4, Just(99_000u32), Just(200_000)]),
     ]
 }
 
-fn take(step: Step, now: &mut u64, table: &mut ReplicaTable, walk: &mut Walk) {
-    match step {
-        Step::Time(by) => *now += by,
-        Step::List { endpoints, whole } => {
-            table.list(&endpoints, whole);
-            walk.list(&endpoints, whole);
-            table.forget_gone(now.saturating_sub(FADE));
-            walk.forget_gone(now.saturating_sub(FADE));
+/// The table and its oracle, to which the same steps are applied.
+struct Comparison {
+    now: Nanos,
+    table: ReplicaTable,
+    oracle: FullScan,
+}
+
+impl Comparison {
+    fn new(cells: u32, replication_factor: u32) -> Comparison {
+        Comparison {
+            now: RETENTION + 1,
+            table: ReplicaTable::new(cells, replication_factor, PARTS_PER_CALL),
+            oracle: FullScan {
+                cells,
+                replication_factor,
+                ..FullScan::default()
+            },
         }
-        Step::Open(id) => {
-            let Some(slot) = table
-                .slot(ReplicaId(id))
-                .filter(|slot| table.at(*slot).is_ready())
-            else {
-                return;
-            };
-            table.open_part(slot, *now);
-            *walk
-                .replicas
-                .get_mut(&ReplicaId(id))
-                .unwrap()
-                .open
-                .entry(*now)
-                .or_default() += 1;
+    }
+
+    fn apply(&mut self, step: Step) {
+        match step {
+            Step::AdvanceTime(duration) => self.now += duration,
+            Step::UpdateEndpoints {
+                endpoints,
+                snapshot,
+            } => self.update(&endpoints, snapshot),
+            Step::SendPart(id) => self.send_part(id),
+            Step::EndPart(id) => self.end_part(id),
+            Step::RecordLatency(id) => self.record_latency(id),
+            Step::SetSuspected(id, suspected) => self.set_suspected(id, suspected),
         }
-        Step::Close(id) => {
-            let Some(plain) = walk.replicas.get_mut(&ReplicaId(id)) else {
-                return;
-            };
-            let Some((sent, parts)) = plain.open.pop_first() else {
-                return;
-            };
-            if parts > 1 {
-                plain.open.insert(sent, parts - 1);
-            }
-            table.close_part(table.slot(ReplicaId(id)).unwrap(), sent);
+    }
+
+    fn update(&mut self, endpoints: &[Endpoint], snapshot: bool) {
+        let forget_until = self.now.saturating_sub(RETENTION);
+        self.table.list(endpoints, snapshot);
+        self.oracle.update(endpoints, snapshot);
+        self.table.forget_gone(forget_until);
+        self.oracle.forget_removed(forget_until);
+    }
+
+    fn expected(&mut self, id: ReplicaId) -> &mut ExpectedReplica {
+        self.oracle
+            .replicas
+            .get_mut(&id)
+            .expect("known to the oracle")
+    }
+
+    fn send_part(&mut self, id: ReplicaId) {
+        let slot = self.table.slot(id);
+        let Some(slot) = slot.filter(|slot| self.table.at(*slot).is_ready()) else {
+            return;
+        };
+        let now = self.now;
+        self.table.open_part(slot, now);
+        *self.expected(id).parts_in_flight.entry(now).or_default() += 1;
+    }
+
+    fn end_part(&mut self, id: ReplicaId) {
+        let Some(expected) = self.oracle.replicas.get_mut(&id) else {
+            return;
+        };
+        let Some((sent, parts)) = expected.parts_in_flight.pop_first() else {
+            return;
+        };
+        if parts > 1 {
+            expected.parts_in_flight.insert(sent, parts - 1);
         }
-        Step::Learn(id) => {
-            let Some(slot) = table.slot(ReplicaId(id)) else {
-                return;
-            };
-            let traffic = table.traffic_mut(slot);
-            (traffic.learned, traffic.latency) = (*now, Some(1.5));
-            let plain = walk.replicas.get_mut(&ReplicaId(id)).unwrap();
-            (plain.learned, plain.latency) = (*now, Some(1.5));
+        let slot = self.table.slot(id).expect("known to the oracle");
+        self.table.close_part(slot, sent);
+    }
+
+    fn record_latency(&mut self, id: ReplicaId) {
+        let Some(slot) = self.table.slot(id) else {
+            return;
+        };
+        let now = self.now;
+        let traffic = self.table.traffic_mut(slot);
+        traffic.learned = now;
+        traffic.latency = Some(LATENCY);
+        let expected = self.expected(id);
+        expected.last_observed = now;
+        expected.latency = Some(LATENCY);
+    }
+
+    fn set_suspected(&mut self, id: ReplicaId, suspected: bool) {
+        let Some(slot) = self.table.slot(id) else {
+            return;
+        };
+        self.table.set_suspected(slot, suspected);
+        self.expected(id).suspected = suspected;
+    }
+
+    fn check(&self) -> Result<(), TestCaseError> {
+        prop_assert_eq!(self.table.len(), self.oracle.replicas.len());
+        for id in (1..=REPLICAS).map(ReplicaId) {
+            let known = known_replica(&self.table, id);
+            prop_assert_eq!(known.as_ref(), self.oracle.replicas.get(&id));
+            let in_flight = self.in_flight(id);
+            prop_assert_eq!(in_flight, self.oracle.in_flight(id, self.now));
         }
-        Step::Suspect(id, suspected) => {
-            let Some(slot) = table.slot(ReplicaId(id)) else {
-                return;
-            };
-            table.set_suspected(slot, suspected);
-            walk.replicas.get_mut(&ReplicaId(id)).unwrap().suspected = suspected;
+        for shard in (0..10).chain([65_530, 99_999, 100_001, u32::MAX]) {
+            let holders = replica_ids(&self.table, &self.table.holders(shard));
+            prop_assert_eq!(holders, self.oracle.holders(shard));
         }
+        self.check_ready()
+    }
+
+    fn check_ready(&self) -> Result<(), TestCaseError> {
+        let ready = self.oracle.ready();
+        prop_assert_eq!(self.table.ready(), ready.len());
+        let listed_ready = replica_ids(&self.table, &self.table.walk_ready());
+        prop_assert_eq!(listed_ready, ready.clone());
+        let suspected = ready
+            .iter()
+            .filter(|id| self.oracle.replicas[id].suspected)
+            .count();
+        prop_assert_eq!(self.table.suspected_and_ready(), suspected);
+        Ok(())
+    }
+
+    fn in_flight(&self, id: ReplicaId) -> InFlight {
+        let Some(replica) = self.table.get(id) else {
+            return (0, 0);
+        };
+        let open = replica.traffic().open();
+        (open.parts(), open.calls(self.now, PARTS_PER_CALL))
     }
 }
 
-fn known(table: &ReplicaTable, id: ReplicaId) -> Option<Plain> {
-    table.get(id).map(|replica| Plain {
+fn known_replica(table: &ReplicaTable, id: ReplicaId) -> Option<ExpectedReplica> {
+    table.get(id).map(|replica| ExpectedReplica {
         cell: replica.cell(),
         zone: replica.zone(),
         started: replica.started(),
         status: replica.status(),
         suspected: replica.suspected(),
-        learned: replica.traffic().learned,
+        last_observed: replica.traffic().learned,
         latency: replica.traffic().latency,
-        open: replica
+        parts_in_flight: replica
             .traffic()
             .open()
             .by_time()
@@ -223,7 +327,7 @@
     })
 }
 
-fn ids(table: &ReplicaTable, slots: &[Slot]) -> Vec<ReplicaId> {
+fn replica_ids(table: &ReplicaTable, slots: &[Slot]) -> Vec<ReplicaId> {
     slots.iter().map(|slot| table.at(*slot).id()).collect()
 }
 
@@ -233,38 +337,24 @@
     })]
 
     #[test]
-    fn the_table_answers_as_a_walk_over_all_replicas_does(
-        (cells, reach) in a_layout(), steps in prop::collection::vec(a_step(), 1..80)
+    fn lookups_match_full_scan_of_all_replicas(
+        (cells, replication_factor) in any_layout(),
+        steps in prop::collection::vec(any_step(), 1..80),
     ) {
-        let mut table = ReplicaTable::new(cells, reach, CALL_PARTS);
-        let mut walk = Walk { cells, reach, ..Walk::default() };
-        let mut now = FADE + 1;
+        let mut comparison = Comparison::new(cells, replication_factor);
         for step in steps {
-            take(step, &mut now, &mut table, &mut walk);
-            prop_assert_eq!(table.len(), walk.replicas.len());
-            for id in (1..=REPLICAS).map(ReplicaId) {
-                let known = known(&table, id);
-                prop_assert_eq!(known.as_ref(), walk.replicas.get(&id));
-                let open = |r: &Replica| (r.traffic().open().parts(), r.traffic().open().calls(now, CALL_PARTS));
-                prop_assert_eq!(table.get(id).map_or((0, 0), open), walk.out(id, now));
-            }
-            for shard in (0..10).chain([65_530, 99_999, 100_001, u32::MAX]) {
-                prop_assert_eq!(ids(&table, &table.holders(shard)), walk.holders(shard));
-            }
-            let ready = walk.ready();
-            prop_assert_eq!(table.ready(), ready.len());
-            prop_assert_eq!(ids(&table, &table.walk_ready()), ready.clone());
-            let suspected = ready.iter().filter(|id| walk.replicas[id].suspected).count();
-            prop_assert_eq!(table.suspected_and_ready(), suspected);
+            comparison.apply(step);
+            comparison.check()?;
         }
     }
 }
 
-fn fleet(replicas: u64) -> Vec<Endpoint> {
+/// Ready endpoints, three in each cell.
+fn ready_endpoints(replicas: u64) -> Vec<Endpoint> {
     (0..replicas)
-        .map(|r| Endpoint {
-            replica: ReplicaId(r + 1),
-            cell: (r / 3) as u16,
+        .map(|index| Endpoint {
+            replica: ReplicaId(index + 1),
+            cell: (index / 3) as u16,
             zone: 0,
             started: 0,
             status: EndpointStatus::Ready,
@@ -272,45 +362,50 @@
         .collect()
 }
 
-fn visits(table: &mut ReplicaTable, mut of: impl FnMut(&mut ReplicaTable)) -> u64 {
+fn removed(endpoint: &Endpoint) -> Endpoint {
+    Endpoint {
+        status: EndpointStatus::Gone,
+        ..endpoint.clone()
+    }
+}
+
+/// Entries that an operation visits.
+fn entries_visited(table: &mut ReplicaTable, operation: impl FnOnce(&mut ReplicaTable)) -> u64 {
     let before = table.visited();
-    of(table);
+    operation(table);
     table.visited() - before
 }
 
+/// Entries visited by a lookup, and by the removal of one endpoint.
+fn visited_by_lookup_and_removal(replicas: u64) -> (u64, u64) {
+    let cells = replicas.div_ceil(3) as u32;
+    let mut table = ReplicaTable::new(cells, 1, 1);
+    let endpoints = ready_endpoints(replicas);
+    table.list(&endpoints, true);
+    let by_lookup = entries_visited(&mut table, |table| drop(table.holders(7)));
+    let by_removal = entries_visited(&mut table, |table| {
+        table.list(&[removed(&endpoints[10])], false);
+        table.forget_gone(0);
+    });
+    assert_eq!(
+        table.len(),
+        replicas as usize - 1,
+        "the removed one was never contacted"
+    );
+    (by_lookup, by_removal)
+}
+
 #[test]
-fn a_lookup_and_a_change_visit_no_more_in_a_large_fleet() {
-    let counts = |replicas: u64| {
-        let mut table = ReplicaTable::new(replicas.div_ceil(3) as u32, 1, 1);
-        table.list(&fleet(replicas), true);
-        let lookup = visits(&mut table, |table| drop(table.holders(7)));
-        let gone = Endpoint {
-            status: EndpointStatus::Gone,
-            ..fleet(replicas)[10].clone()
-        };
-        let change = visits(&mut table, |table| {
-            table.list(std::slice::from_ref(&gone), false);
-            table.forget_gone(0);
-        });
-        assert_eq!(
-            table.len(),
-            replicas as usize - 1,
-            "the one that is gone was never contacted"
-        );
-        (lookup, change)
-    };
-    assert_eq!(counts(300), (3, 2));
-    assert_eq!(counts(30_000), (3, 2));
+fn entries_visited_by_lookup_and_update_do_not_grow_with_fleet_size() {
+    assert_eq!(visited_by_lookup_and_removal(300), (3, 2));
+    assert_eq!(visited_by_lookup_and_removal(30_000), (3, 2));
 }
 
 #[test]
-fn one_that_goes_and_returns_again_and_again_is_queued_once() {
+fn replica_that_leaves_and_returns_repeatedly_is_queued_once() {
     let mut table = ReplicaTable::new(1, 1, 1);
-    let ready = fleet(1);
-    let gone = [Endpoint {
-        status: EndpointStatus::Gone,
-        ..ready[0].clone()
-    }];
+    let ready = ready_endpoints(1);
+    let gone = [removed(&ready[0])];
     table.list(&ready, false);
     let slot = table.slot(ReplicaId(1)).unwrap();
     table.traffic_mut(slot).learned = 100;
@@ -321,22 +416,21 @@
         table.forget_gone(50);
     }
     table.list(&gone, false);
-    assert_eq!(
-        visits(&mut table, |table| table.forget_gone(99)),
-        0,
-        "too early"
-    );
-    assert_eq!(visits(&mut table, |table| table.forget_gone(100)), 1);
+    let visited_early = entries_visited(&mut table, |table| table.forget_gone(99));
+    assert_eq!(visited_early, 0, "too early");
+    let visited_when_due = entries_visited(&mut table, |table| table.forget_gone(100));
+    assert_eq!(visited_when_due, 1);
     assert!(table.is_empty());
 }
 
 #[test]
-fn what_is_learned_of_one_that_is_gone_puts_off_when_it_is_forgotten() {
+fn late_observation_of_removed_replica_delays_its_eviction() {
     let mut table = ReplicaTable::new(1, 1, 1);
-    table.list(&fleet(2), true);
+    let endpoints = ready_endpoints(2);
+    table.list(&endpoints, true);
     let slot = table.slot(ReplicaId(1)).unwrap();
     table.traffic_mut(slot).learned = 100;
-    table.list(&fleet(2)[1..], true);
+    table.list(&endpoints[1..], true);
     table.traffic_mut(slot).learned = 120;
     table.forget_gone(119);
     assert_eq!(table.len(), 2);
@@ -344,12 +438,9 @@
     assert_eq!(table.len(), 1);
 }
 
-/// Every mixer of a large fleet holds all entries; most of them it has never met.
+/// Every coordinator of a large fleet holds all entries; most of them it has never contacted.
 #[test]
-fn the_entry_of_one_that_was_never_contacted_is_small() {
-    assert!(
-        std::mem::size_of::<Replica>() <= 32,
-        "{} bytes",
-        std::mem::size_of::<Replica>()
-    );
+fn entry_of_uncontacted_replica_is_small() {
+    let size = std::mem::size_of::<Replica>();
+    assert!(size <= 32, "{size} bytes");
 }
