--- a/crates/cottonhill/src/log_targets.rs
+++ b/crates/cottonhill/src/log_targets.rs
@@ -1,4 +1,4 @@
-//! The targets of the crate's log lines. Settings files name them ([log] targets), so they stay as they are when
+//! The targets of the crate's log lines. Settings files name them (`[log]` targets), so they stay as they are when
 //! modules are renamed or split.
 
 /// Start, reload and shutdown of a mixer.
