--- a/crates/decisions/src/completion.rs
+++ b/crates/decisions/src/completion.rs
@@ -211,9 +211,9 @@
         .min(answer_due_at)
 }
 
-/// The earliest time at which a part of the present phase that is neither answered nor skipped may be retried, hedged or
-/// late. Where nothing is in flight, the retry budget, the endpoint list or other queries may allow an attempt in any
-/// batch.
+/// The earliest time at which a part of the present phase that is neither answered nor skipped may be retried, hedged
+/// or late. Where nothing is in flight, the retry budget, the endpoint list or other queries may allow an attempt in
+/// any batch.
 fn part_due_at(now: Nanos, query: &Query, part: &Part, phase_duration: f64) -> Nanos {
     let Some(last) = part.attempts.last().filter(|_| part.is_in_flight()) else {
         return now;
--- a/crates/decisions/src/connection_loss.rs
+++ b/crates/decisions/src/connection_loss.rs
@@ -4,7 +4,7 @@
 //! connections and few on active ones. It ends where it does not help, since all attempts are lost alike.
 
 use crate::batch::Batch;
-use crate::tables::replica_table::{ConnectionKind, ReplicaTable, Slot};
+use crate::tables::replica_table::{ConnectionKind, ReplicaStats, ReplicaTable, Slot};
 use crate::{Action, Nanos};
 
 /// Fraction of the idle timeout of connections after which one counts as idle.
@@ -100,10 +100,7 @@
         if already_sent_to {
             return stats.last_connection;
         }
-        let idle = stats.open().is_empty()
-            && stats.last_alive_at > 0
-            && batch.now - stats.last_alive_at > idle_after;
-        stats.last_connection = if !idle {
+        stats.last_connection = if !has_idle_connection(batch.now, stats, idle_after) {
             ConnectionKind::Active
         } else if batch.now < self.reopening_until {
             batch
@@ -116,3 +113,9 @@
         stats.last_connection
     }
 }
+
+/// Whether the connections to a replica have not been used for `idle_after`: nothing is in flight, and its last sign of
+/// life was longer ago.
+fn has_idle_connection(now: Nanos, stats: &ReplicaStats, idle_after: Nanos) -> bool {
+    stats.open().is_empty() && stats.last_alive_at > 0 && now - stats.last_alive_at > idle_after
+}
--- a/crates/decisions/src/coordinator.rs
+++ b/crates/decisions/src/coordinator.rs
@@ -54,7 +54,8 @@
         self.state.queries_processed
     }
 
-    /// Processes all open queries in every batch from now on, due or not. The actions are the same, for tests to compare.
+    /// Processes all open queries in every batch from now on, due or not. The actions are the same, for tests to
+    /// compare.
     #[doc(hidden)]
     pub fn process_all_queries(&mut self) {
         self.state.processes_all_queries = true;
--- a/crates/decisions/src/hedging.rs
+++ b/crates/decisions/src/hedging.rs
@@ -54,7 +54,8 @@
 }
 
 /// Whether to consider hedging a part whose last attempt has been in flight for longer than `hedge_delay`. That says
-/// something of its replica if the replica has been silent since, or if at least half of the query's parts are answered.
+/// something of its replica if the replica has been silent since, or if at least half of the query's parts are
+/// answered.
 pub fn is_due(
     batch: &Batch,
     replicas: &ReplicaSet,
@@ -72,7 +73,8 @@
     half_answered || silent_since_sent
 }
 
-/// Whether the best replica for a hedged request is expected to answer within the time that the part has been in flight.
+/// Whether the best replica for a hedged request is expected to answer within the time that the part has been in
+/// flight.
 pub fn has_faster_replica(
     batch: &mut Batch,
     replicas: &mut ReplicaSet,
--- a/crates/decisions/src/load_shedding.rs
+++ b/crates/decisions/src/load_shedding.rs
@@ -1,8 +1,8 @@
 //! Load shedding: rejecting a fraction of all queries while replicas reject parts.
 //!
-//! An admitted query takes up capacity until it has run, answered or not. Where all holders of a shard reject parts, one
-//! more query costs other queries their parts and is itself lost. Coordinators see nothing of each other but that, so
-//! each sheds load at once, and less again with each answer.
+//! An admitted query takes up capacity until it has run, answered or not. Where all holders of a shard reject parts,
+//! one more query costs other queries their parts and is itself lost. Coordinators see nothing of each other but that,
+//! so each sheds load at once, and less again with each answer.
 
 /// Weight of a part's repeated rejection in the fraction shed.
 const REPEATED_REJECTION_WEIGHT: f64 = 0.25;
--- a/crates/decisions/src/outlier_detection.rs
+++ b/crates/decisions/src/outlier_detection.rs
@@ -22,8 +22,8 @@
     batch.now + (FULL_OBJECTIVES * batch.timing.shortest_objective) as Nanos
 }
 
-/// Whether the end of an attempt counts as a failure of the replica. A cancelled one does if the replica has been silent
-/// since it was sent, for longer than a hedged request is waited for.
+/// Whether the end of an attempt counts as a failure of the replica. A cancelled one does if the replica has been
+/// silent since it was sent, for longer than a hedged request is waited for.
 pub fn is_failure(
     batch: &Batch,
     latencies: &LatencyEstimates,
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -22,7 +22,7 @@
     pub latency_objective: Nanos,
     /// The latency objective grows by this multiple of the query's own expected work.
     pub objective_per_expected_work: Option<f64>,
-    /// The longest that a client waits, over all its tries, ns.
+    /// The longest that a client waits, its retries included, ns.
     pub deadline: Nanos,
     /// Whether its parts may be executed more than once.
     pub idempotency: Idempotency,
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -118,8 +118,8 @@
     }
 
     /// Draws the jitter anew for the holders of a shard that are warming up and whose jitter is an overload window old.
-    /// The windows of two replicas start when each first gets work: were all to change at one moment, the extra parts of
-    /// two windows of all coordinators would meet in one.
+    /// The windows of two replicas start when each first gets work: were all to change at one moment, the extra parts
+    /// of two windows of all coordinators would meet in one.
     pub fn refresh_jitter(&self, batch: &Batch, table: &mut ReplicaTable, shard: u32) {
         let window = overload_window(batch.settings);
         let is_due = |slot: &Slot| {
--- a/crates/decisions/src/tables/in_flight.rs
+++ b/crates/decisions/src/tables/in_flight.rs
@@ -15,25 +15,32 @@
     pub connection: ConnectionKind,
 }
 
+/// Identifies an attempt: attempt `number` of a part.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptId {
+    part: RequestId,
+    number: u8,
+}
+
 /// All attempts whose end has not been reported, those cancelled included.
 #[derive(Debug, Default)]
 pub struct InFlightAttempts {
-    by_part_and_number: BTreeMap<(RequestId, u8), InFlightAttempt>,
+    attempts: BTreeMap<AttemptId, InFlightAttempt>,
 }
 
 impl InFlightAttempts {
     /// Adds attempt `number` of a part.
     pub fn insert(&mut self, part: RequestId, number: u8, attempt: InFlightAttempt) {
-        self.by_part_and_number.insert((part, number), attempt);
+        self.attempts.insert(AttemptId { part, number }, attempt);
     }
 
     /// Removes attempt `number` of a part; `None` if it is not in flight.
     pub fn remove(&mut self, part: RequestId, number: u8) -> Option<InFlightAttempt> {
-        self.by_part_and_number.remove(&(part, number))
+        self.attempts.remove(&AttemptId { part, number })
     }
 
     /// How many attempts are in flight.
     pub fn len(&self) -> usize {
-        self.by_part_and_number.len()
+        self.attempts.len()
     }
 }
--- a/crates/decisions/src/tables/replica_table.rs
+++ b/crates/decisions/src/tables/replica_table.rs
@@ -1,7 +1,7 @@
 //! The replicas of the endpoint list, by id and by cell.
 //!
-//! The table keeps its counts as entries change and forgets replicas that are gone by a queue, so that a lookup costs as
-//! much as the shard has holders and a change as much as it has entries, however large the fleet is.
+//! The table keeps its counts as entries change and forgets replicas that are gone by a queue, so that a lookup costs
+//! as much as the shard has holders and a change as much as it has entries, however large the fleet is.
 
 pub use super::replica::{ConnectionKind, Replica, ReplicaStats, SlowStartJitter};
 use crate::{Endpoint, EndpointStatus, Nanos, ReplicaId};
