--- a/crates/mixer/src/config/settings/decision_settings.rs
+++ b/crates/mixer/src/config/settings/decision_settings.rs
@@ -46,7 +46,7 @@
 
 fn class(values: &KeyValues, index: usize) -> Result<Class, SettingsError> {
     let key = |field: &str| item_field(wire::CLASSES, index, field);
-    // Before the other fields, so that of several faults the same one is reported as ever.
+    // Parsed first: where several fields are invalid, the error names these before the others.
     let idempotency = idempotency(values, &key(wire::class::IDEMPOTENCY))?;
     let late_weight_fraction = values.non_negative(&key(wire::class::LATE_WEIGHT_FRACTION))?;
     Ok(Class {
--- a/crates/mixer/src/transport/client_connection.rs
+++ b/crates/mixer/src/transport/client_connection.rs
@@ -70,12 +70,6 @@
     Closed,
 }
 
-/// A response, and whether the connection is closed after it.
-struct FinalizedResponse {
-    response: Response,
-    close: bool,
-}
-
 /// The task of one connection: serves it, closes it and reports its end to the reducer.
 pub async fn serve_client(
     shared: Shared,
@@ -130,10 +124,11 @@
             let Some(keep_alive) = self.submit_request(request).await else {
                 return Ok(ConnectionEnd::CloseLingering);
             };
-            let FinalizedResponse { response, close } = match self.await_reply(keep_alive).await? {
+            let response = match self.await_reply(keep_alive).await? {
                 ControlFlow::Continue(response) => response,
                 ControlFlow::Break(end) => return Ok(end),
             };
+            let close = response.close;
             self.send_response(response).await?;
             if close {
                 return Ok(ConnectionEnd::CloseLingering);
@@ -212,19 +207,18 @@
         self.shared.send_input(input).await.then_some(keep_alive)
     }
 
-    /// Waits for the reply to the open request, or how the connection ends before.
+    /// Waits for the reply to the open request and renders it, or returns how the connection ends before.
     async fn await_reply(
         &mut self,
         mut keep_alive: bool,
-    ) -> io::Result<ControlFlow<ConnectionEnd, FinalizedResponse>> {
+    ) -> io::Result<ControlFlow<ConnectionEnd, Response>> {
         loop {
             tokio::select! {
                 biased;
                 command = self.commands.recv() => match command {
                     Some(ClientCommand::Reply { reply, close }) => {
                         let close = close || !keep_alive;
-                        let response = query_json::render(&reply, close);
-                        return Ok(ControlFlow::Continue(FinalizedResponse { response, close }));
+                        return Ok(ControlFlow::Continue(query_json::render(&reply, close)));
                     }
                     // Sent before the reducer knew of the open request, whose reply will close the connection.
                     Some(ClientCommand::Close { .. }) => {}
--- a/crates/mixer/src/transport/driver.rs
+++ b/crates/mixer/src/transport/driver.rs
@@ -8,8 +8,10 @@
 use super::shared::{Shared, MAX_QUEUED_INPUTS, MAX_QUEUED_UPDATES};
 use super::{Addresses, ClientReply, Clock, Control, Integrations, PendingReplies, QueryClient};
 use crate::log_targets;
+use crate::protocol::leaf_frames::LeafRequest;
 use crate::protocol::query_json::QuerySchema;
 use crate::reducer::counters::Counters;
+use crate::reducer::usage::{UsageRecord, Watermark};
 use crate::reducer::{ClientId, ConnectionId, Effect, Input, Reducer};
 use cottonhill_decisions::Nanos;
 use std::collections::HashMap;
@@ -108,7 +110,7 @@
 }
 
 /// Why the driver woke up.
-enum Event {
+enum Wakeup {
     Control(Control),
     /// An input from discovery.
     Update(Input),
@@ -136,31 +138,31 @@
     /// Processes events until the reducer ends the mixer.
     async fn run(mut self, mut queues: EventQueues) {
         while !self.exited {
-            match self.next_event(&mut queues).await {
-                Event::RecordsWritten => self.send_ready_replies(),
-                Event::Input(input) => self.process_inputs(input, &mut queues.inputs).await,
-                Event::Control(control) => {
+            match self.next_wakeup(&mut queues).await {
+                Wakeup::RecordsWritten => self.send_ready_replies(),
+                Wakeup::Input(input) => self.process_inputs(input, &mut queues.inputs).await,
+                Wakeup::Control(control) => {
                     let input = self.control_input(control);
                     self.process_input(input);
                 }
-                Event::Update(input) => self.process_input(input),
-                Event::TimerDue => self.process_batch(),
+                Wakeup::Update(input) => self.process_input(input),
+                Wakeup::TimerDue => self.process_batch(),
             }
         }
         self.close_recorder();
         sleep(FINAL_FLUSH_TIME).await;
     }
 
-    async fn next_event(&mut self, queues: &mut EventQueues) -> Event {
+    async fn next_wakeup(&mut self, queues: &mut EventQueues) -> Wakeup {
         let timer = self.next_timer();
         let wake_at = timer.unwrap_or_else(|| self.shared.clock.instant(0));
         tokio::select! {
             biased;
-            Some(control) = queues.controls.recv() => Event::Control(control),
-            Some(update) = queues.updates.recv() => Event::Update(update),
-            () = records_written(&mut self.pending_replies) => Event::RecordsWritten,
-            Some(input) = queues.inputs.recv() => Event::Input(input),
-            () = sleep_until(wake_at), if timer.is_some() => Event::TimerDue,
+            Some(control) = queues.controls.recv() => Wakeup::Control(control),
+            Some(update) = queues.updates.recv() => Wakeup::Update(update),
+            () = records_written(&mut self.pending_replies) => Wakeup::RecordsWritten,
+            Some(input) = queues.inputs.recv() => Wakeup::Input(input),
+            () = sleep_until(wake_at), if timer.is_some() => Wakeup::TimerDue,
         }
     }
 
@@ -238,40 +240,21 @@
                 close,
             }),
             Effect::CloseClient { client, immediate } => self.close_client(client, immediate),
-            Effect::RecordUsage(usage) => {
-                if let Some(pending_replies) = &mut self.pending_replies {
-                    pending_replies.record(usage);
-                }
-            }
-            Effect::RecordWatermark(watermark) => {
-                if let Some(pending_replies) = &mut self.pending_replies {
-                    pending_replies.record_watermark(watermark);
-                }
-            }
+            Effect::RecordUsage(usage) => self.record_usage(usage),
+            Effect::RecordWatermark(watermark) => self.record_watermark(watermark),
             Effect::Connect {
                 connection,
                 address,
             } => self.connect(connection, address),
-            Effect::WriteFrame { connection, frame } => {
-                if let Some(handle) = self.leaf_connections.get(&connection) {
-                    handle.write(frame);
-                }
-            }
+            Effect::WriteFrame { connection, frame } => self.write_frame(connection, frame),
             Effect::CloseConnection { connection } => {
                 self.leaf_connections.remove(&connection);
             }
-            Effect::SendDatagram { to, bytes } => {
-                if let Some(peers) = &self.peers {
-                    peers.send(to, &bytes);
-                }
-            }
+            Effect::SendDatagram { to, bytes } => self.send_datagram(to, &bytes),
             Effect::WatchEndpoints {
                 address,
                 from_version,
-            } => {
-                self.discovery_watch.abort();
-                self.discovery_watch = start_discovery_watch(&self.shared, address, from_version);
-            }
+            } => self.restart_discovery_watch(address, from_version),
             Effect::CloseListener => {
                 self.shared.listener_closed.send_replace(true);
             }
@@ -279,6 +262,18 @@
         }
     }
 
+    fn record_usage(&mut self, usage: UsageRecord) {
+        if let Some(pending_replies) = &mut self.pending_replies {
+            pending_replies.record(usage);
+        }
+    }
+
+    fn record_watermark(&mut self, watermark: Watermark) {
+        if let Some(pending_replies) = &mut self.pending_replies {
+            pending_replies.record_watermark(watermark);
+        }
+    }
+
     /// Sends a reply, or holds it until its usage record is written.
     fn reply_when_recorded(&mut self, reply: ClientReply) {
         let ready = match &mut self.pending_replies {
@@ -331,6 +326,23 @@
         self.leaf_connections.insert(connection, handle);
     }
 
+    fn write_frame(&self, connection: ConnectionId, frame: LeafRequest) {
+        if let Some(handle) = self.leaf_connections.get(&connection) {
+            handle.write(frame);
+        }
+    }
+
+    fn send_datagram(&self, peer: Option<u32>, bytes: &[u8]) {
+        if let Some(peers) = &self.peers {
+            peers.send(peer, bytes);
+        }
+    }
+
+    fn restart_discovery_watch(&mut self, address: SocketAddr, from_version: Option<u64>) {
+        self.discovery_watch.abort();
+        self.discovery_watch = start_discovery_watch(&self.shared, address, from_version);
+    }
+
     fn exit(&mut self, counters: &Counters) {
         let counters = serde_json::to_string(counters).unwrap_or_default();
         tracing::info!(target: log_targets::TRANSPORT, counters, "shutdown complete, all accepted requests answered");
--- a/crates/mixer/src/transport/query_client.rs
+++ b/crates/mixer/src/transport/query_client.rs
@@ -53,7 +53,7 @@
 
     /// Sends a query that arrived at `received_at` (Unix nanoseconds) and waits for its reply; [`Reply::Failed`] if the
     /// mixer ends before. Dropping the future cancels the query, as a client that disconnects does.
-    pub async fn ask(&self, received_at: Nanos, query: QueryRequest) -> Reply {
+    pub async fn send_query(&self, received_at: Nanos, query: QueryRequest) -> Reply {
         let (client, mut commands) = self.shared.register_client();
         // Until the reply is here or the future is dropped.
         let _registration = Registration {
@@ -78,7 +78,7 @@
     }
 
     /// Returns once the mixer accepts no more connections: it is about to shut down.
-    pub async fn stopped(&self) {
+    pub async fn listener_closed(&self) {
         let mut listener_closed = self.shared.listener_closed.subscribe();
         let _ = listener_closed.wait_for(|closed| *closed).await;
     }
--- a/crates/mixer/src/transport/shared.rs
+++ b/crates/mixer/src/transport/shared.rs
@@ -20,23 +20,30 @@
 /// State that all tasks of the transport share; clones refer to the same state.
 #[derive(Clone)]
 pub(super) struct Shared {
+    /// The mixer's clock.
     pub clock: Clock,
     /// How the watch on discovery is kept up.
     pub watch_policy: WatchPolicy,
+    /// Buffers of the connections.
     pub buffers: BufferPool,
+    /// Inputs for the reducer.
     pub inputs: mpsc::Sender<Input>,
     /// Inputs from discovery, which do not queue behind the others.
     pub updates: mpsc::Sender<Input>,
+    /// The names and bounds of the queries that are served.
     pub query_schema: Rc<QuerySchema>,
     /// True once no more connections are accepted.
     pub listener_closed: Rc<watch::Sender<bool>>,
+    /// Where each registered client takes commands.
     clients: Rc<RefCell<HashMap<ClientId, mpsc::Sender<ClientCommand>>>>,
     /// Notified whenever a client's connection has ended, as one more may be accepted.
     client_ended: Rc<Notify>,
+    /// The last client id that was given out.
     last_client: Rc<Cell<ClientId>>,
 }
 
 impl Shared {
+    /// The state at the start, without clients.
     pub fn new(
         clock: Clock,
         watch_policy: WatchPolicy,
