--- a/crates/opensearch/src/front/mod.rs
+++ b/crates/opensearch/src/front/mod.rs
@@ -61,7 +61,7 @@
                         continue;
                     }
                 },
-                () = context.queries.stopped() => return,
+                () = context.queries.listener_closed() => return,
             };
             let (context, tls) = (context.clone(), tls.clone());
             tokio::task::spawn_local(async move {
@@ -119,7 +119,7 @@
     let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), answer));
     let ended = tokio::select! {
         ended = connection.as_mut() => ended,
-        () = context.queries.stopped() => {
+        () = context.queries.listener_closed() => {
             // Open requests are answered; then the connection ends.
             connection.as_mut().graceful_shutdown();
             connection.await
--- a/crates/opensearch/src/front/search.rs
+++ b/crates/opensearch/src/front/search.rs
@@ -135,7 +135,7 @@
         &chosen,
         &names,
     );
-    let hits = match context.queries.ask(arrived, query).await {
+    let hits = match context.queries.send_query(arrived, query).await {
         Reply::Answer { hits, .. } => hits,
         Reply::Rejected { retry_after } => {
             return Err(shape::refused(retry_after.map(Duration::from_nanos)))
