--- /dev/null
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -0,0 +1,93 @@
+//! Frames from the simulator.
+
+use super::fields::Fields;
+use crate::error::AdapterError;
+use std::io::{ErrorKind, Read};
+
+/// Bytes of a batch's header: number (u32), length of what follows (u32), clock (u64), records (u32).
+const HEADER: usize = 20;
+const NUMBER: usize = 0;
+const LENGTH: usize = 4;
+const CLOCK: usize = 8;
+const COUNT: usize = 16;
+/// Bytes of an event record.
+const RECORD: usize = 56;
+
+/// One frame from the simulator: its event records and its tail.
+#[derive(Debug)]
+pub struct Batch {
+    /// The number that the reply repeats.
+    pub number: u32,
+    /// Simulated time in nanoseconds, the same for all events.
+    pub clock: u64,
+    /// Records of [`RECORD`] bytes each.
+    records: Vec<u8>,
+    /// What records point at.
+    pub tail: Vec<u8>,
+}
+
+impl Batch {
+    /// Reads one frame; `None` at the end of the input.
+    ///
+    /// # Errors
+    /// The input can't be read, ends within the frame, or the header contradicts itself.
+    pub fn read(input: &mut impl Read) -> Result<Option<Batch>, AdapterError> {
+        let Some(header) = read_header(input)? else {
+            return Ok(None);
+        };
+        let header = Fields(&header);
+        let (number, length) = (header.u32(NUMBER), header.u32(LENGTH) as usize);
+        let (clock, count) = (header.u64(CLOCK), header.u32(COUNT) as usize);
+        let records = count.checked_mul(RECORD).filter(|size| *size <= length);
+        let records = records.ok_or(AdapterError::RecordsDoNotFit {
+            batch: number,
+            count,
+            length,
+        })?;
+        let mut body = read_body(input, number, length)?;
+        let tail = body.split_off(records);
+        Ok(Some(Batch {
+            number,
+            clock,
+            records: body,
+            tail,
+        }))
+    }
+
+    /// The event records in order.
+    pub fn records(&self) -> impl Iterator<Item = Fields<'_>> {
+        self.records.chunks_exact(RECORD).map(Fields)
+    }
+}
+
+fn read_header(input: &mut impl Read) -> Result<Option<[u8; HEADER]>, AdapterError> {
+    let mut header = [0; HEADER];
+    let mut received = 0;
+    while received < HEADER {
+        match input.read(&mut header[received..]) {
+            Ok(0) if received == 0 => return Ok(None),
+            Ok(0) => return Err(AdapterError::HeaderCutShort { received }),
+            Ok(count) => received += count,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(AdapterError::ReadHeader(error)),
+        }
+    }
+    Ok(Some(header))
+}
+
+fn read_body(input: &mut impl Read, batch: u32, length: usize) -> Result<Vec<u8>, AdapterError> {
+    let mut body = Vec::new();
+    input
+        .take(length as u64)
+        .read_to_end(&mut body)
+        .map_err(|source| AdapterError::ReadBody { batch, source })?;
+    let received = body.len();
+    if received < length {
+        return Err(AdapterError::BodyCutShort {
+            batch,
+            received,
+            length,
+        });
+    }
+    Ok(body)
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -0,0 +1,131 @@
+//! Frames to the simulator: actions as records.
+
+use super::vocabulary::{ActionCode, ALL_PEERS};
+use super::InstanceId;
+use cottonhill_decisions::{Action, ReplicaId};
+
+/// Bytes of a reply's header: batch number, records, length of what follows, a u32 each.
+const HEADER: usize = 12;
+/// Bytes of an action record.
+const RECORD: usize = 32;
+/// Bytes of a replica's address and port.
+const REPLICA: usize = 6;
+/// Bytes of an offset into the tail and a length.
+const TAIL_RANGE: usize = 8;
+
+/// A reply in the making.
+#[derive(Default)]
+pub struct Reply {
+    records: Vec<u8>,
+    tail: Vec<u8>,
+    count: u32,
+}
+
+impl Reply {
+    /// The frame that answers the batch of this number.
+    pub fn to_bytes(&self, batch: u32) -> Vec<u8> {
+        let length = (self.records.len() + self.tail.len()) as u32;
+        let mut frame = Vec::with_capacity(HEADER + length as usize);
+        for field in [batch, self.count, length] {
+            frame.extend(field.to_le_bytes());
+        }
+        frame.extend(&self.records);
+        frame.extend(&self.tail);
+        frame
+    }
+
+    /// Tells that the decision module of an instance panicked.
+    pub fn push_crash(&mut self, instance: InstanceId, message: &str) {
+        let message = self.append_tail(message.as_bytes());
+        self.push_record(ActionCode::Crash, instance, &[&message]);
+    }
+
+    /// Appends one action of an instance.
+    pub fn push_action(&mut self, instance: InstanceId, action: &Action) {
+        let mut push = |code, fields: &[&[u8]]| self.push_record(code, instance, fields);
+        match action {
+            Action::Send {
+                part,
+                replica,
+                expires_at,
+            } => push(
+                ActionCode::Send,
+                &[
+                    &part.to_le_bytes(),
+                    &replica_bytes(*replica),
+                    &expires_at.to_le_bytes(),
+                ],
+            ),
+            Action::Reject { query, retry_after } => {
+                let retry_after = retry_after.unwrap_or(0);
+                push(
+                    ActionCode::Reject,
+                    &[&query.to_le_bytes(), &retry_after.to_le_bytes()],
+                );
+            }
+            Action::Fail { query } => push(ActionCode::Fail, &[&query.to_le_bytes()]),
+            Action::Answer { query, complete } => push(
+                ActionCode::Answer,
+                &[&query.to_le_bytes(), &[u8::from(*complete)]],
+            ),
+            Action::Cancel { part, attempt } => {
+                push(ActionCode::Cancel, &[&part.to_le_bytes(), &[*attempt]]);
+            }
+            Action::SetTimer { token, delay } => push(
+                ActionCode::SetTimer,
+                &[&token.to_le_bytes(), &delay.to_le_bytes()],
+            ),
+            Action::Probe { replica } => push(ActionCode::Probe, &[&replica_bytes(*replica)]),
+            Action::CloseIdleConnections { replica } => push(
+                ActionCode::CloseIdleConnections,
+                &[&replica_bytes(*replica)],
+            ),
+            Action::SubscribeEndpoints { enabled } => {
+                push(ActionCode::SubscribeEndpoints, &[&[u8::from(*enabled)]]);
+            }
+            Action::FetchEndpoints => push(ActionCode::FetchEndpoints, &[]),
+            Action::SendDatagram { to, bytes } => self.push_datagram(instance, *to, bytes),
+            Action::Log(text) => self.push_log(instance, text),
+        }
+    }
+
+    /// `to` is every peer where it is `None`.
+    fn push_datagram(&mut self, instance: InstanceId, to: Option<u32>, bytes: &[u8]) {
+        let bytes = self.append_tail(bytes);
+        let to = to.unwrap_or(ALL_PEERS).to_le_bytes();
+        self.push_record(ActionCode::SendDatagram, instance, &[&to, &bytes]);
+    }
+
+    fn push_log(&mut self, instance: InstanceId, text: &str) {
+        let text = self.append_tail(text.as_bytes());
+        self.push_record(ActionCode::Log, instance, &[&text]);
+    }
+
+    /// Appends a record of these fields, filled up with zero bytes.
+    fn push_record(&mut self, code: ActionCode, instance: InstanceId, fields: &[&[u8]]) {
+        let start = self.records.len();
+        self.records.push(code as u8);
+        self.records.extend(instance.0.to_le_bytes());
+        for field in fields {
+            self.records.extend(*field);
+        }
+        self.records.resize(start + RECORD, 0);
+        self.count += 1;
+    }
+
+    /// Appends bytes to the tail and returns the field that points at them.
+    fn append_tail(&mut self, bytes: &[u8]) -> [u8; TAIL_RANGE] {
+        let mut range = [0; TAIL_RANGE];
+        range[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
+        range[4..].copy_from_slice(&(bytes.len() as u32).to_le_bytes());
+        self.tail.extend(bytes);
+        range
+    }
+}
+
+/// Address and port, as they came in.
+fn replica_bytes(replica: ReplicaId) -> [u8; REPLICA] {
+    let mut bytes = [0; REPLICA];
+    bytes.copy_from_slice(&replica.0.to_le_bytes()[..REPLICA]);
+    bytes
+}
--- a/crates/simulator-adapter/tests/recorded_batches.rs
+++ b/crates/simulator-adapter/tests/recorded_batches.rs
@@ -73,8 +73,7 @@
             .any(|record| record[0] == code);
         assert!(occurs, "no event of code {code}");
     }
-    // Code 9 is a log record, left out; 10 tells that the decision module broke; the module asks for no 8 (datagram) and no
-    // 12 (fetch of the endpoint list) today.
+    // The others (log, crash, datagram, fetch of the endpoint list) are left out or not asked for: see reply_layout.rs.
     for code in [1u8, 2, 3, 4, 5, 6, 7, 11, 13] {
         let start = format!("action {code:02x}");
         assert!(
