--- a/crates/cottonhill/tests/reload.rs
+++ b/crates/cottonhill/tests/reload.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Only for a program that hangs: nothing here waits for time to pass.
-const HANGS: Duration = Duration::from_secs(20);
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Program {
     child: Child,
@@ -22,7 +22,7 @@
     fn start(name: &str, discovery: &str) -> Program {
         let config =
             std::env::temp_dir().join(format!("cottonhill-{}-{name}.json", std::process::id()));
-        fs::write(&config, text(discovery)).unwrap();
+        fs::write(&config, configuration(discovery)).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_cottonhill"))
             .env("BALANCER_CONFIG", &config)
             .env("COTTONHILL_LOG", "info")
@@ -37,20 +37,21 @@
         }
     }
 
-    /// Reads the log up to a line with these words.
-    async fn says(&mut self, words: &str) {
+    /// Reads the log up to a line with this text.
+    async fn wait_for_log(&mut self, message: &str) {
         loop {
-            let line = tokio::time::timeout(HANGS, self.log.next_line()).await;
+            let line = tokio::time::timeout(HANG_TIMEOUT, self.log.next_line()).await;
             let line = line
-                .unwrap_or_else(|_| panic!("it never says '{words}'"))
+                .unwrap_or_else(|_| panic!("never logged: '{message}'"))
                 .unwrap();
-            let line = line.unwrap_or_else(|| panic!("it ended before it said '{words}'"));
-            if line.contains(words) {
+            let line = line.unwrap_or_else(|| panic!("it ended before it logged '{message}'"));
+            if line.contains(message) {
                 return;
             }
         }
     }
 
+    /// Sends a signal and waits for the line that answers it.
     async fn signal(&mut self, signal: &str, answer: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill")
@@ -58,7 +59,7 @@
             .status()
             .unwrap()
             .success());
-        self.says(answer).await;
+        self.wait_for_log(answer).await;
     }
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-fn text(discovery: &str) -> String {
+fn configuration(discovery: &str) -> String {
     let known = json!({"index": 41, "snapshot": true, "endpoints": []});
     let settings = json!({
         "classes": [{"name": "a", "aim_ns": 2, "give_up_ns": 6, "semantics": "read_like"}],
@@ -89,18 +90,18 @@
     (listener, address)
 }
 
-/// The next request there, which is answered with an empty list of this version.
-async fn asked(listener: &TcpListener, index: u64) -> (TcpStream, String) {
-    asked_for(
+/// Answers the next request to discovery with an empty list of this version; returns the request.
+async fn answer_with_empty_list(listener: &TcpListener, index: u64) -> (TcpStream, String) {
+    answer_with(
         listener,
         &json!({"index": index, "snapshot": true, "endpoints": []}).to_string(),
     )
     .await
 }
 
-/// The next request there, which is answered with this object.
-async fn asked_for(listener: &TcpListener, list: &str) -> (TcpStream, String) {
-    let (mut stream, _) = tokio::time::timeout(HANGS, listener.accept())
+/// Answers the next request to discovery with this update; returns the request.
+async fn answer_with(listener: &TcpListener, list: &str) -> (TcpStream, String) {
+    let (mut stream, _) = tokio::time::timeout(HANG_TIMEOUT, listener.accept())
         .await
         .expect("a watch")
         .unwrap();
@@ -117,24 +118,24 @@
 }
 
 #[tokio::test]
-async fn a_reload_moves_the_watch_a_bad_file_changes_nothing_and_the_end_still_comes() {
+async fn reload_moves_the_watch_and_an_invalid_file_changes_nothing() {
     let (old, new) = (discovery().await, discovery().await);
     let mut program = Program::start("reload", &old.1);
-    let (mut first, request) = asked(&old.0, 42).await;
+    let (mut first, request) = answer_with_empty_list(&old.0, 42).await;
     assert!(
         request.contains("watch=1&from=41 "),
         "it goes on from the list it was given: {request}"
     );
     fs::write(&program.config, "{").unwrap();
     program.signal("-HUP", "configuration reload failed").await;
-    fs::write(&program.config, text(&new.1)).unwrap();
+    fs::write(&program.config, configuration(&new.1)).unwrap();
     program.signal("-HUP", "configuration reloaded").await;
-    let (_whole, request) = asked(&new.0, 7).await;
+    let (_whole, request) = answer_with_empty_list(&new.0, 7).await;
     assert!(
         request.starts_with("GET /api/targets HTTP/1.1"),
         "versions are the new one's own: {request}"
     );
-    let (_second, request) = asked(&new.0, 7).await;
+    let (_second, request) = answer_with_empty_list(&new.0, 7).await;
     assert!(
         request.contains("watch=1&from=7 "),
         "it goes on from there: {request}"
@@ -145,16 +146,16 @@
         0,
         "the old watch has ended"
     );
-    fs::write(&program.config, text(&old.1)).unwrap();
+    fs::write(&program.config, configuration(&old.1)).unwrap();
     program.signal("-HUP", "configuration reloaded").await;
-    let _third = asked(&old.0, 43).await;
+    let _third = answer_with_empty_list(&old.0, 43).await;
     program.signal("-TERM", "served all").await;
     assert!(program.child.wait().unwrap().success());
 }
 
 #[tokio::test]
-async fn changes_that_are_of_no_use_are_named_and_the_whole_list_is_asked_for() {
-    for (n, (changes, words)) in [
+async fn unusable_delta_is_logged_and_a_snapshot_requested() {
+    for (n, (changes, message)) in [
         (
             r#"{"index":43,"snapshot":false,"endpoints":[{"status":"draining"}]}"#,
             "entry 0 of version 43 names nobody",
@@ -173,9 +174,9 @@
     {
         let (listener, at) = discovery().await;
         let mut program = Program::start(&format!("astray-{n}"), &at);
-        let _first = asked_for(&listener, changes).await;
-        program.says(words).await;
-        let (_whole, request) = asked(&listener, 7).await;
+        let _first = answer_with(&listener, changes).await;
+        program.wait_for_log(message).await;
+        let (_whole, request) = answer_with_empty_list(&listener, 7).await;
         assert!(
             request.starts_with("GET /api/targets HTTP/1.1"),
             "{request}"
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -8,7 +8,7 @@
 extra.least_share=1.0\nextra.partial_earns=0.9\nextra.second_step=0\nreplicas_of_me=1\ntick_ns=5000000\n\
 limits.retry_after=true\nlimits.max_retry_after_ns=7\nnever.heard.of=this\n";
 
-fn adapter(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_cottonhill-benchlink"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -38,20 +38,20 @@
     out
 }
 
-fn spawn(who: u16, tail: &mut Vec<u8>, settings: &str) -> Vec<u8> {
+fn start_record(instance: u16, tail: &mut Vec<u8>, settings: &str) -> Vec<u8> {
     let at = tail.len() as u32;
     tail.extend(settings.as_bytes());
     let length = settings.len() as u32;
     record(&[
         &[1],
-        &who.to_le_bytes(),
+        &instance.to_le_bytes(),
         &[9; 8],
         &at.to_le_bytes(),
         &length.to_le_bytes(),
     ])
 }
 
-fn pool(number: u32, tail: &mut Vec<u8>, address: &[u8; 6]) -> Vec<u8> {
+fn endpoint_list_record(number: u32, tail: &mut Vec<u8>, address: &[u8; 6]) -> Vec<u8> {
     let at = tail.len() as u32;
     tail.extend(
         [
@@ -73,20 +73,20 @@
     ])
 }
 
-fn changed(who: u16, number: u32) -> Vec<u8> {
+fn endpoints_updated_record(instance: u16, number: u32) -> Vec<u8> {
     record(&[
         &[8],
-        &who.to_le_bytes(),
+        &instance.to_le_bytes(),
         &number.to_le_bytes(),
         &[0; 8],
         &[2],
     ])
 }
 
-fn request(who: u16, id: u64, shard: f32, weight: f32) -> Vec<u8> {
+fn request_record(instance: u16, id: u64, shard: f32, weight: f32) -> Vec<u8> {
     record(&[
         &[7],
-        &who.to_le_bytes(),
+        &instance.to_le_bytes(),
         &id.to_le_bytes(),
         &shard.to_le_bytes(),
         &3_000_000_000u64.to_le_bytes(),
@@ -99,7 +99,7 @@
     ])
 }
 
-fn replies(output: &Output) -> Vec<Vec<Vec<u8>>> {
+fn reply_records(output: &Output) -> Vec<Vec<Vec<u8>>> {
     let (mut bytes, mut found) = (&output.stdout[..], Vec::new());
     while !bytes.is_empty() {
         let field = |at: usize| u32::from_le_bytes(bytes[at..at + 4].try_into().unwrap()) as usize;
@@ -117,32 +117,32 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_ends_it() {
-    let output = adapter(&frame(1, &[], &[]));
+fn empty_batch_gets_an_empty_reply_and_end_of_input_ends_the_program() {
+    let output = run_adapter(&frame(1, &[], &[]));
     assert!(output.status.success());
     assert_eq!(output.stdout, [1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
 }
 
 #[test]
-fn a_query_goes_to_the_listed_replica_in_the_stated_layout() {
+fn part_is_sent_to_the_listed_replica_in_the_stated_layout() {
     let mut tail = Vec::new();
     let address = [10, 18, 74, 7, 0x2b, 0x23];
-    let start = spawn(3, &mut tail, SETTINGS);
-    let list = pool(0, &mut tail, &address);
+    let start = start_record(3, &mut tail, SETTINGS);
+    let list = endpoint_list_record(0, &mut tail, &address);
     let records = [
         start,
         list,
-        changed(3, 0),
-        request(3, 77, -1.0, 1.0),
-        request(3, 78, 0.0, 1.0),
+        endpoints_updated_record(3, 0),
+        request_record(3, 77, -1.0, 1.0),
+        request_record(3, 78, 0.0, 1.0),
     ];
-    let output = adapter(&frame(5, &records, &tail));
+    let output = run_adapter(&frame(5, &records, &tail));
     assert!(
         output.status.success(),
         "{}",
         String::from_utf8_lossy(&output.stderr)
     );
-    let reply = &replies(&output)[0];
+    let reply = &reply_records(&output)[0];
     let send = reply.iter().find(|r| r[0] == 1).expect("an attempt");
     assert_eq!(send[1..3], [3, 0]);
     assert_eq!(send[3..11], 78u64.to_le_bytes());
@@ -151,21 +151,27 @@
 }
 
 #[test]
-fn a_list_number_taken_over_within_a_batch_is_read_in_order() {
+fn endpoint_list_number_reused_within_a_batch_is_resolved_in_order() {
     let mut tail = Vec::new();
     let (old, new) = ([1, 1, 1, 1, 1, 1], [2, 2, 2, 2, 2, 2]);
-    let mut records = vec![spawn(0, &mut tail, SETTINGS), spawn(1, &mut tail, SETTINGS)];
+    let mut records = vec![
+        start_record(0, &mut tail, SETTINGS),
+        start_record(1, &mut tail, SETTINGS),
+    ];
     records.extend([
-        pool(4, &mut tail, &old),
-        changed(0, 4),
-        pool(4, &mut tail, &new),
-        changed(1, 4),
+        endpoint_list_record(4, &mut tail, &old),
+        endpoints_updated_record(0, 4),
+        endpoint_list_record(4, &mut tail, &new),
+        endpoints_updated_record(1, 4),
     ]);
-    for who in [0, 1] {
-        records.extend([request(who, 7, -1.0, 1.0), request(who, 8, 0.0, 1.0)]);
+    for instance in [0, 1] {
+        records.extend([
+            request_record(instance, 7, -1.0, 1.0),
+            request_record(instance, 8, 0.0, 1.0),
+        ]);
     }
-    let output = adapter(&frame(1, &records, &tail));
-    let sent: Vec<_> = replies(&output)[0]
+    let output = run_adapter(&frame(1, &records, &tail));
+    let sent: Vec<_> = reply_records(&output)[0]
         .iter()
         .filter(|r| r[0] == 1)
         .map(|r| (r[1], r[11]))
@@ -174,33 +180,33 @@
 }
 
 #[test]
-fn a_killed_instance_keeps_nothing() {
+fn restarted_instance_has_no_state() {
     let mut tail = Vec::new();
-    let start = spawn(0, &mut tail, SETTINGS);
-    let list = pool(0, &mut tail, &[1; 6]);
+    let start = start_record(0, &mut tail, SETTINGS);
+    let list = endpoint_list_record(0, &mut tail, &[1; 6]);
     let first = frame(
         1,
         &[
             start,
             list,
-            changed(0, 0),
-            request(0, 7, -1.0, 1.0),
-            request(0, 8, 0.0, 1.0),
+            endpoints_updated_record(0, 0),
+            request_record(0, 7, -1.0, 1.0),
+            request_record(0, 8, 0.0, 1.0),
         ],
         &tail,
     );
     let mut tail = Vec::new();
-    let again = spawn(0, &mut tail, SETTINGS);
+    let again = start_record(0, &mut tail, SETTINGS);
     let stop = record(&[&[4], &[0, 0]]);
     let timer = record(&[&[5], &[0, 0]]);
-    let output = adapter(&[first, frame(2, &[stop, again, timer], &tail)].concat());
+    let output = run_adapter(&[first, frame(2, &[stop, again, timer], &tail)].concat());
     assert!(output.status.success());
-    assert_eq!(replies(&output)[1], Vec::<Vec<u8>>::new());
+    assert_eq!(reply_records(&output)[1], Vec::<Vec<u8>>::new());
 }
 
 /// The one line that broken input gets, with no panic trace and no half reply.
-fn complaint(input: &[u8]) -> String {
-    let output = adapter(input);
+fn error_message(input: &[u8]) -> String {
+    let output = run_adapter(input);
     assert!(!output.status.success());
     assert!(output.stdout.is_empty());
     let text = String::from_utf8(output.stderr).expect("plain text");
@@ -209,30 +215,30 @@
 }
 
 #[test]
-fn broken_frames_are_named() {
-    assert!(complaint(&[1, 2, 3]).contains("header cut short"));
+fn malformed_frames_are_reported() {
+    assert!(error_message(&[1, 2, 3]).contains("header cut short"));
     let whole = frame(6, &[record(&[&[5], &[0, 0]])], &[]);
-    assert!(complaint(&whole[..40]).contains("batch 6 cut short"));
+    assert!(error_message(&whole[..40]).contains("batch 6 cut short"));
     let mut crowded = whole.clone();
     crowded[16] = 9;
-    assert!(complaint(&crowded).contains("do not fit"));
-    assert!(complaint(&frame(1, &[record(&[&[99]])], &[])).contains("unknown event code 99"));
+    assert!(error_message(&crowded).contains("do not fit"));
+    assert!(error_message(&frame(1, &[record(&[&[99]])], &[])).contains("unknown event code 99"));
     let beyond = record(&[&[1], &[0; 10], &50u32.to_le_bytes(), &9u32.to_le_bytes()]);
-    assert!(complaint(&frame(1, &[beyond], &[])).contains("past the tail"));
-    assert!(complaint(&frame(1, &[changed(0, 3)], &[])).contains("list 3"));
+    assert!(error_message(&frame(1, &[beyond], &[])).contains("past the tail"));
+    assert!(error_message(&frame(1, &[endpoints_updated_record(0, 3)], &[])).contains("list 3"));
     let outcome = record(&[&[6], &[0; 17], &77u16.to_le_bytes()]);
-    assert!(complaint(&frame(1, &[outcome], &[])).contains("unknown outcome 77"));
+    assert!(error_message(&frame(1, &[outcome], &[])).contains("unknown outcome 77"));
 }
 
 #[test]
-fn bad_settings_are_named() {
-    let tried = |from: &str, to: &str| {
+fn invalid_settings_are_reported() {
+    let message_with = |from: &str, to: &str| {
         let mut tail = Vec::new();
-        let start = spawn(0, &mut tail, &SETTINGS.replace(from, to));
-        complaint(&frame(1, &[start], &tail))
+        let start = start_record(0, &mut tail, &SETTINGS.replace(from, to));
+        error_message(&frame(1, &[start], &tail))
     };
-    assert!(tried("tick_ns=5000000\n", "").contains("tick_ns is missing"));
-    assert!(tried("aim_ns=2000000000", "aim_ns=0").contains("classes.0.aim_ns"));
-    assert!(tried("least_share=1.0", "least_share=NaN").contains("extra.least_share"));
-    assert!(tried("read_like", "whatever").contains("classes.0.semantics"));
+    assert!(message_with("tick_ns=5000000\n", "").contains("tick_ns is missing"));
+    assert!(message_with("aim_ns=2000000000", "aim_ns=0").contains("classes.0.aim_ns"));
+    assert!(message_with("least_share=1.0", "least_share=NaN").contains("extra.least_share"));
+    assert!(message_with("read_like", "whatever").contains("classes.0.semantics"));
 }
