--- a/crates/cottonhill/src/commands/completions.rs
+++ b/crates/cottonhill/src/commands/completions.rs
@@ -1,22 +1,16 @@
 //! `cottonhill completions`: a completion script for a shell.
 
-use super::CommandLine;
 use crate::error::CommandResult;
 use crate::output;
-use clap::CommandFactory;
+use clap::Command;
 use clap_complete::Shell;
 
-/// Prints the script.
+/// Prints the script that completes this command line.
 ///
 /// # Errors
 /// Standard output can't be written.
-pub fn run(shell: Shell) -> CommandResult {
+pub fn run(shell: Shell, mut command_line: Command) -> CommandResult {
     let mut script = Vec::new();
-    clap_complete::generate(
-        shell,
-        &mut CommandLine::command(),
-        "cottonhill",
-        &mut script,
-    );
+    clap_complete::generate(shell, &mut command_line, "cottonhill", &mut script);
     output::print(&script)
 }
--- a/crates/cottonhill/src/commands/mod.rs
+++ b/crates/cottonhill/src/commands/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::error::CommandResult;
 use crate::files::InputFiles;
-use clap::{Parser, Subcommand};
+use clap::{CommandFactory, Parser, Subcommand};
 use ledger::LedgerCommand;
 
 const EXAMPLES: &str = "\
@@ -53,6 +53,6 @@
         None | Some(Command::Serve) => serve::run(&line.files),
         Some(Command::Check) => check::run(&line.files),
         Some(Command::Ledger(command)) => ledger::run(&line.files, command),
-        Some(Command::Completions { shell }) => completions::run(shell),
+        Some(Command::Completions { shell }) => completions::run(shell, CommandLine::command()),
     }
 }
--- a/crates/cottonhill/src/mixer/fronts.rs
+++ b/crates/cottonhill/src/mixer/fronts.rs
@@ -1,6 +1,6 @@
 //! Fronts of other protocols, as the settings ask for them.
 
-use super::bind;
+use super::listener;
 use crate::error::{CommandError, ConfigurationError};
 use crate::log_targets::FRONTS;
 use crate::schema::SCHEMA;
@@ -30,7 +30,7 @@
     };
     let tls = opensearch.tls.clone().map(load_tls).transpose()?;
     let address = opensearch.listen;
-    let listener = bind(address).await?;
+    let listener = listener::bind(address).await?;
     tracing::info!(
         target: FRONTS,
         %address,
--- a/crates/cottonhill/src/mixer/mod.rs
+++ b/crates/cottonhill/src/mixer/mod.rs
@@ -1,6 +1,7 @@
 //! The mixer's process: what is opened at its start, and what signals do to it while it runs.
 
 mod fronts;
+mod listener;
 mod reload;
 mod signals;
 mod usage_recorder;
@@ -15,9 +16,7 @@
 use cottonhill_mixer::protocol::endpoint_updates::EndpointUpdate;
 use cottonhill_mixer::reducer::Reducer;
 use cottonhill_mixer::transport::{self, Clock};
-use std::net::SocketAddr;
 use std::rc::Rc;
-use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 use usage_recorder::UsageLogRecorder;
 
@@ -40,7 +39,7 @@
         None => None,
     };
     let reducer = new_reducer(&config, cached_endpoints, usage_log.as_ref(), clock.now());
-    let listener = bind(config.listen).await?;
+    let listener = listener::bind(config.listen).await?;
     let integrations = transport::Beside {
         recorder: writer.map(|writer| Box::new(UsageLogRecorder(writer)) as _),
         fronts: fronts.start,
@@ -105,9 +104,3 @@
     }
     reducer
 }
-
-async fn bind(address: SocketAddr) -> Result<TcpListener, RuntimeError> {
-    TcpListener::bind(address)
-        .await
-        .map_err(|source| RuntimeError::Listen { address, source })
-}
--- a/crates/cottonhill/src/mixer/signals.rs
+++ b/crates/cottonhill/src/mixer/signals.rs
@@ -1,6 +1,6 @@
 //! Signals to a mixer: SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reloads the files.
 
-use super::MixerContext;
+use super::reload::MixerContext;
 use crate::error::RuntimeError;
 use crate::log_targets::PROGRAM;
 use cottonhill_mixer::transport::Control;
--- a/crates/cottonhill/tests/http.rs
+++ b/crates/cottonhill/tests/http.rs
@@ -7,7 +7,7 @@
 use std::fmt::Write as _;
 use std::fs;
 use std::io::{ErrorKind, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 use support::{assert_golden, program};
@@ -17,9 +17,15 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const WEIGHTS: &str = r#"{"shards":[{"shard":0,"weight":1.0}],"q":"c41e77d0"}"#;
 
-/// A port of loopback that nobody listens on now.
+/// A loopback address of this process's own, so that no other process takes a port that is free for a moment.
+fn own_ip() -> Ipv4Addr {
+    let [_, high, middle, low] = std::process::id().to_be_bytes();
+    Ipv4Addr::new(127, 120 + high % 100, middle, low.max(1))
+}
+
+/// A port that nobody listens on now.
 fn free_address() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let listener = TcpListener::bind((own_ip(), 0)).unwrap();
     listener.local_addr().unwrap()
 }
 
