--- a/crates/mixer/src/reducer/watch_policy.rs
+++ b/crates/mixer/src/reducer/watch_policy.rs
@@ -1,160 +1,166 @@
-//! How fresh the list is kept: how long a watch may say nothing, and when the next is opened after one that ended.
-//! One rule for each way in which discovery announces changes; the settings state which one applies.
+//! When discovery is asked again, and how long it is waited for, so that the endpoint list stays fresh. There is one
+//! rule for each [`WatchMode`]:
 //!
-//! - Pushed: an agent on the mixer's own machine, free to ask, whose list is in force whether or not it is watched.
-//!   Any wait is time in which something in force is not known, so it is a small share of the drain grace, whatever
-//!   the size of the fleet and however often it has failed.
-//! - ClientRequest: one service for all mixers, which serves calls one after another. The calls are spread and become fewer
-//!   as they fail (`Backoff`), within the time after which what it has counts as announced and what the settings let a
-//!   mixer go without asking.
+//! - Push: an agent on the mixer's own machine, which costs nothing to ask and whose list is in force whether or not
+//!   it is watched. Any delay is time in which something in force is not known here, so delays are a small fraction of
+//!   the drain grace, whatever the size of the fleet and however often the agent has failed.
+//! - Poll: one service for all mixers, which serves one request after another. Requests are spread and become fewer as
+//!   they fail ([`Backoff`]), within the time after which what it has counts as announced and the longest time that
+//!   the settings allow without a request.
 
 use super::backoff::Backoff;
 use crate::protocol::endpoint_updates::{self, MAX_UPDATE_BYTES};
 use std::time::Duration;
 
-/// Which way holds, with the time that bounds it.
+/// How discovery announces changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMode {
-    /// Nothing goes to a leaving replica later than `grace` after it was announced as leaving.
-    Push { drain_grace: Duration },
-    /// After `within` without a call the list that discovery has then counts as announced; none where the settings
-    /// do not state it.
-    Poll { max_staleness: Option<Duration> },
+    /// It sends each change over a watch.
+    Push {
+        /// No attempt may start at a replica later than this after it was announced as draining or gone.
+        drain_grace: Duration,
+    },
+    /// It answers requests with the current list.
+    Poll {
+        /// After this time without a request its current list counts as announced; `None` if the settings do not
+        /// bound it.
+        max_staleness: Option<Duration>,
+    },
 }
 
 /// How a watch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchEnd {
-    /// How long it was open or tried for.
+    /// How long it lasted, from the start of its connect.
     pub duration: Duration,
-    /// It brought what was asked for, be it a sign of life.
+    /// An update or a heartbeat was received on it.
     pub received: bool,
-    /// It fell silent: its connection is open and nothing comes.
+    /// It fell silent: its connection is open and nothing is received.
     pub silent: bool,
-    /// What the other end asked for with `Retry-After`.
+    /// The service's `Retry-After`.
     pub retry_after: Option<Duration>,
 }
 
-/// What discovery has counts as announced so long after it had it and could be reached, whichever calls failed
-/// meanwhile; so does what a silent watch misses, from when it fell silent.
+/// How long after discovery has a change it counts as announced here, if discovery can be reached, whichever requests
+/// have failed meanwhile. So does what a silent watch misses, from when it fell silent.
 pub const STALENESS_BOUND: Duration = Duration::from_secs(6);
-/// Of that, what is left for the try that succeeds: to connect, and to be answered.
-const LAST_TRY: Duration = Duration::from_millis(1_500);
-/// A sign of life is due every 2 s; one is late by half of the time between two. Taking a watch that lives for dead
-/// costs one call.
-const SILENT: Duration = Duration::from_secs(3);
-/// A call may wait at the service for as long as it serves others; ours is given up later than its own are.
-const ASKED_ANSWER: Duration = Duration::from_secs(3);
-const ASKED_CONNECT: Duration = Duration::from_secs(1);
-/// Tries at an agent that refuses or resets at once begin no closer than this share of the grace.
-const TRIES_A_GRACE: u32 = 5;
-/// Where the settings state a grace that is no bound, or none.
-const APART: (Duration, Duration) = (Duration::from_millis(25), Duration::from_millis(500));
-/// An agent that is silent now answers what it was asked as soon as it can again; a connection that it has lost is
-/// found out by then.
-const PUSHED_ANSWER: Duration = Duration::from_secs(1);
-
-/// A new process waits for its first list no longer.
-const FIRST_LIST: Duration = Duration::from_secs(1);
-
+/// The part of [`STALENESS_BOUND`] that is left for the request that succeeds, to connect and to be answered.
+const LAST_REQUEST_TIME: Duration = Duration::from_millis(1_500);
+/// Heartbeats are due every 2 s; one is late by half of that. Mistaking a live watch for a silent one costs one
+/// request.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// A request may wait at the service while it serves others; the mixer gives up later than the service does.
+const POLL_ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+const POLL_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Requests to an agent that rejects or resets them at once start no closer together than one in so many of the drain
+/// grace.
+const REQUESTS_PER_DRAIN_GRACE: u32 = 5;
+/// The bounds of the interval between requests to an agent, whatever the drain grace.
+const MIN_PUSH_RETRY_INTERVAL: Duration = Duration::from_millis(25);
+const MAX_PUSH_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// An agent that is silent now answers as soon as it can again; a connection that it has lost is found out by then.
+const PUSH_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// The longest that a new process waits for its first endpoint update.
+const MAX_INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// When discovery is asked again, and how long it is waited for.
 #[derive(Clone, Debug)]
 pub struct WatchPolicy {
-    way: WatchMode,
+    mode: WatchMode,
     backoff: Backoff,
-    /// The most bytes of one message.
     max_update_bytes: usize,
 }
 
 impl WatchPolicy {
-    /// For one of so many `mixers`; they must have different seeds, or they would ask alike.
-    pub fn new(way: WatchMode, seed: u64, mixers: u32) -> WatchPolicy {
+    /// For one of `mixers` mixers. They must have different seeds, or they would ask in step.
+    pub fn new(mode: WatchMode, seed: u64, mixers: u32) -> WatchPolicy {
         WatchPolicy {
-            way,
-            backoff: Backoff::new(seed, mixers, apart(way)),
+            mode,
+            backoff: Backoff::new(seed, mixers, max_retry_interval(mode)),
             max_update_bytes: MAX_UPDATE_BYTES,
         }
     }
 
-    /// Sets the bytes that the process may use: the text of a list takes its share of them at most.
+    /// Sets the memory that the process may use, in bytes, of which an update may take a fraction.
     pub fn limit_memory(&mut self, memory: usize) {
         self.max_update_bytes = endpoint_updates::max_update_bytes(memory);
     }
 
-    /// The most bytes of one message of discovery; a longer one is refused.
+    /// The most bytes of one update; a larger one is rejected.
     pub fn max_update_bytes(&self) -> usize {
         self.max_update_bytes
     }
 
-    /// For a connection to come up.
+    /// How long a connect to discovery may take.
     pub fn connect_timeout(&self) -> Duration {
-        match self.way {
-            WatchMode::Push { .. } => 2 * apart(self.way),
-            WatchMode::Poll { .. } => ASKED_CONNECT.min(apart(self.way) / 4),
+        let retry_interval = max_retry_interval(self.mode);
+        match self.mode {
+            WatchMode::Push { .. } => 2 * retry_interval,
+            WatchMode::Poll { .. } => POLL_CONNECT_TIMEOUT.min(retry_interval / 4),
         }
     }
 
-    /// For the first sign of life of a new watch.
+    /// How long a new watch may take until an update or a heartbeat is received.
     pub fn answer_timeout(&self) -> Duration {
-        match self.way {
-            WatchMode::Push { .. } => PUSHED_ANSWER,
-            // The next try begins in time even if this one is never answered.
-            WatchMode::Poll { .. } => ASKED_ANSWER.min(apart(self.way) - self.connect_timeout()),
+        match self.mode {
+            WatchMode::Push { .. } => PUSH_ANSWER_TIMEOUT,
+            // The next request starts in time even if this one is never answered.
+            WatchMode::Poll { .. } => {
+                POLL_ANSWER_TIMEOUT.min(max_retry_interval(self.mode) - self.connect_timeout())
+            }
         }
     }
 
-    /// For the first list after a start, before which nothing is sent: what discovery had long ago counts as announced
-    /// to a new process as well. One that has left it unanswered for so long is silent or overbooked, and the
-    /// remembered list is the best there is.
+    /// How long a new process waits for its first endpoint update, before which no attempt is made: what discovery has
+    /// had for long counts as announced to a new process as well. If discovery does not answer in this time, the
+    /// cached list is the best there is.
     pub fn initial_list_timeout(&self) -> Duration {
-        FIRST_LIST.min(self.answer_timeout())
+        MAX_INITIAL_LIST_TIMEOUT.min(self.answer_timeout())
     }
 
-    /// Whether a new address means another list, with versions of its own: agents have one each, a service one for
-    /// all.
+    /// Whether each address of discovery has versions of its own: agents do, a service has one list for all.
     pub fn versions_differ_by_address(&self) -> bool {
-        matches!(self.way, WatchMode::Push { .. })
+        matches!(self.mode, WatchMode::Push { .. })
     }
 
-    /// Between two signs of life.
+    /// How long nothing may be received on a watch that has received something.
     pub fn silence_timeout(&self) -> Duration {
-        SILENT
+        SILENCE_TIMEOUT
     }
 
-    /// How long to wait after a watch that ended so.
+    /// How long to wait after a watch that has ended, until the next one is started.
     pub fn next_delay(&mut self, ended: WatchEnd) -> Duration {
-        let apart = apart(self.way);
-        match self.way {
-            // The agent's list is in force at once, so what it asks for does not count.
-            WatchMode::Push { .. } => apart.saturating_sub(ended.duration),
+        let retry_interval = max_retry_interval(self.mode);
+        match self.mode {
+            // The agent's list is in force at once, so its Retry-After does not count.
+            WatchMode::Push { .. } => retry_interval.saturating_sub(ended.duration),
             WatchMode::Poll { .. } => {
-                let room = match ended {
-                    // The clock for silence has run since the last line, and runs on.
-                    WatchEnd {
-                        received: true,
-                        silent: true,
-                        ..
-                    } => STALENESS_BOUND - SILENT - LAST_TRY,
-                    WatchEnd { received: true, .. } => apart,
-                    // Discovery may have come back right after this try began.
-                    WatchEnd {
-                        received: false,
-                        duration,
-                        ..
-                    } => apart.saturating_sub(duration),
-                };
+                let limit = max_poll_delay(retry_interval, ended).min(retry_interval);
                 self.backoff
-                    .after(ended.received, ended.retry_after, room.min(apart))
+                    .next_delay(ended.received, ended.retry_after, limit)
             }
         }
     }
 }
 
-/// The most that lies between the beginnings of two tries that fail.
-fn apart(way: WatchMode) -> Duration {
-    match way {
-        WatchMode::Push { drain_grace } => (drain_grace / TRIES_A_GRACE).clamp(APART.0, APART.1),
+/// The longest delay after which the next request is still in time.
+fn max_poll_delay(retry_interval: Duration, ended: WatchEnd) -> Duration {
+    match (ended.received, ended.silent) {
+        // The staleness counts from when the watch fell silent.
+        (true, true) => STALENESS_BOUND - SILENCE_TIMEOUT - LAST_REQUEST_TIME,
+        (true, false) => retry_interval,
+        // Discovery may have come back right after this request was started.
+        (false, _) => retry_interval.saturating_sub(ended.duration),
+    }
+}
+
+/// The longest time between the starts of two requests that fail.
+fn max_retry_interval(mode: WatchMode) -> Duration {
+    match mode {
+        WatchMode::Push { drain_grace } => (drain_grace / REQUESTS_PER_DRAIN_GRACE)
+            .clamp(MIN_PUSH_RETRY_INTERVAL, MAX_PUSH_RETRY_INTERVAL),
         WatchMode::Poll { max_staleness } => {
-            (STALENESS_BOUND - LAST_TRY).min(max_staleness.unwrap_or(Duration::MAX))
+            (STALENESS_BOUND - LAST_REQUEST_TIME).min(max_staleness.unwrap_or(Duration::MAX))
         }
     }
 }
