--- a/crates/mixer/src/reducer/replica_table.rs
+++ b/crates/mixer/src/reducer/replica_table.rs
@@ -1,4 +1,4 @@
-//! The table of replicas: compact records, found by number and by name. It decides nothing.
+//! The table of replicas: compact records, found by id and by name. It decides nothing.
 
 use crate::protocol::endpoint_updates::Address;
 use cottonhill_decisions::{EndpointStatus, Nanos, ReplicaId};
@@ -6,19 +6,19 @@
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 
-/// A leaf server as last listed. A fleet has very many: a field here is paid for that often.
+/// A leaf server as last announced. A fleet has very many, so each byte here counts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Replica {
-    /// Its number for the decision module.
+    /// Its id for the coordinator; each process has ids of its own.
     pub id: ReplicaId,
-    /// As listed; identical at every mixer.
+    /// Its name, identical at every mixer.
     pub name: Box<str>,
     pub(super) address: Address,
-    /// The latest of the starts that were announced.
+    /// The latest start that was announced, in Unix nanoseconds.
     pub(super) started: Nanos,
     /// The cell that it holds.
     pub cell: u16,
-    /// Its zone's number in the settings.
+    /// Its zone's index in the settings.
     pub zone: u16,
     /// What may be sent to it.
     pub status: EndpointStatus,
@@ -36,103 +36,100 @@
 /// Where a record is in the table, for as long as it is there.
 pub type Slot = u32;
 
-/// Records by slot, with an index by number and one by name. A name is stored once, in its record.
+/// Records by slot, with an index by id and one by name. A name is stored once, in its record.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
     records: Vec<Option<Replica>>,
     /// Slots without a record.
-    free: Vec<Slot>,
-    by_id: HashTable<Slot>,
-    by_name: HashTable<Slot>,
+    free_slots: Vec<Slot>,
+    slots_by_id: HashTable<Slot>,
+    slots_by_name: HashTable<Slot>,
     hasher: RandomState,
 }
 
 impl ReplicaTable {
     /// Number of records.
     pub fn len(&self) -> usize {
-        self.by_id.len()
+        self.slots_by_id.len()
     }
 
     /// Whether there is no record.
     pub fn is_empty(&self) -> bool {
-        self.by_id.is_empty()
+        self.slots_by_id.is_empty()
     }
 
-    /// Makes room for so many more records, and no more than that.
+    /// Reserves memory for exactly so many more records.
     pub fn reserve(&mut self, additional: usize) {
         let (records, hasher) = (&mut self.records, &self.hasher);
-        records.reserve_exact(additional.saturating_sub(self.free.len()));
-        self.by_id
+        records.reserve_exact(additional.saturating_sub(self.free_slots.len()));
+        self.slots_by_id
             .reserve(additional, |slot| hash_id(hasher, records, *slot));
-        self.by_name
+        self.slots_by_name
             .reserve(additional, |slot| hash_name(hasher, records, *slot));
     }
 
-    /// The slot of the replica with this number.
-    pub fn slot(&self, id: ReplicaId) -> Option<Slot> {
-        let is_it = |slot: &Slot| self.at(*slot).is_some_and(|replica| replica.id == id);
-        self.by_id.find(self.hasher.hash_one(id), is_it).copied()
+    /// The slot of the replica with this id.
+    pub fn slot_of_id(&self, id: ReplicaId) -> Option<Slot> {
+        let has_id = |slot: &Slot| self.record(*slot).is_some_and(|replica| replica.id == id);
+        let hash = self.hasher.hash_one(id);
+        self.slots_by_id.find(hash, has_id).copied()
     }
 
-    /// The slot of the replica of this name.
+    /// The slot of the replica with this name.
     pub fn slot_of_name(&self, name: &str) -> Option<Slot> {
-        let is_it = |slot: &Slot| self.at(*slot).is_some_and(|replica| *replica.name == *name);
-        self.by_name
-            .find(self.hasher.hash_one(name), is_it)
-            .copied()
+        let has_name = |slot: &Slot| {
+            self.record(*slot)
+                .is_some_and(|replica| *replica.name == *name)
+        };
+        let hash = self.hasher.hash_one(name);
+        self.slots_by_name.find(hash, has_name).copied()
     }
 
-    /// The replica with this number.
+    /// The replica with this id.
     pub fn get(&self, id: ReplicaId) -> Option<&Replica> {
-        self.at(self.slot(id)?)
+        self.record(self.slot_of_id(id)?)
     }
 
     /// The replica in a slot.
-    pub fn at(&self, slot: Slot) -> Option<&Replica> {
+    pub fn record(&self, slot: Slot) -> Option<&Replica> {
         self.records.get(slot as usize)?.as_ref()
     }
 
-    /// To change what is listed of a replica; its number and its name stay.
-    pub(super) fn at_mut(&mut self, slot: Slot) -> Option<&mut Replica> {
+    /// The replica in a slot, to change what is announced of it. Its id and its name must stay.
+    pub(super) fn record_mut(&mut self, slot: Slot) -> Option<&mut Replica> {
         self.records.get_mut(slot as usize)?.as_mut()
     }
 
-    /// Adds a replica whose number and name are not in the table.
+    /// Adds a replica whose id and name are not in the table.
     pub fn insert(&mut self, replica: Replica) -> Slot {
-        let (id, name) = (
-            self.hasher.hash_one(replica.id),
-            self.hasher.hash_one(&*replica.name),
-        );
-        let slot = match self.free.pop() {
-            Some(slot) => slot,
-            None => {
-                self.records.push(None);
-                (self.records.len() - 1) as Slot
-            }
-        };
+        let id_hash = self.hasher.hash_one(replica.id);
+        let name_hash = self.hasher.hash_one(&*replica.name);
+        let slot = self.take_free_slot();
         self.records[slot as usize] = Some(replica);
         let (records, hasher) = (&self.records, &self.hasher);
-        self.by_id
-            .insert_unique(id, slot, |slot| hash_id(hasher, records, *slot));
-        self.by_name
-            .insert_unique(name, slot, |slot| hash_name(hasher, records, *slot));
+        self.slots_by_id
+            .insert_unique(id_hash, slot, |slot| hash_id(hasher, records, *slot));
+        self.slots_by_name
+            .insert_unique(name_hash, slot, |slot| hash_name(hasher, records, *slot));
         slot
     }
 
-    /// Takes a replica out; its slot may be used by another from then on.
+    fn take_free_slot(&mut self) -> Slot {
+        if let Some(slot) = self.free_slots.pop() {
+            return slot;
+        }
+        self.records.push(None);
+        (self.records.len() - 1) as Slot
+    }
+
+    /// Removes a replica; its slot may be used by another from then on.
     pub fn remove(&mut self, id: ReplicaId) -> Option<Replica> {
-        let slot = self.slot(id)?;
+        let slot = self.slot_of_id(id)?;
         let replica = self.records.get_mut(slot as usize)?.take()?;
-        let (id, name) = (
-            self.hasher.hash_one(id),
-            self.hasher.hash_one(&*replica.name),
-        );
-        for (index, hash) in [(&mut self.by_id, id), (&mut self.by_name, name)] {
-            if let Ok(entry) = index.find_entry(hash, |other| *other == slot) {
-                entry.remove();
-            }
-        }
-        self.free.push(slot);
+        remove_slot(&mut self.slots_by_id, self.hasher.hash_one(id), slot);
+        let name_hash = self.hasher.hash_one(&*replica.name);
+        remove_slot(&mut self.slots_by_name, name_hash, slot);
+        self.free_slots.push(slot);
         Some(replica)
     }
 
@@ -145,6 +142,12 @@
     }
 }
 
+fn remove_slot(index: &mut HashTable<Slot>, hash: u64, slot: Slot) {
+    if let Ok(entry) = index.find_entry(hash, |other| *other == slot) {
+        entry.remove();
+    }
+}
+
 fn hash_id(hasher: &RandomState, records: &[Option<Replica>], slot: Slot) -> u64 {
     records[slot as usize]
         .as_ref()
--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -100,7 +100,7 @@
     /// The id of the replica with this name.
     pub fn id_of_name(&self, name: &str) -> Option<ReplicaId> {
         let slot = self.table.slot_of_name(name)?;
-        self.table.at(slot).map(|replica| replica.id)
+        self.table.record(slot).map(|replica| replica.id)
     }
 
     /// Number of replicas, with those gone that are remembered.
@@ -271,7 +271,7 @@
         if changes.duplicate_entries > MAX_LOGGED_ENTRIES {
             return;
         }
-        let replica = self.table.at(applied.slot);
+        let replica = self.table.record(applied.slot);
         tracing::warn!(
             target: log_targets::REPLICAS, index = version,
             name = replica.map(|replica| &*replica.name),
@@ -300,7 +300,7 @@
         entry: EndpointEntry,
         known: Option<Slot>,
     ) -> Option<ResolvedEntry> {
-        let replica = known.and_then(|slot| self.table.at(slot));
+        let replica = known.and_then(|slot| self.table.record(slot));
         let started = entry.started_ms.saturating_mul(NANOS_PER_MS);
         let status = match entry.status {
             // A server that is up can't be reached without an address: it may have left the one that is known.
@@ -362,7 +362,7 @@
             status,
         } = entry;
         let slot = known.unwrap_or_else(|| self.add_replica(name, address.clone(), started));
-        let replica = self.table.at_mut(slot)?;
+        let replica = self.table.record_mut(slot)?;
         let id = replica.id;
         let unchanged = (replica.cell, replica.zone, replica.status) == (cell, zone, status)
             && replica.started == started
@@ -410,7 +410,7 @@
 
     /// Sets the status of a replica, with everything that is counted or remembered by it.
     fn set_status(&mut self, now: Nanos, slot: Slot, status: EndpointStatus) {
-        let Some(replica) = self.table.at_mut(slot) else {
+        let Some(replica) = self.table.record_mut(slot) else {
             return;
         };
         let id = replica.id;
@@ -442,7 +442,7 @@
         unlisted.sort_unstable();
         for (_, slot) in unlisted {
             self.set_status(now, slot, EndpointStatus::Gone);
-            if let Some(replica) = self.table.at(slot) {
+            if let Some(replica) = self.table.record(slot) {
                 endpoints.push(Endpoint {
                     replica: replica.id,
                     cell: replica.cell,
--- a/crates/mixer/src/reducer/usage.rs
+++ b/crates/mixer/src/reducer/usage.rs
@@ -1,20 +1,20 @@
-//! Usage records, as the ledger counts them: one for each query that ended.
+//! Usage records, which the ledger counts: one for each query that ended.
 
 use cottonhill_decisions::Nanos;
 use xxhash_rust::xxh3::Xxh3;
 
-/// The key that joins the tries of one use: the same at every mixer and in every run, so that a retry at another mixer
-/// is recognised. Odd if the client gave it; 0 is no key.
+/// Joins a query with its client's retries of it: the same at every mixer and in every run, so that a retry at another
+/// mixer is recognised. Odd if it comes from the client's idempotency key; 0 stands for no key.
 pub type DeduplicationKey = u64;
 
-/// The key of a use for which the client gave an idempotency key.
+/// The key of a query that has an idempotency key of its client's.
 pub fn key_of_client(class: &str, key: &str) -> DeduplicationKey {
-    let mut hash = hash_of(class);
+    let mut hash = hash_class(class);
     hash.update(key.as_bytes());
     hash.digest() | 1
 }
 
-/// The key of a use by the content of its query: the class, the parts (shard and weight) in any order, and the text.
+/// The key of a query by its content: the class, the parts (shard and weight) in any order, and the text.
 pub fn key_of_query(
     class: &str,
     parts: impl Iterator<Item = (u32, f64)>,
@@ -24,7 +24,7 @@
         .map(|(shard, weight)| (shard, weight.to_bits()))
         .collect();
     parts.sort_unstable();
-    let mut hash = hash_of(class);
+    let mut hash = hash_class(class);
     for (shard, weight) in parts {
         hash.update(&shard.to_le_bytes());
         hash.update(&weight.to_le_bytes());
@@ -34,12 +34,12 @@
     hash.digest() & !1 | 2
 }
 
-/// Whether a key is one that the client gave.
+/// Whether a key comes from a client's idempotency key.
 pub fn is_client_key(key: DeduplicationKey) -> bool {
     key & 1 != 0
 }
 
-fn hash_of(class: &str) -> Xxh3 {
+fn hash_class(class: &str) -> Xxh3 {
     let mut hash = Xxh3::new();
     hash.update(class.as_bytes());
     hash.update(&[0]);
@@ -53,49 +53,49 @@
     Complete,
     /// Answered from parts with this share of the weight, in millionths.
     Partial(u32),
-    /// Refused, with advice to come back.
+    /// Rejected, with a Retry-After if one is known.
     Rejected,
-    /// Neither answered nor refused in time.
+    /// Neither answered nor rejected in time.
     Failed,
-    /// The client left before the answer.
+    /// The client disconnected before the reply.
     ClientDisconnected,
 }
 
 /// One query that ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UsageRecord {
-    /// Counts from 1 over the records of this run, without a gap.
+    /// Numbers the records of this process from 1, without a gap.
     pub sequence: u64,
     /// The tenant's index in the settings.
     pub tenant: u32,
     /// The class's index in the settings.
     pub class: u16,
-    /// Unix nanoseconds by this mixer's clock; never before what a mark has said to be complete.
+    /// When the request arrived, in Unix nanoseconds by this mixer's clock; not before any watermark recorded earlier.
     pub arrived: Nanos,
     /// How it ended for its client.
     pub outcome: QueryOutcome,
-    /// Parts that the query asked for.
+    /// Number of parts requested.
     pub parts: u32,
-    /// Attempts at them, with repeats.
+    /// Number of attempts at the parts, retries and hedged requests included.
     pub attempts: u32,
     /// Of the attempts, those to replicas in other zones.
     pub cross_zone_attempts: u32,
-    /// The client marked it as a repeat of an earlier try.
+    /// The client marked it as a retry.
     pub client_retry: bool,
-    /// Joins it with other tries of the same use.
+    /// Joins it with its client's retries.
     pub key: DeduplicationKey,
-    /// The key is one that the client gave.
+    /// The key comes from the client's idempotency key.
     pub key_from_client: bool,
 }
 
-/// Every query that arrived before `complete` and has ended is recorded with a sequence up to `sequence`, and none
-/// that arrived before it will follow.
+/// Up to when the records are complete: all queries that arrived before `complete_until` have ended and are recorded
+/// with numbers up to `sequence`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Watermark {
-    /// The last sequence number that it covers.
+    /// The number of the last record before the watermark.
     pub sequence: u64,
     /// Unix nanoseconds by this mixer's clock.
     pub complete_until: Nanos,
-    /// No record follows: the mixer ends.
+    /// No record follows, since the process exits.
     pub last: bool,
 }
