--- a/crates/mixer/src/reducer/attempt_results.rs
+++ b/crates/mixer/src/reducer/attempt_results.rs
@@ -26,7 +26,7 @@
                 self.on_probe_answer(now, id, ok, &report);
             }
             LeafResponse::ProtocolError(words) => {
-                tracing::warn!(target: log_targets::CONNECTIONS, link = id, words, "leaf server could not use a frame");
+                tracing::warn!(target: log_targets::CONNECTIONS, link = id, words, "leaf server reported a protocol error");
             }
             LeafResponse::Malformed(wire_id) => {
                 self.on_malformed_answer(now, id, wire_id.as_deref());
@@ -86,7 +86,7 @@
             target: log_targets::CONNECTIONS, link = id,
             replica = replica.0,
             id = wire_id,
-            "spoilt answer: its connection is closed"
+            "malformed answer, connection closed"
         );
         let failed = connection.attempt_of_malformed_answer(wire_id);
         let in_flight = connection.written_attempts();
--- a/crates/mixer/src/reducer/batch.rs
+++ b/crates/mixer/src/reducer/batch.rs
@@ -55,7 +55,7 @@
     /// Guards the rule that every accepted query is answered in time, should the coordinator miss one.
     fn on_query_deadline(&mut self, now: Nanos, id: RequestId) {
         self.counters.faults.deadline_reached += 1;
-        tracing::error!(target: log_targets::BATCHES, id, "query still open at the last moment");
+        tracing::error!(target: log_targets::BATCHES, id, "query failed: still open at its deadline");
         self.events.push(Event::ClientDisconnected { id });
         self.fail_query(now, id);
     }
--- a/crates/mixer/src/reducer/client_requests.rs
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -133,7 +133,7 @@
             tracing::info!(
                 target: log_targets::CLIENTS, queries = self.queries.len(),
                 open_parts,
-                "over the cap: query refused"
+                "query rejected: open-query limit reached"
             );
             return self.reject_before_decision(now, client, received_at, &request);
         }
@@ -142,7 +142,7 @@
             self.counters.requests.no_time_left += 1;
             tracing::info!(
                 target: log_targets::CLIENTS, timeout_ms = request.timeout / NANOS_PER_MS,
-                "no time left: query refused"
+                "query rejected: no time left"
             );
             return self.reject_before_decision(now, client, received_at, &request);
         }
@@ -219,7 +219,7 @@
             class = request.class,
             patience_ms = time_left / NANOS_PER_MS,
             open_parts,
-            "query taken"
+            "query accepted"
         );
     }
 
--- a/crates/mixer/src/reducer/connection_handling.rs
+++ b/crates/mixer/src/reducer/connection_handling.rs
@@ -134,7 +134,7 @@
         self.counters.connections.write_stalled += 1;
         tracing::info!(
             target: log_targets::CONNECTIONS, link = id,
-            "a call was not taken by its connection while it might begin: closed"
+            "call not written in time, connection closed"
         );
         self.close_connection(now, id);
     }
--- a/crates/mixer/src/reducer/discovery.rs
+++ b/crates/mixer/src/reducer/discovery.rs
@@ -83,7 +83,7 @@
             changed = changes.endpoints.len(),
             leaving = changes.leaving.len(),
             since_heard_ms = self.discovery.ms_since_heard(now),
-            "list taken"
+            "endpoint update applied"
         );
         self.discovery.last_heard_at = now;
         if self.replicas.has_ready() {
@@ -97,7 +97,7 @@
         // What waits for a replica that is draining or gone is never sent, nor what waits for an address that a
         // replica has left.
         for replica in changes.leaving {
-            tracing::debug!(target: log_targets::CONNECTIONS, replica = replica.0, index, "replica announced as leaving");
+            tracing::debug!(target: log_targets::CONNECTIONS, replica = replica.0, index, "replica announced as draining or gone");
             for connection in self.replicas.connections(replica).to_vec() {
                 self.withdraw_unsent_attempts(now, connection);
             }
@@ -123,7 +123,7 @@
         self.counters.watches.startup_timeouts += 1;
         tracing::warn!(
             target: log_targets::BATCHES, index = self.replicas.version(),
-            "discovery is silent: the list held before is in force"
+            "no endpoint update in time at startup, cached endpoint list used"
         );
         self.on_discovery_settled(now);
     }
--- a/crates/mixer/src/reducer/dispatch.rs
+++ b/crates/mixer/src/reducer/dispatch.rs
@@ -23,7 +23,7 @@
         let cross_zone = self.is_in_other_zone(replica);
         let Some(part) = self.queries.part_mut(part_id) else {
             self.counters.faults.invalid_actions += 1;
-            tracing::error!(target: log_targets::ATTEMPTS, id = part_id, "a send for a part that is over");
+            tracing::error!(target: log_targets::ATTEMPTS, id = part_id, "send for an unknown part");
             return;
         };
         let id = AttemptId {
--- a/crates/mixer/src/reducer/query_completion.rs
+++ b/crates/mixer/src/reducer/query_completion.rs
@@ -81,7 +81,7 @@
                 target: log_targets::BATCHES, landed = ended.answered_weight(),
                 whole = complete,
                 class = ended.query.class,
-                "an answer that its parts do not bear out"
+                "query failed: decided answer overstates its parts"
             );
             return Reply::Failed;
         }
@@ -135,9 +135,9 @@
         return;
     }
     let outcome = match reply {
-        Reply::Answer { complete: true, .. } => "whole",
+        Reply::Answer { complete: true, .. } => "complete",
         Reply::Answer { .. } => "partial",
-        Reply::Rejected { .. } => "refused",
+        Reply::Rejected { .. } => "rejected",
         _ => "failed",
     };
     tracing::debug!(
--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -257,7 +257,7 @@
             status = ?entry.status,
             in_force = self.version,
             known = self.table.len(),
-            "takes away a server that is not listed"
+            "endpoint update removes an unlisted server"
         );
     }
 
@@ -276,7 +276,7 @@
             target: log_targets::REPLICAS, index = version,
             name = replica.map(|replica| &*replica.name),
             standing = ?applied.endpoint.status,
-            "listed twice in one list: the last entry holds"
+            "duplicate endpoint in update, last entry used"
         );
     }
 
@@ -395,7 +395,7 @@
         self.last_id += 1;
         let id = ReplicaId(self.last_id);
         // Each process has ids of its own: logs of several mixers can be joined only by name.
-        tracing::debug!(target: log_targets::REPLICAS, replica = id.0, name, address = %SocketAddr::from(&address), "replica numbered");
+        tracing::debug!(target: log_targets::REPLICAS, replica = id.0, name, address = %SocketAddr::from(&address), "replica id assigned");
         self.table.insert(Replica {
             id,
             name,
--- a/crates/mixer/tests/lists.rs
+++ b/crates/mixer/tests/lists.rs
@@ -248,7 +248,7 @@
             harness.told(&harness::address(1), last);
             harness.listed(snapshot, &[(1, first, 0), (1, last, 0)]);
             assert_eq!(harness.state.counters().update_faults.duplicate_entries, 1);
-            logs.assert_one("WARN", &["index=2", "s-1", "twice"]);
+            logs.assert_one("WARN", &["index=2", "s-1", "duplicate endpoint in update"]);
             let client = harness.ask(1, &[1.0]);
             harness.open_all();
             harness.answer_all();
@@ -304,7 +304,10 @@
     for status in ["removed", "draining"] {
         let logs = Logs::collect();
         assert_eq!(kept_after(Some(status)), without);
-        logs.assert_one("INFO", &["index=2", "s-9", "in_force=1", "not listed"]);
+        logs.assert_one(
+            "INFO",
+            &["index=2", "s-9", "in_force=1", "removes an unlisted server"],
+        );
     }
     let mut harness = Harness::new(1);
     harness.listed(true, &[(1, "up", 0), (2, "draining", 0)]);
