--- a/crates/mixer/src/reducer/client_requests.rs
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -196,9 +196,7 @@
             client_retry: request.client_retry,
         });
         let parts = self.accept_parts(id, group, &request);
-        self.counters.requests.queries += 1;
-        self.counters.requests.parts += parts.len() as u64;
-        self.counters.requests.client_retries += u64::from(request.client_retry);
+        self.count_accepted(&request);
         let deadline = now + time_left;
         self.timers.set(deadline, Timer::QueryDeadline(id));
         let query = Query {
@@ -223,6 +221,13 @@
         );
     }
 
+    fn count_accepted(&mut self, request: &QueryRequest) {
+        let requests = &mut self.counters.requests;
+        requests.queries += 1;
+        requests.parts += request.parts.len() as u64;
+        requests.client_retries += u64::from(request.client_retry);
+    }
+
     /// Opens the parts of a query; returns their ids.
     fn accept_parts(
         &mut self,
--- a/crates/mixer/src/reducer/connection_handling.rs
+++ b/crates/mixer/src/reducer/connection_handling.rs
@@ -1,6 +1,6 @@
 //! Connections to leaf servers: when they are opened, chosen, withdrawn and closed.
 
-use super::leaf_connection::Phase;
+use super::leaf_connection::ConnectionPhase;
 use super::timers::Timer;
 use super::{ConnectionId, Effect, Reducer};
 use crate::log_targets;
@@ -33,8 +33,8 @@
             .get(id)
             .map(|connection| connection.phase())
         {
-            Some(Phase::Connecting) => self.counters.connections.connect_failed += 1,
-            Some(Phase::Open) => self.counters.connections.broken += 1,
+            Some(ConnectionPhase::Connecting) => self.counters.connections.connect_failed += 1,
+            Some(ConnectionPhase::Open) => self.counters.connections.broken += 1,
             None => {}
         }
         self.remove_connection(now, id);
@@ -45,7 +45,7 @@
             .connections
             .get(id)
             .map(|connection| connection.phase());
-        if phase == Some(Phase::Connecting) {
+        if phase == Some(ConnectionPhase::Connecting) {
             self.counters.connections.connect_failed += 1;
             self.close_connection(now, id);
         }
--- a/crates/mixer/src/reducer/dispatch.rs
+++ b/crates/mixer/src/reducer/dispatch.rs
@@ -10,6 +10,7 @@
 use cottonhill_decisions::{
     EndpointStatus, Event, LoadReport, Nanos, Outcome, ReplicaId, RequestId,
 };
+use std::rc::Rc;
 
 impl Reducer {
     /// Makes an attempt at a part. `expires_at` of 0 stands for the deadline of its query.
@@ -42,11 +43,6 @@
         let Some(connection) = self.connection_for(now, replica, &wire_id) else {
             return self.end_unplaced_attempt(id, replica, Outcome::ConnectFailed);
         };
-        let max_parts = self.settings.max_parts_per_call;
-        self.connections
-            .queue_attempt(connection, id, wire_id, max_parts);
-        self.connections.schedule_flush(connection);
-        self.timers.set(expires_at, Timer::AttemptDeadline(id));
         let attempt = Attempt {
             replica,
             connection,
@@ -54,6 +50,17 @@
             shard,
             text,
         };
+        self.queue_attempt(id, wire_id, attempt);
+    }
+
+    /// Queues an attempt on its connection.
+    fn queue_attempt(&mut self, id: AttemptId, wire_id: Rc<str>, attempt: Attempt) {
+        let max_parts = self.settings.max_parts_per_call;
+        self.connections
+            .queue_attempt(attempt.connection, id, wire_id, max_parts);
+        self.connections.schedule_flush(attempt.connection);
+        self.timers
+            .set(attempt.expires_at, Timer::AttemptDeadline(id));
         self.attempts.insert(id, attempt);
     }
 
--- a/crates/mixer/src/reducer/leaf_connection.rs
+++ b/crates/mixer/src/reducer/leaf_connection.rs
@@ -39,7 +39,7 @@
 
 /// How far the connection has come up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Phase {
+pub enum ConnectionPhase {
     /// The connect is under way; nothing can be written.
     Connecting,
     /// Frames can be written.
@@ -92,7 +92,7 @@
 /// The state of one connection to a leaf server.
 #[derive(Debug)]
 pub struct LeafConnection {
-    phase: Phase,
+    phase: ConnectionPhase,
     waiting: VecDeque<QueuedFrame>,
     /// The frame that the socket has and has not yet taken whole.
     writing: Option<QueuedFrame>,
@@ -118,7 +118,7 @@
     /// A connection whose connect begins now.
     pub fn new(now: Nanos) -> LeafConnection {
         LeafConnection {
-            phase: Phase::Connecting,
+            phase: ConnectionPhase::Connecting,
             waiting: VecDeque::new(),
             writing: None,
             handed_over_at: now,
@@ -133,7 +133,7 @@
     }
 
     /// How far the connection has come up.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> ConnectionPhase {
         self.phase
     }
 
@@ -206,14 +206,14 @@
 
     /// The connect has succeeded.
     pub fn on_connected(&mut self, now: Nanos) {
-        self.phase = Phase::Open;
+        self.phase = ConnectionPhase::Open;
         self.last_received_at = now;
     }
 
     /// The next frame for the socket; `None` until [`LeafConnection::on_frame_written`] reports the one before, since
     /// what waits here can still be dropped whole.
     pub fn next_frame(&mut self, now: Nanos) -> Option<QueuedFrame> {
-        if self.phase != Phase::Open || self.writing.is_some() {
+        if self.phase != ConnectionPhase::Open || self.writing.is_some() {
             return None;
         }
         self.writing = self.waiting.pop_front();
--- a/crates/mixer/src/reducer/leaf_connections.rs
+++ b/crates/mixer/src/reducer/leaf_connections.rs
@@ -1,7 +1,7 @@
 //! The connections to leaf servers.
 
 use super::input::ConnectionId;
-use super::leaf_connection::{AttemptId, LeafConnection, Phase};
+use super::leaf_connection::{AttemptId, ConnectionPhase, LeafConnection};
 use cottonhill_decisions::{Nanos, ReplicaId, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -97,7 +97,7 @@
         self.connections
             .iter()
             .filter(|(_, (_, connection))| {
-                connection.phase() == Phase::Open && connection.is_idle()
+                connection.phase() == ConnectionPhase::Open && connection.is_idle()
             })
             .min_by_key(|(_, (_, connection))| connection.idle_since)
             .map(|(id, _)| *id)
--- a/crates/mixer/src/reducer/mod.rs
+++ b/crates/mixer/src/reducer/mod.rs
@@ -36,6 +36,7 @@
 
 pub use effect::Effect;
 pub use input::{ClientId, ConnectionId, Input, UpdateFault, WatchEvent};
+pub use probes::ProbeId;
 pub use watch_policy::WatchPolicy;
 
 use crate::protocol::endpoint_updates::EndpointUpdate;
--- a/crates/mixer/src/reducer/watch_policy.rs
+++ b/crates/mixer/src/reducer/watch_policy.rs
@@ -5,7 +5,7 @@
 //!   it is watched. Any delay is time in which something in force is not known here, so delays are a small fraction of
 //!   the drain grace, whatever the size of the fleet and however often the agent has failed.
 //! - Poll: one service for all mixers, which serves one request after another. Requests are spread and become fewer as
-//!   they fail ([`Backoff`]), within the time after which what it has counts as announced and the longest time that
+//!   they fail (`Backoff`), within the time after which what it has counts as announced and the longest time that
 //!   the settings allow without a request.
 
 use super::backoff::Backoff;
