--- a/crates/mixer/tests/captured_logs/mod.rs
+++ b/crates/mixer/tests/captured_logs/mod.rs
@@ -1,4 +1,4 @@
-//! What is logged while a test runs, a line for each event: its level, then its fields.
+//! Captures what is logged while a test runs: a line for each event, with its level, then its fields.
 
 use std::fmt::{Debug, Write};
 use std::sync::{Arc, Mutex};
@@ -7,14 +7,16 @@
 use tracing::subscriber::DefaultGuard;
 use tracing::{Event, Metadata, Subscriber};
 
-/// Collects the lines of this thread until it is dropped.
-pub struct Logs {
+/// Captures the lines of this thread until it is dropped.
+pub struct CapturedLogs {
     lines: Arc<Mutex<Vec<String>>>,
     _guard: DefaultGuard,
 }
 
+/// Keeps every event as a line.
 struct Collector(Arc<Mutex<Vec<String>>>);
 
+/// One event, written field by field.
 struct Line(String);
 
 impl Visit for Line {
@@ -47,37 +49,37 @@
     fn exit(&self, _: &Id) {}
 }
 
-impl Logs {
-    pub fn collect() -> Logs {
+impl CapturedLogs {
+    pub fn start() -> CapturedLogs {
         let lines = Arc::<Mutex<Vec<String>>>::default();
         let guard = tracing::subscriber::set_default(Collector(lines.clone()));
-        Logs {
+        CapturedLogs {
             lines,
             _guard: guard,
         }
     }
 
-    /// The lines at a level that have all of these words.
-    pub fn with(&self, level: &str, words: &[&str]) -> Vec<String> {
-        let has = |line: &&String| {
-            line.starts_with(level) && words.iter().all(|word| line.contains(word))
+    /// The lines at a level that contain all of these texts.
+    pub fn matching_lines(&self, level: &str, texts: &[&str]) -> Vec<String> {
+        let matches = |line: &&String| {
+            line.starts_with(level) && texts.iter().all(|text| line.contains(text))
         };
         self.lines
             .lock()
             .unwrap()
             .iter()
-            .filter(has)
+            .filter(matches)
             .cloned()
             .collect()
     }
 
-    /// Checks that there is such a line, once.
-    pub fn assert_one(&self, level: &str, words: &[&str]) {
-        let found = self.with(level, words);
+    /// Checks that exactly one line at a level contains all of these texts.
+    pub fn assert_one_line(&self, level: &str, texts: &[&str]) {
+        let found = self.matching_lines(level, texts);
         assert_eq!(
             found.len(),
             1,
-            "{level} {words:?}: {found:#?} of {:#?}",
+            "{level} {texts:?}: {found:#?} of {:#?}",
             self.lines.lock().unwrap()
         );
     }
--- a/crates/mixer/tests/client_connections.rs
+++ b/crates/mixer/tests/client_connections.rs
@@ -1,160 +1,154 @@
-//! The whole mixer on real sockets of the loopback, with a leaf server and discovery played by the test.
+//! Client connections of a whole mixer on real sockets of the loopback, with a leaf server and discovery played by the
+//! test.
 
 mod harness;
 mod loopback;
 
-use loopback::{query, reply, Around};
+use harness::SETTINGS;
+use loopback::{
+    answer_frame, first_part_id, get, query_text, read_frame, read_response, send, watch_response,
+    MixerOptions, RunningMixer, TestClock,
+};
 use std::future::Future;
 use std::net::SocketAddr;
+use std::ops::Range;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, Duration, Instant};
 
-/// Few: a test can fill the room that clients have.
+/// Few, so that a test can use up all that are for clients.
 const DESCRIPTORS: usize = 40;
+/// Bytes of a frame's length.
+const FRAME_HEADER_BYTES: usize = 4;
 
-/// Discovery: ends the first watch without a word, answers each later one with the list and leaves it open.
-async fn discovery(listener: TcpListener, leaf: SocketAddr) {
-    let mut open = Vec::new();
+/// Discovery: ends the first watch without a word, answers each later one with a snapshot and leaves it open.
+async fn serve_discovery(listener: TcpListener, leaf: SocketAddr) {
+    let mut open_watches = Vec::new();
     drop(listener.accept().await);
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
-        stream
-            .write_all(loopback::list(3, leaf, "up").as_bytes())
-            .await
-            .unwrap();
-        open.push(stream);
+        send(&mut stream, &watch_response(3, leaf, "up")).await;
+        open_watches.push(stream);
     }
 }
 
-/// A leaf server: answers each part with its own id as the value; on its first connection, one whose id
-/// begins with `cut` only to the middle.
-async fn leaf(listener: TcpListener) {
-    for first in [true].into_iter().chain(std::iter::repeat(false)) {
+/// A leaf server: answers each part with its own id as the value; on its first connection, one whose id begins with
+/// `cut` only to the middle.
+async fn serve_leaf(listener: TcpListener) {
+    let mut is_first = true;
+    loop {
         let (stream, _) = listener.accept().await.unwrap();
-        tokio::task::spawn_local(answer_parts(stream, first));
+        tokio::task::spawn_local(answer_parts(stream, is_first));
+        is_first = false;
     }
 }
 
-async fn answer_parts(mut stream: TcpStream, first: bool) {
-    loop {
-        let Ok(length) = stream.read_u32().await else {
-            return;
-        };
-        let mut frame = vec![0; length as usize];
-        stream.read_exact(&mut frame).await.unwrap();
-        let text = String::from_utf8(frame).unwrap();
-        let id = text[1..].split(' ').next().unwrap().to_string();
-        let answer = format!("A{id} ok 1 -\n{id}");
-        stream.write_u32(answer.len() as u32).await.unwrap();
-        let cut = if first && id.starts_with("cut") {
-            answer.len() / 2
+async fn answer_parts(mut stream: TcpStream, is_first_connection: bool) {
+    while let Ok(frame) = read_frame(&mut stream).await {
+        let id = first_part_id(&frame);
+        let answer = answer_frame(id, id);
+        let length = if is_first_connection && id.starts_with("cut") {
+            FRAME_HEADER_BYTES + (answer.len() - FRAME_HEADER_BYTES) / 2
         } else {
             answer.len()
         };
-        stream.write_all(&answer.as_bytes()[..cut]).await.unwrap();
+        stream.write_all(&answer[..length]).await.unwrap();
     }
 }
 
 /// Runs `client` against a mixer at its address.
-fn against<F: Future<Output = ()>>(client: impl FnOnce(SocketAddr) -> F) {
-    run(false, harness::SETTINGS, client);
-}
-
-/// The same on a clock that stands still while anyone has something to do, and else goes on to the next
-/// timer.
-fn against_at_once<F: Future<Output = ()>>(client: impl FnOnce(SocketAddr) -> F) {
-    run(true, harness::SETTINGS, client);
-}
-
-fn run<F: Future<Output = ()>>(paused: bool, text: &str, client: impl FnOnce(SocketAddr) -> F) {
-    loopback::run(paused, text, DESCRIPTORS, |around| async move {
-        let Around {
-            mixer,
+fn run<F: Future<Output = ()>>(
+    clock: TestClock,
+    settings_text: &str,
+    client: impl FnOnce(SocketAddr) -> F,
+) {
+    let options = MixerOptions::new(settings_text, DESCRIPTORS, clock);
+    loopback::run_mixer(options, |mixer| async move {
+        let RunningMixer {
+            address,
             serving,
             control: _control,
-            discovery: at,
-            leaf: leaf_at,
-        } = around;
-        tokio::task::spawn_local(discovery(at, leaf_at.local_addr().unwrap()));
-        tokio::task::spawn_local(leaf(leaf_at));
+            discovery,
+            leaf,
+        } = mixer;
+        let leaf_address = leaf.local_addr().unwrap();
+        tokio::task::spawn_local(serve_discovery(discovery, leaf_address));
+        tokio::task::spawn_local(serve_leaf(leaf));
         tokio::select! {
             ended = serving => panic!("the mixer ended: {ended:?}"),
-            () = client(mixer) => {}
+            () = client(address) => {}
         }
     });
 }
 
-/// Waits until the mixer holds a list; a clock that stands still has to be moved on for that.
-async fn ready(at: SocketAddr, on: Duration) {
-    loop {
-        let mut stream = TcpStream::connect(at).await.unwrap();
-        stream
-            .write_all(b"GET /-/ready HTTP/1.1\r\n\r\n")
-            .await
-            .unwrap();
-        if reply(&mut stream).await.0.starts_with("HTTP/1.1 200") {
-            return;
-        }
+/// Waits until the mixer has an endpoint list; a paused clock has to be moved on for that.
+async fn wait_until_ready(mixer: SocketAddr, poll_interval: Duration) {
+    while !get(mixer, "/-/ready").await.has_status(200) {
         tokio::task::yield_now().await;
-        sleep(on).await;
+        sleep(poll_interval).await;
     }
 }
 
+async fn connect(mixer: SocketAddr) -> TcpStream {
+    TcpStream::connect(mixer).await.unwrap()
+}
+
+fn assert_elapsed_ms(since: Instant, expected_ms: Range<u128>) {
+    let elapsed = since.elapsed();
+    assert!(expected_ms.contains(&elapsed.as_millis()), "{elapsed:?}");
+}
+
 #[test]
-fn queries_are_served_over_one_kept_connection_and_split_at_any_byte() {
-    against(|at| async move {
-        ready(at, Duration::ZERO).await;
-        let mut stream = TcpStream::connect(at).await.unwrap();
+fn serves_queries_on_one_connection_split_at_any_byte() {
+    run(TestClock::Real, SETTINGS, |mixer| async move {
+        wait_until_ready(mixer, Duration::ZERO).await;
+        let mut stream = connect(mixer).await;
         stream.set_nodelay(true).unwrap();
-        for byte in query("a1", "").bytes() {
+        for byte in query_text("a1", "").bytes() {
             stream.write_all(&[byte]).await.unwrap();
             tokio::task::yield_now().await;
         }
-        let whole = "{\"complete\":true,\"hits\":[{\"shard\":3,\"doc\":\"NAME.3\"}]}";
-        assert_eq!(reply(&mut stream).await.1, whole.replace("NAME", "a1"));
+        let answer_to = |request_id: &str| {
+            format!("{{\"complete\":true,\"hits\":[{{\"shard\":3,\"doc\":\"{request_id}.3\"}}]}}")
+        };
+        assert_eq!(read_response(&mut stream).await.body, answer_to("a1"));
         // The next two arrive together: each still gets its own answer, in order.
-        let both = query("a2", "") + &query("a3", "Connection: close\r\n");
-        stream.write_all(both.as_bytes()).await.unwrap();
-        assert_eq!(reply(&mut stream).await.1, whole.replace("NAME", "a2"));
-        assert_eq!(reply(&mut stream).await.1, whole.replace("NAME", "a3"));
-        assert_eq!(stream.read(&mut [0]).await.unwrap(), 0, "closed, as asked");
+        let two_queries = query_text("a2", "") + &query_text("a3", "Connection: close\r\n");
+        send(&mut stream, &two_queries).await;
+        assert_eq!(read_response(&mut stream).await.body, answer_to("a2"));
+        assert_eq!(read_response(&mut stream).await.body, answer_to("a3"));
+        assert_eq!(
+            stream.read(&mut [0]).await.unwrap(),
+            0,
+            "closed, as requested"
+        );
     });
 }
 
 #[test]
-fn a_body_that_is_too_large_is_refused_and_not_reset() {
-    against(|at| async move {
-        let mut stream = TcpStream::connect(at).await.unwrap();
+fn rejects_too_large_body_without_reset() {
+    run(TestClock::Real, SETTINGS, |mixer| async move {
+        let mut stream = connect(mixer).await;
         let head = "POST /lookup HTTP/1.1\r\nContent-Length: 1000000\r\n\r\n";
-        let body = "x".repeat(1_000_000);
-        stream
-            .write_all((head.to_string() + &body).as_bytes())
-            .await
-            .unwrap();
-        assert!(reply(&mut stream).await.0.starts_with("HTTP/1.1 413"));
+        let request = head.to_string() + &"x".repeat(1_000_000);
+        send(&mut stream, &request).await;
+        assert!(read_response(&mut stream).await.has_status(413));
     });
 }
 
 #[test]
-fn a_bad_request_is_named_and_the_next_client_served() {
-    against(|at| async move {
-        ready(at, Duration::ZERO).await;
-        let mut stream = TcpStream::connect(at).await.unwrap();
-        stream
-            .write_all(b"\0\0\0 what is this\r\n\r\n")
-            .await
-            .unwrap();
-        assert!(reply(&mut stream).await.0.starts_with("HTTP/1.1 400"));
+fn rejects_bad_request_and_serves_next_client() {
+    run(TestClock::Real, SETTINGS, |mixer| async move {
+        wait_until_ready(mixer, Duration::ZERO).await;
+        let mut stream = connect(mixer).await;
+        send(&mut stream, "\0\0\0 what is this\r\n\r\n").await;
+        assert!(read_response(&mut stream).await.has_status(400));
         assert_eq!(stream.read(&mut [0]).await.unwrap(), 0);
-        let mut stream = TcpStream::connect(at).await.unwrap();
-        stream.write_all(query("b1", "").as_bytes()).await.unwrap();
-        assert!(reply(&mut stream).await.0.starts_with("HTTP/1.1 200"));
-        stream
-            .write_all(b"GET /-/stats HTTP/1.1\r\n\r\n")
-            .await
-            .unwrap();
-        let stats: serde_json::Value = serde_json::from_str(&reply(&mut stream).await.1).unwrap();
+        let mut stream = connect(mixer).await;
+        send(&mut stream, &query_text("b1", "")).await;
+        assert!(read_response(&mut stream).await.has_status(200));
+        send(&mut stream, "GET /-/stats HTTP/1.1\r\n\r\n").await;
+        let stats = read_response(&mut stream).await.json();
         assert_eq!(
             (&stats["taken"]["queries"], &stats["taken"]["rejected"]),
             (&1.into(), &1.into())
@@ -163,103 +157,81 @@
 }
 
 #[test]
-fn who_says_nothing_or_never_ends_a_request_is_told_or_closed_in_time() {
-    against_at_once(|at| async move {
-        ready(at, Duration::from_millis(1)).await;
-        let begun = Instant::now();
-        let mut silent = TcpStream::connect(at).await.unwrap();
+fn closes_silent_client_and_times_out_slow_request() {
+    run(TestClock::Paused, SETTINGS, |mixer| async move {
+        wait_until_ready(mixer, Duration::from_millis(1)).await;
+        let began = Instant::now();
+        let mut silent = connect(mixer).await;
         assert_eq!(silent.read(&mut [0]).await.unwrap(), 0);
-        assert!(
-            (2000..2500).contains(&begun.elapsed().as_millis()),
-            "{:?}",
-            begun.elapsed()
-        );
+        assert_elapsed_ms(began, 2000..2500);
         // No byte buys more time, on a new connection or on one that was served before.
-        let begun = Instant::now();
-        let mut stream = TcpStream::connect(at).await.unwrap();
-        stream
-            .write_all(query("slow", "").as_bytes())
-            .await
-            .unwrap();
-        assert!(reply(&mut stream).await.0.starts_with("HTTP/1.1 200"));
+        let began = Instant::now();
+        let mut stream = connect(mixer).await;
+        send(&mut stream, &query_text("slow", "")).await;
+        assert!(read_response(&mut stream).await.has_status(200));
         let (mut reading, mut writing) = stream.into_split();
-        let slow = async {
-            for byte in b"POST /lookup HTTP/1.1\r\nContent-Length: 900\r\n\r\n"
-                .iter()
-                .chain(&[b'{'; 900])
-            {
+        let send_slowly = async {
+            let head = b"POST /lookup HTTP/1.1\r\nContent-Length: 900\r\n\r\n";
+            for byte in head.iter().chain(&[b'{'; 900]) {
                 sleep(Duration::from_millis(200)).await;
                 if writing.write_all(&[*byte]).await.is_err() {
                     break;
                 }
             }
         };
-        let mut told = [0; 12];
+        let mut status_line = [0; 12];
         tokio::select! {
-            read = reading.read_exact(&mut told) => drop(read.unwrap()),
-            () = slow => panic!("never told"),
+            read = reading.read_exact(&mut status_line) => drop(read.unwrap()),
+            () = send_slowly => panic!("never answered"),
         }
-        assert_eq!(&told, b"HTTP/1.1 408");
-        assert!(
-            (2000..3000).contains(&begun.elapsed().as_millis()),
-            "{:?}",
-            begun.elapsed()
-        );
+        assert_eq!(&status_line, b"HTTP/1.1 408");
+        assert_elapsed_ms(began, 2000..3000);
     });
 }
 
 #[test]
-fn half_requests_do_not_hold_the_places_of_good_clients() {
-    against_at_once(|at| async move {
-        ready(at, Duration::from_millis(1)).await;
-        let begun = Instant::now();
-        let mut halves = Vec::new();
+fn incomplete_requests_do_not_block_other_clients() {
+    run(TestClock::Paused, SETTINGS, |mixer| async move {
+        wait_until_ready(mixer, Duration::from_millis(1)).await;
+        let began = Instant::now();
+        let mut incomplete_requests = Vec::new();
         for _ in 0..2 * DESCRIPTORS {
-            let mut half = TcpStream::connect(at).await.unwrap();
+            let mut stream = connect(mixer).await;
             // It may have been closed by now, which is as well.
-            let _ = half
+            let _ = stream
                 .write_all(b"POST /lookup HTTP/1.1\r\nContent-Length: 90\r\n\r\n{")
                 .await;
-            halves.push(half);
+            incomplete_requests.push(stream);
         }
-        let mut stream = TcpStream::connect(at).await.unwrap();
-        stream
-            .write_all(query("good", "").as_bytes())
-            .await
-            .unwrap();
-        assert!(reply(&mut stream).await.0.starts_with("HTTP/1.1 200"));
-        assert!(begun.elapsed().as_millis() < 1000, "{:?}", begun.elapsed());
+        let mut stream = connect(mixer).await;
+        send(&mut stream, &query_text("good", "")).await;
+        assert!(read_response(&mut stream).await.has_status(200));
+        assert_elapsed_ms(began, 0..1000);
     });
 }
 
 #[test]
-fn half_an_answer_is_not_waited_for() {
-    against_at_once(|at| async move {
-        ready(at, Duration::from_millis(1)).await;
-        let begun = Instant::now();
-        let mut stream = TcpStream::connect(at).await.unwrap();
-        stream
-            .write_all(query("cut1", "").as_bytes())
-            .await
-            .unwrap();
-        let found = reply(&mut stream).await;
-        assert!(found.1.contains("\"doc\":\"cut1.3\""), "{found:?}");
-        assert!(begun.elapsed().as_millis() < 300, "{:?}", begun.elapsed());
+fn does_not_wait_for_truncated_answer() {
+    run(TestClock::Paused, SETTINGS, |mixer| async move {
+        wait_until_ready(mixer, Duration::from_millis(1)).await;
+        let began = Instant::now();
+        let mut stream = connect(mixer).await;
+        send(&mut stream, &query_text("cut1", "")).await;
+        let response = read_response(&mut stream).await;
+        assert!(response.body.contains("\"doc\":\"cut1.3\""), "{response:?}");
+        assert_elapsed_ms(began, 0..300);
     });
 }
 
-/// The first watch ends without a word. Where the list is pushed it is in force all the same.
+/// The first watch ends without a word. Where updates are pushed, the endpoint list is in force soon all the same.
 #[test]
-fn one_of_three_hundred_has_its_pushed_list_again_within_the_grace() {
-    let settings = harness::SETTINGS.replace("replicas_of_me=1", "replicas_of_me=300");
-    let settings = settings + "discovery=pushed\nguarantees.stop_sending_within_ns=250000000\n";
-    run(true, &settings, |at| async move {
-        let begun = Instant::now();
-        ready(at, Duration::from_millis(1)).await;
-        assert!(
-            begun.elapsed() < Duration::from_millis(250),
-            "{:?}",
-            begun.elapsed()
-        );
+fn reconnects_to_pushed_discovery_within_drain_grace() {
+    let settings_text = SETTINGS.replace("replicas_of_me=1", "replicas_of_me=300")
+        + "discovery=pushed\nguarantees.stop_sending_within_ns=250000000\n";
+    run(TestClock::Paused, &settings_text, |mixer| async move {
+        let began = Instant::now();
+        wait_until_ready(mixer, Duration::from_millis(1)).await;
+        let elapsed = began.elapsed();
+        assert!(elapsed < Duration::from_millis(250), "{elapsed:?}");
     });
 }
--- a/crates/mixer/tests/endpoint_draining.rs
+++ b/crates/mixer/tests/endpoint_draining.rs
@@ -1,185 +1,176 @@
-//! Servers that leave: what is told is obeyed at once, whatever waits, and whatever discovery does meanwhile.
+//! Endpoints that drain or are removed: what discovery announces is obeyed at once, whatever waits, and whatever
+//! discovery does meanwhile.
 
 mod harness;
 
 use cottonhill_mixer::protocol::leaf_frames::PartStatus;
-use cottonhill_mixer::protocol::query_json::{ClientRequest, Reply};
-use cottonhill_mixer::reducer::Input;
-use harness::{deployments, Harness, GRACE, MS, SETTINGS};
+use cottonhill_mixer::reducer::ConnectionId;
+use harness::{address, deployments, listed, Harness, ListedEndpoint, DRAIN_GRACE, MS, SETTINGS};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn ready(harness: &mut Harness) -> bool {
-    let client = harness.connect();
-    harness.put(Input::RequestReceived {
-        client,
-        received_at: harness.now,
-        request: Ok(ClientRequest::Ready),
-    });
-    harness.reply(client) == Some(&Reply::Ready(true))
-}
-
-fn whole(reply: Option<&Reply>) -> bool {
-    matches!(reply, Some(Reply::Answer { complete: true, .. }))
-}
-
 #[test]
-fn a_new_process_sends_nothing_on_an_old_list_before_it_has_heard_what_holds() {
-    for text in deployments() {
-        let mut harness = Harness::unheard(&text, 2, 1024);
-        assert!(!ready(&mut harness));
-        let client = harness.ask(1, &[0.5, 0.5]);
-        harness.pass(10);
-        assert!(harness.connections.is_empty() && harness.reply(client).is_none());
-        harness.list(1, "draining", 0);
-        harness.open_all();
-        assert!(ready(&mut harness));
+fn new_process_waits_for_first_endpoint_update_before_using_cached_list() {
+    for settings_text in deployments() {
+        let mut harness = Harness::with_cached_list(&settings_text, 2, 1024);
+        assert!(!harness.is_ready());
+        let client = harness.send_query(1, &[0.5, 0.5]);
+        harness.advance_ms(10);
+        assert!(harness.connections.is_empty() && harness.last_reply(client).is_none());
+        harness.update_endpoint(1, "draining");
+        harness.open_all_connections();
+        assert!(harness.is_ready());
         assert_eq!(
-            harness.called(),
-            vec![harness::address(2); 2],
-            "at once, and not to the one that leaves"
+            harness.called_addresses(),
+            vec![address(2); 2],
+            "at once, and not to the one that drains"
         );
-        harness.answer_all();
-        assert!(whole(harness.reply(client)));
+        harness.answer_all_parts();
+        assert!(harness.is_answered_completely(client));
     }
 }
 
 #[test]
-fn where_discovery_is_silent_a_new_process_serves_from_the_list_it_held() {
-    for text in [
-        SETTINGS.to_string(),
-        SETTINGS.to_string() + "discovery=on_request\n",
-    ] {
-        serves_from_what_it_held(&text);
+fn new_process_serves_from_cached_list_when_discovery_is_silent() {
+    let pushed = SETTINGS.to_string();
+    let polled = SETTINGS.to_string() + "discovery=on_request\n";
+    for settings_text in [pushed, polled] {
+        check_serves_from_cached_list(&settings_text);
     }
 }
 
-fn serves_from_what_it_held(text: &str) {
-    let mut harness = Harness::unheard(text, 2, 1024);
-    let (client, late) = (harness.ask(1, &[0.5, 0.5]), harness.connect());
-    harness.ask_on(late, 1, &[1.0], 300);
-    harness.pass(999);
-    assert!(!ready(&mut harness) && harness.connections.is_empty());
+fn check_serves_from_cached_list(settings_text: &str) {
+    let mut harness = Harness::with_cached_list(settings_text, 2, 1024);
+    let client = harness.send_query(1, &[0.5, 0.5]);
+    let impatient = harness.connect_client();
+    harness.send_query_from(impatient, 1, &[1.0], 300);
+    harness.advance_ms(999);
+    assert!(!harness.is_ready() && harness.connections.is_empty());
     assert_eq!(
-        harness.replies[&late].len(),
+        harness.replies[&impatient].len(),
         1,
-        "answered in its time all the same"
+        "answered within its timeout all the same"
     );
-    harness.pass(2);
-    assert!(ready(&mut harness));
-    harness.open_all();
-    harness.answer_all();
-    assert!(whole(harness.reply(client)));
-    assert_eq!(harness.state.counters().watches.unheard, 1);
+    harness.advance_ms(2);
+    assert!(harness.is_ready());
+    harness.serve_all();
+    assert!(harness.is_answered_completely(client));
+    assert_eq!(harness.reducer.counters().watches.unheard, 1);
 }
 
 #[test]
-fn a_discovery_that_is_behind_the_one_before_brings_nothing_back_that_leaves() {
+fn stale_discovery_does_not_restore_draining_endpoints() {
     let mut harness = Harness::new(4);
-    harness.list(1, "draining", 0);
-    harness.list(2, "removed", 0);
-    harness.put(Input::ConfigReloaded {
-        discovery: Some("127.0.0.1:8501".parse().unwrap()),
-    });
+    harness.update_endpoint(1, "draining");
+    harness.update_endpoint(2, "removed");
+    harness.switch_discovery();
     assert_eq!(
         harness.watches,
         [None],
-        "versions are each discovery's own: the whole list comes first"
+        "versions are each discovery's own: a snapshot comes first"
     );
-    let all = [(1, "up", 0), (2, "up", 0), (3, "up", 0), (4, "up", 0)];
-    harness.listed(true, &all);
-    harness.listed(false, &all[..2]);
-    harness.ask(1, &[0.2; 5]);
-    harness.open_all();
-    harness.answer_all();
+    let all_up = [1, 2, 3, 4].map(|replica| listed(replica, "up"));
+    harness.send_snapshot(&all_up);
+    harness.send_delta(&all_up[..2]);
+    harness.send_query(1, &[0.2; 5]);
+    harness.serve_all();
+    let left = [address(1), address(2)];
     assert!(
         harness
             .connections
             .values()
-            .all(|(at, _)| *at != harness::address(1) && *at != harness::address(2)),
+            .all(|socket| !left.contains(&socket.address)),
         "{:?}",
         harness.connections
     );
-    harness.told(&harness::address(2), "up");
-    harness.listed(false, &[(2, "up", harness.now)]);
-    harness.pass(5990);
+    harness.announce_status(&address(2), "up");
+    let restarted = ListedEndpoint {
+        started: harness.now,
+        ..listed(2, "up")
+    };
+    harness.send_delta(&[restarted]);
+    harness.advance_ms(5990);
     assert_eq!(harness.watches.len(), 1);
-    harness.pass(20);
+    harness.advance_ms(20);
     assert_eq!(
         harness.watches,
         [None, None],
-        "its last word is asked for once it must have it"
+        "a snapshot is requested once discovery must have caught up"
     );
-    harness.told(&harness::address(1), "up");
-    harness.listed(true, &all[..1]);
-    let client = harness.ask(1, &[1.0]);
-    harness.open_all();
-    harness.answer_all();
+    harness.announce_status(&address(1), "up");
+    harness.send_snapshot(&all_up[..1]);
+    let client = harness.send_query(1, &[1.0]);
+    harness.serve_all();
     assert!(
-        whole(harness.reply(client)),
+        harness.is_answered_completely(client),
         "by then it is believed: {:?}",
-        harness.reply(client)
+        harness.last_reply(client)
     );
 }
 
 #[test]
-fn a_call_that_its_socket_never_began_goes_elsewhere_in_time() {
+fn call_stalled_at_socket_of_draining_endpoint_is_retried_elsewhere() {
     let mut harness = Harness::new(2);
-    harness.stuck = true;
-    let client = harness.ask(1, &[1.0]);
-    harness.open_all();
-    let stuck = harness.frames[0].0;
-    let leaves = if harness.connections[&stuck].0 == harness::address(1) {
+    harness.writes_stalled = true;
+    let client = harness.send_query(1, &[1.0]);
+    harness.open_all_connections();
+    let stalled = harness.frames[0].connection;
+    let draining = if harness.connections[&stalled].address == address(1) {
         1
     } else {
         2
     };
-    harness.list(leaves, "draining", 0);
-    harness.pass(GRACE / MS);
+    harness.update_endpoint(draining, "draining");
+    harness.advance_ms(DRAIN_GRACE / MS);
     assert!(
-        !harness.connections.contains_key(&stuck),
-        "it may go out at any moment"
+        !harness.connections.contains_key(&stalled),
+        "the call may begin at any moment"
     );
-    harness.stuck = false;
-    harness.open_all();
-    harness.answer_all();
-    assert!(whole(harness.reply(client)), "{:?}", harness.reply(client));
-    assert_eq!(harness.state.counters().connections.stuck, 1);
+    harness.writes_stalled = false;
+    harness.serve_all();
+    assert!(
+        harness.is_answered_completely(client),
+        "{:?}",
+        harness.last_reply(client)
+    );
+    assert_eq!(harness.reducer.counters().connections.stuck, 1);
 }
 
 #[test]
-fn what_waits_for_an_address_that_its_replica_has_left_goes_to_the_new_one() {
+fn attempt_waiting_for_old_address_goes_to_new_address() {
     let mut harness = Harness::new(1);
-    let client = harness.ask(1, &[1.0]);
-    let old = *harness.connections.keys().next().unwrap();
-    harness.move_to(1, 1001);
-    harness.list(1, "up", 0);
-    harness.move_to(1, 1001);
-    harness.open(old);
-    harness.open_all();
+    let client = harness.send_query(1, &[1.0]);
+    let old = harness.first_connection();
+    harness.move_endpoint(1, 1001);
+    harness.update_endpoint(1, "up");
+    harness.move_endpoint(1, 1001);
+    harness.open_connection(old);
+    harness.open_all_connections();
     assert!(
         !harness.connections.contains_key(&old),
-        "nothing is to be had there"
+        "the replica is not there any more"
+    );
+    harness.answer_all_parts();
+    harness.advance_ms(500);
+    harness.serve_all();
+    assert!(
+        harness.is_answered_completely(client),
+        "{:?}",
+        harness.last_reply(client)
     );
-    harness.answer_all();
-    harness.pass(500);
-    harness.open_all();
-    harness.answer_all();
-    assert!(whole(harness.reply(client)), "{:?}", harness.reply(client));
 }
 
 #[test]
-fn more_leaf_servers_than_descriptors_can_all_be_asked() {
-    let mut harness = Harness::wide(1024, 64);
+fn reaches_more_leaf_servers_than_descriptors() {
+    let mut harness = Harness::with_one_replica_per_shard(1024, 64);
     for shard in 0..1024 {
-        let client = harness.connect();
-        harness.ask_part(client, 1, shard);
-        harness.open_all();
-        harness.answer_all();
+        let client = harness.connect_client();
+        harness.send_single_shard_query(client, shard);
+        harness.serve_all();
         assert!(
-            whole(harness.reply(client)),
+            harness.is_answered_completely(client),
             "shard {shard}: {:?}",
-            harness.reply(client)
+            harness.last_reply(client)
         );
     }
     assert!(harness.connections.len() <= 64 * 4 / 10);
@@ -194,37 +185,53 @@
     }
 }
 
+/// Applies a random step; `dice` picks the connection, the replica and what happens to them.
+fn apply_random_step(harness: &mut Harness, kind: u8, dice: u64, duration_ms: u64) {
+    let connections: Vec<ConnectionId> = harness.connections.keys().copied().collect();
+    let connection = connections
+        .get(dice as usize % connections.len().max(1))
+        .copied();
+    let replica = 1 + dice % 4;
+    match (kind, connection) {
+        (0..=2, _) => {
+            harness.send_query((dice % 2) as u16, &[0.5, 0.3, 0.2]);
+        }
+        (3, Some(connection)) => harness.open_connection(connection),
+        (4..=6, Some(connection)) => harness.complete_write(connection),
+        (7, Some(connection)) => {
+            let status = [PartStatus::Ok, PartStatus::Busy][dice as usize % 2];
+            harness.answer_oldest_part(connection, status);
+        }
+        (8, Some(connection)) => harness.reset_connection(connection),
+        (9, _) => {
+            let status = ["draining", "removed"][dice as usize / 4 % 2];
+            harness.update_endpoint(replica, status);
+        }
+        (10, _) => harness.update_started_endpoint(replica, "up"),
+        (11, _) => harness.move_endpoint(replica, replica + 1000 * (dice / 4 % 2)),
+        _ => harness.advance_ms(duration_ms),
+    }
+}
+
 proptest! {
     #![proptest_config(config(400))]
 
-    /// `Harness::begin` checks each first byte against what was told, `Harness::perform` each connection and each frame.
+    /// `Harness::complete_write` checks each first byte against what was announced, `Harness::connect_to_leaf` each
+    /// connection and `Harness::write_frame` each frame.
     #[test]
-    fn no_first_byte_goes_out_later_than_the_grace_after_a_list_was_taken(
+    fn no_first_byte_is_written_after_drain_grace(
         steps in prop::collection::vec((0u8..14, any::<u64>(), 1u64..300), 1..80),
     ) {
         let mut harness = Harness::new(4);
-        harness.stuck = true;
-        for (kind, dice, ms) in steps {
-            let connections: Vec<u64> = harness.connections.keys().copied().collect();
-            let connection = connections.get(dice as usize % connections.len().max(1)).copied();
-            let replica = 1 + dice % 4;
-            match (kind, connection) {
-                (0..=2, _) => drop(harness.ask((dice % 2) as u16, &[0.5, 0.3, 0.2])),
-                (3, Some(connection)) => harness.open(connection),
-                (4..=6, Some(connection)) => harness.begin(connection),
-                (7, Some(connection)) => harness.answer(connection, [PartStatus::Ok, PartStatus::Busy][dice as usize % 2]),
-                (8, Some(connection)) => harness.break_off(connection),
-                (9, _) => harness.list(replica, ["draining", "removed"][dice as usize / 4 % 2], 0),
-                (10, _) => harness.list(replica, "up", harness.now),
-                (11, _) => harness.move_to(replica, replica + 1000 * (dice / 4 % 2)),
-                _ => harness.pass(ms),
-            }
+        harness.writes_stalled = true;
+        for (kind, dice, duration_ms) in steps {
+            apply_random_step(&mut harness, kind, dice, duration_ms);
         }
-        harness.stuck = false;
-        harness.pass(20_000);
+        harness.writes_stalled = false;
+        harness.advance_ms(20_000);
         for (client, replies) in &harness.replies {
             prop_assert_eq!(replies.len(), 1, "client {}: {:?}", client, replies);
         }
-        prop_assert_eq!(&harness.state.counters().faults, &Default::default());
+        prop_assert_eq!(&harness.reducer.counters().faults, &Default::default());
     }
 }
--- a/crates/mixer/tests/endpoint_updates.rs
+++ b/crates/mixer/tests/endpoint_updates.rs
@@ -1,11 +1,12 @@
-//! Lists at the size to plan for, and lists that are wrong: what is in force stays, the fault is logged and counted.
+//! Endpoint updates of the size to plan for, and updates that are wrong: the endpoint list in force stays, the fault is
+//! logged and counted.
 
 mod captured_logs;
 mod harness;
 mod loopback;
 
-use bytes::BytesMut;
-use captured_logs::Logs;
+use bytes::{Bytes, BytesMut};
+use captured_logs::CapturedLogs;
 use cottonhill_mixer::config::Config;
 use cottonhill_mixer::protocol::endpoint_updates::{
     self, EndpointUpdate, JsonObjectSplitter, Status, UpdateError, MAX_ENTRIES, MAX_UPDATE_BYTES,
@@ -14,22 +15,30 @@
 use cottonhill_mixer::protocol::query_json::Reply;
 use cottonhill_mixer::reducer::replicas::{Replicas, LATE};
 use cottonhill_mixer::reducer::Input;
-use harness::Harness;
-use loopback::{query, reply, Around};
+use harness::{address, listed, Harness, ListedEndpoint, MS};
+use loopback::{
+    answer_frame, first_part_id, get_stats, http_chunk, query_text, read_frame, read_head,
+    read_response, send, watch_response, MixerOptions, RunningMixer, TestClock,
+};
 use serde_json::{json, Value};
 use std::future::Future;
 use std::net::SocketAddr;
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::codec::Decoder;
 
 const DESCRIPTORS: usize = 40;
-const PLANNED: usize = 110_000;
+/// Endpoints of the largest fleet to plan for.
+const PLANNED_ENDPOINTS: usize = 110_000;
+/// Memory that a process may use for the planned list, bytes.
+const PLANNED_MEMORY: usize = 64_000_000;
+/// Memory that the mixer of the tests on sockets may use, so that an update may take 5 MB.
+const MEMORY_LIMIT: usize = 20_000_000;
 
-// ---- The size to plan for -----------------------------------------------------------------------------
+// ---- The size to plan for -------------------------------------------------------------------------------
 
-/// An entry of the size that is measured, 132 bytes with the comma after it.
-fn entry(server: usize) -> String {
+/// An entry of the size that is usual: 132 bytes with the comma after it.
+fn entry_text(server: usize) -> String {
     let (group, [_, a, b, c]) = (server / 3, (server as u32).to_be_bytes());
     format!(
         "{{\"name\":\"s-{server:08x}\",\"address\":\"10.{a}.{b}.{c}:7070\",\"zone\":\"north\",\"type\":\"m2\",\
@@ -37,7 +46,8 @@
     )
 }
 
-fn whole(entries: impl Iterator<Item = String>) -> String {
+/// A snapshot of version 43 with these entries.
+fn snapshot_text(entries: impl Iterator<Item = String>) -> String {
     let entries: Vec<String> = entries.collect();
     format!(
         "{{\"index\":43,\"snapshot\":true,\"endpoints\":[{}]}}",
@@ -45,50 +55,62 @@
     )
 }
 
+fn snapshot_of(servers: usize) -> String {
+    snapshot_text((0..servers).map(entry_text))
+}
+
+fn parse(text: &str) -> EndpointUpdate {
+    endpoint_updates::parse(text.as_bytes()).unwrap().unwrap()
+}
+
+/// The JSON objects that a watch's response contains, read in pieces of 16 KiB.
+fn decode_objects(response: &str, max_update_bytes: usize) -> Vec<Bytes> {
+    let mut codec = WatchCodec::new(max_update_bytes);
+    let mut buffer = BytesMut::new();
+    let mut objects = Vec::new();
+    for piece in response.as_bytes().chunks(16 * 1024) {
+        buffer.extend_from_slice(piece);
+        let object = codec.decode(&mut buffer).unwrap();
+        objects.extend(object.filter(|object| !object.is_empty()));
+    }
+    objects
+}
+
 #[test]
-fn the_list_to_plan_for_is_read_and_applied() {
-    let text = whole((0..PLANNED).map(entry));
+fn reads_and_applies_endpoint_list_of_planned_size() {
+    let text = snapshot_of(PLANNED_ENDPOINTS);
     assert!(
         (14_300_000..14_700_000).contains(&text.len()),
         "{} bytes",
         text.len()
     );
-    let most = endpoint_updates::max_update_bytes(64_000_000);
+    let max_update_bytes = endpoint_updates::max_update_bytes(PLANNED_MEMORY);
     assert!(
-        text.len() <= most,
-        "accepted where the process may use 64 MB: {most}"
+        text.len() <= max_update_bytes,
+        "accepted where the process may use 64 MB: {max_update_bytes}"
     );
-    let answer = format!(
+    let response = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
         text.len()
     );
-    let (mut codec, mut buffer, mut objects) = (WatchCodec::new(most), BytesMut::new(), Vec::new());
-    for piece in answer.as_bytes().chunks(16 * 1024) {
-        buffer.extend_from_slice(piece);
-        objects.extend(
-            codec
-                .decode(&mut buffer)
-                .unwrap()
-                .filter(|object| !object.is_empty()),
-        );
-    }
+    let objects = decode_objects(&response, max_update_bytes);
     assert_eq!(objects.len(), 1);
-    let listing = endpoint_updates::parse(&objects[0]).unwrap().unwrap();
+    let update = endpoint_updates::parse(&objects[0]).unwrap().unwrap();
     let mut replicas = Replicas::new(vec!["north".into()]);
-    assert_eq!(replicas.take(0, listing).members.len(), PLANNED);
-    assert_eq!(replicas.known(), PLANNED);
+    assert_eq!(replicas.take(0, update).members.len(), PLANNED_ENDPOINTS);
+    assert_eq!(replicas.known(), PLANNED_ENDPOINTS);
 }
 
 #[test]
-fn a_large_object_is_kept_by_nothing_but_itself() {
-    let list = whole((0..1000).map(entry));
+fn large_object_shares_its_memory_with_nothing() {
+    let snapshot = snapshot_of(1000);
     for after in ["", "\n", "\n{\"index\":44"] {
         let mut objects = JsonObjectSplitter::default();
         objects
             .buffer()
-            .extend_from_slice((list.clone() + after).as_bytes());
-        let object = objects.whole().expect("a whole list");
-        assert_eq!(object.len(), list.len());
+            .extend_from_slice((snapshot.clone() + after).as_bytes());
+        let object = objects.whole().expect("a whole snapshot");
+        assert_eq!(object.len(), snapshot.len());
         assert!(
             object.is_unique(),
             "its memory goes with it, {} bytes after it or not",
@@ -101,18 +123,18 @@
 }
 
 #[test]
-fn the_bound_has_room_for_the_planned_list_indented_and_grown() {
-    let list: Value = serde_json::from_str(&whole((0..1000).map(entry))).unwrap();
-    let indented = serde_json::to_string_pretty(&list)
+fn size_limit_admits_planned_list_indented_and_grown() {
+    let snapshot: Value = serde_json::from_str(&snapshot_of(1000)).unwrap();
+    let bytes_per_entry = serde_json::to_string_pretty(&snapshot)
         .unwrap()
         .len()
         .div_ceil(1000);
     assert!(
-        indented * PLANNED <= MAX_UPDATE_BYTES,
-        "{indented} bytes an entry"
+        bytes_per_entry * PLANNED_ENDPOINTS <= MAX_UPDATE_BYTES,
+        "{bytes_per_entry} bytes an entry"
     );
     assert!(
-        indented * MAX_ENTRIES <= MAX_UPDATE_BYTES,
+        bytes_per_entry * MAX_ENTRIES <= MAX_UPDATE_BYTES,
         "and as many as are accepted at all"
     );
     assert_eq!(
@@ -127,42 +149,48 @@
     assert_eq!(
         endpoint_updates::max_update_bytes(1),
         4096 * 1024,
-        "never less than lists had before there was a limit"
+        "never less than updates could have before there was a limit"
     );
 }
 
+/// The memory limit of a configuration file with these limits.
+fn configured_memory_limit(limits: &Value) -> Option<usize> {
+    let settings = json!({
+        "classes": [{"name": "a", "aim_ns": 2, "give_up_ns": 6, "semantics": "read_like"}],
+        "extra": {"places": 1, "reach": 1, "ranges": 2, "class_need": [1.0], "least_share": [0.6],
+            "partial_earns": [0.9], "second_step": [0]},
+        "replicas_of_me": 1, "tick_ns": 5, "localities": ["n", "s"],
+    });
+    let file = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
+        "seed": "8c1f", "limits": limits, "settings": settings});
+    Config::parse(&file.to_string()).unwrap().memory_limit
+}
+
 #[test]
-fn the_memory_limit_is_read_from_the_configuration() {
-    let config = |limits: Value| {
-        let settings = json!({
-            "classes": [{"name": "a", "aim_ns": 2, "give_up_ns": 6, "semantics": "read_like"}],
-            "extra": {"places": 1, "reach": 1, "ranges": 2, "class_need": [1.0], "least_share": [0.6],
-                "partial_earns": [0.9], "second_step": [0]},
-            "replicas_of_me": 1, "tick_ns": 5, "localities": ["n", "s"],
-        });
-        let file = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
-            "seed": "8c1f", "limits": limits, "settings": settings});
-        Config::parse(&file.to_string()).unwrap()
-    };
+fn reads_memory_limit_from_configuration() {
     assert_eq!(
-        config(json!({"sockets": 9, "memory_mb": 128})).memory_limit,
+        configured_memory_limit(&json!({"sockets": 9, "memory_mb": 128})),
         Some(128_000_000)
     );
     assert_eq!(
-        config(json!({"sockets": 9, "memory_mb": 48.5})).memory_limit,
+        configured_memory_limit(&json!({"sockets": 9, "memory_mb": 48.5})),
         Some(48_500_000)
     );
-    for stated in [
+    for without_number in [
         json!({"sockets": 9}),
         json!({"sockets": 9, "memory_mb": "all"}),
         Value::Null,
     ] {
-        assert_eq!(config(stated.clone()).memory_limit, None, "{stated}");
+        assert_eq!(
+            configured_memory_limit(&without_number),
+            None,
+            "{without_number}"
+        );
     }
 }
 
 #[test]
-fn an_entry_is_read_alike_whatever_is_around_it() {
+fn reads_entry_regardless_of_field_order_and_layout() {
     let plain = concat!(
         r#"{"index":43,"snapshot":true,"endpoints":["#,
         r#"{"name":"s-\u0031","address":"10.1.0.1:7070","zone":"a","group":3,"status":"up","since_ms":7},"#,
@@ -173,387 +201,348 @@
         r#""address":"10.1.0.1:7070","name":"s-1"},"#,
         r#"{"status":"draining","group":3,"address":"[::1]:70","name":"s-2"}],"snapshot":true,"index":43}"#,
     );
-    let read = |text: &str| endpoint_updates::parse(text.as_bytes()).unwrap().unwrap();
-    let want = read(plain);
+    let expected = parse(plain);
     assert_eq!(
-        (&*want.entries[0].name, &*want.entries[0].zone),
+        (&*expected.entries[0].name, &*expected.entries[0].zone),
         ("s-1", "a")
     );
     assert_eq!(
-        SocketAddr::from(want.entries[1].address.as_ref().unwrap()),
+        SocketAddr::from(expected.entries[1].address.as_ref().unwrap()),
         "[::1]:70".parse().unwrap()
     );
-    assert_eq!(read(last_first), want);
+    assert_eq!(parse(last_first), expected);
     let value: Value = serde_json::from_str(plain).unwrap();
-    assert_eq!(read(&serde_json::to_string_pretty(&value).unwrap()), want);
+    assert_eq!(
+        parse(&serde_json::to_string_pretty(&value).unwrap()),
+        expected
+    );
     assert_eq!(
         serde_json::from_value::<EndpointUpdate>(value).unwrap(),
-        want
+        expected
     );
 }
 
-// ---- Entries that are wrong ---------------------------------------------------------------------------
+// ---- Entries that are wrong -----------------------------------------------------------------------------
 
 #[test]
-fn entries_that_cannot_be_used_are_counted_and_the_first_are_logged() {
-    let logs = Logs::collect();
-    let bad = (0..40).map(|n| format!("{{\"name\":\"s-{n}\",\"group\":-1,\"status\":\"up\"}}"));
-    let listing = endpoint_updates::parse(whole(bad).as_bytes())
-        .unwrap()
-        .unwrap();
-    assert_eq!((listing.entries.len(), listing.invalid_entries), (40, 40));
-    assert!(listing
+fn counts_invalid_entries_and_logs_the_first_ones() {
+    let logs = CapturedLogs::start();
+    let invalid = (0..40).map(|n| format!("{{\"name\":\"s-{n}\",\"group\":-1,\"status\":\"up\"}}"));
+    let update = parse(&snapshot_text(invalid));
+    assert_eq!((update.entries.len(), update.invalid_entries), (40, 40));
+    assert!(update
         .entries
         .iter()
-        .all(|e| e.status == Status::Draining && e.address.is_none()));
-    assert_eq!(
-        logs.with("WARN", &["index=43", "listed with what can't be used"])
-            .len(),
-        17
-    );
-    logs.assert_one("WARN", &["more=24"]);
+        .all(|entry| entry.status == Status::Draining && entry.address.is_none()));
+    let logged = logs.matching_lines("WARN", &["index=43", "listed with what can't be used"]);
+    assert_eq!(logged.len(), 17);
+    logs.assert_one_line("WARN", &["more=24"]);
     let mut harness = Harness::new(1);
-    let change = harness.change(false, &[]);
-    let Input::EndpointsUpdated(change) = change else {
-        panic!("{change:?}")
-    };
-    harness.put(Input::EndpointsUpdated(EndpointUpdate {
-        entries: listing.entries,
+    let next = harness.next_update(false, &[]);
+    harness.apply(Input::EndpointsUpdated(EndpointUpdate {
+        entries: update.entries,
         invalid_entries: 40,
-        ..change
+        ..next
     }));
-    assert_eq!(harness.state.counters().bad_lists.unusable, 40);
+    assert_eq!(harness.reducer.counters().bad_lists.unusable, 40);
 }
 
 #[test]
-fn what_is_up_without_a_usable_address_is_logged_with_what_was_stated() {
-    let logs = Logs::collect();
+fn logs_stated_address_of_entry_with_invalid_address() {
+    let logs = CapturedLogs::start();
     let text = r#"{"index":43,"snapshot":true,"endpoints":[{"name":"s-1","address":"here","group":3,"status":"up"}]}"#;
-    assert_eq!(
-        endpoint_updates::parse(text.as_bytes())
-            .unwrap()
-            .unwrap()
-            .invalid_entries,
-        1
-    );
-    logs.assert_one("WARN", &["index=43", "s-1", "\"here\" is no IP:PORT"]);
+    assert_eq!(parse(text).invalid_entries, 1);
+    logs.assert_one_line("WARN", &["index=43", "s-1", "\"here\" is no IP:PORT"]);
 }
 
 #[test]
-fn of_a_name_listed_twice_the_last_entry_holds() {
+fn last_of_duplicate_entries_wins() {
     for snapshot in [false, true] {
-        for (first, last, served) in [("up", "draining", false), ("draining", "up", true)] {
-            let logs = Logs::collect();
+        for (first, last, is_served) in [("up", "draining", false), ("draining", "up", true)] {
+            let logs = CapturedLogs::start();
             let mut harness = Harness::new(1);
-            harness.told(&harness::address(1), last);
-            harness.listed(snapshot, &[(1, first, 0), (1, last, 0)]);
-            assert_eq!(harness.state.counters().bad_lists.repeated, 1);
-            logs.assert_one("WARN", &["index=2", "s-1", "twice"]);
-            let client = harness.ask(1, &[1.0]);
-            harness.open_all();
-            harness.answer_all();
-            let whole = matches!(
-                harness.reply(client),
-                Some(Reply::Answer { complete: true, .. })
+            harness.announce_status(&address(1), last);
+            harness.send_update(snapshot, &[listed(1, first), listed(1, last)]);
+            assert_eq!(harness.reducer.counters().bad_lists.repeated, 1);
+            logs.assert_one_line("WARN", &["index=2", "s-1", "twice"]);
+            let client = harness.send_query(1, &[1.0]);
+            harness.serve_all();
+            assert_eq!(
+                harness.is_answered_completely(client),
+                is_served,
+                "{first}, then {last}, snapshot: {snapshot}"
             );
-            assert_eq!(whole, served, "{first}, then {last}, whole: {snapshot}");
         }
     }
 }
 
-/// A change of a server that is not listed, a query, and what is kept of it all after a while.
-fn kept_after(status: Option<&str>) -> usize {
+/// Updates a replica that is not listed to this status, serves a query, removes the replica again, and returns how
+/// much state is kept after a while.
+fn retained_entries_after_update_of_unknown(status: Option<&str>) -> usize {
+    let unknown = u64::from(status.is_some());
     let mut harness = Harness::new(1);
-    let change: Vec<_> = status.iter().map(|status| (9, *status, 0)).collect();
-    harness.listed(false, &change);
-    assert_eq!(
-        harness.state.counters().bad_lists.unknown,
-        u64::from(status.is_some())
-    );
-    let client = harness.ask(1, &[1.0]);
-    harness.open_all();
-    harness.answer_all();
-    assert!(
-        matches!(
-            harness.reply(client),
-            Some(Reply::Answer { complete: true, .. })
-        ),
-        "{status:?}"
-    );
+    let update: Vec<ListedEndpoint> = status.iter().map(|status| listed(9, status)).collect();
+    harness.send_delta(&update);
+    assert_eq!(harness.reducer.counters().bad_lists.unknown, unknown);
+    let client = harness.send_query(1, &[1.0]);
+    harness.serve_all();
+    assert!(harness.is_answered_completely(client), "{status:?}");
     assert_eq!(
         harness.connections.len(),
         1,
         "no connection to the unknown one"
     );
-    let change: Vec<_> = status.iter().map(|_| (9, "removed", 0)).collect();
-    harness.listed(false, &change);
-    harness.pass(LATE / 1_000_000 + 1);
-    harness.listed(false, &[]);
-    harness.pass(60_000);
+    let removal: Vec<ListedEndpoint> = status.iter().map(|_| listed(9, "removed")).collect();
+    harness.send_delta(&removal);
+    harness.advance_ms(LATE / MS + 1);
+    harness.send_delta(&[]);
+    harness.advance_ms(60_000);
     assert_eq!(
-        harness.state.counters().bad_lists.unknown,
-        u64::from(status.is_some()),
-        "known by the second change"
+        harness.reducer.counters().bad_lists.unknown,
+        unknown,
+        "known by the second update"
     );
-    harness.state.retained_entries()
+    harness.reducer.retained_entries()
 }
 
 #[test]
-fn a_change_that_takes_away_an_unknown_server_changes_nothing() {
-    let without = kept_after(None);
+fn removal_of_unknown_endpoint_changes_nothing() {
+    let without_update = retained_entries_after_update_of_unknown(None);
     for status in ["removed", "draining"] {
-        let logs = Logs::collect();
-        assert_eq!(kept_after(Some(status)), without);
-        logs.assert_one("INFO", &["index=2", "s-9", "in_force=1", "not listed"]);
+        let logs = CapturedLogs::start();
+        let after_update = retained_entries_after_update_of_unknown(Some(status));
+        assert_eq!(after_update, without_update);
+        logs.assert_one_line("INFO", &["index=2", "s-9", "in_force=1", "not listed"]);
     }
     let mut harness = Harness::new(1);
-    harness.listed(true, &[(1, "up", 0), (2, "draining", 0)]);
+    harness.send_snapshot(&[listed(1, "up"), listed(2, "draining")]);
     assert_eq!(
-        harness.state.counters().bad_lists.unknown,
+        harness.reducer.counters().bad_lists.unknown,
         0,
-        "a whole list names who drains"
+        "a snapshot names the endpoints that drain"
     );
 }
 
 #[test]
-fn what_was_announced_as_removed_of_an_unknown_server_holds_where_discovery_moves() {
+fn removal_of_unknown_endpoint_survives_discovery_switch() {
     let mut harness = Harness::new(1);
-    harness.listed(false, &[(9, "removed", 0)]);
-    harness.told(&harness::address(9), "removed");
-    harness.put(Input::ConfigReloaded {
-        discovery: Some("127.0.0.1:8501".parse().unwrap()),
-    });
-    harness.listed(true, &[(9, "up", 0)]);
-    let client = harness.ask(1, &[1.0]);
-    harness.open_all();
-    harness.pass(300);
+    harness.send_delta(&[listed(9, "removed")]);
+    harness.announce_status(&address(9), "removed");
+    harness.switch_discovery();
+    harness.send_snapshot(&[listed(9, "up")]);
+    let client = harness.send_query(1, &[1.0]);
+    harness.open_all_connections();
+    harness.advance_ms(300);
     assert!(
         harness.connections.is_empty()
-            && !matches!(harness.reply(client), Some(Reply::Answer { .. }))
+            && !matches!(harness.last_reply(client), Some(Reply::Answer { .. }))
     );
 }
 
-// ---- Messages that are refused ------------------------------------------------------------------------
+// ---- Updates that are rejected --------------------------------------------------------------------------
 
 #[test]
-fn a_list_over_the_bound_of_entries_is_refused_by_their_number() {
-    let text = whole((0..MAX_ENTRIES + 2).map(|_| "{}".to_string()));
-    let refused = endpoint_updates::parse(text.as_bytes()).unwrap_err();
+fn rejects_update_with_too_many_entries() {
+    let text = snapshot_text((0..MAX_ENTRIES + 2).map(|_| "{}".to_string()));
+    let error = endpoint_updates::parse(text.as_bytes()).unwrap_err();
     assert_eq!(
-        refused,
+        error,
         UpdateError::TooManyEntries {
             index: 43,
             entries: MAX_ENTRIES + 2
         }
     );
-    assert!(refused.is_over_bound());
+    assert!(error.is_over_bound());
     assert_eq!(
-        refused.to_string(),
+        error.to_string(),
         "131074 entries in version 43, 131072 at most are accepted"
     );
 }
 
-/// One connection of a watch that the test plays: what the mixer asked for, and the stream to answer on.
-async fn asked(listener: &TcpListener) -> (String, TcpStream) {
-    let (mut stream, _) = listener.accept().await.unwrap();
-    let mut head = Vec::new();
-    while !head.ends_with(b"\r\n\r\n") {
-        head.push(stream.read_u8().await.expect("a request"));
-    }
-    let head = String::from_utf8(head).unwrap();
-    (head.split(" HTTP").next().unwrap().to_string(), stream)
+/// A request to discovery, and the stream to answer it on.
+struct DiscoveryRequest {
+    /// The method and the path.
+    line: String,
+    stream: TcpStream,
 }
 
-async fn stats(mixer: SocketAddr) -> Value {
-    let mut stream = TcpStream::connect(mixer).await.unwrap();
-    stream
-        .write_all(b"GET /-/stats HTTP/1.1\r\n\r\n")
-        .await
-        .unwrap();
-    serde_json::from_str(&reply(&mut stream).await.1).unwrap()
+impl DiscoveryRequest {
+    async fn accept(listener: &TcpListener) -> DiscoveryRequest {
+        let (mut stream, _) = listener.accept().await.unwrap();
+        let head = read_head(&mut stream).await;
+        let line = head.split(" HTTP").next().unwrap().to_string();
+        DiscoveryRequest { line, stream }
+    }
 }
 
-/// Answers each part with its own id.
-async fn leaf(listener: TcpListener) {
+/// A leaf server that answers each part with its own id.
+async fn serve_leaf(listener: TcpListener) {
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
         tokio::task::spawn_local(async move {
-            while let Ok(length) = stream.read_u32().await {
-                let mut frame = vec![0; length as usize];
-                stream.read_exact(&mut frame).await.unwrap();
-                let text = String::from_utf8(frame).unwrap();
-                let id = text[1..].split(' ').next().unwrap().to_string();
-                let answer = format!("A{id} ok 1 -\n{id}");
-                stream.write_u32(answer.len() as u32).await.unwrap();
-                stream.write_all(answer.as_bytes()).await.unwrap();
+            while let Ok(frame) = read_frame(&mut stream).await {
+                let id = first_part_id(&frame);
+                stream.write_all(&answer_frame(id, id)).await.unwrap();
             }
         });
     }
 }
 
-async fn is_served(mixer: SocketAddr, name: &str) -> bool {
+async fn query_is_answered(mixer: SocketAddr, request_id: &str) -> bool {
     let mut stream = TcpStream::connect(mixer).await.unwrap();
-    stream.write_all(query(name, "").as_bytes()).await.unwrap();
-    reply(&mut stream).await.0.starts_with("HTTP/1.1 200")
-}
-
-fn chunk(text: &str) -> String {
-    format!("{:x}\r\n{text}\r\n", text.len())
-}
-
-/// Runs `test` against a mixer that has the list of version 3 in force, from a whole list over the watch that is
-/// given to it. The process may use 20 MB, so a message may take 5 MB.
-fn with_list_in_force<F: Future<Output = ()>>(test: impl FnOnce(Around, TcpStream, Logs) -> F) {
-    loopback::run_within(
-        Some(20_000_000),
-        false,
-        harness::SETTINGS,
-        DESCRIPTORS,
-        |mut around| async move {
-            let logs = Logs::collect();
-            let free = TcpListener::bind("127.0.0.1:0").await.unwrap();
-            let leaf_at = std::mem::replace(&mut around.leaf, free);
-            let (request, mut watch) = asked(&around.discovery).await;
-            assert_eq!(request, "GET /api/targets?watch=1&from=0");
-            watch
-                .write_all(loopback::list(3, leaf_at.local_addr().unwrap(), "up").as_bytes())
-                .await
-                .unwrap();
-            tokio::task::spawn_local(leaf(leaf_at));
-            while stats(around.mixer).await["list"] != 3 {
-                tokio::task::yield_now().await;
-            }
-            test(around, watch, logs).await;
-        },
-    );
+    send(&mut stream, &query_text(request_id, "")).await;
+    read_response(&mut stream).await.has_status(200)
+}
+
+async fn wait_for_list_version(mixer: SocketAddr, version: u64) {
+    while get_stats(mixer).await["list"] != version {
+        tokio::task::yield_now().await;
+    }
 }
 
-/// Sends what has to be refused on the watch, and checks that the list in force stays, that the fault is counted and
-/// that the whole list is asked for next and taken.
-fn is_refused(bad: String, fault: &'static str, words: &'static [&'static str]) {
-    with_list_in_force(|around, mut watch, logs| async move {
+/// Runs `test` against a mixer that has applied a snapshot of version 3 from the watch that is given to it.
+fn with_snapshot_applied<F: Future<Output = ()>>(
+    test: impl FnOnce(RunningMixer, TcpStream, CapturedLogs) -> F,
+) {
+    let options = MixerOptions {
+        memory_limit: Some(MEMORY_LIMIT),
+        ..MixerOptions::new(harness::SETTINGS, DESCRIPTORS, TestClock::Real)
+    };
+    loopback::run_mixer(options, |mut mixer| async move {
+        let logs = CapturedLogs::start();
+        let unused_leaf = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let leaf = std::mem::replace(&mut mixer.leaf, unused_leaf);
+        let mut watch = DiscoveryRequest::accept(&mixer.discovery).await;
+        assert_eq!(watch.line, "GET /api/targets?watch=1&from=0");
+        let snapshot = watch_response(3, leaf.local_addr().unwrap(), "up");
+        send(&mut watch.stream, &snapshot).await;
+        tokio::task::spawn_local(serve_leaf(leaf));
+        wait_for_list_version(mixer.address, 3).await;
+        test(mixer, watch.stream, logs).await;
+    });
+}
+
+/// Sends an update that has to be rejected on the watch, and checks that the endpoint list in force stays, that the
+/// fault is counted and that a snapshot is requested next and applied.
+fn check_is_rejected(update: String, counter: &'static str, logged: &'static [&'static str]) {
+    with_snapshot_applied(|mixer, mut watch, logs| async move {
         // The mixer may end the connection before all is written.
-        let _ = watch.write_all(bad.as_bytes()).await;
-        let (request, mut next) = asked(&around.discovery).await;
-        assert_eq!(request, "GET /api/targets", "the whole list comes first");
-        let found = stats(around.mixer).await;
-        assert_eq!(
-            (&found["list"], &found["lists"]),
-            (&json!(3), &json!(1)),
-            "{fault}"
-        );
-        let mut counted = json!({"over_bound": 0, "unreadable": 0, "went_back": 0, "whole_went_back": 0,
-            "unusable": 0, "repeated": 0, "unknown": 0});
-        counted[fault] = 1.into();
-        assert_eq!(found["bad_lists"], counted);
+        let _ = watch.write_all(update.as_bytes()).await;
+        let mut next = DiscoveryRequest::accept(&mixer.discovery).await;
+        assert_eq!(next.line, "GET /api/targets", "a snapshot comes first");
+        check_only_this_fault_is_counted(&get_stats(mixer.address).await, counter);
         assert!(
-            is_served(around.mixer, "kept").await,
-            "the list in force stays"
+            query_is_answered(mixer.address, "kept").await,
+            "the endpoint list in force stays"
         );
-        logs.assert_one("WARN", words);
-        let free = around.leaf.local_addr().unwrap();
-        next.write_all(loopback::list(2, free, "up").as_bytes())
-            .await
-            .unwrap();
-        let (request, _open) = asked(&around.discovery).await;
+        logs.assert_one_line("WARN", logged);
+        let unused_leaf = mixer.leaf.local_addr().unwrap();
+        send(&mut next.stream, &watch_response(2, unused_leaf, "up")).await;
+        let after_snapshot = DiscoveryRequest::accept(&mixer.discovery).await;
         assert_eq!(
-            request, "GET /api/targets?watch=1&from=2",
-            "a whole list is right whatever its version"
+            after_snapshot.line, "GET /api/targets?watch=1&from=2",
+            "a snapshot is right whatever its version"
         );
-        assert_eq!(stats(around.mixer).await["list"], 2);
+        assert_eq!(get_stats(mixer.address).await["list"], 2);
     });
 }
 
+/// Version 3 is in force, from the one update that was applied, and this counter alone is 1.
+fn check_only_this_fault_is_counted(stats: &Value, counter: &str) {
+    assert_eq!(
+        (&stats["list"], &stats["lists"]),
+        (&json!(3), &json!(1)),
+        "{counter}"
+    );
+    let mut expected = json!({"over_bound": 0, "unreadable": 0, "went_back": 0, "whole_went_back": 0,
+        "unusable": 0, "repeated": 0, "unknown": 0});
+    expected[counter] = 1.into();
+    assert_eq!(stats["bad_lists"], expected);
+}
+
 #[test]
-fn a_list_over_the_bound_of_bytes_is_refused() {
+fn rejects_update_with_too_many_bytes() {
     let endless = format!(
         "{{\"index\":4,\"snapshot\":true,\"endpoints\":[{}",
         "1,".repeat(2_500_000)
     );
-    let words = &[
+    let logged = &[
         "TooLarge",
         "in_force=3",
         "over 5000000 bytes, the most that is accepted",
     ];
-    is_refused(chunk(&endless), "over_bound", words);
+    check_is_rejected(http_chunk(&endless), "over_bound", logged);
 }
 
 #[test]
-fn changes_whose_version_goes_back_are_refused() {
-    let words = &[
+fn rejects_delta_whose_version_regressed() {
+    let logged = &[
         "VersionRegressed",
         "changes up to version 2",
         "3 or later is valid",
     ];
-    let drains = json!({"name": "s-1", "address": "127.0.0.1:1", "group": 0, "status": "removed"});
-    let changes = json!({"index": 2, "snapshot": false, "endpoints": [drains]});
-    is_refused(chunk(&format!("{changes}\n")), "went_back", words);
+    let removal = json!({"name": "s-1", "address": "127.0.0.1:1", "group": 0, "status": "removed"});
+    let delta = json!({"index": 2, "snapshot": false, "endpoints": [removal]});
+    check_is_rejected(http_chunk(&format!("{delta}\n")), "went_back", logged);
+}
+
+/// A delta without entries, as a chunk of a watch's response.
+fn empty_delta(version: u64) -> String {
+    let delta = json!({"index": version, "snapshot": false, "endpoints": []});
+    http_chunk(&format!("{delta}\n"))
 }
 
 #[test]
-fn changes_that_go_back_behind_later_ones_of_the_same_watch_are_refused() {
-    with_list_in_force(|around, mut watch, _logs| async move {
-        let changes = |index: u64| {
-            chunk(&format!(
-                "{}\n",
-                json!({"index": index, "snapshot": false, "endpoints": []})
-            ))
-        };
-        watch
-            .write_all((changes(9) + &changes(9) + &changes(8)).as_bytes())
-            .await
-            .unwrap();
-        let (request, _next) = asked(&around.discovery).await;
-        assert_eq!(request, "GET /api/targets");
-        let found = stats(around.mixer).await;
+fn rejects_delta_older_than_previous_delta_of_same_watch() {
+    with_snapshot_applied(|mixer, mut watch, _logs| async move {
+        let deltas = empty_delta(9) + &empty_delta(9) + &empty_delta(8);
+        send(&mut watch, &deltas).await;
+        let next = DiscoveryRequest::accept(&mixer.discovery).await;
+        assert_eq!(next.line, "GET /api/targets");
+        let stats = get_stats(mixer.address).await;
         assert_eq!(
-            (&found["list"], &found["bad_lists"]["went_back"]),
+            (&stats["list"], &stats["bad_lists"]["went_back"]),
             (&json!(9), &json!(1))
         );
     });
 }
 
 #[test]
-fn a_message_that_cannot_be_read_is_refused() {
-    is_refused(
-        chunk("{\"index\":4,\n\"snapshot\":true]\n"),
+fn rejects_malformed_update() {
+    check_is_rejected(
+        http_chunk("{\"index\":4,\n\"snapshot\":true]\n"),
         "unreadable",
         &["Malformed", "line 2 column 16"],
     );
-    let nobody = json!({"index": 4, "snapshot": false, "endpoints": [{"group": 1}]});
-    is_refused(
-        chunk(&format!("{nobody}\n")),
+    let without_name = json!({"index": 4, "snapshot": false, "endpoints": [{"group": 1}]});
+    check_is_rejected(
+        http_chunk(&format!("{without_name}\n")),
         "unreadable",
         &["Malformed", "entry 0 of version 4 names nobody"],
     );
 }
 
 #[test]
-fn a_whole_list_of_an_earlier_version_is_taken_and_counted() {
-    with_list_in_force(|around, mut watch, logs| async move {
-        let whole = json!({"index": 1, "snapshot": true, "endpoints": []});
-        watch
-            .write_all(chunk(&format!("{whole}\n")).as_bytes())
-            .await
-            .unwrap();
-        while stats(around.mixer).await["list"] != 1 {
-            tokio::task::yield_now().await;
-        }
-        let found = stats(around.mixer).await;
+fn accepts_and_counts_snapshot_of_earlier_version() {
+    with_snapshot_applied(|mixer, mut watch, logs| async move {
+        let snapshot = json!({"index": 1, "snapshot": true, "endpoints": []});
+        send(&mut watch, &http_chunk(&format!("{snapshot}\n"))).await;
+        wait_for_list_version(mixer.address, 1).await;
+        let stats = get_stats(mixer.address).await;
         assert_eq!(
             (
-                &found["bad_lists"]["whole_went_back"],
-                &found["watches"]["ended"]
+                &stats["bad_lists"]["whole_went_back"],
+                &stats["watches"]["ended"]
             ),
             (&json!(1), &json!(0))
         );
-        logs.assert_one(
+        logs.assert_one_line(
             "INFO",
             &["index=1", "in_force=3", "whole list of an earlier version"],
         );
         assert!(
-            !is_served(around.mixer, "gone").await,
-            "whom it leaves out is gone at once"
+            !query_is_answered(mixer.address, "gone").await,
+            "an endpoint that it leaves out is gone at once"
         );
     });
 }
--- /dev/null
+++ b/crates/mixer/tests/graceful_shutdown.rs
@@ -0,0 +1,120 @@
+//! Graceful shutdown: after SIGTERM the mixer serves for a grace, then closes idle clients, finishes what it accepted
+//! and exits before SIGKILL may come.
+
+mod harness;
+
+use cottonhill_mixer::protocol::query_json::Reply;
+use cottonhill_mixer::reducer::Input;
+use harness::{deployments, Harness};
+
+/// For how long after SIGTERM clients may still connect.
+const GRACE_MS: u64 = 700;
+/// The longest deadline that counts for the time of SIGKILL.
+const MAX_COUNTED_DEADLINE_MS: u64 = 3000;
+
+/// SIGKILL follows 0.7 s after the longest deadline, which counts as 3 s where it is longer.
+#[test]
+fn answers_all_accepted_queries_before_kill() {
+    for settings_text in deployments() {
+        // Late answers earn, so a query waits to the end of its time.
+        let settings_text = settings_text + "classes.0.late_value=0.9\nclasses.1.late_value=0.9\n";
+        let longest_deadline_ms = if settings_text.contains("_ns=600000000\n") {
+            600
+        } else {
+            MAX_COUNTED_DEADLINE_MS
+        };
+        for class in [0, 1] {
+            check_all_are_answered(&settings_text, class, longest_deadline_ms + GRACE_MS);
+        }
+    }
+}
+
+fn check_all_are_answered(settings_text: &str, class: u16, kill_after_ms: u64) {
+    let mut harness = Harness::with_settings(settings_text, 1);
+    let before = harness.connect_client();
+    harness.send_query_from(before, class, &[0.7, 0.3], 6000);
+    harness.open_all_connections();
+    harness.apply(Input::ShutdownRequested);
+    harness.advance_ms(GRACE_MS);
+    let during = harness.connect_client();
+    harness.send_query_from(during, class, &[0.7, 0.3], 6000);
+    harness.advance_ms(kill_after_ms - 50 - GRACE_MS);
+    for client in [before, during] {
+        assert_eq!(
+            harness.replies[&client].len(),
+            1,
+            "class {class} of {settings_text}"
+        );
+        assert!(
+            !matches!(harness.last_reply(client), Some(Reply::Answer { .. })),
+            "the leaf server answered nothing"
+        );
+    }
+    assert!(harness.has_exited);
+    assert_eq!(harness.reducer.counters().faults, Default::default());
+}
+
+#[test]
+fn serves_during_grace_then_closes_idle_clients_and_finishes_open_queries() {
+    let mut harness = Harness::new(1);
+    let idle = harness.send_query(1, &[1.0]);
+    harness.serve_all();
+    harness.apply(Input::ShutdownRequested);
+    harness.advance_ms(GRACE_MS);
+    assert!(
+        harness.is_listening && harness.closed_clients.is_empty(),
+        "clients may still connect for 0.7 s"
+    );
+    let late = harness.send_query(1, &[1.0]);
+    harness.advance_ms(100);
+    assert!(!harness.is_listening);
+    assert_eq!(harness.closed_clients, [idle]);
+    assert!(!harness.has_exited, "a query is still open");
+    harness.answer_all_parts();
+    assert!(harness.is_answered_completely(late));
+    assert!(harness.has_exited);
+}
+
+#[test]
+fn exits_before_kill_deadline() {
+    let mut harness = Harness::new(1);
+    harness.apply(Input::ShutdownRequested);
+    harness.advance_ms(690);
+    let client = harness.connect_client();
+    harness.send_query_from(client, 1, &[1.0], 6000);
+    harness.advance_ms(5400);
+    assert_eq!(
+        harness.replies[&client].len(),
+        1,
+        "SIGKILL may come 6.7 s after SIGTERM"
+    );
+    assert!(harness.has_exited);
+}
+
+#[test]
+fn client_accepted_as_listener_closes_does_not_delay_exit() {
+    let mut harness = Harness::new(1);
+    harness.apply(Input::ShutdownRequested);
+    harness.advance_ms(800);
+    assert!(harness.has_exited);
+
+    let mut harness = Harness::new(1);
+    let busy = harness.send_query(1, &[1.0]);
+    harness.open_all_connections();
+    harness.apply(Input::ShutdownRequested);
+    harness.advance_ms(800);
+    let idle = harness.connect_client();
+    assert_eq!(harness.closed_clients, [idle]);
+    harness.answer_all_parts();
+    assert!(harness.has_exited && harness.replies[&busy].len() == 1);
+}
+
+#[test]
+fn not_ready_without_endpoints_or_after_shutdown_request() {
+    let mut harness = Harness::new(0);
+    assert!(!harness.is_ready());
+    harness.update_endpoint(1, "up");
+    assert!(harness.is_ready());
+    harness.apply(Input::ShutdownRequested);
+    assert!(!harness.is_ready());
+}
--- a/crates/mixer/tests/harness/mod.rs
+++ b/crates/mixer/tests/harness/mod.rs
@@ -1,20 +1,29 @@
-//! A reducer with hand-made inputs in place of sockets. It carries the effects out as sockets would, and
-//! checks at each step what must hold at every one.
+//! A reducer that tests drive with inputs in place of sockets. It carries the effects out as sockets would, and checks
+//! at each step what must hold at every one.
 
 #![allow(dead_code)] // Each test file uses its own part of it.
 
 use bytes::Bytes;
+use cottonhill_decisions::Nanos;
 use cottonhill_mixer::protocol::endpoint_updates::EndpointUpdate;
-use cottonhill_mixer::protocol::leaf_frames::{LeafRequest, LeafResponse, PartStatus};
+use cottonhill_mixer::protocol::leaf_frames::{CallPart, LeafRequest, LeafResponse, PartStatus};
 use cottonhill_mixer::protocol::query_json::{ClientRequest, PartRequest, QueryRequest, Reply};
 use cottonhill_mixer::reducer::usage::{UsageRecord, Watermark};
 use cottonhill_mixer::reducer::{ClientId, ConnectionId, Effect, Input, Reducer};
 use cottonhill_mixer::settings;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const MS: u64 = 1_000_000;
-pub const START: u64 = 1_000_000 * MS;
-/// As a real site has them: class 0 takes partial answers, class 1 needs every part.
+/// One millisecond, ns.
+pub const MS: Nanos = 1_000_000;
+/// When a test begins, on the reducer's clock.
+pub const START: Nanos = 1_000_000 * MS;
+/// How long a client waits unless a test states something else.
+pub const DEFAULT_TIMEOUT_MS: u64 = 5000;
+/// As the settings have it.
+const STREAMS_PER_CONNECTION: usize = 4;
+const DEFAULT_DESCRIPTORS: usize = 1024;
+const SEED: u64 = 7;
+/// Settings as a real deployment has them: class 0 accepts partial answers, class 1 needs every part.
 pub const SETTINGS: &str = "classes.count=2\nclasses.0.name=report\nclasses.0.aim_ns=2000000000\n\
 classes.0.give_up_ns=5000000000\nclasses.0.semantics=read_like\nclasses.1.name=lookup\n\
 classes.1.aim_ns=2000000000\nclasses.1.give_up_ns=6000000000\nclasses.1.semantics=read_like\n\
@@ -23,390 +32,494 @@
 limits.cancelling=true\nlimits.may_duplicate=true\nlimits.max_attempts=4\nlimits.streams_per_conn=4\n\
 limits.connect_timeout_ns=250000000\nlimits.conn_idle_ns=30000000000\nlimits.open_cap=60\n\
 limits.max_retry_after_ns=500000000\nlocalities=north,south\nguarantees.stop_sending_within_ns=250000000\n";
-pub const GRACE: u64 = 250 * MS;
+/// For how long after a drain is announced calls may still begin.
+pub const DRAIN_GRACE: Nanos = 250 * MS;
 
-/// The settings of four deployments: as above; asked for lists, with nothing cancelled; with short times; with many
-/// shards and a class that must not run twice.
+/// The settings of four deployments: as above; polling discovery, without cancellation; with short times; with many
+/// shards and a non-idempotent class.
 pub fn deployments() -> [String; 4] {
-    let asked = SETTINGS.replace("limits.cancelling=true", "limits.cancelling=false");
-    let asked = asked
+    let polling = SETTINGS
+        .replace("limits.cancelling=true", "limits.cancelling=false")
         .replace("limits.max_attempts=4", "limits.max_attempts=3")
-        .replace("lookup", "history");
-    let short = SETTINGS
+        .replace("lookup", "history")
+        + "discovery=on_request\nguarantees.ask_within_ns=10000000000\n";
+    let short_deadlines = SETTINGS
         .replace("_ns=2000000000", "_ns=200000000")
-        .replace("_ns=5000000000", "_ns=500000000");
-    let short = short
+        .replace("_ns=5000000000", "_ns=500000000")
         .replace("_ns=6000000000", "_ns=600000000")
         .replace("_ns=250000000", "_ns=80000000");
-    let unsafe_class = SETTINGS.replace(
-        "classes.1.semantics=read_like",
-        "classes.1.semantics=non_idempotent",
-    );
+    let non_idempotent = non_idempotent_settings()
+        .replace("extra.ranges=8", "extra.ranges=512")
+        .replace("name=report", "name=ranking");
     [
         SETTINGS.to_string(),
-        asked + "discovery=on_request\nguarantees.ask_within_ns=10000000000\n",
-        short,
-        unsafe_class
-            .replace("extra.ranges=8", "extra.ranges=512")
-            .replace("name=report", "name=ranking"),
+        polling,
+        short_deadlines,
+        non_idempotent,
     ]
 }
 
+/// Class 1 must not be executed twice.
+pub fn non_idempotent_settings() -> String {
+    SETTINGS.replace(
+        "classes.1.semantics=read_like",
+        "classes.1.semantics=non_idempotent",
+    )
+}
+
+/// A reply and when it was sent.
+#[derive(Debug)]
+pub struct SentReply {
+    pub at: Nanos,
+    pub reply: Reply,
+}
+
+/// A connection to a leaf server, as its socket sees it.
+#[derive(Debug)]
+pub struct LeafSocket {
+    pub address: String,
+    pub is_open: bool,
+}
+
+/// A frame that was given to the socket of a connection.
+#[derive(Debug)]
+pub struct SentFrame {
+    pub connection: ConnectionId,
+    pub frame: LeafRequest,
+}
+
+/// One entry of an endpoint update.
+#[derive(Clone, Copy, Debug)]
+pub struct ListedEndpoint<'a> {
+    pub replica: u64,
+    /// As on the wire.
+    pub status: &'a str,
+    pub started: Nanos,
+}
+
+/// An entry of a replica that has long been running.
+pub fn listed(replica: u64, status: &str) -> ListedEndpoint<'_> {
+    ListedEndpoint {
+        replica,
+        status,
+        started: 0,
+    }
+}
+
+/// What discovery last said of an address.
+struct AnnouncedStatus {
+    status: String,
+    since: Nanos,
+}
+
+impl AnnouncedStatus {
+    fn is_up(&self) -> bool {
+        self.status == "up"
+    }
+}
+
 pub struct Harness {
-    pub state: Reducer,
-    pub now: u64,
-    pub replies: BTreeMap<ClientId, Vec<(u64, Reply)>>,
-    pub left: BTreeSet<ClientId>,
-    /// Connections by their number: the address, and whether it is up.
-    pub connections: BTreeMap<ConnectionId, (String, bool)>,
-    /// All frames, and what is out at each connection.
-    pub frames: Vec<(ConnectionId, LeafRequest)>,
-    pub out: BTreeMap<ConnectionId, Vec<String>>,
-    pub closed: Vec<ClientId>,
-    pub listening: bool,
-    pub exited: bool,
-    /// No socket takes a frame before it is told to (`begin`).
-    pub stuck: bool,
-    /// Where the watches that were asked for go on from.
+    pub reducer: Reducer,
+    pub now: Nanos,
+    pub replies: BTreeMap<ClientId, Vec<SentReply>>,
+    pub disconnected_clients: BTreeSet<ClientId>,
+    pub connections: BTreeMap<ConnectionId, LeafSocket>,
+    /// All frames that were given to sockets, in order.
+    pub frames: Vec<SentFrame>,
+    /// Ids of the parts in flight at each connection, oldest first.
+    pub in_flight: BTreeMap<ConnectionId, Vec<String>>,
+    /// Clients that the reducer closed.
+    pub closed_clients: Vec<ClientId>,
+    pub is_listening: bool,
+    pub has_exited: bool,
+    /// No socket takes a frame before [`Harness::complete_write`].
+    pub writes_stalled: bool,
+    /// The versions that the requested watches continue from.
     pub watches: Vec<Option<u64>>,
-    pub records: Vec<UsageRecord>,
-    pub marks: Vec<Watermark>,
-    /// What is known of an address, since when.
-    told: BTreeMap<String, (String, u64)>,
+    pub usage_records: Vec<UsageRecord>,
+    pub watermarks: Vec<Watermark>,
+    announced: BTreeMap<String, AnnouncedStatus>,
     writing: BTreeSet<ConnectionId>,
-    clients: u64,
-    index: u64,
+    last_client: ClientId,
+    list_version: u64,
 }
 
 pub fn address(replica: u64) -> String {
     format!("127.0.{}.{}:7070", replica / 256, replica % 256)
 }
 
-fn listing(index: u64, snapshot: bool, lines: &[(u64, &str, u64)]) -> EndpointUpdate {
-    let line = |(replica, status, since): &(u64, &str, u64)| {
-        serde_json::json!({"name": format!("s-{replica}"), "address": address(*replica), "zone": "north",
-            "type": "m", "group": 0, "status": status, "weight": 1.0, "since_ms": since / MS})
+fn endpoint_update(version: u64, snapshot: bool, endpoints: &[ListedEndpoint]) -> EndpointUpdate {
+    let entry = |endpoint: &ListedEndpoint| {
+        serde_json::json!({
+            "name": format!("s-{}", endpoint.replica),
+            "address": address(endpoint.replica),
+            "zone": "north",
+            "type": "m",
+            "group": 0,
+            "status": endpoint.status,
+            "weight": 1.0,
+            "since_ms": endpoint.started / MS,
+        })
     };
-    let lines: Vec<_> = lines.iter().map(line).collect();
-    serde_json::from_value(
-        serde_json::json!({"index": index, "snapshot": snapshot, "endpoints": lines}),
-    )
-    .expect("a list")
+    let entries = endpoints.iter().map(entry).collect();
+    update_from_json(version, snapshot, entries)
+}
+
+fn update_from_json(
+    version: u64,
+    snapshot: bool,
+    entries: Vec<serde_json::Value>,
+) -> EndpointUpdate {
+    let update = serde_json::json!({
+        "index": version,
+        "snapshot": snapshot,
+        "endpoints": entries,
+    });
+    serde_json::from_value(update).expect("a well-formed update")
 }
 
+/// Parts with these weights, at the shards 0, 1, ...
+fn parts_of_weights(weights: &[f64]) -> Vec<PartRequest> {
+    weights
+        .iter()
+        .zip(0..)
+        .map(|(weight, shard)| PartRequest {
+            shard,
+            weight: *weight,
+            work: None,
+        })
+        .collect()
+}
+
+fn single_part(shard: u32) -> Vec<PartRequest> {
+    vec![PartRequest {
+        shard,
+        weight: 1.0,
+        work: None,
+    }]
+}
+
+/// A query of class 1 with a timeout of 5 s and the whole weight on shard 0.
+pub fn query_request(request_id: &str) -> QueryRequest {
+    QueryRequest {
+        request_id: request_id.to_string(),
+        class: 1,
+        tenant: 0,
+        timeout: DEFAULT_TIMEOUT_MS * MS,
+        client_retry: false,
+        idempotency_key: None,
+        parts: single_part(0),
+        text: Bytes::from_static(b"c41e77d0"),
+    }
+}
+
+// ---- Set-up ---------------------------------------------------------------------------------------------
+
 impl Harness {
+    /// With so many ready replicas in one cell.
     pub fn new(replicas: u64) -> Harness {
-        Harness::with(SETTINGS, replicas)
+        Harness::with_settings(SETTINGS, replicas)
     }
 
-    pub fn with(text: &str, replicas: u64) -> Harness {
-        let mut harness = Harness::unheard(text, replicas, 1024);
-        harness.put(Input::EndpointsUpdated(listing(1, false, &[])));
+    pub fn with_settings(settings_text: &str, replicas: u64) -> Harness {
+        let mut harness = Harness::with_cached_list(settings_text, replicas, DEFAULT_DESCRIPTORS);
+        harness.apply(Input::EndpointsUpdated(endpoint_update(1, false, &[])));
         harness
     }
 
-    /// One that holds a list from before its start, and so many descriptors, and has not heard from discovery.
-    pub fn unheard(text: &str, replicas: u64, descriptors: usize) -> Harness {
-        let (site, decisions) = (
-            settings::parse_mixer(text).unwrap(),
-            settings::parse_decisions(text).unwrap(),
+    /// With an endpoint list that was cached before a restart, and no update from discovery yet.
+    pub fn with_cached_list(settings_text: &str, replicas: u64, descriptors: usize) -> Harness {
+        let endpoints: Vec<_> = (1..=replicas).map(|r| listed(r, "up")).collect();
+        let reducer = Reducer::new(
+            START,
+            settings::parse_mixer(settings_text).unwrap(),
+            settings::parse_decisions(settings_text).unwrap(),
+            SEED,
+            &endpoint_update(1, true, &endpoints),
+            descriptors,
         );
-        let lines: Vec<_> = (1..=replicas).map(|r| (r, "up", 0)).collect();
-        Harness {
-            state: Reducer::new(
-                START,
-                site,
-                decisions,
-                7,
-                &listing(1, true, &lines),
-                descriptors,
-            ),
+        let mut harness = Harness {
+            reducer,
             now: START,
             replies: BTreeMap::new(),
-            left: BTreeSet::new(),
+            disconnected_clients: BTreeSet::new(),
             connections: BTreeMap::new(),
             frames: Vec::new(),
-            out: BTreeMap::new(),
-            closed: Vec::new(),
-            listening: true,
-            exited: false,
-            stuck: false,
+            in_flight: BTreeMap::new(),
+            closed_clients: Vec::new(),
+            is_listening: true,
+            has_exited: false,
+            writes_stalled: false,
             watches: Vec::new(),
-            records: Vec::new(),
-            marks: Vec::new(),
-            told: (1..=replicas)
-                .map(|r| (address(r), ("up".to_string(), START)))
-                .collect(),
+            usage_records: Vec::new(),
+            watermarks: Vec::new(),
+            announced: BTreeMap::new(),
             writing: BTreeSet::new(),
-            clients: 0,
-            index: 1,
+            last_client: 0,
+            list_version: 1,
+        };
+        for replica in 1..=replicas {
+            harness.announce_status(&address(replica), "up");
         }
+        harness
     }
 
-    /// One of as many places as shards, each shard held by one server alone.
-    pub fn wide(places: u64, descriptors: usize) -> Harness {
-        let text = SETTINGS.replace("extra.places=1", &format!("extra.places={places}"));
-        let text = text.replace("extra.ranges=8", &format!("extra.ranges={places}"));
-        let mut harness = Harness::unheard(
-            &text.replace("open_cap=60", "open_cap=5000"),
-            0,
-            descriptors,
-        );
-        let entry = |r: u64| {
-            serde_json::json!({"name": format!("s-{r}"), "address": address(r), "zone": "north", "group": r - 1,
-                "status": "up"})
+    /// With as many cells as shards, so that each shard is held by one replica alone.
+    pub fn with_one_replica_per_shard(shards: u64, descriptors: usize) -> Harness {
+        let settings_text = SETTINGS
+            .replace("extra.places=1", &format!("extra.places={shards}"))
+            .replace("extra.ranges=8", &format!("extra.ranges={shards}"))
+            .replace("open_cap=60", "open_cap=5000");
+        let mut harness = Harness::with_cached_list(&settings_text, 0, descriptors);
+        for replica in 1..=shards {
+            harness.announce_status(&address(replica), "up");
+        }
+        let entry = |replica: u64| {
+            serde_json::json!({
+                "name": format!("s-{replica}"),
+                "address": address(replica),
+                "zone": "north",
+                "group": replica - 1,
+                "status": "up",
+            })
         };
-        (1..=places).for_each(|r| harness.told(&address(r), "up"));
-        let entries: Vec<_> = (1..=places).map(entry).collect();
-        let list = serde_json::json!({"index": 2, "snapshot": true, "endpoints": entries});
-        harness.put(Input::EndpointsUpdated(
-            serde_json::from_value(list).expect("a list"),
-        ));
+        let entries = (1..=shards).map(entry).collect();
+        harness.apply(Input::EndpointsUpdated(update_from_json(2, true, entries)));
         harness
     }
+}
 
-    /// The connections that calls went out on, in order.
-    pub fn calls(&self) -> Vec<ConnectionId> {
-        let call = |(connection, frame): &(ConnectionId, LeafRequest)| {
-            matches!(frame, LeafRequest::Call(_)).then_some(*connection)
-        };
-        self.frames.iter().filter_map(call).collect()
-    }
+// ---- Batches, effects and time --------------------------------------------------------------------------
 
-    /// The addresses that calls went to, in order; empty where the connection is over.
-    pub fn called(&self) -> Vec<String> {
-        let address = |connection| {
-            self.connections
-                .get(&connection)
-                .map_or_else(String::new, |it| it.0.clone())
-        };
-        self.calls().into_iter().map(address).collect()
+impl Harness {
+    /// Applies one input and the batch after it.
+    pub fn apply(&mut self, input: Input) {
+        self.apply_batch([input]);
     }
 
-    /// One input and the turn after it.
-    pub fn put(&mut self, input: Input) {
-        let mut effects = self.state.apply(self.now, input);
-        effects.extend(self.state.apply(self.now, Input::ProcessBatch));
-        effects.into_iter().for_each(|effect| self.perform(effect));
+    /// Applies what came in at one moment, in this order, and the one batch after it.
+    pub fn apply_batch(&mut self, inputs: impl IntoIterator<Item = Input>) {
+        let mut effects = Vec::new();
+        for input in inputs.into_iter().chain([Input::ProcessBatch]) {
+            effects.extend(self.reducer.apply(self.now, input));
+        }
+        for effect in effects {
+            self.perform(effect);
+        }
     }
 
-    /// What came in at one moment, in this order, and the one turn after it.
-    pub fn batch(&mut self, inputs: impl IntoIterator<Item = Input>) {
-        let inputs = inputs.into_iter().chain([Input::ProcessBatch]);
-        let effects: Vec<Effect> = inputs
-            .flat_map(|input| self.state.apply(self.now, input))
-            .collect();
-        effects.into_iter().for_each(|effect| self.perform(effect));
+    /// Lets time pass, with a batch whenever one is due.
+    pub fn advance_ms(&mut self, duration_ms: u64) {
+        let end = self.now + duration_ms * MS;
+        while let Some(due) = self.reducer.next_due().filter(|due| *due <= end) {
+            self.now = self.now.max(due);
+            self.apply(Input::ProcessBatch);
+        }
+        self.now = end;
     }
 
     fn perform(&mut self, effect: Effect) {
         match effect {
-            Effect::RecordUsage(usage) => self.records.push(usage),
-            Effect::RecordWatermark(mark) => self.marks.push(mark),
+            Effect::RecordUsage(record) => self.usage_records.push(record),
+            Effect::RecordWatermark(watermark) => self.watermarks.push(watermark),
             Effect::Reply {
                 client,
                 reply,
                 close,
-            } => {
-                self.replies
-                    .entry(client)
-                    .or_default()
-                    .push((self.now, reply));
-                if close {
-                    self.put(Input::ClientClosed { client });
-                }
-            }
+            } => self.send_reply(client, reply, close),
             Effect::CloseClient { client, .. } => {
-                self.closed.push(client);
-                self.put(Input::ClientClosed { client });
+                self.closed_clients.push(client);
+                self.apply(Input::ClientClosed { client });
             }
             Effect::Connect {
                 connection,
                 address,
-            } => {
-                assert_eq!(
-                    self.told[&address.to_string()].0,
-                    "up",
-                    "no new connection where nothing may go"
-                );
-                self.connections
-                    .insert(connection, (address.to_string(), false));
-            }
-            Effect::WriteFrame { connection, frame } => {
-                let (address, up) = &self.connections[&connection];
-                assert!(*up, "nothing is written before the connection is up");
-                assert!(self.writing.insert(connection), "one frame at a time");
-                let out = self.out.entry(connection).or_default();
-                match &frame {
-                    LeafRequest::Call(parts) => {
-                        assert_eq!(
-                            self.told[address].0, "up",
-                            "nothing new goes to what drains or is gone"
-                        );
-                        for part in parts {
-                            assert!(
-                                !out.contains(&part.id.to_string()),
-                                "{} is out there",
-                                part.id
-                            );
-                            out.push(part.id.to_string());
-                        }
-                        assert!(out.len() <= 4, "no more than streams_per_conn");
-                    }
-                    LeafRequest::Cancel(id) => out.retain(|other| **other != **id),
-                    LeafRequest::Probe | LeafRequest::ProbeLoad => {}
-                }
-                self.frames.push((connection, frame));
-                if !self.stuck {
-                    self.begin(connection);
-                }
-            }
-            Effect::CloseConnection { connection } => {
-                self.connections.remove(&connection);
-                self.out.remove(&connection);
-            }
+            } => self.connect_to_leaf(connection, address.to_string()),
+            Effect::WriteFrame { connection, frame } => self.write_frame(connection, frame),
+            Effect::CloseConnection { connection } => self.forget_connection(connection),
             Effect::WatchEndpoints { from_version, .. } => self.watches.push(from_version),
             Effect::SendDatagram { .. } => {}
             Effect::CloseListener => {
-                self.listening = false;
-                self.put(Input::ListenerClosed);
+                self.is_listening = false;
+                self.apply(Input::ListenerClosed);
             }
-            Effect::Exit(_) => self.exited = true,
+            Effect::Exit(_) => self.has_exited = true,
+        }
+    }
+
+    fn send_reply(&mut self, client: ClientId, reply: Reply, close: bool) {
+        let at = self.now;
+        let replies = self.replies.entry(client).or_default();
+        replies.push(SentReply { at, reply });
+        if close {
+            self.apply(Input::ClientClosed { client });
+        }
+    }
+
+    fn connect_to_leaf(&mut self, connection: ConnectionId, address: String) {
+        assert!(
+            self.announced[&address].is_up(),
+            "no new connection to what drains or is gone"
+        );
+        let socket = LeafSocket {
+            address,
+            is_open: false,
+        };
+        self.connections.insert(connection, socket);
+    }
+
+    fn write_frame(&mut self, connection: ConnectionId, frame: LeafRequest) {
+        let socket = &self.connections[&connection];
+        assert!(
+            socket.is_open,
+            "nothing is written before the connection is open"
+        );
+        assert!(self.writing.insert(connection), "one frame at a time");
+        match &frame {
+            LeafRequest::Call(parts) => {
+                assert!(
+                    self.announced[&socket.address].is_up(),
+                    "nothing new goes to what drains or is gone"
+                );
+                self.add_in_flight(connection, parts);
+            }
+            LeafRequest::Cancel(id) => {
+                let in_flight = self.in_flight.entry(connection).or_default();
+                in_flight.retain(|other| **other != **id);
+            }
+            LeafRequest::Probe | LeafRequest::ProbeLoad => {}
+        }
+        self.frames.push(SentFrame { connection, frame });
+        if !self.writes_stalled {
+            self.complete_write(connection);
         }
     }
 
+    fn add_in_flight(&mut self, connection: ConnectionId, parts: &[CallPart]) {
+        let in_flight = self.in_flight.entry(connection).or_default();
+        for part in parts {
+            let id = part.id.to_string();
+            assert!(!in_flight.contains(&id), "{id} is in flight there");
+            in_flight.push(id);
+        }
+        assert!(
+            in_flight.len() <= STREAMS_PER_CONNECTION,
+            "no more than streams_per_conn"
+        );
+    }
+
     /// A socket takes the frame that it was given, from its first byte to its last.
-    pub fn begin(&mut self, connection: ConnectionId) {
-        let Some((address, _)) = self
+    pub fn complete_write(&mut self, connection: ConnectionId) {
+        let Some(socket) = self
             .connections
             .get(&connection)
             .filter(|_| self.writing.remove(&connection))
         else {
             return;
         };
-        let (status, since) = &self.told[address];
-        let call = self
+        let address = &socket.address;
+        let announced = &self.announced[address];
+        let is_call = self
             .frames
             .iter()
-            .rfind(|(l, _)| *l == connection)
-            .is_some_and(|(_, f)| matches!(f, LeafRequest::Call(_)));
-        let late = status != "up" && self.now > since + GRACE;
+            .rfind(|sent| sent.connection == connection)
+            .is_some_and(|sent| matches!(sent.frame, LeafRequest::Call(_)));
+        let is_late = !announced.is_up() && self.now > announced.since + DRAIN_GRACE;
         assert!(
-            !call || !late,
-            "a first byte {} ms after {address} was told {status}",
-            (self.now - since) / MS
+            !is_call || !is_late,
+            "a first byte {} ms after {address} was announced as {}",
+            (self.now - announced.since) / MS,
+            announced.status
         );
-        self.put(Input::FrameWritten { connection });
+        self.apply(Input::FrameWritten { connection });
     }
+}
 
-    /// Time passes, with a turn whenever one is due.
-    pub fn pass(&mut self, ms: u64) {
-        let end = self.now + ms * MS;
-        while let Some(due) = self.state.next_due().filter(|due| *due <= end) {
-            self.now = self.now.max(due);
-            self.put(Input::ProcessBatch);
-        }
-        self.now = end;
-    }
+// ---- Clients --------------------------------------------------------------------------------------------
 
-    pub fn connect(&mut self) -> ClientId {
-        self.clients += 1;
-        self.put(Input::ClientOpened {
-            client: self.clients,
-        });
-        self.clients
+impl Harness {
+    pub fn connect_client(&mut self) -> ClientId {
+        self.last_client += 1;
+        let client = self.last_client;
+        self.apply(Input::ClientOpened { client });
+        client
     }
 
-    pub fn ask(&mut self, class: u16, weights: &[f64]) -> ClientId {
-        let client = self.connect();
-        self.ask_on(client, class, weights, 5000);
-        client
+    pub fn disconnect_client(&mut self, client: ClientId) {
+        self.disconnected_clients.insert(client);
+        self.apply(Input::ClientClosed { client });
     }
 
-    pub fn ask_on(&mut self, client: ClientId, class: u16, weights: &[f64], timeout_ms: u64) {
-        let part = |(shard, weight): (usize, &f64)| PartRequest {
-            shard: shard as u32,
-            weight: *weight,
-            work: None,
-        };
-        self.ask_parts(
-            client,
-            class,
-            weights.iter().enumerate().map(part).collect(),
-            timeout_ms,
-        );
+    /// Disconnects one of the clients that ever connected, unless it has been already.
+    pub fn disconnect_random_client(&mut self, dice: u64) {
+        if self.last_client > 0 {
+            let client = 1 + dice % self.last_client;
+            if !self.disconnected_clients.contains(&client) {
+                self.disconnect_client(client);
+            }
+        }
     }
 
-    /// A query of one shard alone.
-    pub fn ask_part(&mut self, client: ClientId, class: u16, shard: u32) {
-        self.ask_parts(
-            client,
-            class,
-            vec![PartRequest {
-                shard,
-                weight: 1.0,
-                work: None,
-            }],
-            5000,
-        );
+    /// A new client sends a query with parts of these weights, at the shards 0, 1, ...
+    pub fn send_query(&mut self, class: u16, weights: &[f64]) -> ClientId {
+        let client = self.connect_client();
+        self.send_query_from(client, class, weights, DEFAULT_TIMEOUT_MS);
+        client
     }
 
-    fn ask_parts(
+    pub fn send_query_from(
         &mut self,
         client: ClientId,
         class: u16,
-        parts: Vec<PartRequest>,
+        weights: &[f64],
         timeout_ms: u64,
     ) {
-        let asked = self.query(client, class, parts, timeout_ms);
-        self.put(asked);
+        let query = QueryRequest {
+            class,
+            timeout: timeout_ms * MS,
+            parts: parts_of_weights(weights),
+            ..query_request(&format!("q{client}"))
+        };
+        self.send_request(client, query);
     }
 
-    /// A client's query, not yet put in.
-    pub fn asked(&mut self, client: ClientId, class: u16, weights: &[f64]) -> Input {
-        let part = |(shard, weight): (usize, &f64)| PartRequest {
-            shard: shard as u32,
-            weight: *weight,
-            work: None,
-        };
-        self.query(
-            client,
+    pub fn send_single_shard_query(&mut self, client: ClientId, shard: u32) {
+        let query = self.single_shard_query(client, shard);
+        self.apply(query);
+    }
+
+    pub fn send_request(&mut self, client: ClientId, query: QueryRequest) {
+        let request = self.request_received(client, query);
+        self.apply(request);
+    }
+
+    /// A query with parts of these weights that is yet to be applied.
+    pub fn query_input(&mut self, client: ClientId, class: u16, weights: &[f64]) -> Input {
+        let query = QueryRequest {
             class,
-            weights.iter().enumerate().map(part).collect(),
-            5000,
-        )
+            parts: parts_of_weights(weights),
+            ..query_request(&format!("q{client}"))
+        };
+        self.request_received(client, query)
     }
 
-    /// A client comes with a query of one shard, not yet put in.
-    pub fn opened_and_asked(&mut self, client: ClientId, shard: u32) -> [Input; 2] {
-        let parts = vec![PartRequest {
-            shard,
-            weight: 1.0,
-            work: None,
-        }];
+    /// A client that connects and sends a query of one shard, yet to be applied.
+    pub fn new_client_inputs(&mut self, client: ClientId, shard: u32) -> [Input; 2] {
         [
             Input::ClientOpened { client },
-            self.query(client, 1, parts, 5000),
+            self.single_shard_query(client, shard),
         ]
     }
 
-    fn query(
-        &mut self,
-        client: ClientId,
-        class: u16,
-        parts: Vec<PartRequest>,
-        timeout_ms: u64,
-    ) -> Input {
+    fn single_shard_query(&mut self, client: ClientId, shard: u32) -> Input {
         let query = QueryRequest {
-            request_id: format!("q{client}"),
-            class,
-            tenant: 0,
-            timeout: timeout_ms * MS,
-            client_retry: false,
-            idempotency_key: None,
-            parts,
-            text: Bytes::from_static(b"c41e77d0"),
+            parts: single_part(shard),
+            ..query_request(&format!("q{client}"))
         };
+        self.request_received(client, query)
+    }
+
+    fn request_received(&mut self, client: ClientId, query: QueryRequest) -> Input {
         self.replies.entry(client).or_default();
         Input::RequestReceived {
             client,
@@ -415,140 +528,263 @@
         }
     }
 
-    pub fn open(&mut self, connection: ConnectionId) {
-        if let Some(it) = self.connections.get_mut(&connection).filter(|it| !it.1) {
-            it.1 = true;
-            self.put(Input::ConnectionOpened { connection });
+    /// Asks whether the mixer is ready, as a load balancer does.
+    pub fn is_ready(&mut self) -> bool {
+        let client = self.connect_client();
+        self.apply(Input::RequestReceived {
+            client,
+            received_at: self.now,
+            request: Ok(ClientRequest::Ready),
+        });
+        self.last_reply(client) == Some(&Reply::Ready(true))
+    }
+
+    pub fn last_reply(&self, client: ClientId) -> Option<&Reply> {
+        self.replies
+            .get(&client)
+            .and_then(|replies| replies.last())
+            .map(|sent| &sent.reply)
+    }
+
+    /// Whether the client's last reply is a complete answer.
+    pub fn is_answered_completely(&self, client: ClientId) -> bool {
+        matches!(
+            self.last_reply(client),
+            Some(Reply::Answer { complete: true, .. })
+        )
+    }
+
+    /// Whether the client's last reply is a rejection with a Retry-After of 1 ns to 500 ms.
+    pub fn is_rejected_with_retry_after(&self, client: ClientId) -> bool {
+        matches!(
+            self.last_reply(client),
+            Some(Reply::Rejected { retry_after: Some(after) }) if (1..=500 * MS).contains(after)
+        )
+    }
+}
+
+// ---- Leaf servers ---------------------------------------------------------------------------------------
+
+impl Harness {
+    pub fn first_connection(&self) -> ConnectionId {
+        *self.connections.keys().next().expect("a connection")
+    }
+
+    pub fn only_connection(&self) -> ConnectionId {
+        assert_eq!(self.connections.len(), 1, "{:?}", self.connections);
+        self.first_connection()
+    }
+
+    /// The connections that calls were written to, in order.
+    pub fn call_connections(&self) -> Vec<ConnectionId> {
+        self.frames
+            .iter()
+            .filter(|sent| matches!(sent.frame, LeafRequest::Call(_)))
+            .map(|sent| sent.connection)
+            .collect()
+    }
+
+    /// The number of calls that were written.
+    pub fn call_count(&self) -> usize {
+        self.call_connections().len()
+    }
+
+    /// The number of parts in all calls that were written.
+    pub fn called_parts(&self) -> usize {
+        let parts = |sent: &SentFrame| match &sent.frame {
+            LeafRequest::Call(parts) => parts.len(),
+            _ => 0,
+        };
+        self.frames.iter().map(parts).sum()
+    }
+
+    /// The addresses that calls were written to, in order; empty where the connection is closed.
+    pub fn called_addresses(&self) -> Vec<String> {
+        let address = |connection| {
+            let socket: Option<&LeafSocket> = self.connections.get(&connection);
+            socket.map_or_else(String::new, |socket| socket.address.clone())
+        };
+        self.call_connections().into_iter().map(address).collect()
+    }
+
+    pub fn open_connection(&mut self, connection: ConnectionId) {
+        if let Some(socket) = self.connections.get_mut(&connection) {
+            if !socket.is_open {
+                socket.is_open = true;
+                self.apply(Input::ConnectionOpened { connection });
+            }
         }
     }
 
-    pub fn open_all(&mut self) {
+    pub fn open_all_connections(&mut self) {
+        let connections: Vec<ConnectionId> = self.connections.keys().copied().collect();
+        for connection in connections {
+            self.open_connection(connection);
+        }
+    }
+
+    /// The socket is open, but the reducer has yet to be told; the input that does.
+    pub fn connection_opened_input(&mut self, connection: ConnectionId) -> Input {
         self.connections
-            .keys()
-            .copied()
-            .collect::<Vec<_>>()
-            .into_iter()
-            .for_each(|connection| self.open(connection));
-    }
-
-    /// The oldest part out at a connection ends.
-    pub fn answer(&mut self, connection: ConnectionId, end: PartStatus) {
-        let out = self.out.entry(connection).or_default();
-        if !out.is_empty() {
-            let id = out.remove(0);
-            self.answer_to(connection, &id, end);
+            .get_mut(&connection)
+            .expect("a connection")
+            .is_open = true;
+        Input::ConnectionOpened { connection }
+    }
+
+    pub fn reset_connection(&mut self, connection: ConnectionId) {
+        self.forget_connection(connection);
+        self.apply(Input::ConnectionClosed { connection });
+    }
+
+    fn forget_connection(&mut self, connection: ConnectionId) {
+        self.connections.remove(&connection);
+        self.in_flight.remove(&connection);
+    }
+
+    /// The leaf server answers the oldest part in flight on a connection, if there is any.
+    pub fn answer_oldest_part(&mut self, connection: ConnectionId, status: PartStatus) {
+        let in_flight = self.in_flight.entry(connection).or_default();
+        if !in_flight.is_empty() {
+            let id = in_flight.remove(0);
+            self.answer_part(connection, &id, status);
         }
     }
 
-    pub fn answer_to(&mut self, connection: ConnectionId, id: &str, end: PartStatus) {
-        let value = Bytes::from(format!("doc {id}"));
+    pub fn answer_part(&mut self, connection: ConnectionId, id: &str, status: PartStatus) {
         let frame = LeafResponse::Answer {
             id: id.to_string(),
-            status: end,
+            status,
             report: "-".into(),
-            value,
+            value: Bytes::from(format!("doc {id}")),
         };
-        self.put(Input::FrameReceived { connection, frame });
+        self.apply(Input::FrameReceived { connection, frame });
+    }
+
+    pub fn answer_all_parts(&mut self) {
+        while let Some(connection) = self.first_connection_with_parts() {
+            self.answer_oldest_part(connection, PartStatus::Ok);
+        }
+    }
+
+    /// Opens all connections, then answers all parts in flight.
+    pub fn serve_all(&mut self) {
+        self.open_all_connections();
+        self.answer_all_parts();
     }
 
-    /// All that is out is answered.
-    pub fn answer_all(&mut self) {
-        while let Some(connection) = self
-            .out
+    fn first_connection_with_parts(&self) -> Option<ConnectionId> {
+        self.in_flight
             .iter()
-            .find(|(_, out)| !out.is_empty())
+            .find(|(_, in_flight)| !in_flight.is_empty())
             .map(|(connection, _)| *connection)
-        {
-            self.answer(connection, PartStatus::Ok);
-        }
     }
 
-    /// Something comes that can't be read, with or without the id of the oldest part out.
-    pub fn spoil(&mut self, connection: ConnectionId, named: bool) {
+    /// The leaf server sends a malformed frame, with or without the id of the oldest part in flight.
+    pub fn send_malformed_frame(&mut self, connection: ConnectionId, with_id: bool) {
         let id = self
-            .out
+            .in_flight
             .get(&connection)
-            .and_then(|out| out.first().cloned())
-            .filter(|_| named);
-        if self.connections[&connection].1 {
-            self.put(Input::FrameReceived {
+            .and_then(|in_flight| in_flight.first().cloned())
+            .filter(|_| with_id);
+        if self.connections[&connection].is_open {
+            self.apply(Input::FrameReceived {
                 connection,
                 frame: LeafResponse::Malformed(id),
             });
         }
     }
+}
 
-    pub fn break_off(&mut self, connection: ConnectionId) {
-        self.connections.remove(&connection);
-        self.out.remove(&connection);
-        self.put(Input::ConnectionClosed { connection });
-    }
+// ---- Discovery ------------------------------------------------------------------------------------------
 
-    /// Notes what a list says of an address, for the checks on what is written there.
-    pub fn told(&mut self, address: &str, status: &str) {
-        match self
-            .told
+impl Harness {
+    /// Notes what discovery says of an address, for the checks on what is written there.
+    pub fn announce_status(&mut self, address: &str, status: &str) {
+        let leaving = self
+            .announced
             .get_mut(address)
-            .filter(|(held, _)| *held != "up" && status != "up")
-        {
-            Some((held, _)) => *held = status.to_string(),
-            None => drop(
-                self.told
-                    .insert(address.to_string(), (status.to_string(), self.now)),
-            ),
+            .filter(|announced| !announced.is_up() && status != "up");
+        if let Some(announced) = leaving {
+            announced.status = status.to_string();
+            return;
         }
+        let announced = AnnouncedStatus {
+            status: status.to_string(),
+            since: self.now,
+        };
+        self.announced.insert(address.to_string(), announced);
     }
 
-    pub fn list(&mut self, replica: u64, status: &str, since: u64) {
-        self.told(&address(replica), status);
-        self.listed(false, &[(replica, status, since)]);
+    /// A delta with one endpoint, which has long been running.
+    pub fn update_endpoint(&mut self, replica: u64, status: &str) {
+        self.update_listed_endpoint(listed(replica, status));
     }
 
-    /// A list comes in, whatever is known of its addresses.
-    pub fn listed(&mut self, snapshot: bool, lines: &[(u64, &str, u64)]) {
-        let change = self.change(snapshot, lines);
-        self.put(change);
+    /// A delta with one endpoint that has started now.
+    pub fn update_started_endpoint(&mut self, replica: u64, status: &str) {
+        let started = self.now;
+        self.update_listed_endpoint(ListedEndpoint {
+            started,
+            ..listed(replica, status)
+        });
     }
 
-    /// The same, not yet put in.
-    pub fn change(&mut self, snapshot: bool, lines: &[(u64, &str, u64)]) -> Input {
-        self.index += 1;
-        Input::EndpointsUpdated(listing(self.index, snapshot, lines))
+    fn update_listed_endpoint(&mut self, endpoint: ListedEndpoint) {
+        self.announce_status(&address(endpoint.replica), endpoint.status);
+        self.send_delta(&[endpoint]);
     }
 
-    /// A replica is listed as up where another one's address would be.
-    pub fn move_to(&mut self, replica: u64, place: u64) {
-        let old = self
-            .told
-            .keys()
-            .filter(|at| *at == &address(replica) || **at == address(replica + 1000));
-        for old in old.cloned().collect::<Vec<_>>() {
-            self.told(&old, "left");
-        }
-        self.told(&address(place), "up");
-        self.index += 1;
-        let line = serde_json::json!({"name": format!("s-{replica}"), "address": address(place), "zone": "north",
-            "group": 0, "status": "up", "since_ms": 0});
-        let list = serde_json::json!({"index": self.index, "snapshot": false, "endpoints": [line]});
-        self.put(Input::EndpointsUpdated(
-            serde_json::from_value(list).expect("a list"),
-        ));
-    }
-
-    /// Some client leaves.
-    pub fn leave(&mut self, dice: u64) {
-        if self.clients > 0 {
-            let client = 1 + dice % self.clients;
-            if self.left.insert(client) {
-                self.put(Input::ClientClosed { client });
+    /// Applies a delta without noting the status of its endpoints.
+    pub fn send_delta(&mut self, endpoints: &[ListedEndpoint]) {
+        self.send_update(false, endpoints);
+    }
+
+    /// Applies a snapshot without noting the status of its endpoints.
+    pub fn send_snapshot(&mut self, endpoints: &[ListedEndpoint]) {
+        self.send_update(true, endpoints);
+    }
+
+    pub fn send_update(&mut self, snapshot: bool, endpoints: &[ListedEndpoint]) {
+        let update = self.next_update(snapshot, endpoints);
+        self.apply(Input::EndpointsUpdated(update));
+    }
+
+    /// An update of the next version that is yet to be applied.
+    pub fn next_update(&mut self, snapshot: bool, endpoints: &[ListedEndpoint]) -> EndpointUpdate {
+        self.list_version += 1;
+        endpoint_update(self.list_version, snapshot, endpoints)
+    }
+
+    /// A replica is listed as up at the address that another one would have.
+    pub fn move_endpoint(&mut self, replica: u64, new_place: u64) {
+        for old_place in [replica, replica + 1000] {
+            if self.announced.contains_key(&address(old_place)) {
+                self.announce_status(&address(old_place), "left");
             }
         }
+        self.announce_status(&address(new_place), "up");
+        self.list_version += 1;
+        let entry = serde_json::json!({
+            "name": format!("s-{replica}"),
+            "address": address(new_place),
+            "zone": "north",
+            "group": 0,
+            "status": "up",
+            "since_ms": 0,
+        });
+        let update = update_from_json(self.list_version, false, vec![entry]);
+        self.apply(Input::EndpointsUpdated(update));
     }
 
-    pub fn reply(&self, client: ClientId) -> Option<&Reply> {
-        self.replies
-            .get(&client)
-            .and_then(|replies| replies.last())
-            .map(|(_, reply)| reply)
+    /// The configuration is reloaded with another discovery address.
+    pub fn switch_discovery(&mut self) {
+        self.apply(discovery_switched());
+    }
+}
+
+pub fn discovery_switched() -> Input {
+    Input::ConfigReloaded {
+        discovery: Some("127.0.0.1:8501".parse().unwrap()),
     }
 }
--- a/crates/mixer/tests/leaf_connection.rs
+++ b/crates/mixer/tests/leaf_connection.rs
@@ -1,14 +1,18 @@
-//! A model of the states of one connection to a leaf server, against which random steps are checked; and the
-//! whole reducer under random steps, against the promises that the sockets must keep.
+//! A model of the states of one connection to a leaf server, against which random steps are checked; and the whole
+//! reducer under random steps, against the promises that it must keep.
 
 mod harness;
 
 use cottonhill_mixer::protocol::leaf_frames::{LeafRequest, PartStatus};
 use cottonhill_mixer::reducer::leaf_connection::{Answered, AttemptId, Job, LeafConnection};
+use cottonhill_mixer::reducer::ConnectionId;
 use harness::{Harness, MS};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, VecDeque};
+use std::rc::Rc;
+
+type Checked = Result<(), TestCaseError>;
 
 fn config(cases: u32) -> ProptestConfig {
     ProptestConfig {
@@ -19,175 +23,324 @@
     }
 }
 
+// ---- One connection against its model -------------------------------------------------------------------
+
 #[derive(Clone, Debug)]
 enum Step {
-    Queue,
+    QueueCall,
     Open,
-    Take,
-    Wrote,
+    TakeFrame,
+    CompleteWrite,
+    /// An answer comes for the attempt of this index.
     Answer(usize),
-    Drop(usize),
-    Probe,
-    Probed,
+    /// The attempt of this index is dropped.
+    DropAttempt(usize),
+    QueueProbe,
+    AnswerProbe,
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn any_step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => Just(Step::Queue),
+        3 => Just(Step::QueueCall),
         1 => Just(Step::Open),
-        4 => Just(Step::Take),
-        4 => Just(Step::Wrote),
+        4 => Just(Step::TakeFrame),
+        4 => Just(Step::CompleteWrite),
         2 => (0usize..8).prop_map(Step::Answer),
-        2 => (0usize..8).prop_map(Step::Drop),
-        1 => Just(Step::Probe),
-        1 => Just(Step::Probed),
+        2 => (0usize..8).prop_map(Step::DropAttempt),
+        1 => Just(Step::QueueProbe),
+        1 => Just(Step::AnswerProbe),
     ]
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Stage {
+enum AttemptState {
     Waiting,
     Writing,
     Written,
 }
 
-/// The plain model: where each attempt is, and the frames that have yet to go out, in order.
+/// The plain model: the state of each attempt, and the frames that have yet to be written, in order.
 #[derive(Default)]
 struct Model {
-    open: bool,
-    stages: BTreeMap<AttemptId, Stage>,
-    frames: VecDeque<Job>,
+    is_open: bool,
+    attempts: BTreeMap<AttemptId, AttemptState>,
+    queued_frames: VecDeque<Job>,
     writing: Option<Job>,
-    probes: VecDeque<u64>,
+    written_probes: VecDeque<u64>,
 }
 
 impl Model {
-    fn nth(&self, n: usize) -> Option<AttemptId> {
-        (!self.stages.is_empty()).then(|| *self.stages.keys().nth(n % self.stages.len()).unwrap())
+    /// The attempt of this index, modulo the number of attempts.
+    fn attempt_at(&self, index: usize) -> Option<AttemptId> {
+        let attempts = self.attempts.len();
+        if attempts == 0 {
+            return None;
+        }
+        self.attempts.keys().nth(index % attempts).copied()
+    }
+
+    fn attempts_in(&self, state: AttemptState) -> Vec<AttemptId> {
+        self.attempts
+            .iter()
+            .filter(|(_, other)| **other == state)
+            .map(|(attempt, _)| *attempt)
+            .collect()
+    }
+
+    fn is_idle(&self) -> bool {
+        self.attempts.is_empty()
+            && self.queued_frames.is_empty()
+            && self.written_probes.is_empty()
+            && self.writing.is_none()
     }
 }
 
-fn wire(attempt: AttemptId) -> std::rc::Rc<str> {
+/// The id of an attempt's part on the wire.
+fn wire_id(attempt: AttemptId) -> Rc<str> {
     format!("q.{}", attempt.0).into()
 }
 
-proptest! {
-    #![proptest_config(config(512))]
+fn call(attempt: AttemptId) -> Job {
+    Job::Call(vec![(attempt, wire_id(attempt))])
+}
 
-    #[test]
-    fn a_connection_keeps_to_its_model(steps in prop::collection::vec(step(), 1..60)) {
-        let (mut connection, mut model) = (LeafConnection::new(0), Model::default());
-        for (n, step) in steps.into_iter().enumerate() {
-            let now = n as u64 * MS;
-            match step {
-                Step::Queue => {
-                    let attempt = (n as u64, 0);
-                    connection.queue(attempt, wire(attempt), false, 1);
-                    model.stages.insert(attempt, Stage::Waiting);
-                    model.frames.push_back(Job::Call(vec![(attempt, wire(attempt))]));
-                }
-                Step::Open => {
-                    connection.opened(now);
-                    model.open = true;
-                }
-                Step::Take => {
-                    let due = model.open && model.writing.is_none();
-                    let expected = if due { model.frames.pop_front() } else { None };
-                    prop_assert_eq!(connection.take_next(now), expected.clone());
-                    if let Some(Job::Call(call)) = &expected {
-                        model.stages.insert(call[0].0, Stage::Writing);
-                    }
-                    model.writing = expected.or(model.writing);
-                }
-                Step::Wrote => {
-                    connection.wrote();
-                    match model.writing.take() {
-                        Some(Job::Call(call)) => {
-                            model.stages.entry(call[0].0).and_modify(|stage| *stage = Stage::Written);
-                        }
-                        Some(Job::Probe(probe)) => model.probes.push_back(probe),
-                        _ => {}
-                    }
-                }
-                Step::Answer(k) => {
-                    let Some(attempt) = model.nth(k) else { continue };
-                    let written = model.stages[&attempt] == Stage::Written;
-                    let expected = if written { Answered::Attempt(attempt) } else { Answered::Unknown };
-                    prop_assert_eq!(connection.answered(&wire(attempt)), expected);
-                    prop_assert_eq!(connection.answered("never.asked"), Answered::Unknown);
-                    if written {
-                        prop_assert_eq!(connection.answered(&wire(attempt)), Answered::Over, "a copy");
-                        model.stages.remove(&attempt);
-                    }
-                }
-                Step::Drop(k) => {
-                    let Some(attempt) = model.nth(k) else { continue };
-                    let went_out = model.stages.remove(&attempt) != Some(Stage::Waiting);
-                    prop_assert_eq!(connection.drop_attempt(attempt, now, MS), went_out);
-                    prop_assert!(!connection.drop_attempt(attempt, now, MS), "it is over");
-                    let heard = if went_out { Answered::Over } else { Answered::Unknown };
-                    prop_assert_eq!(connection.answered(&wire(attempt)), heard, "its answer may cross our words");
-                    if went_out {
-                        model.frames.push_back(Job::GiveUp(wire(attempt)));
-                    } else {
-                        model.frames.retain(|job| *job != Job::Call(vec![(attempt, wire(attempt))]));
-                    }
+/// A connection and its model, to which the same steps are applied.
+struct Comparison {
+    connection: LeafConnection,
+    model: Model,
+}
+
+impl Comparison {
+    fn new() -> Comparison {
+        Comparison {
+            connection: LeafConnection::new(0),
+            model: Model::default(),
+        }
+    }
+
+    /// Applies the step of this number.
+    fn apply(&mut self, number: u64, step: Step) -> Checked {
+        let now = number * MS;
+        match step {
+            Step::QueueCall => self.queue_call((number, 0)),
+            Step::Open => {
+                self.connection.opened(now);
+                self.model.is_open = true;
+            }
+            Step::TakeFrame => self.take_frame(now)?,
+            Step::CompleteWrite => self.complete_write(),
+            Step::Answer(index) => {
+                if let Some(attempt) = self.model.attempt_at(index) {
+                    self.answer(attempt)?;
                 }
-                Step::Probe => {
-                    connection.queue_probe(n as u64);
-                    model.frames.push_back(Job::Probe(n as u64));
+            }
+            Step::DropAttempt(index) => {
+                if let Some(attempt) = self.model.attempt_at(index) {
+                    self.drop_attempt(attempt, now)?;
                 }
-                Step::Probed => prop_assert_eq!(connection.probed(), model.probes.pop_front()),
             }
-            let waiting = model.stages.iter().filter(|(_, stage)| **stage == Stage::Waiting);
-            let written = model.stages.iter().filter(|(_, stage)| **stage == Stage::Written);
-            let written: Vec<AttemptId> = written.map(|(attempt, _)| *attempt).collect();
-            prop_assert_eq!(connection.spoilt(None).is_some(), !written.is_empty());
-            for attempt in &written {
-                prop_assert_eq!(connection.spoilt(Some(&wire(*attempt))), Some(*attempt));
+            Step::QueueProbe => {
+                self.connection.queue_probe(number);
+                self.model.queued_frames.push_back(Job::Probe(number));
+            }
+            Step::AnswerProbe => {
+                let expected = self.model.written_probes.pop_front();
+                prop_assert_eq!(self.connection.probed(), expected);
+            }
+        }
+        Ok(())
+    }
+
+    fn queue_call(&mut self, attempt: AttemptId) {
+        self.connection.queue(attempt, wire_id(attempt), false, 1);
+        self.model.attempts.insert(attempt, AttemptState::Waiting);
+        self.model.queued_frames.push_back(call(attempt));
+    }
+
+    fn take_frame(&mut self, now: u64) -> Checked {
+        let model = &mut self.model;
+        let is_due = model.is_open && model.writing.is_none();
+        let expected = if is_due {
+            model.queued_frames.pop_front()
+        } else {
+            None
+        };
+        prop_assert_eq!(self.connection.take_next(now), expected.clone());
+        if let Some(Job::Call(parts)) = &expected {
+            model.attempts.insert(parts[0].0, AttemptState::Writing);
+        }
+        if expected.is_some() {
+            model.writing = expected;
+        }
+        Ok(())
+    }
+
+    fn complete_write(&mut self) {
+        self.connection.wrote();
+        match self.model.writing.take() {
+            Some(Job::Call(parts)) => {
+                if let Some(state) = self.model.attempts.get_mut(&parts[0].0) {
+                    *state = AttemptState::Written;
+                }
             }
-            prop_assert_eq!(connection.written().len(), written.len());
-            prop_assert_eq!(connection.unsent(), waiting.map(|(attempt, _)| *attempt).collect::<Vec<_>>());
-            let busy = !(model.stages.is_empty() && model.frames.is_empty() && model.probes.is_empty());
-            prop_assert_eq!(connection.is_idle(), !busy && model.writing.is_none());
+            Some(Job::Probe(probe)) => self.model.written_probes.push_back(probe),
+            _ => {}
+        }
+    }
+
+    fn answer(&mut self, attempt: AttemptId) -> Checked {
+        let id = wire_id(attempt);
+        let is_written = self.model.attempts[&attempt] == AttemptState::Written;
+        let expected = if is_written {
+            Answered::Attempt(attempt)
+        } else {
+            Answered::Unknown
+        };
+        prop_assert_eq!(self.connection.answered(&id), expected);
+        let never_sent = self.connection.answered("never.asked");
+        prop_assert_eq!(never_sent, Answered::Unknown);
+        if is_written {
+            let duplicate = self.connection.answered(&id);
+            prop_assert_eq!(duplicate, Answered::Over, "a duplicate");
+            self.model.attempts.remove(&attempt);
         }
-        let (mut ended, _) = connection.end();
+        Ok(())
+    }
+
+    fn drop_attempt(&mut self, attempt: AttemptId, now: u64) -> Checked {
+        let id = wire_id(attempt);
+        let began = self.model.attempts.remove(&attempt) != Some(AttemptState::Waiting);
+        prop_assert_eq!(self.connection.drop_attempt(attempt, now, MS), began);
+        let began_again = self.connection.drop_attempt(attempt, now, MS);
+        prop_assert!(!began_again, "it is over");
+        let expected = if began {
+            Answered::Over
+        } else {
+            Answered::Unknown
+        };
+        let answered = self.connection.answered(&id);
+        prop_assert_eq!(answered, expected, "its answer may cross the cancellation");
+        let queued_frames = &mut self.model.queued_frames;
+        if began {
+            queued_frames.push_back(Job::GiveUp(id));
+        } else {
+            queued_frames.retain(|frame| *frame != call(attempt));
+        }
+        Ok(())
+    }
+
+    fn check(&mut self) -> Checked {
+        let connection = &mut self.connection;
+        let waiting = self.model.attempts_in(AttemptState::Waiting);
+        let written = self.model.attempts_in(AttemptState::Written);
+        prop_assert_eq!(connection.spoilt(None).is_some(), !written.is_empty());
+        for attempt in &written {
+            let failed = connection.spoilt(Some(&wire_id(*attempt)));
+            prop_assert_eq!(failed, Some(*attempt));
+        }
+        prop_assert_eq!(connection.written().len(), written.len());
+        prop_assert_eq!(connection.unsent(), waiting);
+        prop_assert_eq!(connection.is_idle(), self.model.is_idle());
+        Ok(())
+    }
+
+    /// Ends the connection: each attempt ends with it.
+    fn check_end(self) -> Checked {
+        let (mut ended, _) = self.connection.end();
         ended.sort();
-        let left = model.stages.iter().map(|(attempt, stage)| (*attempt, *stage == Stage::Written));
-        prop_assert_eq!(ended, left.collect::<Vec<_>>());
+        let expected: Vec<(AttemptId, bool)> = self
+            .model
+            .attempts
+            .iter()
+            .map(|(attempt, state)| (*attempt, *state == AttemptState::Written))
+            .collect();
+        prop_assert_eq!(ended, expected);
+        Ok(())
+    }
+}
+
+// ---- The whole reducer ----------------------------------------------------------------------------------
+
+/// Applies a random step; `dice` picks the connection, the replica or client and what happens to them.
+fn apply_random_step(harness: &mut Harness, kind: u8, dice: u64, duration_ms: u64) {
+    const PART_STATUSES: [PartStatus; 4] = [
+        PartStatus::Ok,
+        PartStatus::Ok,
+        PartStatus::Error,
+        PartStatus::Busy,
+    ];
+    let connections: Vec<ConnectionId> = harness.connections.keys().copied().collect();
+    let connection = connections
+        .get(dice as usize % connections.len().max(1))
+        .copied();
+    match (kind, connection) {
+        (0..=2, _) => {
+            harness.send_query((dice % 3) as u16 % 2, &[0.5, 0.3, 0.2]);
+        }
+        (3..=4, Some(connection)) => harness.open_connection(connection),
+        (5..=6, Some(connection)) => {
+            harness.answer_oldest_part(connection, PART_STATUSES[dice as usize % 4]);
+        }
+        (7, Some(connection)) => harness.reset_connection(connection),
+        (8, _) => {
+            let status = ["up", "draining", "removed"][dice as usize / 4 % 3];
+            harness.update_started_endpoint(1 + dice % 4, status);
+        }
+        (9, _) => harness.disconnect_random_client(dice),
+        (10, Some(connection)) => harness.send_malformed_frame(connection, dice.is_multiple_of(2)),
+        _ => harness.advance_ms(duration_ms),
+    }
+}
+
+fn check_every_query_and_attempt_ended(harness: &Harness) -> Checked {
+    for (client, replies) in &harness.replies {
+        let disconnected = harness.disconnected_clients.contains(client);
+        prop_assert!(
+            replies.len() == 1 || disconnected && replies.is_empty(),
+            "client {client}: {replies:?}"
+        );
+    }
+    let counters = harness.reducer.counters().clone();
+    let by_outcome = &counters.ended;
+    let outcome_known = by_outcome.ok
+        + by_outcome.error
+        + by_outcome.refused
+        + by_outcome.unreachable
+        + by_outcome.not_sent;
+    let ended = outcome_known + by_outcome.timed_out + by_outcome.broken + by_outcome.cancelled;
+    prop_assert_eq!(ended, counters.sent.attempts, "each attempt ends once");
+    prop_assert_eq!(&counters.faults, &Default::default());
+    let is_empty_call =
+        |frame: &LeafRequest| matches!(frame, LeafRequest::Call(parts) if parts.is_empty());
+    prop_assert!(harness
+        .frames
+        .iter()
+        .all(|sent| !is_empty_call(&sent.frame)));
+    Ok(())
+}
+
+proptest! {
+    #![proptest_config(config(512))]
+
+    #[test]
+    fn leaf_connection_matches_model(steps in prop::collection::vec(any_step(), 1..60)) {
+        let mut comparison = Comparison::new();
+        for (number, step) in steps.into_iter().enumerate() {
+            comparison.apply(number as u64, step)?;
+            comparison.check()?;
+        }
+        comparison.check_end()?;
     }
 
     #[test]
-    fn every_query_ends_once_and_every_attempt_ends_once(
+    fn every_query_and_attempt_ends_once(
         steps in prop::collection::vec((0u8..12, any::<u64>(), 1u64..400), 1..80),
     ) {
-        let (ends, standings) = ([PartStatus::Ok, PartStatus::Ok, PartStatus::Error, PartStatus::Busy], ["up", "draining", "removed"]);
         let mut harness = Harness::new(4);
-        for (kind, dice, ms) in steps {
-            let connections: Vec<u64> = harness.connections.keys().copied().collect();
-            let connection = connections.get(dice as usize % connections.len().max(1)).copied();
-            match (kind, connection) {
-                (0..=2, _) => drop(harness.ask((dice % 3) as u16 % 2, &[0.5, 0.3, 0.2])),
-                (3..=4, Some(connection)) => harness.open(connection),
-                (5..=6, Some(connection)) => harness.answer(connection, ends[dice as usize % 4]),
-                (7, Some(connection)) => harness.break_off(connection),
-                (8, _) => harness.list(1 + dice % 4, standings[dice as usize / 4 % 3], harness.now),
-                (9, _) => harness.leave(dice),
-                (10, Some(connection)) => harness.spoil(connection, dice % 2 == 0),
-                _ => harness.pass(ms),
-            }
-        }
-        harness.pass(20_000);
-        for (client, replies) in &harness.replies {
-            let gone = harness.left.contains(client);
-            prop_assert!(replies.len() == 1 || gone && replies.is_empty(), "client {client}: {replies:?}");
+        for (kind, dice, duration_ms) in steps {
+            apply_random_step(&mut harness, kind, dice, duration_ms);
         }
-        let counters = harness.state.counters().clone();
-        let e = &counters.ended;
-        let known = e.ok + e.error + e.refused + e.unreachable + e.not_sent;
-        let ended = known + e.timed_out + e.broken + e.cancelled;
-        prop_assert_eq!(ended, counters.sent.attempts, "each attempt ends once");
-        prop_assert_eq!(&counters.faults, &Default::default());
-        prop_assert!(harness.frames.iter().all(|(_, f)| !matches!(f, LeafRequest::Call(parts) if parts.is_empty())));
+        harness.advance_ms(20_000);
+        check_every_query_and_attempt_ended(&harness)?;
     }
 }
--- a/crates/mixer/tests/loopback/mod.rs
+++ b/crates/mixer/tests/loopback/mod.rs
@@ -1,5 +1,5 @@
-//! A whole mixer on real sockets of the loopback, and the words that its clients and discovery use there. What
-//! discovery and the leaf server do is for each test to play.
+//! A whole mixer on real sockets of the loopback, and what its clients, discovery and leaf servers send there. How
+//! discovery and the leaf server behave is for each test to play.
 
 #![allow(dead_code)] // Each test file uses its own part of it.
 
@@ -10,120 +10,150 @@
 use std::future::Future;
 use std::io;
 use std::net::SocketAddr;
-use tokio::io::AsyncReadExt;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// A running mixer, and where it looks for discovery and finds its one leaf server.
-pub struct Around {
-    pub mixer: SocketAddr,
+/// As small as the system allows, so that a large response waits for its reader.
+const SEND_BUFFER_BYTES: u32 = 4096;
+const LISTEN_BACKLOG: u32 = 1024;
+const SEED: u64 = 7;
+
+/// The clock of a test's runtime.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum TestClock {
+    Real,
+    /// Stands still while any task can run, and else goes on to the next timer.
+    Paused,
+}
+
+/// How a mixer is run for a test.
+#[derive(Clone, Copy, Debug)]
+pub struct MixerOptions<'a> {
+    pub settings_text: &'a str,
+    pub descriptors: usize,
+    pub clock: TestClock,
+    /// Bytes of memory that the process may use, where that is limited.
+    pub memory_limit: Option<usize>,
+}
+
+impl MixerOptions<'_> {
+    pub fn new(settings_text: &str, descriptors: usize, clock: TestClock) -> MixerOptions<'_> {
+        MixerOptions {
+            settings_text,
+            descriptors,
+            clock,
+            memory_limit: None,
+        }
+    }
+}
+
+/// A running mixer, where it looks for discovery, and its one leaf server.
+pub struct RunningMixer {
+    pub address: SocketAddr,
     pub serving: JoinHandle<io::Result<()>>,
     pub control: mpsc::Sender<Control>,
     pub discovery: TcpListener,
     pub leaf: TcpListener,
 }
 
-/// What it accepts has send buffers as small as there are, so that a large reply waits for its reader.
+/// Runs `test` against a mixer.
+pub fn run_mixer<F: Future<Output = ()>>(
+    options: MixerOptions,
+    test: impl FnOnce(RunningMixer) -> F,
+) {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(options.clock == TestClock::Paused)
+        .build()
+        .unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, async {
+        test(start_mixer(options)).await;
+    });
+}
+
+fn start_mixer(options: MixerOptions) -> RunningMixer {
+    let (discovery, leaf, listener) = (listener(), listener(), listener());
+    let mixer_settings = settings::parse_mixer(options.settings_text).unwrap();
+    let decision_settings = settings::parse_decisions(options.settings_text).unwrap();
+    let schema = QuerySchema {
+        classes: mixer_settings.classes.clone(),
+        default_timeouts: mixer_settings.deadlines.clone(),
+        shards: mixer_settings.shards,
+        ..QuerySchema::default()
+    };
+    let clock = Clock::start();
+    let mut reducer = Reducer::new(
+        clock.now(),
+        mixer_settings,
+        decision_settings,
+        SEED,
+        &Default::default(),
+        options.descriptors,
+    );
+    if let Some(memory_limit) = options.memory_limit {
+        reducer.limit_memory(memory_limit);
+    }
+    let addresses = Addresses {
+        discovery: discovery.local_addr().unwrap(),
+        peer_listen: None,
+        peers: Vec::new(),
+        peers_all: None,
+    };
+    let (control, controls) = mpsc::channel(1);
+    let address = listener.local_addr().unwrap();
+    let serving = tokio::task::spawn_local(transport::serve(
+        reducer,
+        clock,
+        schema,
+        listener,
+        addresses,
+        controls,
+        Default::default(),
+    ));
+    RunningMixer {
+        address,
+        serving,
+        control,
+        discovery,
+        leaf,
+    }
+}
+
 fn listener() -> TcpListener {
     let socket = TcpSocket::new_v4().unwrap();
-    socket.set_send_buffer_size(4096).unwrap();
+    socket.set_send_buffer_size(SEND_BUFFER_BYTES).unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    socket.listen(1024).unwrap()
+    socket.listen(LISTEN_BACKLOG).unwrap()
 }
 
-/// Runs `test` around a mixer with these settings and so many descriptors; where `paused`, on a clock that stands still
-/// while anyone has something to do and else goes on to the next timer.
-pub fn run<F: Future<Output = ()>>(
-    paused: bool,
-    text: &str,
-    descriptors: usize,
-    test: impl FnOnce(Around) -> F,
-) {
-    run_within(None, paused, text, descriptors, test);
+// ---- Clients --------------------------------------------------------------------------------------------
+
+/// An HTTP response as its client reads it.
+#[derive(Debug)]
+pub struct HttpResponse {
+    pub head: String,
+    pub body: String,
 }
 
-/// The same where the process may use so many bytes of memory.
-pub fn run_within<F: Future<Output = ()>>(
-    memory: Option<usize>,
-    paused: bool,
-    text: &str,
-    descriptors: usize,
-    test: impl FnOnce(Around) -> F,
-) {
-    let mut runtime = tokio::runtime::Builder::new_current_thread();
-    let runtime = runtime.enable_all().start_paused(paused).build().unwrap();
-    tokio::task::LocalSet::new().block_on(&runtime, async {
-        let (discovery, leaf, listener) = (listener(), listener(), listener());
-        let (site, decisions) = (
-            settings::parse_mixer(text).unwrap(),
-            settings::parse_decisions(text).unwrap(),
-        );
-        let names = QuerySchema {
-            classes: site.classes.clone(),
-            default_timeouts: site.deadlines.clone(),
-            shards: site.shards,
-            ..QuerySchema::default()
-        };
-        let clock = Clock::start();
-        let mut state = Reducer::new(
-            clock.now(),
-            site,
-            decisions,
-            7,
-            &Default::default(),
-            descriptors,
-        );
-        if let Some(memory) = memory {
-            state.limit_memory(memory);
-        }
-        let at = discovery.local_addr().unwrap();
-        let addresses = Addresses {
-            discovery: at,
-            peer_listen: None,
-            peers: Vec::new(),
-            peers_all: None,
-        };
-        let (control, controls) = mpsc::channel(1);
-        let mixer = listener.local_addr().unwrap();
-        let serving = transport::serve(
-            state,
-            clock,
-            names,
-            listener,
-            addresses,
-            controls,
-            Default::default(),
-        );
-        let serving = tokio::task::spawn_local(serving);
-        test(Around {
-            mixer,
-            serving,
-            control,
-            discovery,
-            leaf,
-        })
-        .await;
-    });
+impl HttpResponse {
+    pub fn has_status(&self, status: u16) -> bool {
+        self.head.starts_with(&format!("HTTP/1.1 {status}"))
+    }
+
+    pub fn json(&self) -> serde_json::Value {
+        serde_json::from_str(&self.body).unwrap()
+    }
 }
 
-/// The beginning of a watch: its head, and the whole list of one leaf server.
-pub fn list(index: usize, leaf: SocketAddr, status: &str) -> String {
-    let line = format!(
-        "{{\"index\":{index},\"snapshot\":true,\"endpoints\":[{{\"name\":\"s-1\",\"address\":\"{leaf}\",\
-\"group\":0,\"status\":\"{status}\"}}]}}\n"
-    );
-    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    format!("{head}{:x}\r\n{line}\r\n", line.len())
+pub async fn send(stream: &mut TcpStream, text: &str) {
+    stream.write_all(text.as_bytes()).await.unwrap();
 }
 
-/// Reads one reply: its head and its body.
-pub async fn reply(stream: &mut TcpStream) -> (String, String) {
-    let mut head = Vec::new();
-    while !head.ends_with(b"\r\n\r\n") {
-        head.push(stream.read_u8().await.expect("a reply"));
-    }
-    let head = String::from_utf8(head).unwrap();
+/// Reads one response with a Content-Length.
+pub async fn read_response(stream: &mut TcpStream) -> HttpResponse {
+    let head = read_head(stream).await;
     let length = head
         .split("Content-Length: ")
         .nth(1)
@@ -133,11 +163,74 @@
         .unwrap();
     let mut body = vec![0; length.parse().unwrap()];
     stream.read_exact(&mut body).await.unwrap();
-    (head, String::from_utf8(body).unwrap())
+    let body = String::from_utf8(body).unwrap();
+    HttpResponse { head, body }
+}
+
+/// Reads the head of a request or response.
+pub async fn read_head(stream: &mut TcpStream) -> String {
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        head.push(stream.read_u8().await.expect("a head"));
+    }
+    String::from_utf8(head).unwrap()
+}
+
+pub async fn get(mixer: SocketAddr, path: &str) -> HttpResponse {
+    let mut stream = TcpStream::connect(mixer).await.unwrap();
+    send(&mut stream, &format!("GET {path} HTTP/1.1\r\n\r\n")).await;
+    read_response(&mut stream).await
+}
+
+pub async fn get_stats(mixer: SocketAddr) -> serde_json::Value {
+    get(mixer, "/-/stats").await.json()
 }
 
-pub fn query(name: &str, extra: &str) -> String {
+/// A query of the class `lookup` with one part, at shard 3.
+pub fn query_text(request_id: &str, extra_headers: &str) -> String {
     let body = "{\"shards\":[{\"shard\":3,\"weight\":1.0}],\"q\":\"c41e\"}";
     let length = body.len();
-    format!("POST /lookup HTTP/1.1\r\nX-Request-ID: {name}\r\n{extra}Content-Length: {length}\r\n\r\n{body}")
+    format!(
+        "POST /lookup HTTP/1.1\r\nX-Request-ID: {request_id}\r\n{extra_headers}\
+Content-Length: {length}\r\n\r\n{body}"
+    )
+}
+
+// ---- Leaf servers ---------------------------------------------------------------------------------------
+
+/// The next frame that a leaf server gets, without its length.
+pub async fn read_frame(stream: &mut TcpStream) -> io::Result<String> {
+    let length = stream.read_u32().await?;
+    let mut frame = vec![0; length as usize];
+    stream.read_exact(&mut frame).await?;
+    Ok(String::from_utf8(frame).expect("a text frame"))
+}
+
+/// Of a call, or of a cancellation, the id of its first part.
+pub fn first_part_id(frame: &str) -> &str {
+    frame[1..].split(' ').next().unwrap()
+}
+
+/// The frame with which a leaf server answers a part, with its length.
+pub fn answer_frame(id: &str, value: &str) -> Vec<u8> {
+    let text = format!("A{id} ok 1 -\n{value}");
+    let mut frame = (text.len() as u32).to_be_bytes().to_vec();
+    frame.extend_from_slice(text.as_bytes());
+    frame
+}
+
+// ---- Discovery ------------------------------------------------------------------------------------------
+
+/// The beginning of a watch's response: its head, and a snapshot with one leaf server.
+pub fn watch_response(version: usize, leaf: SocketAddr, status: &str) -> String {
+    let update = format!(
+        "{{\"index\":{version},\"snapshot\":true,\"endpoints\":[{{\"name\":\"s-1\",\"address\":\"{leaf}\",\
+\"group\":0,\"status\":\"{status}\"}}]}}\n"
+    );
+    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    format!("{head}{}", http_chunk(&update))
+}
+
+pub fn http_chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\r\n", text.len())
 }
--- a/crates/mixer/tests/pending_replies.rs
+++ b/crates/mixer/tests/pending_replies.rs
@@ -1,56 +1,60 @@
-//! Replies that wait for their record of use, with a log whose writer moves only when the test says so.
+//! Replies that wait for their usage record, with a log whose writer moves only when the test says so.
 
 use cottonhill_mixer::protocol::query_json::Reply;
 use cottonhill_mixer::reducer::usage::{QueryOutcome, UsageRecord, Watermark};
+use cottonhill_mixer::reducer::ClientId;
 use cottonhill_mixer::transport::{ClientReply, PendingReplies, Recorder};
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant};
 
+/// For how long a reply waits for its record.
+const MAX_WRITE_DELAY: Duration = Duration::from_millis(5);
+
 /// A log whose writer moves only when the test says so.
-struct Slow {
-    room: bool,
+struct ManualRecorder {
+    accepts_records: bool,
+    /// The sequence number of the last record that is written.
     written: watch::Sender<u64>,
-    without: Rc<Cell<u32>>,
+    /// Replies that were sent without their record.
+    unrecorded: Rc<Cell<u32>>,
 }
 
-impl Recorder for Slow {
+impl Recorder for ManualRecorder {
     fn record(&mut self, _: UsageRecord) -> bool {
-        self.room
+        self.accepts_records
     }
     fn mark(&mut self, _: Watermark) {}
     fn written(&self) -> watch::Receiver<u64> {
         self.written.subscribe()
     }
     fn stall(&self) -> Duration {
-        Duration::from_millis(5)
+        MAX_WRITE_DELAY
     }
     fn note_unrecorded(&mut self) {
-        self.without.set(self.without.get() + 1);
+        self.unrecorded.set(self.unrecorded.get() + 1);
     }
     fn close(&mut self) {}
 }
 
-fn usage(sequence: u64) -> UsageRecord {
-    let outcome = QueryOutcome::Complete;
-    let (tenant, class, arrived, parts, attempts, cross_zone_attempts) = (0, 0, 0, 1, 1, 0);
+fn usage_record(sequence: u64) -> UsageRecord {
     UsageRecord {
         sequence,
-        tenant,
-        class,
-        arrived,
-        outcome,
-        parts,
-        attempts,
-        cross_zone_attempts,
+        tenant: 0,
+        class: 0,
+        arrived: 0,
+        outcome: QueryOutcome::Complete,
+        parts: 1,
+        attempts: 1,
+        cross_zone_attempts: 0,
         client_retry: false,
         key: 2,
         key_from_client: false,
     }
 }
 
-fn reply(client: u64, reply: Reply) -> ClientReply {
+fn client_reply(client: ClientId, reply: Reply) -> ClientReply {
     ClientReply {
         client,
         reply,
@@ -58,59 +62,59 @@
     }
 }
 
+/// Records a query and enqueues its reply; whether the reply is sent at once.
+fn record_and_enqueue(pending: &mut PendingReplies, sequence: u64) -> bool {
+    pending.record(usage_record(sequence));
+    let reply = client_reply(sequence, Reply::Failed);
+    pending.enqueue(reply).is_some()
+}
+
+/// The client of the next reply that may be sent, and whether its connection is closed after it.
+fn pop_ready(pending: &mut PendingReplies) -> Option<(ClientId, bool)> {
+    pending.pop_ready().map(|ready| (ready.client, ready.close))
+}
+
 #[tokio::test(start_paused = true)]
-async fn replies_wait_for_their_records_in_order_but_no_longer_than_a_stall() {
-    let without = Rc::<Cell<u32>>::default();
-    let (written, _keep) = watch::channel(0);
-    let slow = Slow {
-        room: true,
+async fn replies_wait_for_their_records_in_order_up_to_write_delay() {
+    let unrecorded = Rc::<Cell<u32>>::default();
+    let (written, _keep_open) = watch::channel(0);
+    let recorder = ManualRecorder {
+        accepts_records: true,
         written: written.clone(),
-        without: without.clone(),
+        unrecorded: unrecorded.clone(),
     };
-    let mut pending = PendingReplies::new(Box::new(slow));
+    let mut pending = PendingReplies::new(Box::new(recorder));
     for sequence in 1..=3 {
-        pending.record(usage(sequence));
-        assert!(pending.enqueue(reply(sequence, Reply::Failed)).is_none());
+        assert!(!record_and_enqueue(&mut pending, sequence));
     }
-    // What is no query's answer has nothing to wait for.
-    assert!(pending.enqueue(reply(9, Reply::Ready(true))).is_some());
+    // What answers no query has nothing to wait for.
+    let readiness = client_reply(9, Reply::Ready(true));
+    assert!(pending.enqueue(readiness).is_some());
     assert!(pending.pop_ready().is_none());
     pending.close_client(2);
     written.send_replace(2);
     pending.progress().await;
-    assert_eq!(
-        pending.pop_ready().map(|r| (r.client, r.close)),
-        Some((1, false))
-    );
-    assert_eq!(
-        pending.pop_ready().map(|r| (r.client, r.close)),
-        Some((2, true))
-    );
+    assert_eq!(pop_ready(&mut pending), Some((1, false)));
+    assert_eq!(pop_ready(&mut pending), Some((2, true)));
     assert!(pending.pop_ready().is_none());
     let began = Instant::now();
     tokio::time::sleep_until(pending.next_deadline().unwrap()).await;
-    assert_eq!(pending.pop_ready().map(|r| r.client), Some(3));
-    assert_eq!(
-        (began.elapsed(), without.get()),
-        (Duration::from_millis(5), 1)
-    );
-    // It has stalled: nothing waits until it moves.
-    pending.record(usage(4));
-    assert!(pending.enqueue(reply(4, Reply::Failed)).is_some());
-    assert_eq!(without.get(), 2);
+    assert_eq!(pending.pop_ready().map(|ready| ready.client), Some(3));
+    assert_eq!((began.elapsed(), unrecorded.get()), (MAX_WRITE_DELAY, 1));
+    // The writer has stalled: nothing waits until it moves.
+    assert!(record_and_enqueue(&mut pending, 4));
+    assert_eq!(unrecorded.get(), 2);
     written.send_replace(4);
-    pending.record(usage(5));
-    assert!(pending.enqueue(reply(5, Reply::Failed)).is_none());
+    assert!(!record_and_enqueue(&mut pending, 5));
 }
 
 #[tokio::test]
-async fn a_reply_whose_record_is_lost_goes_at_once() {
-    let (written, _keep) = watch::channel(0);
-    let mut pending = PendingReplies::new(Box::new(Slow {
-        room: false,
+async fn reply_without_record_is_sent_at_once() {
+    let (written, _keep_open) = watch::channel(0);
+    let mut pending = PendingReplies::new(Box::new(ManualRecorder {
+        accepts_records: false,
         written,
-        without: Default::default(),
+        unrecorded: Default::default(),
     }));
-    pending.record(usage(1));
-    assert!(pending.enqueue(reply(1, Reply::Failed)).is_some());
+    assert!(record_and_enqueue(&mut pending, 1));
 }
