--- a/crates/mixer/tests/replicas.rs
+++ b/crates/mixer/tests/replicas.rs
@@ -1,160 +1,203 @@
-//! The list of replicas against a plain walk over all of them, and what a change costs by counts.
+//! The mixer's replicas against a full scan of all of them, and what an update costs by counts.
 
 mod harness;
 
 use cottonhill_decisions::{
-    Action, Endpoint, EndpointStatus, EndpointUpdateKind, Event, Outcome, ReplicaId, Settings,
+    Action, Endpoint, EndpointStatus, EndpointUpdateKind, Event, Nanos, Outcome, ReplicaId,
+    Settings,
 };
 use cottonhill_mixer::protocol::endpoint_updates::{self, EndpointEntry, EndpointUpdate, Status};
 use cottonhill_mixer::reducer::replica_table::Replica;
 use cottonhill_mixer::reducer::replicas::{Change, Replicas, LATE};
 use cottonhill_mixer::reducer::ConnectionId;
 use cottonhill_mixer::{settings, Coordinator};
+use harness::MS;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 use std::mem::size_of;
 use std::net::SocketAddr;
 
-const MS: u64 = 1_000_000;
+/// The zones of the settings.
+const ZONES: [&str; 2] = ["north", "south"];
+/// Ids between two queries: a query's id is followed by those of its parts.
+const IDS_PER_QUERY: u64 = 10;
+const PARTS_PER_QUERY: u32 = 4;
 
-// ---- A plain walk as the oracle -----------------------------------------------------------------------
+// ---- A full scan as the oracle --------------------------------------------------------------------------
 
 #[derive(Debug)]
-struct Plain {
+struct ExpectedReplica {
     address: SocketAddr,
     zone: u16,
     status: EndpointStatus,
     connections: Vec<ConnectionId>,
-    started: u64,
-    gone: Option<u64>,
+    started: Nanos,
+    gone_since: Option<Nanos>,
 }
 
-/// Every rule of the list, by a walk over all that is known for each list.
+impl ExpectedReplica {
+    fn is_leaving(&self) -> bool {
+        self.status != EndpointStatus::Ready
+    }
+
+    /// Whether it is still remembered.
+    fn is_retained(&self, now: Nanos) -> bool {
+        let is_recent = |gone_since: Nanos| now < gone_since + LATE;
+        self.gone_since.is_none_or(is_recent) || !self.connections.is_empty()
+    }
+}
+
+/// Every rule of endpoint updates, by a scan of all that is known for each update.
 #[derive(Debug, Default)]
 struct Oracle {
-    numbers: BTreeMap<String, ReplicaId>,
-    known: BTreeMap<ReplicaId, Plain>,
-    last: u64,
-    behind_until: u64,
+    ids: BTreeMap<String, ReplicaId>,
+    replicas: BTreeMap<ReplicaId, ExpectedReplica>,
+    last_id: u64,
+    /// Until then discovery may be behind the one before it.
+    stale_until: Nanos,
 }
 
-struct Expected {
+struct ExpectedChange {
     kind: EndpointUpdateKind,
-    members: Vec<Endpoint>,
+    endpoints: Vec<Endpoint>,
     /// Every replica that may get nothing new, whether or not it may have before.
     leaving: BTreeSet<ReplicaId>,
     /// Those of them that were leaving before.
-    left_before: BTreeSet<ReplicaId>,
-    left: Vec<ConnectionId>,
-    repeated: u64,
-    unknown: u64,
+    leaving_before: BTreeSet<ReplicaId>,
+    /// Connections to addresses that their replica has left.
+    stale_connections: Vec<ConnectionId>,
+    duplicate_entries: u64,
+    unknown_entries: u64,
 }
 
 impl Oracle {
-    fn take(&mut self, now: u64, listing: &EndpointUpdate) -> Expected {
-        self.known.retain(|_, r| {
-            r.gone.is_none_or(|gone| now < gone + LATE) || !r.connections.is_empty()
-        });
-        let known = &self.known;
-        self.numbers.retain(|_, id| known.contains_key(id));
-        let left_before = self.leaving();
-        let (mut left, mut unknown, mut names) = (Vec::new(), 0, Vec::new());
-        let mut members = Vec::new();
-        for endpoint in &listing.entries {
-            let takes = match endpoint.status {
-                Status::Up => false,
-                Status::Draining => !listing.snapshot,
-                Status::Removed => true,
-            };
-            unknown += u64::from(takes && !self.numbers.contains_key(&*endpoint.name));
-            if let Some(member) = self.member(now, endpoint, &mut left) {
-                members.push(member);
-                names.push(endpoint.name.clone());
+    fn update(&mut self, now: Nanos, update: &EndpointUpdate) -> ExpectedChange {
+        self.forget_removed(now);
+        let leaving_before = self.leaving();
+        let mut stale_connections = Vec::new();
+        let mut unknown_entries = 0;
+        let mut names = BTreeSet::new();
+        let mut endpoints = Vec::new();
+        for entry in &update.entries {
+            unknown_entries += u64::from(self.removes_unknown(entry, update.snapshot));
+            if let Some(endpoint) = self.update_entry(now, entry, &mut stale_connections) {
+                endpoints.push(endpoint);
+                names.insert(entry.name.clone());
             }
         }
-        let distinct: BTreeSet<_> = names.iter().collect();
-        let repeated = (names.len() - distinct.len()) as u64;
-        if listing.snapshot {
-            let listed: BTreeSet<ReplicaId> = members.iter().map(|m| m.replica).collect();
-            for (_, replica) in self.known.iter_mut().filter(|(id, _)| !listed.contains(id)) {
-                replica.status = EndpointStatus::Gone;
-                replica.gone.get_or_insert(now);
-            }
-        }
-        let kind = if listing.snapshot {
+        let kind = if update.snapshot {
+            self.remove_unlisted(now, &endpoints);
             EndpointUpdateKind::Snapshot
         } else {
             EndpointUpdateKind::Delta
         };
-        Expected {
+        ExpectedChange {
             kind,
-            members,
             leaving: self.leaving(),
-            left_before,
-            left,
-            repeated,
-            unknown,
+            leaving_before,
+            stale_connections,
+            duplicate_entries: (endpoints.len() - names.len()) as u64,
+            unknown_entries,
+            endpoints,
         }
     }
 
+    fn forget_removed(&mut self, now: Nanos) {
+        self.replicas.retain(|_, replica| replica.is_retained(now));
+        let replicas = &self.replicas;
+        self.ids.retain(|_, id| replicas.contains_key(id));
+    }
+
+    fn remove_unlisted(&mut self, now: Nanos, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<ReplicaId> = endpoints.iter().map(|e| e.replica).collect();
+        for (id, replica) in &mut self.replicas {
+            if !listed.contains(id) {
+                replica.status = EndpointStatus::Gone;
+                replica.gone_since.get_or_insert(now);
+            }
+        }
+    }
+
+    /// Whether an entry takes away an endpoint that is not known.
+    fn removes_unknown(&self, entry: &EndpointEntry, snapshot: bool) -> bool {
+        let takes_away = match entry.status {
+            Status::Up => false,
+            Status::Draining => !snapshot,
+            Status::Removed => true,
+        };
+        takes_away && !self.ids.contains_key(&*entry.name)
+    }
+
     fn leaving(&self) -> BTreeSet<ReplicaId> {
-        let leaving = self
-            .known
+        self.replicas
             .iter()
-            .filter(|(_, r)| r.status != EndpointStatus::Ready);
-        leaving.map(|(id, _)| *id).collect()
+            .filter(|(_, replica)| replica.is_leaving())
+            .map(|(id, _)| *id)
+            .collect()
     }
 
-    fn member(
-        &mut self,
-        now: u64,
-        endpoint: &EndpointEntry,
-        left: &mut Vec<ConnectionId>,
-    ) -> Option<Endpoint> {
-        let number = self.numbers.get(&*endpoint.name).copied();
-        let known = number.and_then(|id| self.known.get(&id));
-        let started = endpoint.started_ms * MS;
-        let leaving = known.filter(|r| r.status != EndpointStatus::Ready && started <= r.started);
-        let leaving = leaving
-            .filter(|_| now < self.behind_until)
-            .map(|r| r.status);
-        let stated = endpoint.address.as_ref().map(SocketAddr::from);
-        let status = match endpoint.status {
-            Status::Up if stated.is_some() => leaving.unwrap_or(EndpointStatus::Ready),
+    fn known(&self, name: &str) -> Option<&ExpectedReplica> {
+        self.ids.get(name).and_then(|id| self.replicas.get(id))
+    }
+
+    fn status_of(&self, now: Nanos, entry: &EndpointEntry) -> EndpointStatus {
+        let started = entry.started_ms * MS;
+        let leaving = self
+            .known(&entry.name)
+            .filter(|known| known.is_leaving() && started <= known.started)
+            .filter(|_| now < self.stale_until);
+        match entry.status {
+            Status::Up if entry.address.is_some() => {
+                leaving.map_or(EndpointStatus::Ready, |known| known.status)
+            }
             Status::Up | Status::Draining => EndpointStatus::Draining,
             Status::Removed => EndpointStatus::Gone,
-        };
-        let address = stated.or(known.map(|r| r.address))?;
-        let id = *self
-            .numbers
-            .entry(endpoint.name.to_string())
-            .or_insert_with(|| {
-                self.last += 1;
-                ReplicaId(self.last)
-            });
-        let zone = ["north", "south"]
-            .iter()
-            .position(|zone| **zone == *endpoint.zone);
+        }
+    }
+
+    fn id_of(&mut self, name: &str) -> ReplicaId {
+        let last_id = &mut self.last_id;
+        *self.ids.entry(name.to_string()).or_insert_with(|| {
+            *last_id += 1;
+            ReplicaId(*last_id)
+        })
+    }
+
+    /// None where an entry of an unknown endpoint states no address.
+    fn update_entry(
+        &mut self,
+        now: Nanos,
+        entry: &EndpointEntry,
+        stale_connections: &mut Vec<ConnectionId>,
+    ) -> Option<Endpoint> {
+        let status = self.status_of(now, entry);
+        let stated = entry.address.as_ref().map(SocketAddr::from);
+        let address = stated.or(self.known(&entry.name).map(|known| known.address))?;
+        let started = entry.started_ms * MS;
+        let zone = ZONES.iter().position(|zone| **zone == *entry.zone);
         let zone = zone.map_or(u16::MAX, |zone| zone as u16);
-        let new = Plain {
+        let id = self.id_of(&entry.name);
+        let replica = self.replicas.entry(id).or_insert(ExpectedReplica {
             address,
             zone,
             status,
             connections: Vec::new(),
             started,
-            gone: None,
-        };
-        let replica = self.known.entry(id).or_insert(new);
+            gone_since: None,
+        });
         if replica.address != address {
-            left.append(&mut replica.connections);
+            stale_connections.append(&mut replica.connections);
         }
-        let gone = (status == EndpointStatus::Gone).then(|| replica.gone.unwrap_or(now));
-        (replica.address, replica.zone, replica.status) = (address, zone, status);
-        (replica.started, replica.gone) = (started.max(replica.started), gone);
+        let is_gone = status == EndpointStatus::Gone;
+        replica.gone_since = is_gone.then(|| replica.gone_since.unwrap_or(now));
+        replica.address = address;
+        replica.zone = zone;
+        replica.status = status;
+        replica.started = started.max(replica.started);
         Some(Endpoint {
             replica: id,
-            cell: endpoint.cell,
+            cell: entry.cell,
             zone,
             started,
             status,
@@ -162,144 +205,183 @@
     }
 }
 
-/// What a decision module knows of a replica by the lists alone, and how often what it learned of it was dropped since
-/// it had started anew.
+/// What a coordinator knows of a replica by endpoint updates alone, and how often it dropped what it had learned of it
+/// since it had started anew.
 #[derive(Clone, Debug, PartialEq)]
-struct Heard {
+struct KnownReplica {
     cell: u16,
     zone: u16,
     status: EndpointStatus,
-    started: u64,
+    started: Nanos,
     restarts: u32,
 }
 
-/// What a decision module knows by the lists alone.
-#[derive(Debug, Default)]
-struct View(BTreeMap<ReplicaId, Heard>);
+/// What a coordinator knows by endpoint updates alone.
+#[derive(Debug, Default, PartialEq)]
+struct CoordinatorView(BTreeMap<ReplicaId, KnownReplica>);
 
-impl View {
-    fn take(&mut self, event: &Event) {
-        let Event::EndpointsUpdated { kind, endpoints } = event else {
-            panic!("{event:?}")
-        };
-        if *kind == EndpointUpdateKind::Snapshot {
-            self.0
-                .retain(|id, _| endpoints.iter().any(|member| member.replica == *id));
+impl CoordinatorView {
+    fn update(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
+        if kind == EndpointUpdateKind::Snapshot {
+            let is_listed = |id| endpoints.iter().any(|endpoint| endpoint.replica == id);
+            self.0.retain(|id, _| is_listed(*id));
         }
-        for &Endpoint {
-            replica,
-            cell,
-            zone,
-            started,
-            status,
-        } in endpoints
-        {
-            let new = Heard {
-                cell,
-                zone,
-                status,
-                started,
-                restarts: 0,
-            };
-            let heard = self.0.entry(replica).or_insert(new);
-            (heard.cell, heard.zone, heard.status) = (cell, zone, status);
-            if status == EndpointStatus::Ready && heard.started != started {
-                heard.started = started;
-                heard.restarts += 1;
-            }
-            // Of those gone it keeps what it has yet to end, which no list changes; of others there is nothing learned
-            // that a new start could drop.
-            if status == EndpointStatus::Gone {
-                self.0.remove(&replica);
-            }
+        for endpoint in endpoints {
+            self.update_endpoint(endpoint);
+        }
+    }
+
+    fn update_endpoint(&mut self, endpoint: &Endpoint) {
+        // Of those gone it keeps what it has yet to end, which no update changes; of others there is nothing learned
+        // that a new start could drop.
+        if endpoint.status == EndpointStatus::Gone {
+            self.0.remove(&endpoint.replica);
+            return;
         }
+        let new = KnownReplica {
+            cell: endpoint.cell,
+            zone: endpoint.zone,
+            status: endpoint.status,
+            started: endpoint.started,
+            restarts: 0,
+        };
+        let known = self.0.entry(endpoint.replica).or_insert(new);
+        known.cell = endpoint.cell;
+        known.zone = endpoint.zone;
+        known.status = endpoint.status;
+        if endpoint.status == EndpointStatus::Ready && known.started != endpoint.started {
+            known.started = endpoint.started;
+            known.restarts += 1;
+        }
+    }
+}
+
+// ---- Both side by side ----------------------------------------------------------------------------------
+
+/// A random entry of an endpoint update.
+#[derive(Clone, Copy, Debug)]
+struct RandomEntry {
+    name: u8,
+    /// The last byte but one of the address; 0 where that is invalid.
+    place: u8,
+    zone: u8,
+    status: u8,
+    started_ms: u8,
+}
+
+impl RandomEntry {
+    fn to_json(self) -> serde_json::Value {
+        let RandomEntry { name, place, .. } = self;
+        let address = if place == 0 {
+            "nowhere".into()
+        } else {
+            format!("127.0.{name}.{place}:7070")
+        };
+        let zone = ["north", "south", "attic"][usize::from(self.zone % 3)];
+        let status = ["up", "up", "draining", "removed"][usize::from(self.status % 4)];
+        serde_json::json!({
+            "name": format!("s-{name}"),
+            "address": address,
+            "group": (name + place) % 3,
+            "zone": zone,
+            "status": status,
+            "since_ms": self.started_ms,
+        })
     }
 }
 
-// ---- Both side by side --------------------------------------------------------------------------------
+/// A connection to a replica.
+struct OpenConnection {
+    replica: ReplicaId,
+    connection: ConnectionId,
+}
 
-/// The list and its oracle, each with a decision module that hears of it.
-struct Pair {
-    now: u64,
+/// The replicas and their oracle, each with a coordinator that is told of the updates.
+struct Comparison {
+    now: Nanos,
     replicas: Replicas,
     oracle: Oracle,
-    module: Coordinator,
-    oracle_module: Coordinator,
-    view: View,
-    oracle_view: View,
-    /// What both modules hear next beside the list.
-    ends: Vec<Event>,
-    connections: Vec<(ReplicaId, ConnectionId)>,
-    next: u64,
-    index: u64,
+    coordinator: Coordinator,
+    oracle_coordinator: Coordinator,
+    view: CoordinatorView,
+    oracle_view: CoordinatorView,
+    /// Attempts that have ended, of which both coordinators are told next.
+    ended_attempts: Vec<Event>,
+    connections: Vec<OpenConnection>,
+    last_id: u64,
+    version: u64,
 }
 
-fn module_settings() -> Settings {
+fn coordinator_settings() -> Settings {
     settings::parse_decisions(&harness::SETTINGS.replace("extra.places=1", "extra.places=3"))
         .unwrap()
 }
 
-impl Pair {
-    fn new() -> Pair {
-        Pair {
+impl Comparison {
+    fn new() -> Comparison {
+        Comparison {
             now: 1_000_000 * MS,
-            replicas: Replicas::new(vec!["north".into(), "south".into()]),
+            replicas: Replicas::new(ZONES.map(String::from).to_vec()),
             oracle: Oracle::default(),
-            module: Coordinator::new(module_settings(), 7),
-            oracle_module: Coordinator::new(module_settings(), 7),
-            view: View::default(),
-            oracle_view: View::default(),
-            ends: Vec::new(),
+            coordinator: Coordinator::new(coordinator_settings(), 7),
+            oracle_coordinator: Coordinator::new(coordinator_settings(), 7),
+            view: CoordinatorView::default(),
+            oracle_view: CoordinatorView::default(),
+            ended_attempts: Vec::new(),
             connections: Vec::new(),
-            next: 0,
-            index: 0,
+            last_id: 0,
+            version: 0,
         }
     }
 
-    fn list(&mut self, snapshot: bool, entries: &[(u8, u8, u8, u8, u8)]) {
-        self.index += 1;
-        let entry = |&(name, place, zone, status, since): &(u8, u8, u8, u8, u8)| {
-            let address = if place == 0 {
-                "nowhere".into()
-            } else {
-                format!("127.0.{name}.{place}:7070")
-            };
-            let zone = ["north", "south", "attic"][usize::from(zone % 3)];
-            let status = ["up", "up", "draining", "removed"][usize::from(status % 4)];
-            serde_json::json!({"name": format!("s-{name}"), "address": address, "group": (name + place) % 3,
-                "zone": zone, "status": status, "since_ms": since})
-        };
-        let entries: Vec<_> = entries.iter().map(entry).collect();
-        let text =
-            serde_json::json!({"index": self.index, "snapshot": snapshot, "endpoints": entries});
-        let listing = endpoint_updates::parse(text.to_string().as_bytes())
+    fn apply(&mut self, step: Step) {
+        match step {
+            Step::Delta(entries) => self.update(false, &entries),
+            Step::Snapshot(entries) => self.update(true, &entries),
+            Step::Connect(name) => self.connect(name),
+            Step::Disconnect(dice) => self.disconnect(dice),
+            Step::SwitchDiscovery => self.switch_discovery(),
+            Step::AdvanceMs(duration_ms) => self.now += duration_ms * MS,
+        }
+    }
+
+    fn update(&mut self, snapshot: bool, entries: &[RandomEntry]) {
+        self.version += 1;
+        let entries: Vec<serde_json::Value> = entries.iter().map(|entry| entry.to_json()).collect();
+        let text = serde_json::json!({
+            "index": self.version,
+            "snapshot": snapshot,
+            "endpoints": entries,
+        });
+        let update = endpoint_updates::parse(text.to_string().as_bytes())
             .unwrap()
             .unwrap();
-        let expected = self.oracle.take(self.now, &listing);
-        let change = self.replicas.take(self.now, listing);
-        self.compare(&change, &expected);
-        let list = Event::EndpointsUpdated {
+        let expected = self.oracle.update(self.now, &update);
+        let change = self.replicas.take(self.now, update);
+        self.compare_change(&change, &expected);
+        self.compare_replicas();
+        self.view.update(EndpointUpdateKind::Delta, &change.members);
+        self.oracle_view.update(expected.kind, &expected.endpoints);
+        assert_eq!(
+            self.view, self.oracle_view,
+            "what the coordinators know of the replicas"
+        );
+        let updated = Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Delta,
             endpoints: change.members,
         };
-        let oracle_list = Event::EndpointsUpdated {
+        let oracle_updated = Event::EndpointsUpdated {
             kind: expected.kind,
-            endpoints: expected.members,
+            endpoints: expected.endpoints,
         };
-        self.view.take(&list);
-        self.oracle_view.take(&oracle_list);
-        assert_eq!(
-            self.view.0, self.oracle_view.0,
-            "what the modules know of the replicas"
-        );
-        self.decide(list, oracle_list);
+        self.compare_decisions(updated, oracle_updated);
     }
 
-    fn compare(&self, change: &Change, expected: &Expected) {
-        assert_eq!(change.left, expected.left);
+    fn compare_change(&self, change: &Change, expected: &ExpectedChange) {
+        assert_eq!(change.left, expected.stale_connections);
         assert_eq!(
             (change.repeated, change.unknown),
-            (expected.repeated, expected.unknown)
+            (expected.duplicate_entries, expected.unknown_entries)
         );
         let leaving: BTreeSet<ReplicaId> = change.leaving.iter().copied().collect();
         assert!(
@@ -307,154 +389,183 @@
             "{leaving:?}, {:?}",
             expected.leaving
         );
-        let newly: BTreeSet<_> = expected
+        let newly_leaving: BTreeSet<ReplicaId> = expected
             .leaving
-            .difference(&expected.left_before)
+            .difference(&expected.leaving_before)
             .copied()
             .collect();
         assert!(
-            newly.is_subset(&leaving),
-            "{newly:?} leave now, {leaving:?} are withdrawn"
+            newly_leaving.is_subset(&leaving),
+            "{newly_leaving:?} leave now, {leaving:?} are withdrawn"
         );
-        assert_eq!(self.replicas.known(), self.oracle.known.len());
-        let ready = self
-            .oracle
-            .known
-            .values()
-            .any(|r| r.status == EndpointStatus::Ready);
-        assert_eq!(self.replicas.any_ready(), ready);
+    }
+
+    fn compare_replicas(&self) {
+        let expected = &self.oracle.replicas;
+        assert_eq!(self.replicas.known(), expected.len());
+        let any_ready = expected.values().any(|replica| !replica.is_leaving());
+        assert_eq!(self.replicas.any_ready(), any_ready);
         for name in (0..4).map(|name| format!("s-{name}")) {
             assert_eq!(
                 self.replicas.id(&name),
-                self.oracle.numbers.get(&name).copied(),
+                self.oracle.ids.get(&name).copied(),
                 "{name}"
             );
         }
-        for (id, plain) in &self.oracle.known {
+        for (id, expected) in expected {
             let replica = self.replicas.get(*id).expect("known to the oracle");
-            let found = (replica.address(), replica.zone, replica.status);
-            assert_eq!(found, (plain.address, plain.zone, plain.status), "{id:?}");
-            assert_eq!(self.replicas.connections(*id), plain.connections, "{id:?}");
+            assert_eq!(
+                (replica.address(), replica.zone, replica.status),
+                (expected.address, expected.zone, expected.status),
+                "{id:?}"
+            );
+            assert_eq!(
+                self.replicas.connections(*id),
+                expected.connections,
+                "{id:?}"
+            );
         }
     }
 
-    /// Both modules hear of the list, each in its way, and of a query. They must decide alike.
-    fn decide(&mut self, list: Event, oracle_list: Event) {
-        self.next += 10;
-        let id = self.next;
-        let network_delay = 0;
+    /// Both coordinators are told of the update, each in its way, and of a query. They must decide alike.
+    fn compare_decisions(&mut self, updated: Event, oracle_updated: Event) {
+        let mut other_events = std::mem::take(&mut self.ended_attempts);
+        other_events.extend(self.next_query());
+        let events = [vec![updated], other_events.clone()].concat();
+        let oracle_events = [vec![oracle_updated], other_events].concat();
+        let mut actions = Vec::new();
+        self.coordinator
+            .process_batch(self.now, &events, &mut actions);
+        let mut oracle_actions = Vec::new();
+        self.oracle_coordinator
+            .process_batch(self.now, &oracle_events, &mut oracle_actions);
+        assert_eq!(actions, oracle_actions);
+        assert_eq!(
+            self.coordinator.retained_entries(),
+            self.oracle_coordinator.retained_entries(),
+            "the same is kept"
+        );
+        self.end_attempts(&actions);
+    }
+
+    fn next_query(&mut self) -> Vec<Event> {
+        self.last_id += IDS_PER_QUERY;
+        let id = self.last_id;
+        let group = id as u32;
         let query = Event::QueryReceived {
             id,
-            group: id as u32,
+            group,
             class: 0,
             tenant: 0,
             client_timeout: 3000 * MS,
-            network_delay,
+            network_delay: 0,
             work: None,
             client_retry: false,
         };
-        let part = |shard: u32| Event::PartReceived {
+        let parts = (0..PARTS_PER_QUERY).map(|shard| Event::PartReceived {
             id: id + 1 + u64::from(shard),
-            group: id as u32,
+            group,
             shard,
             weight: 0.25,
-        };
-        let mut rest = std::mem::take(&mut self.ends);
-        rest.push(query);
-        rest.extend((0..4).map(part));
-        let decide = |module: &mut Coordinator, list: Event| {
-            let mut actions = Vec::new();
-            let events: Vec<Event> = std::iter::once(list).chain(rest.iter().cloned()).collect();
-            module.process_batch(self.now, &events, &mut actions);
-            actions
-        };
-        let actions = decide(&mut self.module, list);
-        assert_eq!(actions, decide(&mut self.oracle_module, oracle_list));
-        assert_eq!(
-            self.module.retained_entries(),
-            self.oracle_module.retained_entries(),
-            "the same is kept"
-        );
-        let mut attempts: BTreeMap<u64, u8> = BTreeMap::new();
+        });
+        std::iter::once(query).chain(parts).collect()
+    }
+
+    /// Each part that was sent ends, by its id in one way or another.
+    fn end_attempts(&mut self, actions: &[Action]) {
+        const OUTCOMES: [Outcome; 4] = [
+            Outcome::Ok,
+            Outcome::Ok,
+            Outcome::Rejected,
+            Outcome::TimedOut,
+        ];
+        let mut next_attempts: BTreeMap<u64, u8> = BTreeMap::new();
         for action in actions {
-            let Action::Send { part, replica, .. } = action else {
+            let Action::Send { part, replica, .. } = *action else {
                 continue;
             };
-            let attempt = *attempts.entry(part).and_modify(|n| *n += 1).or_insert(0);
-            let outcome = [
-                Outcome::Ok,
-                Outcome::Ok,
-                Outcome::Rejected,
-                Outcome::TimedOut,
-            ][part as usize % 4];
-            self.ends.push(Event::AttemptEnded {
+            let next_attempt = next_attempts.entry(part).or_default();
+            self.ended_attempts.push(Event::AttemptEnded {
                 part,
-                attempt,
+                attempt: *next_attempt,
                 replica,
-                outcome,
+                outcome: OUTCOMES[part as usize % OUTCOMES.len()],
                 report: Vec::new(),
             });
+            *next_attempt += 1;
         }
     }
 
     fn connect(&mut self, name: u8) {
-        let Some(id) = self.replicas.id(&format!("s-{name}")) else {
+        let Some(replica) = self.replicas.id(&format!("s-{name}")) else {
             return;
         };
-        self.next += 10;
-        let connection = self.next;
-        let at = self.replicas.connect(id, connection);
-        let plain = self.oracle.known.get_mut(&id).unwrap();
-        plain.connections.push(connection);
-        assert_eq!(at, Some(plain.address));
-        self.connections.push((id, connection));
+        self.last_id += IDS_PER_QUERY;
+        let connection = self.last_id;
+        let address = self.replicas.connect(replica, connection);
+        let expected = self.oracle.replicas.get_mut(&replica).unwrap();
+        expected.connections.push(connection);
+        assert_eq!(address, Some(expected.address));
+        self.connections.push(OpenConnection {
+            replica,
+            connection,
+        });
     }
 
     fn disconnect(&mut self, dice: u8) {
-        if !self.connections.is_empty() {
-            let (id, connection) = self
-                .connections
-                .remove(usize::from(dice) % self.connections.len());
-            self.replicas.disconnect(id, connection);
-            if let Some(plain) = self.oracle.known.get_mut(&id) {
-                plain.connections.retain(|other| *other != connection);
-            }
+        if self.connections.is_empty() {
+            return;
+        }
+        let index = usize::from(dice) % self.connections.len();
+        let OpenConnection {
+            replica,
+            connection,
+        } = self.connections.remove(index);
+        self.replicas.disconnect(replica, connection);
+        if let Some(expected) = self.oracle.replicas.get_mut(&replica) {
+            expected.connections.retain(|other| *other != connection);
         }
     }
 
-    fn moved(&mut self) {
-        self.oracle.behind_until = self.now + LATE;
+    fn switch_discovery(&mut self) {
+        self.oracle.stale_until = self.now + LATE;
         assert_eq!(self.replicas.moved(self.now), self.now + LATE);
     }
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Changes(Vec<(u8, u8, u8, u8, u8)>),
-    Whole(Vec<(u8, u8, u8, u8, u8)>),
+    Delta(Vec<RandomEntry>),
+    Snapshot(Vec<RandomEntry>),
+    /// A connection to the replica of this name.
     Connect(u8),
+    /// The end of some connection.
     Disconnect(u8),
-    Moved,
-    Pass(u64),
+    SwitchDiscovery,
+    AdvanceMs(u64),
 }
 
-fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let entry = || {
-        (
-            0u8..4,
-            prop_oneof![1 => Just(0u8), 9 => 1u8..3],
-            0u8..3,
-            0u8..4,
-            0u8..3,
-        )
-    };
+fn any_entry() -> impl Strategy<Value = RandomEntry> {
+    let place = prop_oneof![1 => Just(0u8), 9 => 1u8..3];
+    (0u8..4, place, 0u8..3, 0u8..4, 0u8..3).prop_map(|(name, place, zone, status, started_ms)| {
+        RandomEntry {
+            name,
+            place,
+            zone,
+            status,
+            started_ms,
+        }
+    })
+}
+
+fn any_steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        4 => prop::collection::vec(entry(), 0..4).prop_map(Step::Changes),
-        2 => prop::collection::vec(entry(), 0..6).prop_map(Step::Whole),
+        4 => prop::collection::vec(any_entry(), 0..4).prop_map(Step::Delta),
+        2 => prop::collection::vec(any_entry(), 0..6).prop_map(Step::Snapshot),
         3 => (0u8..4).prop_map(Step::Connect),
         3 => any::<u8>().prop_map(Step::Disconnect),
-        1 => Just(Step::Moved),
-        3 => prop_oneof![0u64..400, 1000u64..7000, Just(LATE / MS)].prop_map(Step::Pass),
+        1 => Just(Step::SwitchDiscovery),
+        3 => prop_oneof![0u64..400, 1000u64..7000, Just(LATE / MS)].prop_map(Step::AdvanceMs),
     ];
     prop::collection::vec(step, 1..60)
 }
@@ -473,24 +584,17 @@
 
     /// Names that return, addresses that move, connections that outlive their replica, discovery at a new address.
     #[test]
-    fn lists_applied_by_their_changes_are_those_of_a_plain_walk(steps in steps()) {
-        let mut pair = Pair::new();
+    fn incremental_updates_match_full_scan(steps in any_steps()) {
+        let mut comparison = Comparison::new();
         for step in steps {
-            match step {
-                Step::Changes(entries) => pair.list(false, &entries),
-                Step::Whole(entries) => pair.list(true, &entries),
-                Step::Connect(name) => pair.connect(name),
-                Step::Disconnect(dice) => pair.disconnect(dice),
-                Step::Moved => pair.moved(),
-                Step::Pass(ms) => pair.now += ms * MS,
-            }
+            comparison.apply(step);
         }
     }
 }
 
-// ---- Costs, by counts and sizes -----------------------------------------------------------------------
+// ---- Costs, by counts and sizes -------------------------------------------------------------------------
 
-fn entry(server: u64, status: &str) -> String {
+fn entry_text(server: u64, status: &str) -> String {
     let (group, [_, a, b, c]) = (server / 3 % 1000, (server as u32).to_be_bytes());
     format!(
         "{{\"name\":\"s-{server:08x}\",\"address\":\"10.{a}.{b}.{c}:7070\",\"zone\":\"north\",\"type\":\"m2\",\
@@ -498,94 +602,101 @@
     )
 }
 
-fn listing(index: u64, snapshot: bool, entries: &[String]) -> EndpointUpdate {
+fn endpoint_update(version: u64, snapshot: bool, entries: &[String]) -> EndpointUpdate {
     let text = format!(
-        "{{\"index\":{index},\"snapshot\":{snapshot},\"endpoints\":[{}]}}",
+        "{{\"index\":{version},\"snapshot\":{snapshot},\"endpoints\":[{}]}}",
         entries.join(",")
     );
     endpoint_updates::parse(text.as_bytes()).unwrap().unwrap()
 }
 
-fn fleet(servers: u64) -> Replicas {
-    let entries: Vec<String> = (0..servers).map(|server| entry(server, "up")).collect();
+fn up_entries(servers: impl Iterator<Item = u64>) -> Vec<String> {
+    servers.map(|server| entry_text(server, "up")).collect()
+}
+
+fn fleet_of(servers: u64) -> Replicas {
     let mut replicas = Replicas::new(vec!["north".into()]);
-    replicas.take(0, listing(1, true, &entries));
+    replicas.take(0, endpoint_update(1, true, &up_entries(0..servers)));
     replicas
 }
 
-/// Records that are looked at for a change of one entry, one that goes and is forgotten, and a whole list of no news.
-fn visits(servers: u64) -> [u64; 3] {
-    let mut replicas = fleet(servers);
-    let mut before = replicas.visited();
-    let mut since_last = |replicas: &Replicas| {
-        let visited = replicas.visited();
-        visited - std::mem::replace(&mut before, visited)
-    };
-    let change = replicas.take(MS, listing(2, false, &[entry(1, "draining")]));
-    assert_eq!((change.members.len(), change.leaving.len()), (1, 1));
-    let one = since_last(&replicas);
-    replicas.take(2 * MS, listing(3, false, &[entry(1, "removed")]));
-    replicas.take(LATE + 2 * MS, listing(4, false, &[]));
-    assert_eq!(replicas.known() as u64, servers - 1);
-    let gone = since_last(&replicas);
-    let entries: Vec<String> = (0..servers)
-        .filter(|s| *s != 1)
-        .map(|server| entry(server, "up"))
-        .collect();
-    let change = replicas.take(LATE + 3 * MS, listing(5, true, &entries));
-    assert!(
-        change.members.is_empty() && change.leaving.is_empty(),
-        "nothing has changed"
-    );
-    [one, gone, since_last(&replicas)]
+/// Entries that an operation visits.
+fn entries_visited(replicas: &mut Replicas, operation: impl FnOnce(&mut Replicas)) -> u64 {
+    let before = replicas.visited();
+    operation(replicas);
+    replicas.visited() - before
+}
+
+/// Entries that are visited for a delta of one entry, for a removal and its eviction, and for a snapshot that changes
+/// nothing.
+fn entries_visited_by_updates(servers: u64) -> [u64; 3] {
+    let mut replicas = fleet_of(servers);
+    let by_delta = entries_visited(&mut replicas, |replicas| {
+        let drain = endpoint_update(2, false, &[entry_text(1, "draining")]);
+        let change = replicas.take(MS, drain);
+        assert_eq!((change.members.len(), change.leaving.len()), (1, 1));
+    });
+    let by_removal = entries_visited(&mut replicas, |replicas| {
+        let removal = endpoint_update(3, false, &[entry_text(1, "removed")]);
+        replicas.take(2 * MS, removal);
+        replicas.take(LATE + 2 * MS, endpoint_update(4, false, &[]));
+        assert_eq!(replicas.known() as u64, servers - 1);
+    });
+    let by_snapshot = entries_visited(&mut replicas, |replicas| {
+        let remaining = up_entries((0..servers).filter(|server| *server != 1));
+        let change = replicas.take(LATE + 3 * MS, endpoint_update(5, true, &remaining));
+        assert!(
+            change.members.is_empty() && change.leaving.is_empty(),
+            "nothing has changed"
+        );
+    });
+    [by_delta, by_removal, by_snapshot]
 }
 
 #[test]
-fn a_change_costs_its_entries_whatever_the_size_of_the_fleet() {
-    assert_eq!(visits(300), [1, 2, 2 * 299]);
+fn cost_of_update_depends_on_its_entries_not_fleet_size() {
+    assert_eq!(entries_visited_by_updates(300), [1, 2, 2 * 299]);
     assert_eq!(
-        visits(30_000),
+        entries_visited_by_updates(30_000),
         [1, 2, 2 * 29_999],
-        "a whole list is walked twice at the most"
+        "a snapshot is walked twice at the most"
     );
 }
 
 #[test]
-fn what_is_kept_of_an_entry_is_small_and_its_name_once() {
-    // Before: 88 bytes in one tree, and the name with its number, 32 bytes, in another.
+fn entries_are_small_and_share_zone_names() {
     assert!(size_of::<Replica>() <= 56, "{}", size_of::<Replica>());
     assert_eq!(
         size_of::<Option<Replica>>(),
         size_of::<Replica>(),
         "an empty slot costs no more"
     );
-    // As read: before, 88 bytes and three texts on the heap.
     assert!(
         size_of::<EndpointEntry>() <= 64,
         "{}",
         size_of::<EndpointEntry>()
     );
-    let read = listing(1, true, &[entry(1, "up"), entry(2, "up")]);
+    let update = endpoint_update(1, true, &up_entries(1..3));
     assert!(
-        std::sync::Arc::ptr_eq(&read.entries[0].zone, &read.entries[1].zone),
+        std::sync::Arc::ptr_eq(&update.entries[0].zone, &update.entries[1].zone),
         "a zone's name once"
     );
 }
 
 #[test]
-fn a_whole_list_is_applied_as_what_it_changes() {
-    let mut replicas = fleet(100);
-    let mut entries: Vec<String> = (0..99).map(|server| entry(server, "up")).collect();
-    entries[5] = entry(5, "draining");
-    entries.push(entry(100, "up"));
-    let change = replicas.take(MS, listing(2, true, &entries));
-    let found: Vec<_> = change
+fn snapshot_is_applied_as_its_changes() {
+    let mut replicas = fleet_of(100);
+    let mut entries = up_entries(0..99);
+    entries[5] = entry_text(5, "draining");
+    entries.push(entry_text(100, "up"));
+    let change = replicas.take(MS, endpoint_update(2, true, &entries));
+    let changed: Vec<(u64, EndpointStatus)> = change
         .members
         .iter()
-        .map(|m| (m.replica.0, m.status))
+        .map(|endpoint| (endpoint.replica.0, endpoint.status))
         .collect();
     assert_eq!(
-        found,
+        changed,
         [
             (6, EndpointStatus::Draining),
             (101, EndpointStatus::Ready),
