--- a/crates/mixer/tests/endpoint_updates.rs
+++ b/crates/mixer/tests/endpoint_updates.rs
@@ -7,7 +7,6 @@
 
 use bytes::{Bytes, BytesMut};
 use captured_logs::CapturedLogs;
-use cottonhill_mixer::config::Config;
 use cottonhill_mixer::protocol::endpoint_updates::{
     self, EndpointUpdate, JsonObjectSplitter, Status, UpdateError, MAX_ENTRIES, MAX_UPDATE_BYTES,
 };
@@ -153,42 +152,6 @@
     );
 }
 
-/// The memory limit of a configuration file with these limits.
-fn configured_memory_limit(limits: &Value) -> Option<usize> {
-    let settings = json!({
-        "classes": [{"name": "a", "aim_ns": 2, "give_up_ns": 6, "semantics": "read_like"}],
-        "extra": {"places": 1, "reach": 1, "ranges": 2, "class_need": [1.0], "least_share": [0.6],
-            "partial_earns": [0.9], "second_step": [0]},
-        "replicas_of_me": 1, "tick_ns": 5, "localities": ["n", "s"],
-    });
-    let file = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
-        "seed": "8c1f", "limits": limits, "settings": settings});
-    Config::parse(&file.to_string()).unwrap().memory_limit
-}
-
-#[test]
-fn reads_memory_limit_from_configuration() {
-    assert_eq!(
-        configured_memory_limit(&json!({"sockets": 9, "memory_mb": 128})),
-        Some(128_000_000)
-    );
-    assert_eq!(
-        configured_memory_limit(&json!({"sockets": 9, "memory_mb": 48.5})),
-        Some(48_500_000)
-    );
-    for without_number in [
-        json!({"sockets": 9}),
-        json!({"sockets": 9, "memory_mb": "all"}),
-        Value::Null,
-    ] {
-        assert_eq!(
-            configured_memory_limit(&without_number),
-            None,
-            "{without_number}"
-        );
-    }
-}
-
 #[test]
 fn reads_entry_regardless_of_field_order_and_layout() {
     let plain = concat!(
