--- a/crates/decisions/tests/due_queries.rs
+++ b/crates/decisions/tests/due_queries.rs
@@ -71,7 +71,7 @@
         Action::Fail { .. } => "fail",
         Action::Probe { .. } => "probe",
         Action::CloseIdleConnections { .. } => "close",
-        Action::Log(line) if line.starts_with("cutoff off") => "cutoff",
+        Action::Log(line) if line.starts_with("weight cutoff raised") => "cutoff",
         _ => "other",
     }
 }
--- a/crates/decisions/tests/replica_table.rs
+++ b/crates/decisions/tests/replica_table.rs
@@ -214,7 +214,7 @@
 
     fn update(&mut self, endpoints: &[Endpoint], snapshot: bool) {
         let forget_until = self.now.saturating_sub(RETENTION);
-        self.table.list(endpoints, snapshot);
+        self.table.apply_update(endpoints, snapshot);
         self.oracle.update(endpoints, snapshot);
         self.table.forget_gone(forget_until);
         self.oracle.forget_removed(forget_until);
@@ -229,7 +229,7 @@
 
     fn send_part(&mut self, id: ReplicaId) {
         let slot = self.table.slot(id);
-        let Some(slot) = slot.filter(|slot| self.table.at(*slot).is_ready()) else {
+        let Some(slot) = slot.filter(|slot| self.table.replica(*slot).is_ready()) else {
             return;
         };
         let now = self.now;
@@ -256,9 +256,9 @@
             return;
         };
         let now = self.now;
-        let traffic = self.table.traffic_mut(slot);
-        traffic.learned = now;
-        traffic.latency = Some(LATENCY);
+        let stats = self.table.stats_mut(slot);
+        stats.latency_updated_at = now;
+        stats.latency = Some(LATENCY);
         let expected = self.expected(id);
         expected.last_observed = now;
         expected.latency = Some(LATENCY);
@@ -289,14 +289,14 @@
 
     fn check_ready(&self) -> Result<(), TestCaseError> {
         let ready = self.oracle.ready();
-        prop_assert_eq!(self.table.ready(), ready.len());
-        let listed_ready = replica_ids(&self.table, &self.table.walk_ready());
+        prop_assert_eq!(self.table.ready_count(), ready.len());
+        let listed_ready = replica_ids(&self.table, &self.table.ready_slots());
         prop_assert_eq!(listed_ready, ready.clone());
         let suspected = ready
             .iter()
             .filter(|id| self.oracle.replicas[id].suspected)
             .count();
-        prop_assert_eq!(self.table.suspected_and_ready(), suspected);
+        prop_assert_eq!(self.table.suspected_ready_count(), suspected);
         Ok(())
     }
 
@@ -304,7 +304,7 @@
         let Some(replica) = self.table.get(id) else {
             return (0, 0);
         };
-        let open = replica.traffic().open();
+        let open = replica.stats().open();
         (open.parts(), open.calls(self.now, PARTS_PER_CALL))
     }
 }
@@ -316,19 +316,19 @@
         started: replica.started(),
         status: replica.status(),
         suspected: replica.suspected(),
-        last_observed: replica.traffic().learned,
-        latency: replica.traffic().latency,
+        last_observed: replica.stats().latency_updated_at,
+        latency: replica.stats().latency,
         parts_in_flight: replica
-            .traffic()
+            .stats()
             .open()
             .by_time()
-            .map(|open| (open.sent, open.parts))
+            .map(|open| (open.sent_at, open.parts))
             .collect(),
     })
 }
 
 fn replica_ids(table: &ReplicaTable, slots: &[Slot]) -> Vec<ReplicaId> {
-    slots.iter().map(|slot| table.at(*slot).id()).collect()
+    slots.iter().map(|slot| table.replica(*slot).id()).collect()
 }
 
 proptest! {
@@ -371,9 +371,9 @@
 
 /// Entries that an operation visits.
 fn entries_visited(table: &mut ReplicaTable, operation: impl FnOnce(&mut ReplicaTable)) -> u64 {
-    let before = table.visited();
+    let before = table.replicas_visited();
     operation(table);
-    table.visited() - before
+    table.replicas_visited() - before
 }
 
 /// Entries visited by a lookup, and by the removal of one endpoint.
@@ -381,10 +381,10 @@
     let cells = replicas.div_ceil(3) as u32;
     let mut table = ReplicaTable::new(cells, 1, 1);
     let endpoints = ready_endpoints(replicas);
-    table.list(&endpoints, true);
+    table.apply_update(&endpoints, true);
     let by_lookup = entries_visited(&mut table, |table| drop(table.holders(7)));
     let by_removal = entries_visited(&mut table, |table| {
-        table.list(&[removed(&endpoints[10])], false);
+        table.apply_update(&[removed(&endpoints[10])], false);
         table.forget_gone(0);
     });
     assert_eq!(
@@ -406,16 +406,16 @@
     let mut table = ReplicaTable::new(1, 1, 1);
     let ready = ready_endpoints(1);
     let gone = [removed(&ready[0])];
-    table.list(&ready, false);
+    table.apply_update(&ready, false);
     let slot = table.slot(ReplicaId(1)).unwrap();
-    table.traffic_mut(slot).learned = 100;
+    table.stats_mut(slot).latency_updated_at = 100;
     for _ in 0..50 {
-        table.list(&gone, false);
+        table.apply_update(&gone, false);
         table.forget_gone(50);
-        table.list(&ready, false);
+        table.apply_update(&ready, false);
         table.forget_gone(50);
     }
-    table.list(&gone, false);
+    table.apply_update(&gone, false);
     let visited_early = entries_visited(&mut table, |table| table.forget_gone(99));
     assert_eq!(visited_early, 0, "too early");
     let visited_when_due = entries_visited(&mut table, |table| table.forget_gone(100));
@@ -427,11 +427,11 @@
 fn late_observation_of_removed_replica_delays_its_eviction() {
     let mut table = ReplicaTable::new(1, 1, 1);
     let endpoints = ready_endpoints(2);
-    table.list(&endpoints, true);
+    table.apply_update(&endpoints, true);
     let slot = table.slot(ReplicaId(1)).unwrap();
-    table.traffic_mut(slot).learned = 100;
-    table.list(&endpoints[1..], true);
-    table.traffic_mut(slot).learned = 120;
+    table.stats_mut(slot).latency_updated_at = 100;
+    table.apply_update(&endpoints[1..], true);
+    table.stats_mut(slot).latency_updated_at = 120;
     table.forget_gone(119);
     assert_eq!(table.len(), 2);
     table.forget_gone(120);
--- a/crates/mixer/tests/client_disconnect.rs
+++ b/crates/mixer/tests/client_disconnect.rs
@@ -19,7 +19,7 @@
         harness.open_all_connections();
         harness.advance_ms(1500);
         assert_eq!(harness.call_count(), 0);
-        assert_eq!(harness.reducer.counters().answered.client_gone, 1);
+        assert_eq!(harness.reducer.counters().replies.client_disconnected, 1);
     }
 }
 
@@ -127,7 +127,7 @@
                 !harness.connections.contains_key(&connection),
                 "the call may begin at any moment"
             );
-            assert_eq!(harness.reducer.counters().connections.stuck, 1);
+            assert_eq!(harness.reducer.counters().connections.write_stalled, 1);
         }
     }
 }
@@ -144,7 +144,7 @@
     harness.complete_write(connection);
     harness.advance_ms(1000);
     assert!(harness.connections.contains_key(&connection));
-    assert_eq!(harness.reducer.counters().connections.stuck, 0);
+    assert_eq!(harness.reducer.counters().connections.write_stalled, 0);
 }
 
 #[test]
--- a/crates/mixer/tests/config.rs
+++ b/crates/mixer/tests/config.rs
@@ -1,6 +1,6 @@
 //! The configuration file of a mixer.
 
-use cottonhill_mixer::config::Config;
+use cottonhill_mixer::config::{Config, ConfigError};
 use serde_json::{json, Value};
 
 /// Settings with one class.
@@ -13,7 +13,7 @@
     })
 }
 
-fn parse_with_settings(settings: &Value) -> Result<Config, String> {
+fn parse_with_settings(settings: &Value) -> Result<Config, ConfigError> {
     let file = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
         "seed": "8c1f30d27a5be964", "settings": settings});
     Config::parse(&file.to_string())
@@ -38,6 +38,7 @@
     invalid["tick_ns"] = 0.into();
     assert!(parse_with_settings(&invalid)
         .unwrap_err()
+        .to_string()
         .contains("tick_ns"));
     invalid["extra"]["second_step"][0] = 3.into();
     assert!(parse_with_settings(&invalid).is_err());
--- a/crates/mixer/tests/endpoint_draining.rs
+++ b/crates/mixer/tests/endpoint_draining.rs
@@ -55,7 +55,7 @@
     assert!(harness.is_ready());
     harness.serve_all();
     assert!(harness.is_answered_completely(client));
-    assert_eq!(harness.reducer.counters().watches.unheard, 1);
+    assert_eq!(harness.reducer.counters().watches.startup_timeouts, 1);
 }
 
 #[test]
@@ -133,7 +133,7 @@
         "{:?}",
         harness.last_reply(client)
     );
-    assert_eq!(harness.reducer.counters().connections.stuck, 1);
+    assert_eq!(harness.reducer.counters().connections.write_stalled, 1);
 }
 
 #[test]
--- a/crates/mixer/tests/endpoint_updates.rs
+++ b/crates/mixer/tests/endpoint_updates.rs
@@ -12,7 +12,7 @@
 };
 use cottonhill_mixer::protocol::http::WatchCodec;
 use cottonhill_mixer::protocol::query_json::Reply;
-use cottonhill_mixer::reducer::replicas::{Replicas, LATE};
+use cottonhill_mixer::reducer::replicas::{Replicas, LATE_UPDATE_WINDOW};
 use cottonhill_mixer::reducer::Input;
 use harness::{address, listed, Harness, ListedEndpoint, MS};
 use loopback::{
@@ -96,8 +96,11 @@
     assert_eq!(objects.len(), 1);
     let update = endpoint_updates::parse(&objects[0]).unwrap().unwrap();
     let mut replicas = Replicas::new(vec!["north".into()]);
-    assert_eq!(replicas.take(0, update).members.len(), PLANNED_ENDPOINTS);
-    assert_eq!(replicas.known(), PLANNED_ENDPOINTS);
+    assert_eq!(
+        replicas.apply_update(0, update).endpoints.len(),
+        PLANNED_ENDPOINTS
+    );
+    assert_eq!(replicas.len(), PLANNED_ENDPOINTS);
 }
 
 #[test]
@@ -108,7 +111,7 @@
         objects
             .buffer()
             .extend_from_slice((snapshot.clone() + after).as_bytes());
-        let object = objects.whole().expect("a whole snapshot");
+        let object = objects.next_object().expect("a whole snapshot");
         assert_eq!(object.len(), snapshot.len());
         assert!(
             object.is_unique(),
@@ -116,7 +119,7 @@
             after.len()
         );
         objects.buffer().extend_from_slice(b"}");
-        let next = objects.whole().expect("what follows is read on");
+        let next = objects.next_object().expect("what follows is read on");
         assert_eq!(next, after.trim().to_string() + "}");
     }
 }
@@ -197,9 +200,16 @@
         .entries
         .iter()
         .all(|entry| entry.status == Status::Draining && entry.address.is_none()));
-    let logged = logs.matching_lines("WARN", &["index=43", "listed with what can't be used"]);
-    assert_eq!(logged.len(), 17);
-    logs.assert_one_line("WARN", &["more=24"]);
+    let logged = logs.matching_lines("WARN", &["index=43", "invalid entry in endpoint update"]);
+    assert_eq!(logged.len(), 16);
+    logs.assert_one_line(
+        "WARN",
+        &[
+            "index=43",
+            "more=24",
+            "further invalid entries in endpoint update",
+        ],
+    );
     let mut harness = Harness::new(1);
     let next = harness.next_update(false, &[]);
     harness.apply(Input::EndpointsUpdated(EndpointUpdate {
@@ -207,7 +217,7 @@
         invalid_entries: 40,
         ..next
     }));
-    assert_eq!(harness.reducer.counters().bad_lists.unusable, 40);
+    assert_eq!(harness.reducer.counters().update_faults.invalid_entries, 40);
 }
 
 #[test]
@@ -226,7 +236,10 @@
             let mut harness = Harness::new(1);
             harness.announce_status(&address(1), last);
             harness.send_update(snapshot, &[listed(1, first), listed(1, last)]);
-            assert_eq!(harness.reducer.counters().bad_lists.repeated, 1);
+            assert_eq!(
+                harness.reducer.counters().update_faults.duplicate_entries,
+                1
+            );
             logs.assert_one_line("WARN", &["index=2", "s-1", "twice"]);
             let client = harness.send_query(1, &[1.0]);
             harness.serve_all();
@@ -246,7 +259,10 @@
     let mut harness = Harness::new(1);
     let update: Vec<ListedEndpoint> = status.iter().map(|status| listed(9, status)).collect();
     harness.send_delta(&update);
-    assert_eq!(harness.reducer.counters().bad_lists.unknown, unknown);
+    assert_eq!(
+        harness.reducer.counters().update_faults.unknown_removals,
+        unknown
+    );
     let client = harness.send_query(1, &[1.0]);
     harness.serve_all();
     assert!(harness.is_answered_completely(client), "{status:?}");
@@ -257,11 +273,11 @@
     );
     let removal: Vec<ListedEndpoint> = status.iter().map(|_| listed(9, "removed")).collect();
     harness.send_delta(&removal);
-    harness.advance_ms(LATE / MS + 1);
+    harness.advance_ms(LATE_UPDATE_WINDOW / MS + 1);
     harness.send_delta(&[]);
     harness.advance_ms(60_000);
     assert_eq!(
-        harness.reducer.counters().bad_lists.unknown,
+        harness.reducer.counters().update_faults.unknown_removals,
         unknown,
         "known by the second update"
     );
@@ -280,7 +296,7 @@
     let mut harness = Harness::new(1);
     harness.send_snapshot(&[listed(1, "up"), listed(2, "draining")]);
     assert_eq!(
-        harness.reducer.counters().bad_lists.unknown,
+        harness.reducer.counters().update_faults.unknown_removals,
         0,
         "a snapshot names the endpoints that drain"
     );
@@ -311,11 +327,11 @@
     assert_eq!(
         error,
         UpdateError::TooManyEntries {
-            index: 43,
+            version: 43,
             entries: MAX_ENTRIES + 2
         }
     );
-    assert!(error.is_over_bound());
+    assert!(error.is_too_large());
     assert_eq!(
         error.to_string(),
         "131074 entries in version 43, 131072 at most are accepted"
@@ -501,7 +517,11 @@
         );
         logs.assert_one_line(
             "INFO",
-            &["index=1", "in_force=3", "whole list of an earlier version"],
+            &[
+                "index=1",
+                "in_force=3",
+                "snapshot with a lower version accepted",
+            ],
         );
         assert!(
             !query_is_answered(mixer.address, "gone").await,
--- a/crates/mixer/tests/http.rs
+++ b/crates/mixer/tests/http.rs
@@ -4,7 +4,7 @@
 
 use bytes::BytesMut;
 use cottonhill_mixer::protocol::http::{
-    Request, RequestError, Response, ServerCodec, WatchCodec, WatchRejected, MOST_HEAD,
+    Request, RequestError, Response, ServerCodec, WatchCodec, WatchRejected, MAX_HEAD_BYTES,
 };
 use cottonhill_mixer::protocol::query_json::{
     self, ClientRequest, Hit, QueryRequest, QuerySchema, Reply,
@@ -154,7 +154,7 @@
     let full_chunk = format!("10000\r\n{}\r\n1\r\n", "x".repeat(MAX_BODY_BYTES));
     let chunked = CHUNKED_HEAD.to_string() + &full_chunk + "x";
     assert_eq!(error_status(&chunked), 413);
-    let large_head = format!("GET / HTTP/1.1\r\nA: {}", "x".repeat(MOST_HEAD));
+    let large_head = format!("GET / HTTP/1.1\r\nA: {}", "x".repeat(MAX_HEAD_BYTES));
     assert_eq!(error_status(&large_head), 431);
 }
 
--- a/crates/mixer/tests/leaf_calls.rs
+++ b/crates/mixer/tests/leaf_calls.rs
@@ -34,9 +34,12 @@
     let mut harness = Harness::new(1);
     harness.send_query(1, &[1.0]);
     harness.advance_ms(249);
-    assert_eq!(harness.reducer.counters().ended.unreachable, 0);
+    assert_eq!(
+        harness.reducer.counters().attempt_outcomes.connect_failed,
+        0
+    );
     harness.advance_ms(2);
-    assert!(harness.reducer.counters().ended.unreachable >= 1);
+    assert!(harness.reducer.counters().attempt_outcomes.connect_failed >= 1);
     assert_eq!(harness.called_parts(), 0);
 }
 
@@ -53,13 +56,13 @@
         0,
         "its first byte would break the drain rule"
     );
-    assert_eq!(harness.reducer.counters().ended.not_sent, 1);
+    assert_eq!(harness.reducer.counters().attempt_outcomes.not_sent, 1);
 }
 
 /// Attempts that ended as unreachable and as broken.
 fn unreachable_and_broken(harness: &Harness) -> (u64, u64) {
-    let ended = &harness.reducer.counters().ended;
-    (ended.unreachable, ended.broken)
+    let ended = &harness.reducer.counters().attempt_outcomes;
+    (ended.connect_failed, ended.connection_reset)
 }
 
 #[test]
@@ -126,7 +129,7 @@
         .reducer
         .apply(START + 2100 * MS, Input::FrameWritten { connection });
     assert_eq!(effects, [], "it expired at the latency objective of 2 s");
-    assert_eq!(harness.reducer.counters().ended.not_sent, 1);
+    assert_eq!(harness.reducer.counters().attempt_outcomes.not_sent, 1);
 }
 
 #[test]
@@ -139,7 +142,7 @@
     let cancel = LeafRequest::Cancel("q1.0".into());
     assert!(harness.frames.iter().any(|sent| sent.frame == cancel));
     harness.answer_part(connection, "q1.0", PartStatus::Ok);
-    assert_eq!(harness.reducer.counters().ended.ok, 0);
+    assert_eq!(harness.reducer.counters().attempt_outcomes.ok, 0);
     assert!(
         harness.replies[&client].is_empty(),
         "no client is there to be answered"
@@ -171,9 +174,9 @@
             .0;
         let in_flight = harness.in_flight[&connection].len() as u64;
         harness.send_malformed_frame(connection, with_id);
-        let ended = harness.reducer.counters().ended.clone();
+        let ended = harness.reducer.counters().attempt_outcomes.clone();
         assert_eq!(
-            (ended.error, ended.cancelled, ended.broken),
+            (ended.error, ended.cancelled, ended.connection_reset),
             (1, in_flight - 1, 0)
         );
         assert!(
@@ -197,8 +200,11 @@
     harness.writes_stalled = true;
     harness.send_query(1, &[1.0]);
     harness.send_malformed_frame(connection, true);
-    let ended = &harness.reducer.counters().ended;
-    assert_eq!((ended.error, ended.broken, ended.unreachable), (1, 1, 0));
+    let ended = &harness.reducer.counters().attempt_outcomes;
+    assert_eq!(
+        (ended.error, ended.connection_reset, ended.connect_failed),
+        (1, 1, 0)
+    );
 }
 
 #[test]
@@ -209,11 +215,11 @@
     let connection = harness.first_connection();
     harness.answer_part(connection, "q1.1", PartStatus::Ok);
     harness.answer_part(connection, "q1.1", PartStatus::Ok);
-    assert_eq!(harness.reducer.counters().connections.spoilt, 0);
+    assert_eq!(harness.reducer.counters().connections.malformed, 0);
     harness.answer_part(connection, "q9.0", PartStatus::Ok);
-    assert_eq!(harness.reducer.counters().connections.spoilt, 1);
+    assert_eq!(harness.reducer.counters().connections.malformed, 1);
     assert_eq!(
-        harness.reducer.counters().ended.error,
+        harness.reducer.counters().attempt_outcomes.error,
         1,
         "the one that was in flight has failed"
     );
--- a/crates/mixer/tests/leaf_connection.rs
+++ b/crates/mixer/tests/leaf_connection.rs
@@ -4,7 +4,9 @@
 mod harness;
 
 use cottonhill_mixer::protocol::leaf_frames::{LeafRequest, PartStatus};
-use cottonhill_mixer::reducer::leaf_connection::{Answered, AttemptId, Job, LeafConnection};
+use cottonhill_mixer::reducer::leaf_connection::{
+    AnswerTarget, AttemptId, CallAttempt, InterruptedAttempt, LeafConnection, QueuedFrame,
+};
 use cottonhill_mixer::reducer::ConnectionId;
 use harness::{Harness, MS};
 use proptest::prelude::*;
@@ -64,8 +66,8 @@
 struct Model {
     is_open: bool,
     attempts: BTreeMap<AttemptId, AttemptState>,
-    queued_frames: VecDeque<Job>,
-    writing: Option<Job>,
+    queued_frames: VecDeque<QueuedFrame>,
+    writing: Option<QueuedFrame>,
     written_probes: VecDeque<u64>,
 }
 
@@ -97,11 +99,12 @@
 
 /// The id of an attempt's part on the wire.
 fn wire_id(attempt: AttemptId) -> Rc<str> {
-    format!("q.{}", attempt.0).into()
+    format!("q.{}", attempt.part).into()
 }
 
-fn call(attempt: AttemptId) -> Job {
-    Job::Call(vec![(attempt, wire_id(attempt))])
+fn call(attempt: AttemptId) -> QueuedFrame {
+    let wire_id = wire_id(attempt);
+    QueuedFrame::Call(vec![CallAttempt { attempt, wire_id }])
 }
 
 /// A connection and its model, to which the same steps are applied.
@@ -122,9 +125,12 @@
     fn apply(&mut self, number: u64, step: Step) -> Checked {
         let now = number * MS;
         match step {
-            Step::QueueCall => self.queue_call((number, 0)),
+            Step::QueueCall => self.queue_call(AttemptId {
+                part: number,
+                number: 0,
+            }),
             Step::Open => {
-                self.connection.opened(now);
+                self.connection.on_connected(now);
                 self.model.is_open = true;
             }
             Step::TakeFrame => self.take_frame(now)?,
@@ -141,18 +147,21 @@
             }
             Step::QueueProbe => {
                 self.connection.queue_probe(number);
-                self.model.queued_frames.push_back(Job::Probe(number));
+                self.model
+                    .queued_frames
+                    .push_back(QueuedFrame::Probe(number));
             }
             Step::AnswerProbe => {
                 let expected = self.model.written_probes.pop_front();
-                prop_assert_eq!(self.connection.probed(), expected);
+                prop_assert_eq!(self.connection.on_probe_answer(), expected);
             }
         }
         Ok(())
     }
 
     fn queue_call(&mut self, attempt: AttemptId) {
-        self.connection.queue(attempt, wire_id(attempt), false, 1);
+        self.connection
+            .queue_attempt(attempt, wire_id(attempt), false, 1);
         self.model.attempts.insert(attempt, AttemptState::Waiting);
         self.model.queued_frames.push_back(call(attempt));
     }
@@ -165,9 +174,11 @@
         } else {
             None
         };
-        prop_assert_eq!(self.connection.take_next(now), expected.clone());
-        if let Some(Job::Call(parts)) = &expected {
-            model.attempts.insert(parts[0].0, AttemptState::Writing);
+        prop_assert_eq!(self.connection.next_frame(now), expected.clone());
+        if let Some(QueuedFrame::Call(parts)) = &expected {
+            model
+                .attempts
+                .insert(parts[0].attempt, AttemptState::Writing);
         }
         if expected.is_some() {
             model.writing = expected;
@@ -176,14 +187,14 @@
     }
 
     fn complete_write(&mut self) {
-        self.connection.wrote();
+        self.connection.on_frame_written();
         match self.model.writing.take() {
-            Some(Job::Call(parts)) => {
-                if let Some(state) = self.model.attempts.get_mut(&parts[0].0) {
+            Some(QueuedFrame::Call(parts)) => {
+                if let Some(state) = self.model.attempts.get_mut(&parts[0].attempt) {
                     *state = AttemptState::Written;
                 }
             }
-            Some(Job::Probe(probe)) => self.model.written_probes.push_back(probe),
+            Some(QueuedFrame::Probe(probe)) => self.model.written_probes.push_back(probe),
             _ => {}
         }
     }
@@ -192,16 +203,16 @@
         let id = wire_id(attempt);
         let is_written = self.model.attempts[&attempt] == AttemptState::Written;
         let expected = if is_written {
-            Answered::Attempt(attempt)
+            AnswerTarget::InFlight(attempt)
         } else {
-            Answered::Unknown
+            AnswerTarget::Unknown
         };
-        prop_assert_eq!(self.connection.answered(&id), expected);
-        let never_sent = self.connection.answered("never.asked");
-        prop_assert_eq!(never_sent, Answered::Unknown);
+        prop_assert_eq!(self.connection.on_answer(&id), expected);
+        let never_sent = self.connection.on_answer("never.asked");
+        prop_assert_eq!(never_sent, AnswerTarget::Unknown);
         if is_written {
-            let duplicate = self.connection.answered(&id);
-            prop_assert_eq!(duplicate, Answered::Over, "a duplicate");
+            let duplicate = self.connection.on_answer(&id);
+            prop_assert_eq!(duplicate, AnswerTarget::Finished, "a duplicate");
             self.model.attempts.remove(&attempt);
         }
         Ok(())
@@ -210,19 +221,19 @@
     fn drop_attempt(&mut self, attempt: AttemptId, now: u64) -> Checked {
         let id = wire_id(attempt);
         let began = self.model.attempts.remove(&attempt) != Some(AttemptState::Waiting);
-        prop_assert_eq!(self.connection.drop_attempt(attempt, now, MS), began);
-        let began_again = self.connection.drop_attempt(attempt, now, MS);
+        prop_assert_eq!(self.connection.cancel_attempt(attempt, now, MS), began);
+        let began_again = self.connection.cancel_attempt(attempt, now, MS);
         prop_assert!(!began_again, "it is over");
         let expected = if began {
-            Answered::Over
+            AnswerTarget::Finished
         } else {
-            Answered::Unknown
+            AnswerTarget::Unknown
         };
-        let answered = self.connection.answered(&id);
+        let answered = self.connection.on_answer(&id);
         prop_assert_eq!(answered, expected, "its answer may cross the cancellation");
         let queued_frames = &mut self.model.queued_frames;
         if began {
-            queued_frames.push_back(Job::GiveUp(id));
+            queued_frames.push_back(QueuedFrame::Cancel(id));
         } else {
             queued_frames.retain(|frame| *frame != call(attempt));
         }
@@ -233,26 +244,32 @@
         let connection = &mut self.connection;
         let waiting = self.model.attempts_in(AttemptState::Waiting);
         let written = self.model.attempts_in(AttemptState::Written);
-        prop_assert_eq!(connection.spoilt(None).is_some(), !written.is_empty());
+        prop_assert_eq!(
+            connection.attempt_of_malformed_answer(None).is_some(),
+            !written.is_empty()
+        );
         for attempt in &written {
-            let failed = connection.spoilt(Some(&wire_id(*attempt)));
+            let failed = connection.attempt_of_malformed_answer(Some(&wire_id(*attempt)));
             prop_assert_eq!(failed, Some(*attempt));
         }
-        prop_assert_eq!(connection.written().len(), written.len());
-        prop_assert_eq!(connection.unsent(), waiting);
+        prop_assert_eq!(connection.written_attempts().len(), written.len());
+        prop_assert_eq!(connection.unsent_attempts(), waiting);
         prop_assert_eq!(connection.is_idle(), self.model.is_idle());
         Ok(())
     }
 
     /// Ends the connection: each attempt ends with it.
     fn check_end(self) -> Checked {
-        let (mut ended, _) = self.connection.end();
+        let mut ended = self.connection.into_interrupted().attempts;
         ended.sort();
-        let expected: Vec<(AttemptId, bool)> = self
+        let expected: Vec<InterruptedAttempt> = self
             .model
             .attempts
             .iter()
-            .map(|(attempt, state)| (*attempt, *state == AttemptState::Written))
+            .map(|(attempt, state)| InterruptedAttempt {
+                attempt: *attempt,
+                may_have_run: *state == AttemptState::Written,
+            })
             .collect();
         prop_assert_eq!(ended, expected);
         Ok(())
@@ -301,13 +318,14 @@
         );
     }
     let counters = harness.reducer.counters().clone();
-    let by_outcome = &counters.ended;
+    let by_outcome = &counters.attempt_outcomes;
     let outcome_known = by_outcome.ok
         + by_outcome.error
-        + by_outcome.refused
-        + by_outcome.unreachable
+        + by_outcome.rejected
+        + by_outcome.connect_failed
         + by_outcome.not_sent;
-    let ended = outcome_known + by_outcome.timed_out + by_outcome.broken + by_outcome.cancelled;
+    let ended =
+        outcome_known + by_outcome.timed_out + by_outcome.connection_reset + by_outcome.cancelled;
     prop_assert_eq!(ended, counters.sent.attempts, "each attempt ends once");
     prop_assert_eq!(&counters.faults, &Default::default());
     let is_empty_call =
--- a/crates/mixer/tests/open_part_limit.rs
+++ b/crates/mixer/tests/open_part_limit.rs
@@ -24,7 +24,7 @@
         .filter(|client| harness.is_rejected_with_retry_after(**client))
         .count();
     assert_eq!(
-        harness.reducer.counters().taken.over_cap,
+        harness.reducer.counters().requests.over_limit,
         10,
         "ten queries of five parts fill the limit of 60"
     );
--- a/crates/mixer/tests/pending_replies.rs
+++ b/crates/mixer/tests/pending_replies.rs
@@ -25,14 +25,14 @@
     fn record(&mut self, _: UsageRecord) -> bool {
         self.accepts_records
     }
-    fn mark(&mut self, _: Watermark) {}
-    fn written(&self) -> watch::Receiver<u64> {
+    fn record_watermark(&mut self, _: Watermark) {}
+    fn written_sequence(&self) -> watch::Receiver<u64> {
         self.written.subscribe()
     }
-    fn stall(&self) -> Duration {
+    fn max_write_delay(&self) -> Duration {
         MAX_WRITE_DELAY
     }
-    fn note_unrecorded(&mut self) {
+    fn count_unrecorded_reply(&mut self) {
         self.unrecorded.set(self.unrecorded.get() + 1);
     }
     fn close(&mut self) {}
@@ -93,7 +93,7 @@
     assert!(pending.pop_ready().is_none());
     pending.close_client(2);
     written.send_replace(2);
-    pending.progress().await;
+    pending.wait_for_records().await;
     assert_eq!(pop_ready(&mut pending), Some((1, false)));
     assert_eq!(pop_ready(&mut pending), Some((2, true)));
     assert!(pending.pop_ready().is_none());
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -53,7 +53,7 @@
     let client = harness.send_query(0, &[0.5, 0.5]);
     harness.advance_ms(10_000);
     assert!(harness.replies[&client][0].at < START + 5000 * MS);
-    assert_eq!(harness.reducer.counters().faults.last_moment, 0);
+    assert_eq!(harness.reducer.counters().faults.deadline_reached, 0);
 }
 
 #[test]
@@ -102,7 +102,7 @@
             .all(|entries| *entries <= retained_entries[0] + 5),
         "{retained_entries:?}"
     );
-    assert_eq!(harness.reducer.counters().answered.whole, 400);
+    assert_eq!(harness.reducer.counters().replies.complete, 400);
 }
 
 /// A snapshot with replica 2 alone, at this address.
--- a/crates/mixer/tests/replicas.rs
+++ b/crates/mixer/tests/replicas.rs
@@ -8,7 +8,7 @@
 };
 use cottonhill_mixer::protocol::endpoint_updates::{self, EndpointEntry, EndpointUpdate, Status};
 use cottonhill_mixer::reducer::replica_table::Replica;
-use cottonhill_mixer::reducer::replicas::{Change, Replicas, LATE};
+use cottonhill_mixer::reducer::replicas::{EndpointChanges, Replicas, LATE_UPDATE_WINDOW};
 use cottonhill_mixer::reducer::ConnectionId;
 use cottonhill_mixer::{settings, Coordinator};
 use harness::MS;
@@ -43,7 +43,7 @@
 
     /// Whether it is still remembered.
     fn is_retained(&self, now: Nanos) -> bool {
-        let is_recent = |gone_since: Nanos| now < gone_since + LATE;
+        let is_recent = |gone_since: Nanos| now < gone_since + LATE_UPDATE_WINDOW;
         self.gone_since.is_none_or(is_recent) || !self.connections.is_empty()
     }
 }
@@ -357,10 +357,11 @@
             .unwrap()
             .unwrap();
         let expected = self.oracle.update(self.now, &update);
-        let change = self.replicas.take(self.now, update);
+        let change = self.replicas.apply_update(self.now, update);
         self.compare_change(&change, &expected);
         self.compare_replicas();
-        self.view.update(EndpointUpdateKind::Delta, &change.members);
+        self.view
+            .update(EndpointUpdateKind::Delta, &change.endpoints);
         self.oracle_view.update(expected.kind, &expected.endpoints);
         assert_eq!(
             self.view, self.oracle_view,
@@ -368,7 +369,7 @@
         );
         let updated = Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Delta,
-            endpoints: change.members,
+            endpoints: change.endpoints,
         };
         let oracle_updated = Event::EndpointsUpdated {
             kind: expected.kind,
@@ -377,10 +378,10 @@
         self.compare_decisions(updated, oracle_updated);
     }
 
-    fn compare_change(&self, change: &Change, expected: &ExpectedChange) {
-        assert_eq!(change.left, expected.stale_connections);
+    fn compare_change(&self, change: &EndpointChanges, expected: &ExpectedChange) {
+        assert_eq!(change.stale_connections, expected.stale_connections);
         assert_eq!(
-            (change.repeated, change.unknown),
+            (change.duplicate_entries, change.unknown_removals),
             (expected.duplicate_entries, expected.unknown_entries)
         );
         let leaving: BTreeSet<ReplicaId> = change.leaving.iter().copied().collect();
@@ -402,12 +403,12 @@
 
     fn compare_replicas(&self) {
         let expected = &self.oracle.replicas;
-        assert_eq!(self.replicas.known(), expected.len());
+        assert_eq!(self.replicas.len(), expected.len());
         let any_ready = expected.values().any(|replica| !replica.is_leaving());
-        assert_eq!(self.replicas.any_ready(), any_ready);
+        assert_eq!(self.replicas.has_ready(), any_ready);
         for name in (0..4).map(|name| format!("s-{name}")) {
             assert_eq!(
-                self.replicas.id(&name),
+                self.replicas.id_of_name(&name),
                 self.oracle.ids.get(&name).copied(),
                 "{name}"
             );
@@ -497,12 +498,12 @@
     }
 
     fn connect(&mut self, name: u8) {
-        let Some(replica) = self.replicas.id(&format!("s-{name}")) else {
+        let Some(replica) = self.replicas.id_of_name(&format!("s-{name}")) else {
             return;
         };
         self.last_id += IDS_PER_QUERY;
         let connection = self.last_id;
-        let address = self.replicas.connect(replica, connection);
+        let address = self.replicas.add_connection(replica, connection);
         let expected = self.oracle.replicas.get_mut(&replica).unwrap();
         expected.connections.push(connection);
         assert_eq!(address, Some(expected.address));
@@ -521,15 +522,18 @@
             replica,
             connection,
         } = self.connections.remove(index);
-        self.replicas.disconnect(replica, connection);
+        self.replicas.remove_connection(replica, connection);
         if let Some(expected) = self.oracle.replicas.get_mut(&replica) {
             expected.connections.retain(|other| *other != connection);
         }
     }
 
     fn switch_discovery(&mut self) {
-        self.oracle.stale_until = self.now + LATE;
-        assert_eq!(self.replicas.moved(self.now), self.now + LATE);
+        self.oracle.stale_until = self.now + LATE_UPDATE_WINDOW;
+        assert_eq!(
+            self.replicas.on_discovery_switched(self.now),
+            self.now + LATE_UPDATE_WINDOW
+        );
     }
 }
 
@@ -565,7 +569,7 @@
         3 => (0u8..4).prop_map(Step::Connect),
         3 => any::<u8>().prop_map(Step::Disconnect),
         1 => Just(Step::SwitchDiscovery),
-        3 => prop_oneof![0u64..400, 1000u64..7000, Just(LATE / MS)].prop_map(Step::AdvanceMs),
+        3 => prop_oneof![0u64..400, 1000u64..7000, Just(LATE_UPDATE_WINDOW / MS)].prop_map(Step::AdvanceMs),
     ];
     prop::collection::vec(step, 1..60)
 }
@@ -616,15 +620,15 @@
 
 fn fleet_of(servers: u64) -> Replicas {
     let mut replicas = Replicas::new(vec!["north".into()]);
-    replicas.take(0, endpoint_update(1, true, &up_entries(0..servers)));
+    replicas.apply_update(0, endpoint_update(1, true, &up_entries(0..servers)));
     replicas
 }
 
 /// Entries that an operation visits.
 fn entries_visited(replicas: &mut Replicas, operation: impl FnOnce(&mut Replicas)) -> u64 {
-    let before = replicas.visited();
+    let before = replicas.visited_records();
     operation(replicas);
-    replicas.visited() - before
+    replicas.visited_records() - before
 }
 
 /// Entries that are visited for a delta of one entry, for a removal and its eviction, and for a snapshot that changes
@@ -633,20 +637,23 @@
     let mut replicas = fleet_of(servers);
     let by_delta = entries_visited(&mut replicas, |replicas| {
         let drain = endpoint_update(2, false, &[entry_text(1, "draining")]);
-        let change = replicas.take(MS, drain);
-        assert_eq!((change.members.len(), change.leaving.len()), (1, 1));
+        let change = replicas.apply_update(MS, drain);
+        assert_eq!((change.endpoints.len(), change.leaving.len()), (1, 1));
     });
     let by_removal = entries_visited(&mut replicas, |replicas| {
         let removal = endpoint_update(3, false, &[entry_text(1, "removed")]);
-        replicas.take(2 * MS, removal);
-        replicas.take(LATE + 2 * MS, endpoint_update(4, false, &[]));
-        assert_eq!(replicas.known() as u64, servers - 1);
+        replicas.apply_update(2 * MS, removal);
+        replicas.apply_update(LATE_UPDATE_WINDOW + 2 * MS, endpoint_update(4, false, &[]));
+        assert_eq!(replicas.len() as u64, servers - 1);
     });
     let by_snapshot = entries_visited(&mut replicas, |replicas| {
         let remaining = up_entries((0..servers).filter(|server| *server != 1));
-        let change = replicas.take(LATE + 3 * MS, endpoint_update(5, true, &remaining));
+        let change = replicas.apply_update(
+            LATE_UPDATE_WINDOW + 3 * MS,
+            endpoint_update(5, true, &remaining),
+        );
         assert!(
-            change.members.is_empty() && change.leaving.is_empty(),
+            change.endpoints.is_empty() && change.leaving.is_empty(),
             "nothing has changed"
         );
     });
@@ -689,9 +696,9 @@
     let mut entries = up_entries(0..99);
     entries[5] = entry_text(5, "draining");
     entries.push(entry_text(100, "up"));
-    let change = replicas.take(MS, endpoint_update(2, true, &entries));
+    let change = replicas.apply_update(MS, endpoint_update(2, true, &entries));
     let changed: Vec<(u64, EndpointStatus)> = change
-        .members
+        .endpoints
         .iter()
         .map(|endpoint| (endpoint.replica.0, endpoint.status))
         .collect();
--- a/crates/mixer/tests/usage_records.rs
+++ b/crates/mixer/tests/usage_records.rs
@@ -95,13 +95,13 @@
     let records = sequence.len() as u64;
     assert_eq!(sequence, (1..=records).collect::<Vec<_>>(), "without a gap");
     let counters = harness.reducer.counters();
-    assert_eq!(counters.recorded, records);
+    assert_eq!(counters.usage_records, records);
     assert_eq!(
-        counters.recorded_of.values().sum::<u64>(),
-        counters.recorded
+        counters.usage_records_by_class.values().sum::<u64>(),
+        counters.usage_records
     );
     assert_eq!(
-        counters.recorded_of.keys().collect::<Vec<_>>(),
+        counters.usage_records_by_class.keys().collect::<Vec<_>>(),
         ["all lookup"]
     );
 }
@@ -179,7 +179,7 @@
     harness.advance_ms(1000);
     assert_eq!(harness.usage_records.len(), 0);
     assert_eq!(harness.watermarks.len(), 0);
-    assert_eq!(harness.reducer.counters().recorded, 0);
+    assert_eq!(harness.reducer.counters().usage_records, 0);
 }
 
 #[test]
