--- a/crates/decisions/tests/due_queries.rs
+++ b/crates/decisions/tests/due_queries.rs
@@ -1,6 +1,7 @@
 //! A coordinator that processes queries when they are due, against one that processes every open query in every batch.
 
 mod random_events;
+mod support;
 
 use cottonhill_decisions::{Action, Coordinator};
 use proptest::prelude::*;
--- a/crates/decisions/tests/fleet_simulation/mod.rs
+++ b/crates/decisions/tests/fleet_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet: many coordinators side by side with uneven load, one replica that is replaced by a cold one, and
+//! A simulated fleet: many coordinators side by side with uneven load, one replica that is replaced by a new one, and
 //! what they send to that one together, over any window, against what the settings allow it.
 
 use crate::support::{MS, START};
@@ -20,9 +20,9 @@
 const BURST_INTERVAL_MS: u64 = 200;
 const INITIAL_CAPACITY: f64 = 0.25;
 const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// The replica that is replaced, and the one in its place.
+/// The replica that is replaced, and the one in its place, which is warming up.
 const REPLACED: ReplicaId = ReplicaId(1);
-const COLD: ReplicaId = ReplicaId(100);
+const WARMING: ReplicaId = ReplicaId(100);
 
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
@@ -36,7 +36,7 @@
     pub warm_up_ms: u64,
     /// Whether clients come in bursts that all coordinators see at once.
     pub bursts: bool,
-    /// From the replacement on, the shard of the cold replica is asked for so many times as often.
+    /// From the replacement on, the shard of the warming replica is queried so many times as often.
     pub hot_shard_factor: f64,
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// The window in which the cold replica gets most, against its budget.
+/// The window in which the warming replica gets most, against its budget.
 #[derive(Clone, Copy, Debug)]
 pub struct WorstWindow {
     /// By how much the budget is exceeded, in what is put down to chance; up to 1 is chance.
@@ -137,8 +137,8 @@
     /// Attempts made so far, by part: each ends under its own number.
     attempts: BTreeMap<RequestId, u8>,
     last_id: RequestId,
-    /// When parts were sent to the cold replica, ms after its start.
-    sent_to_cold_ms: Vec<u64>,
+    /// When parts were sent to the warming replica, ms after its start.
+    sent_to_warming_ms: Vec<u64>,
 }
 
 impl Simulation {
@@ -160,17 +160,17 @@
             answers: VecDeque::new(),
             attempts: BTreeMap::new(),
             last_id: 0,
-            sent_to_cold_ms: Vec::new(),
+            sent_to_warming_ms: Vec::new(),
         }
     }
 
-    /// When parts were sent to the cold replica, ms after its start.
+    /// When parts were sent to the warming replica, ms after its start.
     fn run(mut self) -> Vec<u64> {
         self.send_initial_snapshot();
         for at_ms in (0..self.fleet.warm_up_ms + OBSERVED_MS).step_by(STEP_MS as usize) {
             self.step(at_ms);
         }
-        self.sent_to_cold_ms
+        self.sent_to_warming_ms
     }
 
     /// One replica in cell 0, the rest in cell 1: no other holds the shard of the one that is replaced.
@@ -281,21 +281,21 @@
                 replica,
             });
             *next_attempt += 1;
-            if replica == COLD {
-                self.sent_to_cold_ms.push(at_ms - self.fleet.warm_up_ms);
+            if replica == WARMING {
+                self.sent_to_warming_ms.push(at_ms - self.fleet.warm_up_ms);
             }
         }
     }
 }
 
-/// The cold replica takes the place of the one that is replaced.
+/// The warming replica takes the place of the one that is replaced.
 fn replacement(at_ms: u64) -> Event {
     let started = START + at_ms * MS - MS;
     Event::EndpointsUpdated {
         kind: EndpointUpdateKind::Delta,
         endpoints: vec![
             endpoint(REPLACED, 0, EndpointStatus::Gone, 0),
-            endpoint(COLD, 0, EndpointStatus::Ready, started),
+            endpoint(WARMING, 0, EndpointStatus::Ready, started),
         ],
     }
 }
--- a/crates/decisions/tests/random_events/mod.rs
+++ b/crates/decisions/tests/random_events/mod.rs
@@ -1,14 +1,13 @@
-//! Random deployments and random events: endpoint updates, queries, parts, outcomes and disconnects that follow from the
-//! actions of a coordinator. The same seed and actions give the same batches.
+//! Random deployments and random events: endpoint updates, queries, parts, outcomes and disconnects that follow from
+//! the actions of a coordinator. The same seed and actions give the same batches.
 
+use crate::support::MS;
 use cottonhill_decisions::{
     Action, Class, DiscoveryMode, Endpoint, EndpointStatus, EndpointUpdateKind, Event, Idempotency,
     LoadReport, Nanos, Outcome, ReplicaId, RequestId, RetryBudget, Settings,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One millisecond, ns.
-const MS: Nanos = 1_000_000;
 const MAX_OPEN_QUERIES: usize = 40;
 
 /// Settings of a random deployment; times are multiples of 5 ms, so that batches fall on the edges of its rules.
--- a/crates/decisions/tests/weight_cutoff.rs
+++ b/crates/decisions/tests/weight_cutoff.rs
@@ -87,7 +87,7 @@
     assert!(!is_logged(&actions, CUTOFF_RAISED));
 }
 
-/// A hundred light parts: one bad second must not drop all that the minimum coverage lets go.
+/// A hundred light parts: one bad second must not drop all that the minimum coverage allows.
 #[test]
 fn cutoff_step_drops_at_most_a_quarter_of_droppable_parts() {
     let mut harness = Harness::new(settings(vec![class(2000, 0.5), class(90_000, 0.6)]), 3);
--- a/crates/mixer/tests/client_connections.rs
+++ b/crates/mixer/tests/client_connections.rs
@@ -6,8 +6,8 @@
 
 use harness::SETTINGS;
 use loopback::{
-    answer_frame, first_part_id, get, query_text, read_frame, read_response, send, watch_response,
-    MixerOptions, RunningMixer, TestClock,
+    answer_frame, first_part_id, http_get, query_text, read_frame, read_response, send_text,
+    watch_response, MixerOptions, RunningMixer, TestClock,
 };
 use std::future::Future;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     drop(listener.accept().await);
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
-        send(&mut stream, &watch_response(3, leaf, "up")).await;
+        send_text(&mut stream, &watch_response(3, leaf, "up")).await;
         open_watches.push(stream);
     }
 }
@@ -57,7 +57,7 @@
 }
 
 /// Runs `client` against a mixer at its address.
-fn run<F: Future<Output = ()>>(
+fn run_against_mixer<F: Future<Output = ()>>(
     clock: TestClock,
     settings_text: &str,
     client: impl FnOnce(SocketAddr) -> F,
@@ -83,7 +83,7 @@
 
 /// Waits until the mixer has an endpoint list; a paused clock has to be moved on for that.
 async fn wait_until_ready(mixer: SocketAddr, poll_interval: Duration) {
-    while !get(mixer, "/-/ready").await.has_status(200) {
+    while !http_get(mixer, "/-/ready").await.has_status(200) {
         tokio::task::yield_now().await;
         sleep(poll_interval).await;
     }
@@ -100,7 +100,7 @@
 
 #[test]
 fn serves_queries_on_one_connection_split_at_any_byte() {
-    run(TestClock::Real, SETTINGS, |mixer| async move {
+    run_against_mixer(TestClock::Real, SETTINGS, |mixer| async move {
         wait_until_ready(mixer, Duration::ZERO).await;
         let mut stream = connect(mixer).await;
         stream.set_nodelay(true).unwrap();
@@ -114,7 +114,7 @@
         assert_eq!(read_response(&mut stream).await.body, answer_to("a1"));
         // The next two arrive together: each still gets its own answer, in order.
         let two_queries = query_text("a2", "") + &query_text("a3", "Connection: close\r\n");
-        send(&mut stream, &two_queries).await;
+        send_text(&mut stream, &two_queries).await;
         assert_eq!(read_response(&mut stream).await.body, answer_to("a2"));
         assert_eq!(read_response(&mut stream).await.body, answer_to("a3"));
         assert_eq!(
@@ -127,27 +127,27 @@
 
 #[test]
 fn rejects_too_large_body_without_reset() {
-    run(TestClock::Real, SETTINGS, |mixer| async move {
+    run_against_mixer(TestClock::Real, SETTINGS, |mixer| async move {
         let mut stream = connect(mixer).await;
         let head = "POST /lookup HTTP/1.1\r\nContent-Length: 1000000\r\n\r\n";
         let request = head.to_string() + &"x".repeat(1_000_000);
-        send(&mut stream, &request).await;
+        send_text(&mut stream, &request).await;
         assert!(read_response(&mut stream).await.has_status(413));
     });
 }
 
 #[test]
 fn rejects_bad_request_and_serves_next_client() {
-    run(TestClock::Real, SETTINGS, |mixer| async move {
+    run_against_mixer(TestClock::Real, SETTINGS, |mixer| async move {
         wait_until_ready(mixer, Duration::ZERO).await;
         let mut stream = connect(mixer).await;
-        send(&mut stream, "\0\0\0 what is this\r\n\r\n").await;
+        send_text(&mut stream, "\0\0\0 what is this\r\n\r\n").await;
         assert!(read_response(&mut stream).await.has_status(400));
         assert_eq!(stream.read(&mut [0]).await.unwrap(), 0);
         let mut stream = connect(mixer).await;
-        send(&mut stream, &query_text("b1", "")).await;
+        send_text(&mut stream, &query_text("b1", "")).await;
         assert!(read_response(&mut stream).await.has_status(200));
-        send(&mut stream, "GET /-/stats HTTP/1.1\r\n\r\n").await;
+        send_text(&mut stream, "GET /-/stats HTTP/1.1\r\n\r\n").await;
         let stats = read_response(&mut stream).await.json();
         assert_eq!(
             (&stats["taken"]["queries"], &stats["taken"]["rejected"]),
@@ -158,7 +158,7 @@
 
 #[test]
 fn closes_silent_client_and_times_out_slow_request() {
-    run(TestClock::Paused, SETTINGS, |mixer| async move {
+    run_against_mixer(TestClock::Paused, SETTINGS, |mixer| async move {
         wait_until_ready(mixer, Duration::from_millis(1)).await;
         let began = Instant::now();
         let mut silent = connect(mixer).await;
@@ -167,7 +167,7 @@
         // No byte buys more time, on a new connection or on one that was served before.
         let began = Instant::now();
         let mut stream = connect(mixer).await;
-        send(&mut stream, &query_text("slow", "")).await;
+        send_text(&mut stream, &query_text("slow", "")).await;
         assert!(read_response(&mut stream).await.has_status(200));
         let (mut reading, mut writing) = stream.into_split();
         let send_slowly = async {
@@ -191,7 +191,7 @@
 
 #[test]
 fn incomplete_requests_do_not_block_other_clients() {
-    run(TestClock::Paused, SETTINGS, |mixer| async move {
+    run_against_mixer(TestClock::Paused, SETTINGS, |mixer| async move {
         wait_until_ready(mixer, Duration::from_millis(1)).await;
         let began = Instant::now();
         let mut incomplete_requests = Vec::new();
@@ -204,7 +204,7 @@
             incomplete_requests.push(stream);
         }
         let mut stream = connect(mixer).await;
-        send(&mut stream, &query_text("good", "")).await;
+        send_text(&mut stream, &query_text("good", "")).await;
         assert!(read_response(&mut stream).await.has_status(200));
         assert_elapsed_ms(began, 0..1000);
     });
@@ -212,11 +212,11 @@
 
 #[test]
 fn does_not_wait_for_truncated_answer() {
-    run(TestClock::Paused, SETTINGS, |mixer| async move {
+    run_against_mixer(TestClock::Paused, SETTINGS, |mixer| async move {
         wait_until_ready(mixer, Duration::from_millis(1)).await;
         let began = Instant::now();
         let mut stream = connect(mixer).await;
-        send(&mut stream, &query_text("cut1", "")).await;
+        send_text(&mut stream, &query_text("cut1", "")).await;
         let response = read_response(&mut stream).await;
         assert!(response.body.contains("\"doc\":\"cut1.3\""), "{response:?}");
         assert_elapsed_ms(began, 0..300);
@@ -228,7 +228,7 @@
 fn reconnects_to_pushed_discovery_within_drain_grace() {
     let settings_text = SETTINGS.replace("replicas_of_me=1", "replicas_of_me=300")
         + "discovery=pushed\nguarantees.stop_sending_within_ns=250000000\n";
-    run(TestClock::Paused, &settings_text, |mixer| async move {
+    run_against_mixer(TestClock::Paused, &settings_text, |mixer| async move {
         let began = Instant::now();
         wait_until_ready(mixer, Duration::from_millis(1)).await;
         let elapsed = began.elapsed();
--- a/crates/mixer/tests/endpoint_draining.rs
+++ b/crates/mixer/tests/endpoint_draining.rs
@@ -74,12 +74,12 @@
     harness.send_delta(&all_up[..2]);
     harness.send_query(1, &[0.2; 5]);
     harness.serve_all();
-    let left = [address(1), address(2)];
+    let draining_addresses = [address(1), address(2)];
     assert!(
         harness
             .connections
             .values()
-            .all(|socket| !left.contains(&socket.address)),
+            .all(|socket| !draining_addresses.contains(&socket.address)),
         "{:?}",
         harness.connections
     );
--- a/crates/mixer/tests/endpoint_updates.rs
+++ b/crates/mixer/tests/endpoint_updates.rs
@@ -17,7 +17,7 @@
 use harness::{address, listed, Harness, ListedEndpoint, MS};
 use loopback::{
     answer_frame, first_part_id, get_stats, http_chunk, query_text, read_frame, read_head,
-    read_response, send, watch_response, MixerOptions, RunningMixer, TestClock,
+    read_response, send_text, watch_response, MixerOptions, RunningMixer, TestClock,
 };
 use serde_json::{json, Value};
 use std::future::Future;
@@ -369,7 +369,7 @@
 
 async fn query_is_answered(mixer: SocketAddr, request_id: &str) -> bool {
     let mut stream = TcpStream::connect(mixer).await.unwrap();
-    send(&mut stream, &query_text(request_id, "")).await;
+    send_text(&mut stream, &query_text(request_id, "")).await;
     read_response(&mut stream).await.has_status(200)
 }
 
@@ -394,7 +394,7 @@
         let mut watch = DiscoveryRequest::accept(&mixer.discovery).await;
         assert_eq!(watch.line, "GET /api/targets?watch=1&from=0");
         let snapshot = watch_response(3, leaf.local_addr().unwrap(), "up");
-        send(&mut watch.stream, &snapshot).await;
+        send_text(&mut watch.stream, &snapshot).await;
         tokio::task::spawn_local(serve_leaf(leaf));
         wait_for_list_version(mixer.address, 3).await;
         test(mixer, watch.stream, logs).await;
@@ -416,7 +416,7 @@
         );
         logs.assert_one_line("WARN", logged);
         let unused_leaf = mixer.leaf.local_addr().unwrap();
-        send(&mut next.stream, &watch_response(2, unused_leaf, "up")).await;
+        send_text(&mut next.stream, &watch_response(2, unused_leaf, "up")).await;
         let after_snapshot = DiscoveryRequest::accept(&mixer.discovery).await;
         assert_eq!(
             after_snapshot.line, "GET /api/targets?watch=1&from=2",
@@ -475,7 +475,7 @@
 fn rejects_delta_older_than_previous_delta_of_same_watch() {
     with_snapshot_applied(|mixer, mut watch, _logs| async move {
         let deltas = empty_delta(9) + &empty_delta(9) + &empty_delta(8);
-        send(&mut watch, &deltas).await;
+        send_text(&mut watch, &deltas).await;
         let next = DiscoveryRequest::accept(&mixer.discovery).await;
         assert_eq!(next.line, "GET /api/targets");
         let stats = get_stats(mixer.address).await;
@@ -505,7 +505,7 @@
 fn accepts_and_counts_snapshot_of_earlier_version() {
     with_snapshot_applied(|mixer, mut watch, logs| async move {
         let snapshot = json!({"index": 1, "snapshot": true, "endpoints": []});
-        send(&mut watch, &http_chunk(&format!("{snapshot}\n"))).await;
+        send_text(&mut watch, &http_chunk(&format!("{snapshot}\n"))).await;
         wait_for_list_version(mixer.address, 1).await;
         let stats = get_stats(mixer.address).await;
         assert_eq!(
--- a/crates/mixer/tests/event_ordering.rs
+++ b/crates/mixer/tests/event_ordering.rs
@@ -1,5 +1,5 @@
 //! Two events that meet on a connection, on real sockets of the loopback. Discovery and the leaf server are played by
-//! the test, which holds back its bytes, its accept or its close until it lets go: no sleep decides.
+//! the test, which holds back its bytes, its accept or its close: the order of events does not depend on a sleep.
 
 mod harness;
 mod loopback;
@@ -7,8 +7,8 @@
 use cottonhill_mixer::transport::Control;
 use harness::{non_idempotent_settings, SETTINGS};
 use loopback::{
-    answer_frame, first_part_id, get, get_stats, query_text, read_frame, read_response, send,
-    watch_response, HttpResponse, MixerOptions, RunningMixer, TestClock,
+    answer_frame, first_part_id, get_stats, http_get, query_text, read_frame, read_response,
+    send_text, watch_response, HttpResponse, MixerOptions, RunningMixer, TestClock,
 };
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -56,7 +56,7 @@
 }
 
 /// Runs `test` against a mixer.
-fn run<F: Future<Output = ()>>(
+fn run_against_mixer<F: Future<Output = ()>>(
     clock: TestClock,
     settings_text: &str,
     discovery_mode: DiscoveryMode,
@@ -129,7 +129,7 @@
     }
 
     async fn wait_until_ready(&self) {
-        while !get(self.mixer, "/-/ready").await.has_status(200) {
+        while !http_get(self.mixer, "/-/ready").await.has_status(200) {
             sleep(Duration::from_millis(1)).await;
         }
     }
@@ -171,7 +171,7 @@
 #[test]
 fn closing_response_arrives_complete_despite_unread_request_bytes() {
     let discovery_mode = DiscoveryMode::Snapshot("up");
-    run(
+    run_against_mixer(
         TestClock::Real,
         SETTINGS,
         discovery_mode,
@@ -180,7 +180,7 @@
             let socket = TcpSocket::new_v4().unwrap();
             socket.set_recv_buffer_size(4096).unwrap();
             let mut client = socket.connect(stage.mixer).await.unwrap();
-            send(&mut client, &query_text("one", "Connection: close\r\n")).await;
+            send_text(&mut client, &query_text("one", "Connection: close\r\n")).await;
             let mut leaf = stage.accept_at_leaf().await;
             assert_eq!(read_call(&mut leaf).await, "one.3");
             let value = "v".repeat(60_000);
@@ -191,7 +191,7 @@
             let mut response = vec![0; 12];
             client.read_exact(&mut response).await.unwrap();
             let unread = query_text("two", "") + &"x".repeat(1_000);
-            send(&mut client, &unread).await;
+            send_text(&mut client, &unread).await;
             client
                 .read_to_end(&mut response)
                 .await
@@ -211,22 +211,22 @@
 #[test]
 fn sends_nothing_for_client_that_pipelined_and_disconnected() {
     for extra_bytes in [0, 100, 100_000] {
-        run(
+        run_against_mixer(
             TestClock::Real,
             SETTINGS,
             DiscoveryMode::Hold,
             |stage| async move {
                 let mut client = stage.connect_client().await;
                 let two_queries = query_text("one", "") + &query_text("two", "");
-                send(&mut client, &two_queries).await;
-                send(&mut client, &"x".repeat(extra_bytes)).await;
+                send_text(&mut client, &two_queries).await;
+                send_text(&mut client, &"x".repeat(extra_bytes)).await;
                 drop(client);
                 // Before the first endpoint update nothing was sent.
                 stage.wait_for_counter("/answered/client_gone", 1).await;
                 stage.set_discovery_mode(DiscoveryMode::Snapshot("up"));
                 stage.wait_until_ready().await;
                 let mut other = stage.connect_client().await;
-                send(&mut other, &query_text("three", "")).await;
+                send_text(&mut other, &query_text("three", "")).await;
                 let mut leaf = stage.accept_at_leaf().await;
                 assert_eq!(
                     read_call(&mut leaf).await,
@@ -245,14 +245,14 @@
 #[test]
 fn serves_pipelined_requests_in_order() {
     let discovery_mode = DiscoveryMode::Snapshot("up");
-    run(
+    run_against_mixer(
         TestClock::Real,
         SETTINGS,
         discovery_mode,
         |stage| async move {
             stage.wait_until_ready().await;
             let mut client = stage.connect_client().await;
-            send(&mut client, &query_text("one", "")).await;
+            send_text(&mut client, &query_text("one", "")).await;
             let mut leaf = stage.accept_at_leaf().await;
             assert_eq!(read_call(&mut leaf).await, "one.3");
             for request_id in ["two", "three", "four"] {
@@ -276,17 +276,17 @@
 #[test]
 fn request_racing_idle_close_is_neither_forwarded_nor_reset() {
     let discovery_mode = DiscoveryMode::Snapshot("up");
-    run(
+    run_against_mixer(
         TestClock::Paused,
         SETTINGS,
         discovery_mode,
         |stage| async move {
             stage.wait_until_ready().await;
             let mut idle = stage.connect_client().await;
-            send(&mut idle, "GET /-/ready HTTP/1.1\r\n\r\n").await;
+            send_text(&mut idle, "GET /-/ready HTTP/1.1\r\n\r\n").await;
             read_response(&mut idle).await;
             let mut incomplete = stage.connect_client().await;
-            send(&mut incomplete, &query_text("half", "")[..40]).await;
+            send_text(&mut incomplete, &query_text("half", "")[..40]).await;
             stage.control.send(Control::Terminate).await.unwrap();
             for client in [&mut idle, &mut incomplete] {
                 assert_eq!(client.read(&mut [0]).await.expect("an end, not a reset"), 0);
@@ -334,14 +334,14 @@
 fn check_truncated_answer(length: usize, end: ConnectionEnd) {
     let settings_text = non_idempotent_settings();
     let discovery_mode = DiscoveryMode::Snapshot("up");
-    run(
+    run_against_mixer(
         TestClock::Paused,
         &settings_text,
         discovery_mode,
         |stage| async move {
             stage.wait_until_ready().await;
             let mut client = stage.connect_client().await;
-            send(&mut client, &query_text("cut", "")).await;
+            send_text(&mut client, &query_text("cut", "")).await;
             let mut leaf = stage.accept_at_leaf().await;
             assert_eq!(read_call(&mut leaf).await, "cut.3");
             let answer = answer_frame("cut.3", "document");
@@ -390,7 +390,7 @@
     let settings_text = SETTINGS.replace("replicas_of_me=1", &format!("replicas_of_me={mixers}"))
         + "discovery=on_request\nguarantees.ask_within_ns=30000000000\n";
     let discovery_mode = DiscoveryMode::Snapshot("up");
-    run(
+    run_against_mixer(
         TestClock::Paused,
         &settings_text,
         discovery_mode,
@@ -427,6 +427,6 @@
 }
 
 async fn stats_show_list_version(stage: &Stage, version: usize) -> bool {
-    let stats: HttpResponse = get(stage.mixer, "/-/stats").await;
+    let stats: HttpResponse = http_get(stage.mixer, "/-/stats").await;
     stats.body.contains(&format!("\"list\": {version}"))
 }
--- a/crates/mixer/tests/harness/mod.rs
+++ b/crates/mixer/tests/harness/mod.rs
@@ -623,7 +623,7 @@
         }
     }
 
-    /// The socket is open, but the reducer has yet to be told; the input that does.
+    /// Opens the socket; the input that has yet to report it to the reducer.
     pub fn connection_opened_input(&mut self, connection: ConnectionId) -> Input {
         self.connections
             .get_mut(&connection)
--- a/crates/mixer/tests/leaf_connection.rs
+++ b/crates/mixer/tests/leaf_connection.rs
@@ -240,7 +240,7 @@
         Ok(())
     }
 
-    fn check(&mut self) -> Checked {
+    fn check_state(&mut self) -> Checked {
         let connection = &mut self.connection;
         let waiting = self.model.attempts_in(AttemptState::Waiting);
         let written = self.model.attempts_in(AttemptState::Written);
@@ -345,7 +345,7 @@
         let mut comparison = Comparison::new();
         for (number, step) in steps.into_iter().enumerate() {
             comparison.apply(number as u64, step)?;
-            comparison.check()?;
+            comparison.check_state()?;
         }
         comparison.check_end()?;
     }
--- a/crates/mixer/tests/loopback/mod.rs
+++ b/crates/mixer/tests/loopback/mod.rs
@@ -147,7 +147,7 @@
     }
 }
 
-pub async fn send(stream: &mut TcpStream, text: &str) {
+pub async fn send_text(stream: &mut TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).await.unwrap();
 }
 
@@ -176,14 +176,14 @@
     String::from_utf8(head).unwrap()
 }
 
-pub async fn get(mixer: SocketAddr, path: &str) -> HttpResponse {
+pub async fn http_get(mixer: SocketAddr, path: &str) -> HttpResponse {
     let mut stream = TcpStream::connect(mixer).await.unwrap();
-    send(&mut stream, &format!("GET {path} HTTP/1.1\r\n\r\n")).await;
+    send_text(&mut stream, &format!("GET {path} HTTP/1.1\r\n\r\n")).await;
     read_response(&mut stream).await
 }
 
 pub async fn get_stats(mixer: SocketAddr) -> serde_json::Value {
-    get(mixer, "/-/stats").await.json()
+    http_get(mixer, "/-/stats").await.json()
 }
 
 /// A query of the class `lookup` with one part, at shard 3.
--- a/crates/mixer/tests/replicas.rs
+++ b/crates/mixer/tests/replicas.rs
@@ -296,7 +296,7 @@
     connection: ConnectionId,
 }
 
-/// The replicas and their oracle, each with a coordinator that is told of the updates.
+/// The replicas and their oracle, each with a coordinator that gets the updates.
 struct Comparison {
     now: Nanos,
     replicas: Replicas,
@@ -305,7 +305,7 @@
     oracle_coordinator: Coordinator,
     view: CoordinatorView,
     oracle_view: CoordinatorView,
-    /// Attempts that have ended, of which both coordinators are told next.
+    /// Ends of attempts for the next batch of both coordinators.
     ended_attempts: Vec<Event>,
     connections: Vec<OpenConnection>,
     last_id: u64,
@@ -428,7 +428,7 @@
         }
     }
 
-    /// Both coordinators are told of the update, each in its way, and of a query. They must decide alike.
+    /// Both coordinators get the update, each in its form, and a query. They must decide alike.
     fn compare_decisions(&mut self, updated: Event, oracle_updated: Event) {
         let mut other_events = std::mem::take(&mut self.ended_attempts);
         other_events.extend(self.next_query());
