--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -20,7 +20,7 @@
 PAGE = ROOT / "docs" / "CAPACITY.md"
 S = read_all()
 
-# ---- Told by the operators ----------------------------------------------------------------------------------------
+# ---- Given by the operators ---------------------------------------------------------------------------------------
 
 MIXERS, LEAVES, QUERIES, PARTS = 4_500, 110_000, 2_100_000, 69
 REGIONS, ZONES = 5, 15
@@ -31,14 +31,14 @@
 DESCRIPTORS = 1_024
 DAY_S = 86_400.0
 
-# ---- Not told: parameters of the page -------------------------------------------------------------------------------
+# ---- Not given: parameters of the page ------------------------------------------------------------------------------
 
 COPIES = (3, 15, 269, 538, 1_594)  # of a shard; the last is 110,000 / 69: each query asks for every shard
 CHOICES = 2  # holders of each shard that a mixer stays connected to: one to ask, one for a hedged request
 ENTRIES_RESTART = 4  # list entries of a restart or replacement at most: draining, removed, up, one more change
 RACK = 40  # leaf servers behind one switch
 TICK_S = 0.005  # `tick_ns` of the settings, as in deploy/sites
-COLD_FROM, FALL_MULTIPLE, FALL_S = 0.25, 2.0, 1.5  # of a cold leaf server, as in crates/decisions/tests/slow_start.rs
+COLD_FROM, FALL_MULTIPLE, FALL_S = 0.25, 2.0, 1.5  # of a leaf server that is warming up, as in crates/decisions/tests/slow_start.rs
 
 # ---- Of the program; --check looks for each in the source ------------------------------------------------------------
 
@@ -56,7 +56,7 @@
     ("crates/mixer/src", r'"settings",\s+self\.mixer_settings != next\.mixer_settings', "settings wait for a restart"),
     ("crates/mixer/src", r"DEFAULT_MAX_OPEN_REQUESTS: usize = 4096", "4,096 queries and parts may be open"),
     ("crates/mixer/src", r"BUFFER_BYTES: usize = 16 \* 1024", "a connection holds two of 16 KiB"),
-    ("crates/decisions/src", r"FADE\w*: f64 = 5\.0", "what was learned fades over five targets"),
+    ("crates/decisions/src", r"FADE\w*: f64 = 5\.0", "estimates fade over five targets"),
     ("crates/decisions/src", r"SPARE_INTERVALS: Nanos = 2", "two timer intervals are kept free before the target"),
     ("crates/decisions/src", r"MIN_HEDGE_DELAY_FRACTION: f64 = 0\.125;\nconst MAX_HEDGE_DELAY_FRACTION: f64 = 0\.4", "bounds of the hedging delay"),
     ("crates/decisions/src", r"HEDGE_LIMIT_PER_PART: f64 = 0\.15", "15% of the parts may get a hedged request"),
@@ -75,7 +75,7 @@
 CLIENTS = min(DESCRIPTORS - OWN - CLOSING - LINKS, DESCRIPTORS * CLIENT_SHARE // 100)
 ENTRY = S["S10"].value
 FADE_S = FADE * TARGET_S
-PROBES = LEAVES - PART_RATE * TARGET_S  # of one round: all leaf servers but those met within the last target
+PROBES = LEAVES - PART_RATE * TARGET_S  # of one round: all leaf servers but those heard within the last target
 LATE_SHARE = 1 - WITHIN ** (1 / PARTS)
 LOG_RECORD, INGEST_CORE, LOG_CPU = 39.1, 500e3, (1.08, 1.20)  # docs/design/ledger.md, `make bench-ledger`, a83beea
 NOT_KNOWN = "not known"
@@ -118,7 +118,7 @@
 
 
 def reload_share():
-    """Share of a core that whole lists take if each change of configuration is a reload."""
+    """Share of a core that snapshots take if each change of configuration is a reload."""
     return times(CONFIG_RATE, S["S12"].value, 1e-3)
 
 
@@ -146,7 +146,7 @@
          "parts a mixer / 110,000"],
         ["open at once in a mixer, each for the whole 69 ms",
          f"{QUERY_RATE * TARGET_S:.0f} queries, {number(PART_RATE * TARGET_S)} parts", "Little's law: rate x time"],
-        ["changed list entries on an ordinary day", f"{ENTRY_RATE:.2f} /s",
+        ["changed endpoint entries on an ordinary day", f"{ENTRY_RATE:.2f} /s",
          f"38,000 x {ENTRIES_RESTART} / 86,400; {ENTRIES_RESTART} entries a restart is an upper bound of ours"],
         ["configuration", f"{CONFIG_RATE:.3f} changes /s, {number(CONFIG_RATE * MIXERS)} deliveries /s",
          "17,000 / 86,400, x 4,500"],
@@ -213,8 +213,8 @@
     left = TARGET_S - MARGIN_S - beat
     return table(
         ["of 69 ms", "ms"],
-        ["margin for the ways to the client and back", f"{MARGIN_S * 1e3:.0f}"],
-        [f"a timer interval: the larger of two ticks ({TICK_S * 1e3:.0f} ms each) and 1/200 of the target", f"{beat * 1e3:.0f}"],
+        ["margin for the network to the client and back", f"{MARGIN_S * 1e3:.0f}"],
+        [f"a timer interval: the larger of two batch intervals ({TICK_S * 1e3:.0f} ms each) and 1/200 of the target", f"{beat * 1e3:.0f}"],
         ["so a query that needs every part is given up after", f"{left * 1e3:.0f}"],
         ["delay before a hedged request, bounds", f"{low * 1e3:.1f} to {high * 1e3:.1f}"],
         ["so a hedged request has at least, if the latest interval starts it", f"{(left - high - beat) * 1e3:.1f}"],
@@ -227,7 +227,7 @@
         subset = LEAVES * CHOICES / copies
         regional = LEAVES / REGIONS if copies >= REGIONS else None
         zonal = LEAVES / ZONES if copies >= ZONES else None
-        shown = lambda x, leaf: "no whole copy" if x is None else f"{number(x)}, {number(leaf)}"
+        shown = lambda x, leaf: "no complete copy" if x is None else f"{number(x)}, {number(leaf)}"
         rows.append([number(copies), number(LEAVES / copies), f"{number(LEAVES)}, {number(MIXERS)}",
                      shown(regional, MIXERS / REGIONS), shown(zonal, MIXERS / ZONES),
                      f"{number(subset)}, {number(MIXERS * CHOICES / copies)}",
@@ -257,7 +257,7 @@
     for what, entries, within in (
             ("ordinary day, each second", ENTRY_RATE, 1.0), (f"a rack of {RACK}", RACK, IN_FORCE_S),
             ("a zone", LEAVES / ZONES, IN_FORCE_S), ("a region", LEAVES / REGIONS, IN_FORCE_S),
-            ("whole list", LEAVES, IN_FORCE_S)):
+            ("snapshot", LEAVES, IN_FORCE_S)):
         total = size(entries)
         budget = CONTROL_BYTES * within
         taken = times(total, 1 / CONTROL_BYTES)
@@ -276,12 +276,12 @@
         rate = PART_RATE / count
         rows.append([what, number(count), f"{number(rate)} /s", f"{number(1e3 / rate)} ms",
                      f"{math.exp(-1 / rate / FADE_S):.4f}"])
-    return table(["mixer meets", "leaf servers", "parts a pair", "age at the next part",
-                  "weight left of what was learned"], *rows)
+    return table(["mixer sends to", "leaf servers", "parts a pair", "age at the next part",
+                  "weight left of the estimate"], *rows)
 
 
 def cold():
-    """What all mixers may send to one cold leaf server, as parts in FALL_S, if the load is what it can bear."""
+    """What all mixers may send to one leaf server that is warming up, as parts in FALL_S, at its full load."""
     allowance = FALL_MULTIPLE * COLD_FROM * LEAF_RATE * FALL_S
     rows = []
     for what, mixers in (("full mesh", MIXERS), ("own region", MIXERS / REGIONS), ("own zone", MIXERS / ZONES)):
@@ -291,9 +291,9 @@
         apart = [(n + 2 * math.sqrt(n) + 2 - allowance) / chance for n in (allowance, allowance / 0.8)]
         rows.append([what, number(mixers), f"{each:.2f}", f"{chance:.1f}", f"{apart[0]:.1f}", f"{apart[1]:.1f}",
                      f"{number(allowance * mixers / MIXERS)} ({mixers / MIXERS:.0%})"])
-    return table(["who sends to it", "mixers", f"parts a mixer in {FALL_S:g} s, of N = {number(allowance)}",
+    return table(["sent to by", "mixers", f"parts a mixer in {FALL_S:g} s, of N = {number(allowance)}",
                   "standard deviation of the sum", "deviations to N + 2 root(N) + 2, fleet at full load", "at 80% load",
-                  "sum that `slow_start_room` gives"], *rows)
+                  "sum that slow start allows"], *rows)
 
 
 def regions():
@@ -309,11 +309,12 @@
         ["entries that differ at the return", f"{number(stale)}, {as_bytes(total)} a mixer",
          f"old gone, new up; {of(times(total, 1 / CONTROL_BYTES), 's')} at 24 KB/s"],
         ["configuration changes made meanwhile", number(CONFIG_DAY / 24), "17,000 / 24"],
-        ["usage log held by a mixer whose settlement is away", as_bytes(log), "467 x 39.1 B x 3,600; `keep` is 1 GiB"],
-        ["if discovery removes what it cannot reach", f"{number(lost)} entries, {as_bytes(size(lost))} a mixer",
+        ["usage log held by a mixer whose settlement is unreachable", as_bytes(log), "467 x 39.1 B x 3,600; `keep` is 1 GiB"],
+        ["if discovery removes the servers that it cannot reach", f"{number(lost)} entries, {as_bytes(size(lost))} a mixer",
          f"and as many at the return; {of(times(size(lost), 1 / CONTROL_BYTES), 's')} each at 24 KB/s"],
         ["probes once a tenth is suspected, each mixer", f"{number(PROBES)} every {FADE_S * 1e3:.0f} ms",
-         f"`probe_silent`: all not met for one target; `evict` walks {LINKS} connections for each"],
+         "`probe_quiet_replicas`: all without news for one target; `evict_idle_connection` walks "
+         f"{LINKS} connections for each"],
     )
 
 
@@ -326,7 +327,7 @@
          f"{number(ENTRY_RATE * each)}, {as_bytes(size(ENTRY_RATE * each))}", "x entries a second, x S10"],
         ["configuration deliveries", f"{number(CONFIG_RATE * each)} /s", ""],
         ["all that 24 KB/s a mixer allows", f"{as_bytes(CONTROL_BYTES * each)}/s", "24 KB x 173"],
-        ["whole lists to all its mixers", as_bytes(times(size(LEAVES), each)), "110,000 x S10 x 173"],
+        ["snapshots to all its mixers", as_bytes(times(size(LEAVES), each)), "110,000 x S10 x 173"],
     )
 
 
@@ -366,11 +367,11 @@
         ["open queries and parts", number(open_parts), f"{OPEN_CAP:,} (`open_cap`)", verdict(open_parts, OPEN_CAP),
          "admission control", "`reducer/client_requests.rs`"],
         ["connections to leaf servers", f"{number(LEAVES)} (full mesh)", number(LINKS), verdict(LEAVES, LINKS),
-         "deterministic subsetting, or a tree of aggregators", "missing; `evict` closes the longest idle"],
-        ["what it knows of a leaf server", f"{1 / PAIR_RATE:.1f} s old", f"fades in {FADE_S:.3f} s",
+         "deterministic subsetting, or a tree of aggregators", "missing; `evict_idle_connection` closes the longest idle"],
+        ["estimates of a leaf server", f"{1 / PAIR_RATE:.1f} s old", f"fades in {FADE_S:.3f} s",
          verdict(1 / PAIR_RATE, FADE_S), "subsetting; power of two choices on reported load",
-         "missing; reports are read (`state/links.rs`) and not used"],
-        ["memory for its work", f"{of(memory, 'MB')} (S15, S16, buffers)", "not told", verdict(None, 0),
+         "missing; reports are read (`reducer/attempt_results.rs`) and not used"],
+        ["memory for its work", f"{of(memory, 'MB')} (S15, S16, buffers)", "not given", verdict(None, 0),
          "buffer pool", "`transport/buffer_pool.rs`"],
     ]
 
@@ -380,15 +381,15 @@
     sockets, fewer = (share_of_core(times(S[key].value, 1e-2)) for key in ("S25", "S24"))
     ordinary, zone, memory = size(ENTRY_RATE), size(LEAVES / ZONES), S["S14"].value
     return [
-        ["**Mixer**, control: changes", f"{changes} (S7)", "1.5%",
+        ["**Mixer**, control: updates", f"{changes} (S7)", "1.5%",
          verdict(times(ENTRY_RATE, S["S7"].value, 1e-6), CONTROL_CORE), "delta encoding, applied by entry",
          "`reducer/replicas.rs`"],
         ["the same over sockets, heartbeats included", f"{sockets} (S25); {fewer} with 30,000 listed (S24)",
          "1.5%",
          verdict(times(S["S25"].value, 1e-2), CONTROL_CORE), "one watch, one thread", "`transport/discovery_watch.rs`"],
-        ["whole list at each reload", f"{reloads} (S12)", "1.5%", verdict(reload_share(), CONTROL_CORE),
-         "delta encoding from a version", "missing: `reloaded` asks an agent for all"],
-        ["memory of the list", f"{of(memory, 'MB')} at most (S14)", "128 MB", verdict(memory, CONTROL_MB),
+        ["snapshot at each reload", f"{reloads} (S12)", "1.5%", verdict(reload_share(), CONTROL_CORE),
+         "delta encoding from a version", "missing: `on_config_reloaded` asks an agent for all"],
+        ["memory of the endpoint list", f"{of(memory, 'MB')} at most (S14)", "128 MB", verdict(memory, CONTROL_MB),
          "interned names, compact records", "`reducer/replicas.rs`"],
         ["bytes, ordinary day", f"{as_bytes(ordinary)} a second", "24 KB", verdict(ordinary, CONTROL_BYTES),
          "delta encoding", "protocol's watch, `transport/discovery_watch.rs`"],
@@ -399,16 +400,16 @@
 
 def leaf_rows():
     return [
-        ["**Leaf server**: parts", f"{number(LEAF_RATE)} /s, to {number(LEAF_RATE * (1 + HEDGE_CAP))} with copies",
-         "not told", verdict(None, 0), "load shedding by refusal, retry budget",
+        ["**Leaf server**: parts", f"{number(LEAF_RATE)} /s, to {number(LEAF_RATE * (1 + HEDGE_CAP))} with hedged requests",
+         "not given", verdict(None, 0), "load shedding, retry budget",
          "`load_shedding.rs`, `retry_budget.rs`"],
-        ["connections", f"{number(MIXERS)} (full mesh)", "not told", verdict(None, 0), "deterministic subsetting",
+        ["connections", f"{number(MIXERS)} (full mesh)", "not given", verdict(None, 0), "deterministic subsetting",
          "missing"],
-        ["cold start", "one part in 4 to 5 mixers, by chance", "N + 2 root(N) + 2",
+        ["slow start", "one part in 4 to 5 mixers, by chance", "N + 2 root(N) + 2",
          "**fits** by arithmetic below full load; tested to 300 mixers", "slow start, randomised rounding",
-         "`slow_start_room`, `renew_turns`; wrong with subsetting"],
+         "`slow_start.rs` (`has_capacity`, `refresh_jitter`); wrong with subsetting"],
         ["probes, a tenth suspected", f"{number(PROBES)} a mixer at once", f"{LINKS} connections",
-         verdict(PROBES, LINKS), "probe budget, outlier ejection", "missing: `probe_silent` has no bound"],
+         verdict(PROBES, LINKS), "probe budget, outlier ejection", "missing: `probe_quiet_replicas` has no bound"],
     ]
 
 
@@ -418,14 +419,14 @@
     fan_out = times(ENTRY_RATE * MIXERS / CONTROL_MACHINES, S["S19"].value, 1e-6)
     pushed, asked = (times(S[key].value, 1e-3) for key in ("S22", "S23"))
     return [
-        ["**Discovery**: changes of an ordinary day to 173 mixers", f"{share_of_core(fan_out)} a machine (S19)",
+        ["**Discovery**: updates of an ordinary day to 173 mixers", f"{share_of_core(fan_out)} a machine (S19)",
          "1 core (26 machines)", verdict(fan_out, 1.0) + " for the stand-in", "push over long-lived streams",
          "the platform's agents; `crates/standins/src/discovery`"],
-        ["a change in force, watch alive", f"{of(in_force, 's')} (S18 + S7)", "3 s", verdict(in_force, IN_FORCE_S),
-         "push, consistent prefix", "`transport/discovery_watch.rs`, `index` of the list"],
+        ["an update in force, watch alive", f"{of(in_force, 's')} (S18 + S7)", "3 s", verdict(in_force, IN_FORCE_S),
+         "push, consistent prefix", "`transport/discovery_watch.rs`, `index` of the update"],
         ["a zone in force, watch alive, without the bound on bytes", f"{of(zone, 's')} (S26)", "3 s",
          verdict(zone, IN_FORCE_S), "the same", "the same"],
-        ["a change in force, watch dead", f"{of(pushed, 's')} pushed, {of(asked, 's')} asked (S22, S23); over "
+        ["an update in force, watch dead", f"{of(pushed, 's')} pushed, {of(asked, 's')} polled (S22, S23); over "
          f"{SILENT_S:g} s at the worst moment", "3 s", "**does not fit**", "heartbeat and lease",
          "`reducer/watch_policy.rs`; heartbeat too rare"],
         ["**Configuration** in force", "discovery and peers; all else at a restart", "all, in 3 s", "**does not fit**",
@@ -434,10 +435,10 @@
          verdict(QUERIES, INGEST_CORE), "partitioning by tenant, pruning", "missing"],
         ["at the mixer", f"{LOG_CPU[0]} to {LOG_CPU[1]:.2f} of the time without", "1.05 (its own aim)",
          verdict(LOG_CPU[0], 1.05), "group commit in a writer thread", "`ledger/src/writer.rs`"],
-        ["**Rollout** of mixers", "10 steps of 450", "not told", verdict(None, 0), "graceful drain, rolling restart",
+        ["**Rollout** of mixers", "10 steps of 450", "not given", verdict(None, 0), "graceful shutdown, rolling restart",
          "SIGTERM, `reducer/shutdown.rs`"],
         ["bad versions and configurations", "all mixers at once", "a few first", "**does not fit**",
-         "canary, automatic roll-back", "missing"],
+         "canary, automatic rollback", "missing"],
     ]
 
 
@@ -447,7 +448,7 @@
 
 
 FAILS = 1 + 1e-9  # over its budget whatever the figure: the work is missing altogether
-VERSIONED = "versioned configuration by the watch: no whole list at a reload, all keys live"
+VERSIONED = "versioned configuration by the watch: no snapshot at a reload, all keys live"
 
 
 def order():
@@ -459,27 +460,27 @@
     always, event, after = "always", "on an event", "with subsetting"
     work = [
         (always, cores, "index of replicas by shard, deadline queue", f"{of(cores, 'cores a mixer')} (S1)"),
-        (always, times(changes, 1 / CONTROL_CORE), "lists applied by their changes",
-         f"{share_of_core(changes)} for changes (S7), 1.5% allowed"),
-        (always, math.inf if refused else times(memory, 1 / CONTROL_MB), "whole list accepted, compact records",
+        (always, times(changes, 1 / CONTROL_CORE), "endpoint updates applied as deltas",
+         f"{share_of_core(changes)} for updates (S7), 1.5% allowed"),
+        (always, math.inf if refused else times(memory, 1 / CONTROL_MB), "snapshot accepted, compact records",
          f"{'refused; ' if refused else ''}{of(memory, 'MB')} with it (S14), {CONTROL_MB:g} MB for all control"),
-        (always, least / LINKS, "deterministic subsetting; P has to be told",
+        (always, least / LINKS, "deterministic subsetting; P has to be known",
          f"{number(least)} connections for one holder of each shard at P = {COPIES[0]}, {LINKS} allowed"),
         (always, None if reloads is None else max(reloads, FAILS), VERSIONED,
          f"17,000 reloads a day take {of(reloads, 'times')} the 1.5% (S12) and {listed} a second from the agent; other "
          "keys wait for a restart"),
         (always, QUERIES / INGEST_CORE, "ledger partitioned, its store pruned",
          f"{number(QUERIES)} records /s, {number(INGEST_CORE)} a process"),
-        (event, PROBES / LINKS, "probe budget; no connection of our own is not silence of theirs; regions known",
+        (event, PROBES / LINKS, "probe budget; a missing connection not counted as a silent leaf server; regions known",
          f"{number(PROBES)} probes a mixer every {FADE_S * 1e3:.0f} ms once a tenth is suspected"),
         (event, times(zone, 1 / (CONTROL_BYTES * IN_FORCE_S)), "one record for a failure domain, or compact deltas",
          f"{as_bytes(zone)} for a zone in 3 s, 72 KB allowed"),
         (event, (SILENT_S + TRY_S) / IN_FORCE_S, "heartbeat every 0.5 s, lease of 1.5 s",
          f"a dead watch costs up to {SILENT_S:g} s and {TRY_S:g} s for the answer, 3 s allowed"),
-        (after, MIXERS / (MIXERS / ZONES), "slow start reckoned over the mixers that meet the server",
-         "a cold server gets 7% of its allowance from the mixers of one zone"),
+        (after, MIXERS / (MIXERS / ZONES), "slow start calculated over the mixers that send to the server",
+         "a server that is warming up gets 7% of its allowance from the mixers of one zone"),
         (after, 1 / PAIR_RATE / FADE_S, "load reports used, power of two choices",
-         f"{1 / PAIR_RATE:.1f} s between two parts of a pair without it, what was learned fades in {FADE_S:.3f} s"),
+         f"{1 / PAIR_RATE:.1f} s between two parts of a pair without it, an estimate fades in {FADE_S:.3f} s"),
     ]
     missing = [item for item in work if item[1] is None or item[1] >= FAILS]
     missing.sort(key=lambda item: ((always, event, after).index(item[0]), -(item[1] or math.inf)))
