--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -38,7 +38,7 @@
 ENTRIES_RESTART = 4  # list entries of a restart or replacement at most: draining, removed, up, one more change
 RACK = 40  # leaf servers behind one switch
 TICK_S = 0.005  # `tick_ns` of the settings, as in deploy/sites
-COLD_FROM, FALL_MULTIPLE, FALL_S = 0.25, 2.0, 1.5  # of a leaf server that is warming up, as in crates/decisions/tests/slow_start.rs
+COLD_FROM, FALL_MULTIPLE, FALL_S = 0.25, 2.0, 1.5  # slow start, as in crates/decisions/tests/slow_start.rs
 
 # ---- Of the program; --check looks for each in the source ------------------------------------------------------------
 
@@ -214,7 +214,8 @@
     return table(
         ["of 69 ms", "ms"],
         ["margin for the network to the client and back", f"{MARGIN_S * 1e3:.0f}"],
-        [f"a timer interval: the larger of two batch intervals ({TICK_S * 1e3:.0f} ms each) and 1/200 of the target", f"{beat * 1e3:.0f}"],
+        [f"a timer interval: the larger of two batch intervals ({TICK_S * 1e3:.0f} ms each) and 1/200 of the target",
+         f"{beat * 1e3:.0f}"],
         ["so a query that needs every part is given up after", f"{left * 1e3:.0f}"],
         ["delay before a hedged request, bounds", f"{low * 1e3:.1f} to {high * 1e3:.1f}"],
         ["so a hedged request has at least, if the latest interval starts it", f"{(left - high - beat) * 1e3:.1f}"],
@@ -309,8 +310,10 @@
         ["entries that differ at the return", f"{number(stale)}, {as_bytes(total)} a mixer",
          f"old gone, new up; {of(times(total, 1 / CONTROL_BYTES), 's')} at 24 KB/s"],
         ["configuration changes made meanwhile", number(CONFIG_DAY / 24), "17,000 / 24"],
-        ["usage log held by a mixer whose settlement is unreachable", as_bytes(log), "467 x 39.1 B x 3,600; `keep` is 1 GiB"],
-        ["if discovery removes the servers that it cannot reach", f"{number(lost)} entries, {as_bytes(size(lost))} a mixer",
+        ["usage log held by a mixer whose settlement is unreachable", as_bytes(log),
+         "467 x 39.1 B x 3,600; `keep` is 1 GiB"],
+        ["if discovery removes the servers that it cannot reach",
+         f"{number(lost)} entries, {as_bytes(size(lost))} a mixer",
          f"and as many at the return; {of(times(size(lost), 1 / CONTROL_BYTES), 's')} each at 24 KB/s"],
         ["probes once a tenth is suspected, each mixer", f"{number(PROBES)} every {FADE_S * 1e3:.0f} ms",
          "`probe_quiet_replicas`: all without news for one target; `evict_idle_connection` walks "
@@ -367,7 +370,8 @@
         ["open queries and parts", number(open_parts), f"{OPEN_CAP:,} (`open_cap`)", verdict(open_parts, OPEN_CAP),
          "admission control", "`reducer/client_requests.rs`"],
         ["connections to leaf servers", f"{number(LEAVES)} (full mesh)", number(LINKS), verdict(LEAVES, LINKS),
-         "deterministic subsetting, or a tree of aggregators", "missing; `evict_idle_connection` closes the longest idle"],
+         "deterministic subsetting, or a tree of aggregators",
+         "missing; `evict_idle_connection` closes the longest idle"],
         ["estimates of a leaf server", f"{1 / PAIR_RATE:.1f} s old", f"fades in {FADE_S:.3f} s",
          verdict(1 / PAIR_RATE, FADE_S), "subsetting; power of two choices on reported load",
          "missing; reports are read (`reducer/attempt_results.rs`) and not used"],
@@ -400,7 +404,8 @@
 
 def leaf_rows():
     return [
-        ["**Leaf server**: parts", f"{number(LEAF_RATE)} /s, to {number(LEAF_RATE * (1 + HEDGE_CAP))} with hedged requests",
+        ["**Leaf server**: parts",
+         f"{number(LEAF_RATE)} /s, to {number(LEAF_RATE * (1 + HEDGE_CAP))} with hedged requests",
          "not given", verdict(None, 0), "load shedding, retry budget",
          "`load_shedding.rs`, `retry_budget.rs`"],
         ["connections", f"{number(MIXERS)} (full mesh)", "not given", verdict(None, 0), "deterministic subsetting",
@@ -435,7 +440,8 @@
          verdict(QUERIES, INGEST_CORE), "partitioning by tenant, pruning", "missing"],
         ["at the mixer", f"{LOG_CPU[0]} to {LOG_CPU[1]:.2f} of the time without", "1.05 (its own aim)",
          verdict(LOG_CPU[0], 1.05), "group commit in a writer thread", "`ledger/src/writer.rs`"],
-        ["**Rollout** of mixers", "10 steps of 450", "not given", verdict(None, 0), "graceful shutdown, rolling restart",
+        ["**Rollout** of mixers", "10 steps of 450", "not given", verdict(None, 0),
+         "graceful shutdown, rolling restart",
          "SIGTERM, `reducer/shutdown.rs`"],
         ["bad versions and configurations", "all mixers at once", "a few first", "**does not fit**",
          "canary, automatic rollback", "missing"],
