--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -1,11 +1,12 @@
 //! The clients that are connected.
 
 use super::input::ClientId;
+use super::NANOS_PER_MS;
 use cottonhill_decisions::{Nanos, RequestId};
 use std::collections::BTreeMap;
 
 /// How long a client must have been idle before its connection is closed although there is room for it.
-const MIN_IDLE_TIME: Nanos = 2_000 * super::NANOS_PER_MS;
+const MIN_IDLE_TIME: Nanos = 2_000 * NANOS_PER_MS;
 /// The most clients that are closed for each that connects. More than one, so that a backlog shrinks.
 const MAX_CLOSED_PER_CONNECT: usize = 2;
 
--- a/crates/mixer/src/reducer/connection_handling.rs
+++ b/crates/mixer/src/reducer/connection_handling.rs
@@ -2,7 +2,7 @@
 
 use super::leaf_connection::ConnectionPhase;
 use super::timers::Timer;
-use super::{ConnectionId, Effect, Reducer};
+use super::{ConnectionId, Effect, Reducer, NANOS_PER_MS};
 use crate::log_targets;
 use cottonhill_decisions::{EndpointStatus, LoadReport, Nanos, Outcome, ReplicaId};
 
@@ -10,7 +10,7 @@
 /// of the timeout, and what is written from then on is lost.
 const IDLE_TIMEOUT_TENTHS: Nanos = 9;
 /// What a socket gets at least to take a call of a replica that is draining or gone, if the settings state no grace.
-const MIN_WRITE_TIMEOUT: Nanos = 25 * super::NANOS_PER_MS;
+const MIN_WRITE_TIMEOUT: Nanos = 25 * NANOS_PER_MS;
 
 impl Reducer {
     pub(super) fn on_connection_opened(&mut self, now: Nanos, id: ConnectionId) {
--- a/crates/mixer/src/reducer/discovery.rs
+++ b/crates/mixer/src/reducer/discovery.rs
@@ -2,10 +2,10 @@
 
 use super::replicas::EndpointChanges;
 use super::timers::Timer;
+use super::watch_policy::WatchMode;
 use super::{Effect, Reducer, UpdateFault, WatchEvent, WatchPolicy, NANOS_PER_MS};
 use crate::log_targets;
 use crate::protocol::endpoint_updates::EndpointUpdate;
-use crate::reducer::watch_policy::WatchMode;
 use crate::settings::MixerSettings;
 use cottonhill_decisions::{DiscoveryMode, EndpointUpdateKind, Event, Nanos, Settings};
 use std::net::SocketAddr;
--- a/crates/mixer/src/reducer/lifecycle.rs
+++ b/crates/mixer/src/reducer/lifecycle.rs
@@ -1,8 +1,8 @@
 //! The phases of the process, from its start to its exit.
 
+use super::NANOS_PER_MS;
 use cottonhill_decisions::Nanos;
 
-const NANOS_PER_MS: Nanos = 1_000_000;
 /// How long everything goes on after a shutdown request: new connections still arrive, and clients go on using theirs
 /// for 0.7 s.
 const GRACE_PERIOD: Nanos = 750 * NANOS_PER_MS;
--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -3,6 +3,7 @@
 
 use super::input::ConnectionId;
 use super::replica_table::{Replica, ReplicaTable, Slot};
+use super::NANOS_PER_MS;
 use crate::log_targets;
 use crate::protocol::endpoint_updates::{Address, EndpointEntry, EndpointUpdate, Status};
 use cottonhill_decisions::{Endpoint, EndpointStatus, Nanos, ReplicaId};
@@ -19,8 +20,6 @@
 /// Stands for a zone that the settings do not name.
 const UNKNOWN_ZONE: u16 = u16::MAX;
 
-const NANOS_PER_MS: Nanos = 1_000_000;
-
 /// What an update changes.
 #[derive(Debug, Default)]
 pub struct EndpointChanges {
@@ -157,7 +156,7 @@
         self.connections.remove(&id).unwrap_or_default()
     }
 
-    /// Updates come from another address from now on. Discovery there may have yet to hear what was announced before:
+    /// Updates come from another address from now on. Discovery there may not know yet what was announced before:
     /// until it must have, it can't make a replica ready that is draining or gone. Returns when that is.
     pub fn on_discovery_switched(&mut self, now: Nanos) -> Nanos {
         self.lagging_until = now + LATE_UPDATE_WINDOW;
