--- a/crates/mixer/src/reducer/client_requests.rs
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -133,7 +133,7 @@
             tracing::info!(
                 target: log_targets::CLIENTS, queries = self.queries.len(),
                 open_parts,
-                "over the cap: query refused"
+                "query rejected: open-query limit reached"
             );
             return self.reject_before_decision(now, client, received_at, &request);
         }
@@ -142,7 +142,7 @@
             self.counters.requests.no_time_left += 1;
             tracing::info!(
                 target: log_targets::CLIENTS, timeout_ms = request.timeout / NANOS_PER_MS,
-                "no time left: query refused"
+                "query rejected: no time left"
             );
             return self.reject_before_decision(now, client, received_at, &request);
         }
@@ -196,9 +196,7 @@
             client_retry: request.client_retry,
         });
         let parts = self.accept_parts(id, group, &request);
-        self.counters.requests.queries += 1;
-        self.counters.requests.parts += parts.len() as u64;
-        self.counters.requests.client_retries += u64::from(request.client_retry);
+        self.count_accepted(&request);
         let deadline = now + time_left;
         self.timers.set(deadline, Timer::QueryDeadline(id));
         let query = Query {
@@ -219,10 +217,17 @@
             class = request.class,
             patience_ms = time_left / NANOS_PER_MS,
             open_parts,
-            "query taken"
+            "query accepted"
         );
     }
 
+    fn count_accepted(&mut self, request: &QueryRequest) {
+        let requests = &mut self.counters.requests;
+        requests.queries += 1;
+        requests.parts += request.parts.len() as u64;
+        requests.client_retries += u64::from(request.client_retry);
+    }
+
     /// Opens the parts of a query; returns their ids.
     fn accept_parts(
         &mut self,
--- a/crates/mixer/tests/endpoint_updates.rs
+++ b/crates/mixer/tests/endpoint_updates.rs
@@ -240,7 +240,7 @@
                 harness.reducer.counters().update_faults.duplicate_entries,
                 1
             );
-            logs.assert_one_line("WARN", &["index=2", "s-1", "twice"]);
+            logs.assert_one_line("WARN", &["index=2", "s-1", "duplicate endpoint in update"]);
             let client = harness.send_query(1, &[1.0]);
             harness.serve_all();
             assert_eq!(
@@ -291,7 +291,10 @@
         let logs = CapturedLogs::start();
         let after_update = retained_entries_after_update_of_unknown(Some(status));
         assert_eq!(after_update, without_update);
-        logs.assert_one_line("INFO", &["index=2", "s-9", "in_force=1", "not listed"]);
+        logs.assert_one_line(
+            "INFO",
+            &["index=2", "s-9", "in_force=1", "removes an unlisted server"],
+        );
     }
     let mut harness = Harness::new(1);
     harness.send_snapshot(&[listed(1, "up"), listed(2, "draining")]);
