--- a/crates/decisions/src/tables/replica_table.rs
+++ b/crates/decisions/src/tables/replica_table.rs
@@ -5,6 +5,7 @@
 
 pub use super::replica::{ConnectionKind, Replica, ReplicaStats, SlowStartJitter};
 use crate::{Endpoint, EndpointStatus, Nanos, ReplicaId};
+use slab::Slab;
 use std::borrow::Cow;
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -15,6 +16,10 @@
 pub struct Slot(u32);
 
 impl Slot {
+    fn from_index(index: usize) -> Self {
+        Slot(index as u32)
+    }
+
     fn index(self) -> usize {
         self.0 as usize
     }
@@ -29,10 +34,8 @@
     cells: u32,
     replication_factor: u32,
     max_parts_per_call: u32,
-    /// Includes free slots.
-    replicas: Vec<Replica>,
-    /// Slots of replicas that were forgotten.
-    free_slots: Vec<Slot>,
+    /// The replicas by slot; the slot that was freed last is reused first.
+    replicas: Slab<Replica>,
     slots: HashMap<ReplicaId, Slot>,
     /// The replicas of each cell in the order of their ids.
     by_cell: Vec<Vec<Slot>>,
@@ -58,8 +61,7 @@
             cells: cells.max(1),
             replication_factor,
             max_parts_per_call: max_parts_per_call.max(1),
-            replicas: Vec::new(),
-            free_slots: Vec::new(),
+            replicas: Slab::new(),
             slots: HashMap::new(),
             by_cell: Vec::new(),
             ready: 0,
@@ -76,12 +78,12 @@
 
     /// How many replicas are known, those gone and not forgotten included.
     pub fn len(&self) -> usize {
-        self.slots.len()
+        self.replicas.len()
     }
 
     /// Whether no replica is known.
     pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
+        self.replicas.is_empty()
     }
 
     /// How many replicas are listed as ready.
@@ -165,14 +167,23 @@
     /// The ready replicas in the order of their ids. Walks over all replicas.
     pub fn ready_slots(&self) -> Vec<Slot> {
         self.count_visits(self.replicas.len());
-        let slots = (0..self.replicas.len() as u32).map(Slot);
-        let mut ready: Vec<Slot> = slots
-            .filter(|slot| self.replica(*slot).is_ready())
-            .collect();
+        let mut ready = self.slots_where(|_, replica| replica.is_ready());
         ready.sort_unstable_by_key(|slot| self.replica(*slot).id);
         ready
     }
 
+    /// The slots of the replicas that match, in the order of the slots.
+    fn slots_where(&self, matches: impl Fn(Slot, &Replica) -> bool) -> Vec<Slot> {
+        let mut slots = Vec::new();
+        for (index, replica) in &self.replicas {
+            let slot = Slot::from_index(index);
+            if matches(slot, replica) {
+                slots.push(slot);
+            }
+        }
+        slots
+    }
+
     fn count_visits(&self, replicas: usize) {
         self.visited.set(self.visited.get() + replicas as u64);
     }
@@ -188,27 +199,27 @@
         }
         let additional = endpoints.len().saturating_sub(self.replicas.len());
         self.replicas.reserve_exact(additional);
-        let additional = endpoints.len().saturating_sub(self.slots.len());
         self.slots.reserve(additional);
-        let mut listed = Vec::new();
+        let mut listed = vec![false; self.replicas.capacity()];
         for endpoint in endpoints {
             let slot = self.apply_entry(endpoint);
-            listed.resize(self.replicas.len(), false);
+            if listed.len() <= slot.index() {
+                listed.resize(slot.index() + 1, false);
+            }
             listed[slot.index()] = true;
         }
         self.count_visits(endpoints.len() + self.replicas.len());
-        listed.resize(self.replicas.len(), false);
         self.remove_unlisted(&listed);
     }
 
     /// Sets the status of the replicas that are not listed, by slot, to gone.
     fn remove_unlisted(&mut self, listed: &[bool]) {
-        for (index, listed) in listed.iter().enumerate() {
-            if !listed {
-                self.change(Slot(index as u32), |replica| {
-                    replica.status = EndpointStatus::Gone;
-                });
-            }
+        let is_listed = |slot: Slot| listed.get(slot.index()).is_some_and(|listed| *listed);
+        let unlisted = self.slots_where(|slot, replica| {
+            replica.status != EndpointStatus::Gone && !is_listed(slot)
+        });
+        for slot in unlisted {
+            self.change(slot, |replica| replica.status = EndpointStatus::Gone);
         }
     }
 
@@ -234,17 +245,7 @@
 
     /// Adds a replica that counts as gone until its entry is applied.
     fn add(&mut self, endpoint: &Endpoint) -> Slot {
-        let replica = Replica::new(endpoint);
-        let slot = match self.free_slots.pop() {
-            Some(slot) => {
-                self.replicas[slot.index()] = replica;
-                slot
-            }
-            None => {
-                self.replicas.push(replica);
-                Slot(self.replicas.len() as u32 - 1)
-            }
-        };
+        let slot = Slot::from_index(self.replicas.insert(Replica::new(endpoint)));
         self.slots.insert(endpoint.replica, slot);
         self.join_cell(slot);
         slot
@@ -329,10 +330,8 @@
 
     fn forget(&mut self, slot: Slot) {
         self.leave_cell(slot);
-        let replica = &mut self.replicas[slot.index()];
-        replica.stats = None;
+        let replica = self.replicas.remove(slot.index());
         self.slots.remove(&replica.id);
-        self.free_slots.push(slot);
     }
 
     fn leave_cell(&mut self, slot: Slot) {
--- a/crates/decisions/tests/replica_table.rs
+++ b/crates/decisions/tests/replica_table.rs
@@ -438,9 +438,21 @@
     assert_eq!(table.len(), 1);
 }
 
+/// How the table's slab stores a replica.
+#[allow(dead_code)]
+enum StoredReplica {
+    Vacant(usize),
+    Occupied(Replica),
+}
+
 /// Every coordinator of a large fleet holds all entries; most of them it has never contacted.
 #[test]
 fn entry_of_uncontacted_replica_is_small() {
     let size = std::mem::size_of::<Replica>();
     assert!(size <= 32, "{size} bytes");
+    let stored = std::mem::size_of::<StoredReplica>();
+    assert_eq!(
+        stored, size,
+        "a free slot keeps the next one in a replica's space"
+    );
 }
--- a/crates/mixer/src/reducer/replica_table.rs
+++ b/crates/mixer/src/reducer/replica_table.rs
@@ -3,6 +3,7 @@
 use crate::protocol::endpoint_updates::Address;
 use cottonhill_decisions::{EndpointStatus, Nanos, ReplicaId};
 use hashbrown::HashTable;
+use slab::Slab;
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 
@@ -39,9 +40,8 @@
 /// Records by slot, with an index by id and one by name. A name is stored once, in its record.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
-    records: Vec<Option<Replica>>,
-    /// Slots without a record.
-    free_slots: Vec<Slot>,
+    /// The slot that was freed last is reused first.
+    records: Slab<Replica>,
     slots_by_id: HashTable<Slot>,
     slots_by_name: HashTable<Slot>,
     hasher: RandomState,
@@ -50,18 +50,18 @@
 impl ReplicaTable {
     /// Number of records.
     pub fn len(&self) -> usize {
-        self.slots_by_id.len()
+        self.records.len()
     }
 
     /// Whether there is no record.
     pub fn is_empty(&self) -> bool {
-        self.slots_by_id.is_empty()
+        self.records.is_empty()
     }
 
     /// Reserves memory for exactly so many more records.
     pub fn reserve(&mut self, additional: usize) {
         let (records, hasher) = (&mut self.records, &self.hasher);
-        records.reserve_exact(additional.saturating_sub(self.free_slots.len()));
+        records.reserve_exact(additional);
         self.slots_by_id
             .reserve(additional, |slot| hash_id(hasher, records, *slot));
         self.slots_by_name
@@ -92,20 +92,19 @@
 
     /// The replica in a slot.
     pub fn record(&self, slot: Slot) -> Option<&Replica> {
-        self.records.get(slot as usize)?.as_ref()
+        self.records.get(slot as usize)
     }
 
     /// The replica in a slot, to change what is announced of it. Its id and its name must stay.
     pub(super) fn record_mut(&mut self, slot: Slot) -> Option<&mut Replica> {
-        self.records.get_mut(slot as usize)?.as_mut()
+        self.records.get_mut(slot as usize)
     }
 
     /// Adds a replica whose id and name are not in the table.
     pub fn insert(&mut self, replica: Replica) -> Slot {
         let id_hash = self.hasher.hash_one(replica.id);
         let name_hash = self.hasher.hash_one(&*replica.name);
-        let slot = self.take_free_slot();
-        self.records[slot as usize] = Some(replica);
+        let slot = self.records.insert(replica) as Slot;
         let (records, hasher) = (&self.records, &self.hasher);
         self.slots_by_id
             .insert_unique(id_hash, slot, |slot| hash_id(hasher, records, *slot));
@@ -114,22 +113,13 @@
         slot
     }
 
-    fn take_free_slot(&mut self) -> Slot {
-        if let Some(slot) = self.free_slots.pop() {
-            return slot;
-        }
-        self.records.push(None);
-        (self.records.len() - 1) as Slot
-    }
-
     /// Removes a replica; its slot may be used by another from then on.
     pub fn remove(&mut self, id: ReplicaId) -> Option<Replica> {
         let slot = self.slot_of_id(id)?;
-        let replica = self.records.get_mut(slot as usize)?.take()?;
+        let replica = self.records.try_remove(slot as usize)?;
         remove_slot(&mut self.slots_by_id, self.hasher.hash_one(id), slot);
         let name_hash = self.hasher.hash_one(&*replica.name);
         remove_slot(&mut self.slots_by_name, name_hash, slot);
-        self.free_slots.push(slot);
         Some(replica)
     }
 
@@ -137,8 +127,7 @@
     pub fn iter(&self) -> impl Iterator<Item = (Slot, &Replica)> {
         self.records
             .iter()
-            .enumerate()
-            .filter_map(|(slot, record)| Some((slot as Slot, record.as_ref()?)))
+            .map(|(slot, replica)| (slot as Slot, replica))
     }
 }
 
@@ -148,14 +137,14 @@
     }
 }
 
-fn hash_id(hasher: &RandomState, records: &[Option<Replica>], slot: Slot) -> u64 {
-    records[slot as usize]
-        .as_ref()
+fn hash_id(hasher: &RandomState, records: &Slab<Replica>, slot: Slot) -> u64 {
+    records
+        .get(slot as usize)
         .map_or(0, |replica| hasher.hash_one(replica.id))
 }
 
-fn hash_name(hasher: &RandomState, records: &[Option<Replica>], slot: Slot) -> u64 {
-    records[slot as usize]
-        .as_ref()
+fn hash_name(hasher: &RandomState, records: &Slab<Replica>, slot: Slot) -> u64 {
+    records
+        .get(slot as usize)
         .map_or(0, |replica| hasher.hash_one(&*replica.name))
 }
--- a/crates/mixer/tests/replicas.rs
+++ b/crates/mixer/tests/replicas.rs
@@ -670,6 +670,13 @@
     );
 }
 
+/// How the table's slab stores a replica.
+#[allow(dead_code)]
+enum StoredReplica {
+    Vacant(usize),
+    Occupied(Replica),
+}
+
 #[test]
 fn entries_are_small_and_share_zone_names() {
     assert!(size_of::<Replica>() <= 56, "{}", size_of::<Replica>());
@@ -678,6 +685,11 @@
         size_of::<Replica>(),
         "an empty slot costs no more"
     );
+    assert_eq!(
+        size_of::<StoredReplica>(),
+        size_of::<Replica>(),
+        "a free slot keeps the next one in a replica's space"
+    );
     assert!(
         size_of::<EndpointEntry>() <= 64,
         "{}",
