--- a/crates/decisions/src/tables/mod.rs
+++ b/crates/decisions/src/tables/mod.rs
@@ -1,5 +1,6 @@
 //! The data that the decisions read and update: replicas, open queries, and statistics. Nothing here decides anything.
 
+mod cell_index;
 pub(crate) mod due_queue;
 pub(crate) mod in_flight;
 pub(crate) mod open_parts;
@@ -7,4 +8,5 @@
 pub(crate) mod recent_outcomes;
 mod replica;
 pub mod replica_table;
+mod slot;
 pub(crate) mod statistics;
--- a/crates/decisions/src/tables/replica_table.rs
+++ b/crates/decisions/src/tables/replica_table.rs
@@ -3,7 +3,9 @@
 //! The table keeps its counts as entries change and forgets replicas that are gone by a queue, so that a lookup costs
 //! as much as the shard has holders and a change as much as it has entries, however large the fleet is.
 
+use super::cell_index::CellIndex;
 pub use super::replica::{ConnectionKind, Replica, ReplicaStats, SlowStartJitter};
+pub use super::slot::Slot;
 use crate::{Endpoint, EndpointStatus, Nanos, ReplicaId};
 use slab::Slab;
 use std::borrow::Cow;
@@ -11,34 +13,17 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Position of a replica in its table; valid until the next endpoint update.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Slot(u32);
-
-impl Slot {
-    fn from_index(index: usize) -> Self {
-        Slot(index as u32)
-    }
-
-    fn index(self) -> usize {
-        self.0 as usize
-    }
-}
-
 /// A replica that is gone, in the queue of those to forget.
 type Expiry = Reverse<(Nanos, Slot)>;
 
 /// All replicas that are listed, and those gone that are not forgotten yet.
 #[derive(Debug)]
 pub struct ReplicaTable {
-    cells: u32,
-    replication_factor: u32,
     max_parts_per_call: u32,
     /// The replicas by slot; the slot that was freed last is reused first.
     replicas: Slab<Replica>,
     slots: HashMap<ReplicaId, Slot>,
-    /// The replicas of each cell in the order of their ids.
-    by_cell: Vec<Vec<Slot>>,
+    by_cell: CellIndex,
     ready: usize,
     suspected_and_ready: usize,
     /// Replicas that are gone, by the time of their last latency update when they were queued.
@@ -58,12 +43,10 @@
     /// `s + replication_factor - 1`, modulo `cells`, and a call has at most `max_parts_per_call` parts.
     pub fn new(cells: u32, replication_factor: u32, max_parts_per_call: u32) -> Self {
         ReplicaTable {
-            cells: cells.max(1),
-            replication_factor,
             max_parts_per_call: max_parts_per_call.max(1),
             replicas: Slab::new(),
             slots: HashMap::new(),
-            by_cell: Vec::new(),
+            by_cell: CellIndex::new(cells, replication_factor),
             ready: 0,
             suspected_and_ready: 0,
             expiries: BinaryHeap::new(),
@@ -123,19 +106,9 @@
 
     /// The holders of a shard, whatever their status, in the order of their ids.
     pub fn holders(&self, shard: u32) -> Cow<'_, [Slot]> {
-        let mut cells = self.cells_of(shard).filter(|cell| !cell.is_empty());
-        let Some(first) = cells.next() else {
-            return Cow::Borrowed(&[]);
-        };
-        let Some(second) = cells.next() else {
-            self.count_visits(first.len());
-            return Cow::Borrowed(first);
-        };
-        let mut holders = [first.as_slice(), second].concat();
-        holders.extend(cells.flatten());
-        holders.sort_unstable_by_key(|slot| self.replica(*slot).id);
+        let holders = self.by_cell.holders(shard, &self.replicas);
         self.count_visits(holders.len());
-        Cow::Owned(holders)
+        holders
     }
 
     /// Whether any holder of a shard is ready.
@@ -145,25 +118,6 @@
             .any(|slot| self.replica(*slot).is_ready())
     }
 
-    /// The cells that hold a shard, each once, as far as any replica was listed in them.
-    fn cells_of(&self, shard: u32) -> impl Iterator<Item = &Vec<Slot>> {
-        let cells = u64::from(self.cells);
-        let first = u64::from(shard % self.cells);
-        let holding = u64::from(self.replication_factor.min(self.cells));
-        let listed = self.by_cell.len() as u64;
-        // Walks the shorter of the two: the cells that hold the shard, or those that are listed.
-        let (by_shard, by_list) = if holding <= listed {
-            (0..holding, 0..0)
-        } else {
-            (0..0, 0..listed)
-        };
-        let from_shard = by_shard.map(move |offset| (first + offset) % cells);
-        let from_list = by_list.filter(move |cell| (cell + cells - first) % cells < holding);
-        from_shard
-            .chain(from_list)
-            .filter_map(|cell| self.by_cell.get(cell as usize))
-    }
-
     /// The ready replicas in the order of their ids. Walks over all replicas.
     pub fn ready_slots(&self) -> Vec<Slot> {
         self.count_visits(self.replicas.len());
@@ -227,11 +181,7 @@
         let slot = self
             .slot(endpoint.replica)
             .unwrap_or_else(|| self.add(endpoint));
-        if self.replica(slot).cell != endpoint.cell {
-            self.leave_cell(slot);
-            self.replicas[slot.index()].cell = endpoint.cell;
-            self.join_cell(slot);
-        }
+        self.move_to_cell(slot, endpoint.cell);
         self.change(slot, |replica| {
             replica.zone = endpoint.zone;
             replica.status = endpoint.status;
@@ -247,10 +197,19 @@
     fn add(&mut self, endpoint: &Endpoint) -> Slot {
         let slot = Slot::from_index(self.replicas.insert(Replica::new(endpoint)));
         self.slots.insert(endpoint.replica, slot);
-        self.join_cell(slot);
+        self.by_cell.insert(slot, &self.replicas);
         slot
     }
 
+    fn move_to_cell(&mut self, slot: Slot, cell: u16) {
+        if self.replica(slot).cell == cell {
+            return;
+        }
+        self.by_cell.remove(slot, &self.replicas);
+        self.replicas[slot.index()].cell = cell;
+        self.by_cell.insert(slot, &self.replicas);
+    }
+
     /// Changes a replica's status or suspicion and keeps the counts and the queue of expiries true.
     fn change(&mut self, slot: Slot, change: impl FnOnce(&mut Replica)) {
         let replica = &mut self.replicas[slot.index()];
@@ -329,27 +288,8 @@
     }
 
     fn forget(&mut self, slot: Slot) {
-        self.leave_cell(slot);
+        self.by_cell.remove(slot, &self.replicas);
         let replica = self.replicas.remove(slot.index());
         self.slots.remove(&replica.id);
     }
-
-    fn leave_cell(&mut self, slot: Slot) {
-        let cell = self.cell_index(slot);
-        self.by_cell[cell].retain(|other| *other != slot);
-    }
-
-    fn join_cell(&mut self, slot: Slot) {
-        let cell = self.cell_index(slot);
-        if self.by_cell.len() <= cell {
-            self.by_cell.resize_with(cell + 1, Vec::new);
-        }
-        let id = self.replica(slot).id;
-        let position = self.by_cell[cell].partition_point(|other| self.replica(*other).id < id);
-        self.by_cell[cell].insert(position, slot);
-    }
-
-    fn cell_index(&self, slot: Slot) -> usize {
-        (u32::from(self.replica(slot).cell) % self.cells) as usize
-    }
 }
