--- a/crates/mixer/src/transport/client_connection.rs
+++ b/crates/mixer/src/transport/client_connection.rs
@@ -1,23 +1,19 @@
 //! Connections of native clients: one task each, one request at a time.
 
-use super::buffer_pool::BUFFER_BYTES;
 use super::message_timeout::next_message;
+use super::read_ahead::{read_ahead, HttpConnection, IncomingRequest, ReadAhead};
 use super::shared::Shared;
 use crate::log_targets;
-use crate::protocol::http::{Request, RequestError, Response, ServerCodec};
+use crate::protocol::http::{RequestError, Response, ServerCodec};
 use crate::protocol::query_json::{self, Reply};
 use crate::reducer::{ClientId, Input};
 use futures_util::{SinkExt, StreamExt};
-use std::future::poll_fn;
 use std::io;
 use std::ops::ControlFlow;
-use std::pin::Pin;
-use std::task::{ready, Context, Poll};
-use tokio::io::{copy, sink, AsyncRead, AsyncWriteExt, ReadBuf};
+use tokio::io::{copy, sink, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 use tokio::time::{timeout, Duration, Instant};
-use tokio_util::codec::Framed;
 
 /// A request has to be complete within this time of its first byte, or it is answered with 408. The first one on a
 /// connection starts with the connection, so that a client which sends nothing is closed.
@@ -26,9 +22,6 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a lingering close reads and discards input.
 const LINGER_TIME: Duration = Duration::from_secs(1);
-/// Bytes read at once behind a pipelined request.
-const READ_AHEAD_BYTES: usize = 4 * 1024;
-
 /// A command of the driver to a client's task.
 pub enum ClientCommand {
     /// Send the reply to the open request.
@@ -45,9 +38,6 @@
     },
 }
 
-type HttpConnection = Framed<TcpStream, ServerCodec>;
-type IncomingRequest = Result<Request, RequestError>;
-
 /// Why a connection is no longer served.
 enum ConnectionEnd {
     /// The client closed it.
@@ -58,18 +48,6 @@
     CloseImmediately,
 }
 
-/// What arrived behind the request that is being served.
-enum ReadAhead {
-    /// The next request.
-    Request(IncomingRequest),
-    /// Bytes behind a pipelined request.
-    Buffered,
-    /// More bytes than the connection's buffer takes; they are discarded.
-    Overflow,
-    /// The client closed the connection.
-    Closed,
-}
-
 /// The task of one connection: serves it, closes it and reports its end to the reducer.
 pub async fn serve_client(
     shared: Shared,
@@ -279,34 +257,3 @@
         None => ControlFlow::Break(ConnectionEnd::ClientClosed),
     })
 }
-
-/// Reads on while a request is served, even behind a pipelined one: nothing else detects that the client closes.
-///
-/// Bytes behind a pipelined request are buffered up to the size of the connection's buffer. Cancel safe.
-async fn read_ahead(http: &mut HttpConnection, has_pipelined: bool) -> io::Result<ReadAhead> {
-    if has_pipelined {
-        return poll_fn(|cx| poll_buffer_ahead(http, cx)).await;
-    }
-    let received = http.next().await.transpose()?;
-    Ok(received.map_or(ReadAhead::Closed, ReadAhead::Request))
-}
-
-fn poll_buffer_ahead(
-    http: &mut HttpConnection,
-    cx: &mut Context<'_>,
-) -> Poll<io::Result<ReadAhead>> {
-    // On the stack, so that it does not enlarge the many tasks that wait here. The read yields to other tasks now and
-    // then, however much arrives.
-    let mut bytes = [0; READ_AHEAD_BYTES];
-    let mut bytes = ReadBuf::new(&mut bytes);
-    ready!(Pin::new(http.get_mut()).poll_read(cx, &mut bytes))?;
-    let buffer = http.read_buffer_mut();
-    Poll::Ready(Ok(if bytes.filled().is_empty() {
-        ReadAhead::Closed
-    } else if buffer.len() + bytes.filled().len() > BUFFER_BYTES {
-        ReadAhead::Overflow
-    } else {
-        buffer.extend_from_slice(bytes.filled());
-        ReadAhead::Buffered
-    }))
-}
--- /dev/null
+++ b/crates/mixer/src/transport/effects.rs
@@ -0,0 +1,220 @@
+//! Performs the effects that the reducer returns.
+
+use super::client_connection::ClientCommand;
+use super::discovery_watch::DiscoveryWatch;
+use super::leaf_connection::{self, LeafConnectionHandle};
+use super::peers::PeerSocket;
+use super::shared::Shared;
+use super::{Addresses, ClientReply, PendingReplies};
+use crate::log_targets;
+use crate::protocol::leaf_frames::LeafRequest;
+use crate::reducer::counters::Counters;
+use crate::reducer::usage::{UsageRecord, Watermark};
+use crate::reducer::{ClientId, ConnectionId, Effect};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use tokio::task::{spawn_local, AbortHandle};
+use tokio::time::Instant;
+
+/// What effects act on: the connections, the watch on discovery, and the replies that are held.
+pub(super) struct EffectPerformer {
+    shared: Shared,
+    leaf_connections: HashMap<ConnectionId, LeafConnectionHandle>,
+    peers: Option<PeerSocket>,
+    discovery_watch: AbortHandle,
+    /// `None` if usage is not recorded.
+    pending_replies: Option<PendingReplies>,
+    exited: bool,
+}
+
+impl EffectPerformer {
+    /// Nothing is connected yet and no reply is held.
+    pub(super) fn new(
+        shared: Shared,
+        peers: Option<PeerSocket>,
+        discovery_watch: AbortHandle,
+        pending_replies: Option<PendingReplies>,
+    ) -> EffectPerformer {
+        EffectPerformer {
+            shared,
+            leaf_connections: HashMap::new(),
+            peers,
+            discovery_watch,
+            pending_replies,
+            exited: false,
+        }
+    }
+
+    /// Whether the reducer has ended the mixer.
+    pub(super) fn exited(&self) -> bool {
+        self.exited
+    }
+
+    /// When the next reply is sent although its usage record is not written; `None` if no reply is held.
+    pub(super) fn next_reply_deadline(&self) -> Option<Instant> {
+        self.pending_replies
+            .as_ref()
+            .and_then(PendingReplies::next_deadline)
+    }
+
+    /// Returns once usage records were written that replies are held for; never if usage is not recorded.
+    pub(super) async fn records_written(&mut self) {
+        match &mut self.pending_replies {
+            Some(pending_replies) => pending_replies.wait_for_records().await,
+            None => std::future::pending().await,
+        }
+    }
+
+    /// Exchanges datagrams with the peers of a new configuration; without one, with those of before.
+    pub(super) fn reload_peers(&mut self, addresses: Option<&Addresses>) {
+        if let (Some(peers), Some(addresses)) = (&mut self.peers, addresses) {
+            peers.set_addresses(&self.shared, addresses);
+        }
+    }
+
+    /// Performs an effect.
+    pub(super) fn perform(&mut self, effect: Effect) {
+        match effect {
+            Effect::Reply {
+                client,
+                reply,
+                close,
+            } => self.reply_when_recorded(ClientReply {
+                client,
+                reply,
+                close,
+            }),
+            Effect::CloseClient { client, immediate } => self.close_client(client, immediate),
+            Effect::RecordUsage(usage) => self.record_usage(usage),
+            Effect::RecordWatermark(watermark) => self.record_watermark(watermark),
+            Effect::Connect {
+                connection,
+                address,
+            } => self.connect(connection, address),
+            Effect::WriteFrame { connection, frame } => self.write_frame(connection, frame),
+            Effect::CloseConnection { connection } => {
+                self.leaf_connections.remove(&connection);
+            }
+            Effect::SendDatagram { to, bytes } => self.send_datagram(to, &bytes),
+            Effect::WatchEndpoints {
+                address,
+                from_version,
+            } => self.restart_discovery_watch(address, from_version),
+            Effect::CloseListener => {
+                self.shared.listener_closed.send_replace(true);
+            }
+            Effect::Exit(counters) => self.exit(&counters),
+        }
+    }
+
+    fn record_usage(&mut self, usage: UsageRecord) {
+        if let Some(pending_replies) = &mut self.pending_replies {
+            pending_replies.record(usage);
+        }
+    }
+
+    fn record_watermark(&mut self, watermark: Watermark) {
+        if let Some(pending_replies) = &mut self.pending_replies {
+            pending_replies.record_watermark(watermark);
+        }
+    }
+
+    /// Sends a reply, or holds it until its usage record is written.
+    fn reply_when_recorded(&mut self, reply: ClientReply) {
+        let ready = match &mut self.pending_replies {
+            Some(pending_replies) => pending_replies.enqueue(reply),
+            None => Some(reply),
+        };
+        if let Some(reply) = ready {
+            self.send_reply(reply);
+        }
+    }
+
+    fn send_reply(&self, reply: ClientReply) {
+        let command = ClientCommand::Reply {
+            reply: Box::new(reply.reply),
+            close: reply.close,
+        };
+        self.command_client(reply.client, command);
+    }
+
+    /// Sends the held replies whose records are written, or that were held for long enough.
+    pub(super) fn send_ready_replies(&mut self) {
+        while let Some(reply) = self
+            .pending_replies
+            .as_mut()
+            .and_then(PendingReplies::pop_ready)
+        {
+            self.send_reply(reply);
+        }
+    }
+
+    fn close_client(&mut self, client: ClientId, immediate: bool) {
+        if let Some(pending_replies) = &mut self.pending_replies {
+            pending_replies.close_client(client);
+        }
+        self.command_client(client, ClientCommand::Close { immediate });
+    }
+
+    /// Hands a command to the task of a client's connection.
+    fn command_client(&self, client: ClientId, command: ClientCommand) {
+        // The queue is full only if the task waits for a client that does not read; that client loses its reply.
+        if self.shared.command_client(client, command).is_err() {
+            tracing::debug!(target: log_targets::TRANSPORT, client, "command to client dropped, connection closed or blocked");
+        }
+    }
+
+    fn connect(&mut self, connection: ConnectionId, address: SocketAddr) {
+        self.leaf_connections
+            .retain(|_, handle| !handle.is_finished());
+        let handle = leaf_connection::connect(self.shared.clone(), connection, address);
+        self.leaf_connections.insert(connection, handle);
+    }
+
+    fn write_frame(&self, connection: ConnectionId, frame: LeafRequest) {
+        if let Some(handle) = self.leaf_connections.get(&connection) {
+            handle.write(frame);
+        }
+    }
+
+    fn send_datagram(&self, peer: Option<u32>, bytes: &[u8]) {
+        if let Some(peers) = &self.peers {
+            peers.send(peer, bytes);
+        }
+    }
+
+    fn restart_discovery_watch(&mut self, address: SocketAddr, from_version: Option<u64>) {
+        self.discovery_watch.abort();
+        self.discovery_watch = start_discovery_watch(&self.shared, address, from_version);
+    }
+
+    fn exit(&mut self, counters: &Counters) {
+        let counters = serde_json::to_string(counters).unwrap_or_default();
+        tracing::info!(target: log_targets::TRANSPORT, counters, "shutdown complete, all accepted requests answered");
+        self.exited = true;
+    }
+
+    /// Writes the queued usage records, and sends every reply that is still held.
+    pub(super) fn close_recorder(&mut self) {
+        let held = self.pending_replies.as_mut().map(PendingReplies::close);
+        for reply in held.unwrap_or_default() {
+            self.send_reply(reply);
+        }
+    }
+}
+
+/// Starts a watch after a version, or with a snapshot first if that is `None`.
+pub(super) fn start_discovery_watch(
+    shared: &Shared,
+    address: SocketAddr,
+    from_version: Option<u64>,
+) -> AbortHandle {
+    let watch = DiscoveryWatch::new(
+        shared.buffers.clone(),
+        shared.updates.clone(),
+        shared.watch_policy.clone(),
+        address,
+        from_version,
+    );
+    spawn_local(watch.run()).abort_handle()
+}
--- a/crates/mixer/src/transport/mod.rs
+++ b/crates/mixer/src/transport/mod.rs
@@ -10,11 +10,13 @@
 mod clock;
 mod discovery_watch;
 mod driver;
+mod effects;
 mod leaf_connection;
 mod message_timeout;
 mod peers;
 mod pending_replies;
 mod query_client;
+mod read_ahead;
 mod shared;
 
 pub use clock::Clock;
