--- a/crates/mixer/src/lib.rs
+++ b/crates/mixer/src/lib.rs
@@ -1,5 +1,7 @@
 //! The mixer around the decisions: configuration, protocols, the reducer that holds all state, and the transport.
 
+#![warn(missing_docs)]
+
 pub mod config;
 mod log_targets;
 pub mod protocol;
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -3,6 +3,8 @@
 //!
 //! [`wire`] turns bytes into inputs and actions into bytes, [`session`] keeps the instances.
 
+#![warn(missing_docs)]
+
 pub mod error;
 pub mod session;
 pub mod wire;
