--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: whether a query can be answered within its latency objective, and which of its parts cannot.
+//! Admission: whether a query can be answered within its latency objective, and which of its parts cannot. A query that
+//! cannot would only delay others.
 
 use crate::batch::Batch;
 use crate::replica_set::ReplicaSet;
@@ -27,7 +28,7 @@
 
 impl Admission {
     /// Whether the query can be answered within its latency objective; parts that cannot are skipped where a partial
-    /// answer is enough. A query that cannot would only delay others.
+    /// answer is enough.
     pub fn can_meet_objective(
         &mut self,
         batch: &Batch,
@@ -38,7 +39,7 @@
         let latency_fraction = MAX_LATENCY_FRACTION * self.priority_factor(class, query);
         let time_left = (query.objective_at - query.arrived_at) as f64;
         let max_latency = latency_fraction * time_left / f64::from(phase_count(class));
-        if is_hopeless(class, query) || time_left < usual_latency(class, replicas) {
+        if cannot_earn_value(class, query) || time_left < usual_latency(class, replicas) {
             return false;
         }
         skip_slow_parts(batch, replicas.table(), query, max_latency)
@@ -56,14 +57,14 @@
     }
 }
 
-/// Whether an answer would earn nothing, however fast it is.
-fn is_hopeless(class: &Class, query: &Query) -> bool {
+/// Whether no answer can earn any priority weight, however fast it is.
+fn cannot_earn_value(class: &Class, query: &Query) -> bool {
     let too_late = query.objective_missed_on_arrival && class.late_weight_fraction <= 0.0;
     too_late || query.client_timeout_too_short
 }
 
-/// The mean latency of all replicas, bounded by the latency objective, or a slow period would reject all queries and so
-/// never be seen to end.
+/// The mean latency of all replicas, ns. It is bounded by a fraction of the latency objective: if a slow period led to
+/// the rejection of all queries, no answer would ever show its end.
 fn usual_latency(class: &Class, replicas: &ReplicaSet) -> f64 {
     replicas
         .latencies()
@@ -115,7 +116,7 @@
 /// When one more part is expected back: after the parts in flight there, at the rate at which it answers, ns.
 fn queueing_delay(batch: &Batch, replica: &Replica) -> f64 {
     let stats = replica.stats();
-    if batch.now < stats.full_until {
+    if batch.now < stats.at_capacity_until {
         return f64::INFINITY;
     }
     let parts_ahead = stats.open().parts();
--- a/crates/decisions/src/attempts.rs
+++ b/crates/decisions/src/attempts.rs
@@ -21,13 +21,13 @@
     hedging: Hedging,
 }
 
-/// What decides about retries and hedged requests in the present phase of a query.
+/// The state of a query's present phase that its retries and hedged requests depend on.
 struct PhaseProgress {
     /// The time that the phase has, ns.
     duration: f64,
     /// How long to wait for an attempt before its part is hedged, ns.
     hedge_delay: f64,
-    /// Its parts are late.
+    /// Enough of the phase is over that its unanswered parts count as late.
     late: bool,
     /// At least half of the parts that are not skipped are answered.
     half_answered: bool,
@@ -54,7 +54,7 @@
         self.budget_usage.record_arrival(now);
     }
 
-    /// What was used of the retry budget.
+    /// What has been used of the retry budget.
     pub fn budget_usage(&self) -> &RetryBudgetUsage {
         &self.budget_usage
     }
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Sends the part at `index` of the query to the best replica; false if the rules or the replicas do not allow it.
+    /// Sends the part at `index` of the query to the best replica; false if it has expired, the
+    /// rules of retries do not allow it or no replica may get it.
     fn send_part(
         &mut self,
         batch: &mut Batch,
@@ -183,7 +184,7 @@
         ) && hedging::has_faster_replica(batch, replicas, part, &last)
             && self.hedging.allows_hedge(&self.budget_usage, open_parts);
         if may_hedge && self.send_part(batch, replicas, query, index) {
-            replicas.record_silence(batch, &last);
+            replicas.eject_if_silent_since(batch, &last);
         }
     }
 
--- a/crates/decisions/src/batch.rs
+++ b/crates/decisions/src/batch.rs
@@ -27,7 +27,7 @@
         &self.settings.classes[query.class]
     }
 
-    /// How old information of that time is, in fade times; see [`Timing::fade_time`].
+    /// How long ago the time `at` was, in fade times; see [`Timing::fade_time`].
     pub fn age_in_fade_times(&self, at: Nanos) -> f64 {
         self.now.saturating_sub(at) as f64 / self.timing.fade_time()
     }
--- a/crates/decisions/src/client_timeouts.rs
+++ b/crates/decisions/src/client_timeouts.rs
@@ -1,4 +1,5 @@
-//! Client timeouts: how much of its time a query's client has used up on earlier tries, judged by its timeout.
+//! Client timeouts: how much of its time a query's client has used up on earlier requests for it, judged by its
+//! timeout.
 
 use crate::batch::Batch;
 use crate::query_arrival::QueryArrival;
@@ -11,7 +12,7 @@
 /// Most queries by which the usual timeout leads, so that a change among the clients is noticed soon.
 const MAX_LEAD: u32 = 16;
 
-/// The usual client timeouts of first tries.
+/// The usual timeouts of clients' first requests.
 #[derive(Debug, Default)]
 pub struct ClientTimeouts {
     /// By class and tenant, so that the clients of one tenant do not mislead another's.
@@ -19,8 +20,8 @@
 }
 
 impl ClientTimeouts {
-    /// How much of the client's time was used up before the query was sent, ns: 0 for a first try. The timeout of a
-    /// client's retry is what its first try left of the deadline.
+    /// How much of the client's time was used up before the query was sent, ns: 0 for its first request. A client's
+    /// retry is taken to have the time as its timeout that the first request left of the deadline.
     pub fn time_used(&mut self, batch: &Batch, class: &Class, query: &QueryArrival) -> Nanos {
         let tolerance = class.latency_objective / TOLERANCE_DIVISOR;
         let key = (query.class, query.tenant);
@@ -28,9 +29,9 @@
         if !query.client_retry {
             usual.vote(query.client_timeout, tolerance, MAX_LEAD);
         }
-        let first_try = batch.settings.client_retries_marked && !query.client_retry;
+        let first_request = batch.settings.client_retries_marked && !query.client_retry;
         let usual_timeout = usual.is_near(query.client_timeout, tolerance);
-        if first_try || usual_timeout || !usual.is_known() {
+        if first_request || usual_timeout || !usual.is_known() {
             return 0;
         }
         class.deadline.saturating_sub(query.client_timeout)
--- a/crates/decisions/src/completion.rs
+++ b/crates/decisions/src/completion.rs
@@ -10,7 +10,7 @@
 use crate::{Action, Class, Idempotency, Nanos, ReplicaId};
 use std::collections::BTreeSet;
 
-/// Timer intervals kept free before a time that must not be missed.
+/// By how many timer intervals an answer precedes the time that it must not miss.
 const SPARE_INTERVALS: Nanos = 2;
 /// Replicas whose connections a query must have lost to count as a query of death.
 const MIN_CRASHED_REPLICAS: usize = 3;
@@ -94,7 +94,7 @@
     }
 
     /// Whether no sufficient answer can be reached.
-    fn is_lost(&self) -> bool {
+    fn cannot_become_sufficient(&self) -> bool {
         let reachable = self.answered_weight + self.reachable_weight + REACHABLE_TOLERANCE;
         self.has_parts && (!self.any_reachable || reachable < self.needed_weight)
     }
@@ -119,19 +119,19 @@
     query: &Query,
 ) -> Decision {
     let coverage = PhaseCoverage::new(batch, replicas, usage, query);
-    let time_to_answer = batch.now >= answer_time(batch, query);
-    if coverage.is_sufficient() && (coverage.is_final() || time_to_answer) {
+    let answer_is_due = batch.now >= answer_time(batch, query);
+    if coverage.is_sufficient() && (coverage.is_final() || answer_is_due) {
         return Decision::Answer {
             complete: coverage.complete,
         };
     }
     let query_of_death = is_query_of_death(query);
-    let idle = !query.parts.iter().any(Part::is_in_flight);
+    let nothing_in_flight = !query.parts.iter().any(Part::is_in_flight);
     let out_of_time = batch.now >= give_up_time(batch, query);
-    if out_of_time || coverage.is_lost() || query_of_death && idle {
+    if out_of_time || coverage.cannot_become_sufficient() || query_of_death && nothing_in_flight {
         return Decision::GiveUp;
     }
-    // Parts answered by then clear a query that met failing replicas by chance.
+    // The query may have lost its connections by chance: then one of its parts is likely to be answered meanwhile.
     let max_wait = hedge_delay(replicas.latencies(), batch.timing.shortest_objective);
     let phase_age = (batch.now - query.phase_started_at) as f64;
     if query_of_death && phase_age <= max_wait {
--- a/crates/decisions/src/connection_loss.rs
+++ b/crates/decisions/src/connection_loss.rs
@@ -1,7 +1,7 @@
 //! Connection loss: whether attempts are lost on idle connections, which are then closed before they are used again.
 //!
-//! Something on the way may drop a long idle connection unseen. Reopening is tried where many attempts are lost on idle
-//! connections and few on active ones. It ends where it does not help, since all attempts are lost alike.
+//! A firewall or load balancer on the path may drop an idle connection without telling either end. Idle connections are
+//! reopened where many attempts are lost on them and few on active ones, and no longer if reopened ones lose as many.
 
 use crate::batch::Batch;
 use crate::tables::replica_table::{ConnectionKind, ReplicaStats, ReplicaTable, Slot};
@@ -13,7 +13,7 @@
 const LOSS_SMOOTHING: f64 = 0.05;
 /// Loss rate of idle connections from which on they may be reopened.
 const MIN_LOSS_RATE: f64 = 0.2;
-/// Two loss rates are alike where one is more than this fraction of the other.
+/// Two loss rates count as similar where the lower is more than this fraction of the higher.
 const SIMILAR_LOSS_RATIO: f64 = 0.7;
 /// How long connections are reopened at a time, in shortest latency objectives.
 const REOPENING_OBJECTIVES: f64 = 15.0;
@@ -58,8 +58,8 @@
 }
 
 impl ConnectionLoss {
-    /// Records whether an attempt was lost. A lost one is recorded once its replica has given a sign of life: until
-    /// then the replica may have failed and not the connection.
+    /// Records whether an attempt was lost. A lost one is recorded once its replica has responded again: until then
+    /// the replica may have failed and not the connection.
     pub fn record_attempt(&mut self, batch: &mut Batch, connection: ConnectionKind, lost: bool) {
         self.loss_rates.record(connection, lost);
         let reopening_time = REOPENING_OBJECTIVES * batch.timing.shortest_objective;
@@ -114,8 +114,10 @@
     }
 }
 
-/// Whether the connections to a replica have not been used for `idle_after`: nothing is in flight, and its last sign of
-/// life was longer ago.
+/// Whether the connections to a replica have not been used for `idle_after`: nothing is in flight, and its last
+/// response was longer ago.
 fn has_idle_connection(now: Nanos, stats: &ReplicaStats, idle_after: Nanos) -> bool {
-    stats.open().is_empty() && stats.last_alive_at > 0 && now - stats.last_alive_at > idle_after
+    stats.open().is_empty()
+        && stats.last_response_at > 0
+        && now - stats.last_response_at > idle_after
 }
--- a/crates/decisions/src/coordinator.rs
+++ b/crates/decisions/src/coordinator.rs
@@ -130,7 +130,7 @@
         for query in self.pop_due_queries(batch.now) {
             self.process_query(batch, query);
         }
-        self.replicas.probe_quiet_replicas(batch);
+        self.replicas.probe_idle_replicas(batch);
         let log_lines = std::mem::take(&mut batch.log_lines);
         batch.actions.extend(log_lines.into_iter().map(Action::Log));
         self.schedule_timer(batch);
@@ -218,7 +218,7 @@
         };
         // A replica without recent news may just be slow to connect.
         let connect_failure_is_overload = batch.settings.retry_budget.is_some()
-            || self.replicas.has_recent_news(batch, attempt.replica);
+            || self.replicas.has_responded_recently(batch, attempt.replica);
         self.replicas.record_end(batch, &attempt, outcome);
         let Some(part) = self.queries.part_mut(part) else {
             return;
--- a/crates/decisions/src/endpoint_polling.rs
+++ b/crates/decisions/src/endpoint_polling.rs
@@ -3,12 +3,12 @@
 use crate::batch::Batch;
 use crate::{Action, DiscoveryMode, EndpointUpdateKind, Nanos, Settings};
 
-/// Mean delay of the first repeated request, as a fraction of the time within which the list is needed; each further
-/// one in a row is twice as long.
+/// Mean delay of the first retry, as a fraction of the time within which the list is needed; each further one in a row
+/// is twice as long.
 const BASE_DELAY_FRACTION: f64 = 0.06;
 /// Longest mean delay, as a fraction of that time.
 const MAX_DELAY_FRACTION: f64 = 0.5;
-/// Least part of the mean delay that is waited; the random rest may exceed it by as much.
+/// Least factor of the jitter, which is uniform between this and 1 more, so that its mean is 1.
 const MIN_JITTER_FACTOR: f64 = 0.5;
 /// Most times that the delay doubles, against overflow.
 const MAX_DOUBLINGS: u32 = 16;
@@ -57,7 +57,7 @@
     }
 
     /// A request failed: plans the next one, with exponential backoff and jitter. All coordinators use one discovery
-    /// service, and requests repeated at once would keep it too busy to answer any.
+    /// service, and immediate retries would keep it too busy to answer any.
     pub fn record_failure(&mut self, batch: &mut Batch) {
         let pushed = batch.settings.discovery_mode == DiscoveryMode::Push;
         if self.next_request_at.is_some() || pushed {
--- a/crates/decisions/src/health_check.rs
+++ b/crates/decisions/src/health_check.rs
@@ -1,11 +1,11 @@
-//! Active health checks: while many replicas are suspected, replicas without news are probed, or queries would find the
-//! failed ones one by one.
+//! Active health checks: while many replicas are suspected, idle replicas are probed, so that failed ones are found at
+//! once rather than each by a query that it delays.
 
 use crate::batch::Batch;
 use crate::tables::replica_table::{Replica, ReplicaTable};
 use crate::{Action, Nanos, ReplicaId};
 
-/// Fraction of the ready replicas that are suspected from which on the others are probed.
+/// Fraction of the ready replicas that must be suspected for idle replicas to be probed.
 const MIN_SUSPECTED_FRACTION: f64 = 0.1;
 
 /// When to probe replicas.
@@ -26,8 +26,8 @@
         self.newly_ejected = true;
     }
 
-    /// Probes the replicas without recent news, if many are suspected and the last probes were long enough ago.
-    pub fn probe_quiet_replicas(&mut self, batch: &mut Batch, table: &ReplicaTable) {
+    /// Probes the idle replicas, if many are suspected and the last probes were long enough ago.
+    pub fn probe_idle_replicas(&mut self, batch: &mut Batch, table: &ReplicaTable) {
         let too_early = batch.age_in_fade_times(self.last_probed_at) < 1.0;
         if !batch.settings.probing_enabled || too_early || !self.newly_ejected {
             return;
@@ -39,7 +39,7 @@
         }
         for slot in table.ready_slots() {
             let replica = table.replica(slot);
-            if is_quiet(batch, replica) {
+            if is_idle(batch, replica) {
                 batch.actions.push(Action::Probe {
                     replica: replica.id(),
                 });
@@ -49,10 +49,11 @@
     }
 }
 
-/// Whether nothing is in flight at the replica and there is no news of it within the shortest latency objective.
-fn is_quiet(batch: &Batch, replica: &Replica) -> bool {
+/// Whether nothing is in flight at the replica, and it neither responded nor ended an attempt within the shortest
+/// latency objective.
+fn is_idle(batch: &Batch, replica: &Replica) -> bool {
     let stats = replica.stats();
-    let last_news_at = stats.last_alive_at.max(stats.latency_updated_at);
-    let news_age = batch.now.saturating_sub(last_news_at) as f64;
-    stats.open().is_empty() && news_age > batch.timing.shortest_objective
+    let last_activity_at = stats.last_response_at.max(stats.latency_updated_at);
+    let idle_for = batch.now.saturating_sub(last_activity_at) as f64;
+    stats.open().is_empty() && idle_for > batch.timing.shortest_objective
 }
--- a/crates/decisions/src/hedging.rs
+++ b/crates/decisions/src/hedging.rs
@@ -12,14 +12,14 @@
 /// time as well.
 pub const MIN_HEDGE_DELAY_FRACTION: f64 = 0.125;
 const MAX_HEDGE_DELAY_FRACTION: f64 = 0.4;
-/// Extra attempts below which hedged requests are always allowed.
-const MIN_HEDGE_LIMIT: f64 = 3.0;
-/// Extra attempts that are allowed for each part besides.
-const HEDGE_LIMIT_PER_PART: f64 = 0.15;
+/// Recent extra attempts, retries included, below which a hedged request is always allowed.
+const MIN_EXTRA_ATTEMPT_LIMIT: f64 = 3.0;
+/// By how much each recent part raises that limit.
+const EXTRA_ATTEMPT_LIMIT_PER_PART: f64 = 0.15;
 /// Weight of one hedged part in the rate at which first attempts win.
 const WIN_RATE_SMOOTHING: f64 = 0.1;
 
-/// Limits hedged requests by how often they help, since they add to an overload.
+/// Limits hedged requests by how often they help, since each adds load.
 #[derive(Debug, Default)]
 pub struct Hedging {
     /// Fraction of the hedged parts whose first attempt answered before the hedged request.
@@ -33,12 +33,14 @@
         self.first_attempt_win_rate += WIN_RATE_SMOOTHING * (won - self.first_attempt_win_rate);
     }
 
-    /// Whether one more hedged request is allowed. The limit grows with the parts received or open, and falls to the
-    /// minimum where first attempts nearly always win.
+    /// Whether one more hedged request is allowed, by the retries and hedged requests within the retention time of
+    /// [`RetryBudgetUsage`]. The limit grows with the queries and parts received in that time or the parts open, and
+    /// falls to the minimum where first attempts nearly always win.
     pub fn allows_hedge(&self, usage: &RetryBudgetUsage, open_parts: usize) -> bool {
         let parts = usage.recent_arrivals().max(open_parts);
         let success_factor = (1.5 - 2.0 * self.first_attempt_win_rate).clamp(0.0, 1.0);
-        let limit = MIN_HEDGE_LIMIT + HEDGE_LIMIT_PER_PART * parts as f64 * success_factor;
+        let limit =
+            MIN_EXTRA_ATTEMPT_LIMIT + EXTRA_ATTEMPT_LIMIT_PER_PART * parts as f64 * success_factor;
         (usage.recent_extra_attempts() as f64) < limit
     }
 }
@@ -53,9 +55,9 @@
     )
 }
 
-/// Whether to consider hedging a part whose last attempt has been in flight for longer than `hedge_delay`. That says
-/// something of its replica if the replica has been silent since, or if at least half of the query's parts are
-/// answered.
+/// Whether a part's last attempt has been in flight for longer than `hedge_delay`, and its replica rather than the
+/// whole fleet seems slow: it has not responded since, or at least half of the phase's parts are answered
+/// (`half_answered`).
 pub fn is_due(
     batch: &Batch,
     replicas: &ReplicaSet,
@@ -69,7 +71,7 @@
     }
     let replica = replicas.table().get(last.replica);
     let silent_since_sent =
-        replica.is_none_or(|replica| replica.stats().last_alive_at <= last.sent_at);
+        replica.is_none_or(|replica| replica.stats().last_response_at <= last.sent_at);
     half_answered || silent_since_sent
 }
 
--- a/crates/decisions/src/latency_estimates.rs
+++ b/crates/decisions/src/latency_estimates.rs
@@ -11,7 +11,8 @@
 const INITIAL_LATENCY_FRACTION: f64 = 0.1;
 /// Weight of an answer in a replica's smoothed latency.
 pub const ANSWER_SMOOTHING: f64 = 0.2;
-/// Weight of a failed attempt in it. A replica that fails fast would otherwise look fast and draw all parts.
+/// Weight of a failed attempt or probe in a replica's smoothed latency. A replica that fails fast would otherwise look
+/// fast and draw all parts.
 const FAILURE_SMOOTHING: f64 = 0.6;
 /// Weight of an answer in the mean over all replicas, which sees far more of them.
 const FLEET_SMOOTHING: f64 = 0.03;
@@ -23,7 +24,7 @@
 }
 
 impl LatencyEstimates {
-    /// Records the latency of a successful attempt or probe, ns.
+    /// Records the latency of a successful attempt, ns.
     pub fn record_answer(&mut self, latency: f64) {
         self.fleet.add(latency, FLEET_SMOOTHING);
     }
@@ -45,14 +46,14 @@
         self.fleet.deviation()
     }
 
-    /// The replica's latency, ns: smoothed, but never less than it has been silent, since a replica that is silent is
-    /// slow now and not only when it answers.
+    /// The replica's latency, ns: smoothed, but never less than the time for which it has been silent, so that a
+    /// replica that hangs counts as slow before its answers show it.
     pub fn latency(&self, batch: &Batch, replica: &Replica) -> f64 {
         self.smoothed_latency(batch, replica)
             .max(replica.silent_for(batch.now) as f64)
     }
 
-    /// The replica's smoothed latency, ns, fading to the mean over all replicas while there is no news of it.
+    /// The replica's smoothed latency, ns, fading to the mean over all replicas while it is not updated.
     pub fn smoothed_latency(&self, batch: &Batch, replica: &Replica) -> f64 {
         let mean = self.fleet_mean_or_initial(batch.timing.shortest_objective);
         let stats = replica.stats();
--- a/crates/decisions/src/load_shedding.rs
+++ b/crates/decisions/src/load_shedding.rs
@@ -1,8 +1,8 @@
 //! Load shedding: rejecting a fraction of all queries while replicas reject parts.
 //!
 //! An admitted query takes up capacity until it has run, answered or not. Where all holders of a shard reject parts,
-//! one more query costs other queries their parts and is itself lost. Coordinators see nothing of each other but that,
-//! so each sheds load at once, and less again with each answer.
+//! one more query costs other queries their parts and is itself lost. These rejections are all that a coordinator sees
+//! of the load from the others, so each sheds load at once, and less again with each answer.
 
 /// Weight of a part's repeated rejection in the fraction shed.
 const REPEATED_REJECTION_WEIGHT: f64 = 0.25;
@@ -10,7 +10,7 @@
 const WASTED_QUERY_WEIGHT: f64 = 0.6;
 /// By how much each answered part reduces the fraction shed.
 const RECOVERY_PER_ANSWER: f64 = 0.03;
-/// Least fraction admitted: without any query, recovery would go unnoticed.
+/// Least fraction of the queries that is admitted: without their answers, recovery would go unnoticed.
 const MIN_ADMITTED_FRACTION: f64 = 0.1;
 
 /// Rejects a fraction of all queries.
--- a/crates/decisions/src/outlier_detection.rs
+++ b/crates/decisions/src/outlier_detection.rs
@@ -1,5 +1,11 @@
-//! Outlier detection: replicas that are silent are ejected for a while, longer each time, and then get one call until
-//! they answer.
+//! Outlier detection: which replicas are tried last.
+//!
+//! A replica that fails to respond is ejected for a while, longer each time in a row. An ejected replica is tried last,
+//! not excluded: it still gets a part that no other holder may get. After the ejection it is on probation: it gets one
+//! call, and is tried last again while that is in flight.
+//!
+//! Any response counts: an answer, an error, a rejection, the start of a streamed response or a successful probe. A
+//! replica is silent while it has not responded since the oldest part in flight there was sent.
 
 use crate::batch::Batch;
 use crate::hedging::hedge_delay;
@@ -15,15 +21,15 @@
 /// Most times that the ejection time doubles, against overflow.
 const MAX_DOUBLINGS: u32 = 16;
 /// Time for which a replica that rejected a part is held to be at its capacity, in shortest latency objectives.
-const FULL_OBJECTIVES: f64 = 0.125;
+const AT_CAPACITY_OBJECTIVES: f64 = 0.125;
 
 /// Until when a replica that rejects a part now is held to be at its capacity.
-pub fn full_until(batch: &Batch) -> Nanos {
-    batch.now + (FULL_OBJECTIVES * batch.timing.shortest_objective) as Nanos
+pub fn at_capacity_until(batch: &Batch) -> Nanos {
+    batch.now + (AT_CAPACITY_OBJECTIVES * batch.timing.shortest_objective) as Nanos
 }
 
-/// Whether the end of an attempt counts as a failure of the replica. A cancelled one does if the replica has been
-/// silent since it was sent, for longer than a hedged request is waited for.
+/// Whether the end of an attempt counts as a failure of the replica. A cancelled one does if the replica has not
+/// responded since it was sent, for longer than the hedging delay.
 pub fn is_failure(
     batch: &Batch,
     latencies: &LatencyEstimates,
@@ -35,29 +41,34 @@
         Outcome::Cancelled => {
             let age = (batch.now - attempt.sent_at) as f64;
             age > hedge_delay(latencies, batch.timing.shortest_objective)
-                && replica.stats().last_alive_at <= attempt.sent_at
+                && replica.stats().last_response_at <= attempt.sent_at
         }
         _ => true,
     }
 }
 
-/// Records a sign of life: the replica is no longer suspected or ejected. Returns the connections of the attempts that
-/// were lost since the last one.
-pub fn record_alive(batch: &Batch, table: &mut ReplicaTable, slot: Slot) -> Vec<ConnectionKind> {
+/// Records that a replica has responded: it is no longer suspected or ejected. Returns the connections of the attempts
+/// that were lost since its last response.
+pub fn record_response(batch: &Batch, table: &mut ReplicaTable, slot: Slot) -> Vec<ConnectionKind> {
     table.set_suspected(slot, false);
     let stats = table.stats_mut(slot);
-    stats.last_alive_at = batch.now;
+    stats.last_response_at = batch.now;
     stats.ejected_until = 0;
     stats.consecutive_ejections = 0;
     std::mem::take(&mut stats.lost_connections)
 }
 
-/// Ejects a replica that failed to respond to what was sent at `sent_at`, unless it has given a sign of life since or
-/// is ejected already. Whether it was ejected.
-pub fn eject_silent(batch: &Batch, table: &mut ReplicaTable, slot: Slot, sent_at: Nanos) -> bool {
+/// Ejects a replica that was sent a part or probe at `sent_at`, unless it has responded since or is ejected already.
+/// Returns whether it was ejected.
+pub fn eject_if_silent_since(
+    batch: &Batch,
+    table: &mut ReplicaTable,
+    slot: Slot,
+    sent_at: Nanos,
+) -> bool {
     let objective = batch.timing.shortest_objective;
     let stats = table.stats_mut(slot);
-    if stats.last_alive_at > sent_at || batch.now < stats.ejected_until {
+    if stats.last_response_at > sent_at || batch.now < stats.ejected_until {
         return false;
     }
     let doublings = stats.consecutive_ejections.min(MAX_DOUBLINGS);
@@ -69,13 +80,13 @@
     true
 }
 
-/// Whether other replicas are preferred: it is silent, ejected, still to answer its first call after an ejection, or at
-/// its capacity.
+/// Whether the replica is tried last: it is silent for longer than the hedging delay, ejected, on probation with a call
+/// in flight, or at its capacity.
 pub fn is_outlier(batch: &Batch, latencies: &LatencyEstimates, replica: &Replica) -> bool {
     let silent_for = replica.silent_for(batch.now) as f64;
     let silent = silent_for > hedge_delay(latencies, batch.timing.shortest_objective);
     let stats = replica.stats();
-    let ejected_or_on_trial = batch.now < stats.ejected_until || !stats.open().is_empty();
-    let at_capacity = batch.now < stats.full_until;
-    silent || replica.suspected() && ejected_or_on_trial || at_capacity
+    let ejected_or_on_probation = batch.now < stats.ejected_until || !stats.open().is_empty();
+    let at_capacity = batch.now < stats.at_capacity_until;
+    silent || replica.suspected() && ejected_or_on_probation || at_capacity
 }
--- a/crates/decisions/src/replica_choice.rs
+++ b/crates/decisions/src/replica_choice.rs
@@ -7,10 +7,10 @@
 use crate::tables::query_table::Part;
 use crate::tables::replica_table::{Replica, ReplicaTable, Slot};
 
-/// Latency that a send to another zone counts for, in shortest latency objectives, times its cost.
+/// Latency that a send to another zone adds for comparison, in shortest latency objectives at a cross-zone cost of 1.
 const CROSS_ZONE_OBJECTIVES: f64 = 4.0;
 
-/// How much a replica is preferred for a part; the least is chosen.
+/// The order in which replicas are preferred for a part, by the fields in turn; the least is chosen.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Preference {
     /// Outliers come last, and replicas that the part was sent to before come after others.
--- a/crates/decisions/src/replica_set.rs
+++ b/crates/decisions/src/replica_set.rs
@@ -82,11 +82,11 @@
         self.table.forget_gone(batch.now.saturating_sub(fade_time));
     }
 
-    /// Whether a replica is known and gave a sign of life within the fade time.
-    pub fn has_recent_news(&self, batch: &Batch, replica: ReplicaId) -> bool {
+    /// Whether a replica is known and has responded within the fade time; see [`crate::timing::Timing::fade_time`].
+    pub fn has_responded_recently(&self, batch: &Batch, replica: ReplicaId) -> bool {
         self.table.get(replica).is_some_and(|replica| {
-            let last_alive_at = replica.stats().last_alive_at;
-            batch.age_in_fade_times(last_alive_at) < 1.0
+            let last_response_at = replica.stats().last_response_at;
+            batch.age_in_fade_times(last_response_at) < 1.0
         })
     }
 
@@ -101,7 +101,7 @@
         )
     }
 
-    /// Records a part that is sent to a replica now; the kind of connection that it is sent on.
+    /// Records a part that is sent to a replica now. Returns the kind of connection that it is sent on.
     pub fn record_send(&mut self, batch: &mut Batch, slot: Slot) -> ConnectionKind {
         let connection = self
             .connection_loss
@@ -134,13 +134,13 @@
                 self.slow_start.record_answer(batch);
                 let latency = (batch.now - attempt.sent_at) as f64;
                 self.latencies.record_answer(latency);
-                self.record_alive(batch, slot);
+                self.record_response(batch, slot);
                 self.connection_loss
                     .record_attempt(batch, attempt.connection, false);
             }
-            Outcome::Error | Outcome::Rejected => self.record_alive(batch, slot),
+            Outcome::Error | Outcome::Rejected => self.record_response(batch, slot),
             Outcome::ConnectFailed | Outcome::ConnectionReset | Outcome::TimedOut => {
-                self.eject_if_silent(batch, slot, attempt.sent_at);
+                self.eject_slot_if_silent_since(batch, slot, attempt.sent_at);
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
@@ -155,7 +155,9 @@
         let stats = self.table.stats_mut(slot);
         match attempt.outcome {
             Outcome::NotSent => return,
-            Outcome::Rejected => stats.full_until = outlier_detection::full_until(batch),
+            Outcome::Rejected => {
+                stats.at_capacity_until = outlier_detection::at_capacity_until(batch)
+            }
             Outcome::Ok => {
                 let oldest_sent_at = stats.open().oldest_sent_at().unwrap_or(attempt.sent_at);
                 let busy_since = stats.last_answer_at.max(oldest_sent_at);
@@ -193,40 +195,40 @@
                 };
                 self.record_end_at(batch, slot, probe);
             }
-            Outcome::Ok => self.record_alive(batch, slot),
+            Outcome::Ok => self.record_response(batch, slot),
             _ => {}
         }
     }
 
-    /// Records that a replica has started to respond.
+    /// Records that a replica has started to stream its response to a part.
     pub fn record_stream_start(&mut self, batch: &mut Batch, replica: ReplicaId) {
         if let Some(slot) = self.table.slot(replica) {
-            self.record_alive(batch, slot);
+            self.record_response(batch, slot);
         }
     }
 
-    fn record_alive(&mut self, batch: &mut Batch, slot: Slot) {
-        for connection in outlier_detection::record_alive(batch, &mut self.table, slot) {
+    fn record_response(&mut self, batch: &mut Batch, slot: Slot) {
+        for connection in outlier_detection::record_response(batch, &mut self.table, slot) {
             self.connection_loss.record_attempt(batch, connection, true);
         }
     }
 
-    /// Ejects a replica that has been silent since an attempt was sent to it.
-    pub fn record_silence(&mut self, batch: &mut Batch, attempt: &Attempt) {
+    /// Ejects the replica of an attempt if it has not responded since the attempt was sent.
+    pub fn eject_if_silent_since(&mut self, batch: &mut Batch, attempt: &Attempt) {
         if let Some(slot) = self.table.slot(attempt.replica) {
-            self.eject_if_silent(batch, slot, attempt.sent_at);
+            self.eject_slot_if_silent_since(batch, slot, attempt.sent_at);
         }
     }
 
-    fn eject_if_silent(&mut self, batch: &mut Batch, slot: Slot, sent_at: Nanos) {
-        if outlier_detection::eject_silent(batch, &mut self.table, slot, sent_at) {
+    fn eject_slot_if_silent_since(&mut self, batch: &mut Batch, slot: Slot, sent_at: Nanos) {
+        if outlier_detection::eject_if_silent_since(batch, &mut self.table, slot, sent_at) {
             let id = self.table.replica(slot).id();
             self.health_check.record_ejection(batch, id);
         }
     }
 
-    /// Probes replicas without recent news, if many are suspected.
-    pub fn probe_quiet_replicas(&mut self, batch: &mut Batch) {
-        self.health_check.probe_quiet_replicas(batch, &self.table);
+    /// Probes idle replicas, if many replicas are suspected.
+    pub fn probe_idle_replicas(&mut self, batch: &mut Batch) {
+        self.health_check.probe_idle_replicas(batch, &self.table);
     }
 }
--- a/crates/decisions/src/retry_budget.rs
+++ b/crates/decisions/src/retry_budget.rs
@@ -5,12 +5,13 @@
 use crate::timing::NS_PER_SECOND;
 use crate::{Class, Nanos, Settings};
 
-/// Fraction of the budget that classes with partial answers may use: the others need every part.
+/// Fraction of the budget that classes with partial answers may use; the rest is for classes that need every part.
 const PARTIAL_ANSWER_BUDGET_FRACTION: f64 = 0.5;
-/// Least time for which arrivals and extra attempts are kept, ns.
+/// Least retention time of arrivals and extra attempts, ns: hedging counts them even without a budget.
 const MIN_RETENTION_NS: Nanos = 2 * NS_PER_SECOND;
 
-/// What was received and what was used of the retry budget lately.
+/// What was received, and what was used of the retry budget, within the retention time: the budget's window, but at
+/// least 2 s.
 #[derive(Debug, Default)]
 pub struct RetryBudgetUsage {
     /// When queries and parts were received.
@@ -30,17 +31,18 @@
         self.extra_attempts.push(now);
     }
 
-    /// How many queries and parts were received lately.
+    /// How many queries and parts were received within the retention time.
     pub fn recent_arrivals(&self) -> usize {
         self.arrivals.len()
     }
 
-    /// How many retries and hedged requests were sent lately.
+    /// How many retries and hedged requests were sent within the retention time.
     pub fn recent_extra_attempts(&self) -> usize {
         self.extra_attempts.len()
     }
 
-    /// Whether the budget as of now leaves room for one more extra attempt at the time `at`.
+    /// Whether the budget leaves room for one more extra attempt at the time `at`, if nothing more is sent or received
+    /// before.
     pub fn allows_extra_attempt(&self, settings: &Settings, class: &Class, at: Nanos) -> bool {
         let Some(budget) = &settings.retry_budget else {
             return true;
@@ -56,7 +58,7 @@
         used + 1.0 <= usable_fraction * (budget.minimum + budget.ratio * arrived)
     }
 
-    /// Forgets what is no longer needed.
+    /// Forgets what is older than the retention time.
     pub fn forget_expired(&mut self, batch: &Batch) {
         let budget = batch.settings.retry_budget.as_ref();
         let window = budget.map_or(0, |budget| budget.window);
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -88,7 +88,7 @@
     pub max_attempts: Option<u32>,
     /// Attempts may be cancelled.
     pub cancellation_enabled: bool,
-    /// Clients mark their retries; a query without the mark is a first try.
+    /// Clients mark their retries; a query without the mark is a client's first request.
     pub client_retries_marked: bool,
     /// A part may have several attempts in flight.
     pub hedging_enabled: bool,
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: how many parts a replica that has just started may get until it has warmed up.
 //!
 //! The limit follows from what the average replica answers to this coordinator, or, while that is little yet, from the
-//! rate limit of the whole fleet: without any room, warm replicas would be left with all the work.
+//! rate limit of the whole fleet: with a limit of zero, the warm replicas would be left with all the work.
 
 use crate::batch::Batch;
 use crate::latency_estimates::LatencyEstimates;
@@ -11,11 +11,11 @@
 use crate::{Nanos, Settings};
 
 /// Time constant of the count of answers, in slow-start durations.
-const ANSWER_MEMORY_DURATIONS: f64 = 4.0;
-/// Fraction of the load that follows from the rate limit which a replica gets before it has shown to bear it.
-const UNPROVEN_LOAD_FRACTION: f64 = 0.7;
-/// Fraction of the shortest latency objective below which a replica's latency shows that it bears its load.
-const PROVEN_LATENCY_FRACTION: f64 = 0.25;
+const ANSWER_TIME_CONSTANT_DURATIONS: f64 = 4.0;
+/// Fraction of the load following from the rate limit that a replica gets until it answers promptly.
+const INITIAL_LOAD_FRACTION: f64 = 0.7;
+/// Fraction of the shortest latency objective below which a replica's answers count as prompt.
+const PROMPT_LATENCY_FRACTION: f64 = 0.25;
 /// Weight of one query in the mean number of parts.
 const PARTS_SMOOTHING: f64 = 0.03;
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Estimates the load that replicas bear.
+/// Estimates the load that a warm replica sustains, which limits that of replicas warming up.
 #[derive(Debug)]
 pub struct SlowStart {
     seed: u64,
@@ -70,10 +70,10 @@
         self.parts_per_query.add(parts as f64, PARTS_SMOOTHING);
     }
 
-    /// A replica answered a part or probe.
+    /// A replica answered a part.
     pub fn record_answer(&mut self, batch: &Batch) {
         self.answered_parts
-            .add(batch.now, answer_memory(batch.settings));
+            .add(batch.now, answer_time_constant(batch.settings));
     }
 
     /// Whether the replica may get one more part, if it is warming up.
@@ -90,27 +90,27 @@
         if !is_warming_up(batch, replica) {
             return true;
         }
-        let proven = has_proven_capacity(batch, latencies, replica);
-        let usual_parts = self.usual_parts(batch, table, proven);
+        let answers_promptly = answers_promptly(batch, latencies, replica);
+        let usual_parts = self.usual_parts(batch, table, answers_promptly);
         let max_parts = max_parts(batch, &limits, replica, usual_parts);
         let since = batch.now.saturating_sub(batch.settings.overload_window);
         (replica.stats().recent_sends.count_from(since) as f64) < max_parts
     }
 
     /// The parts that an average replica gets from this coordinator in an overload window.
-    fn usual_parts(&self, batch: &Batch, table: &ReplicaTable, proven: bool) -> f64 {
+    fn usual_parts(&self, batch: &Batch, table: &ReplicaTable, answers_promptly: bool) -> f64 {
         let settings = batch.settings;
         let running_for = batch.now - self.first_batch_at;
-        let counted_for =
-            answer_memory(settings).min(running_for.max(settings.slow_start_duration) as f64);
+        let counted_for = answer_time_constant(settings)
+            .min(running_for.max(settings.slow_start_duration) as f64);
         let parts_per_query = self.parts_per_query.mean().unwrap_or(0.0);
         let expected_rate = settings.fleet_rate_limit * parts_per_query
             / fleet_size(settings)
             / NS_PER_SECOND as f64;
-        let expected_rate = if proven {
+        let expected_rate = if answers_promptly {
             expected_rate
         } else {
-            UNPROVEN_LOAD_FRACTION * expected_rate
+            INITIAL_LOAD_FRACTION * expected_rate
         };
         let ready = table.ready_count().max(1);
         let answered_rate = self.answered_parts.count() / counted_for;
@@ -118,8 +118,8 @@
     }
 
     /// Draws the jitter anew for the holders of a shard that are warming up and whose jitter is an overload window old.
-    /// The windows of two replicas start when each first gets work: were all to change at one moment, the extra parts
-    /// of two windows of all coordinators would meet in one.
+    /// Each replica's windows start when it first gets a part. If all coordinators drew at the same moment, the extra
+    /// parts of two draws could fall into one overload window.
     pub fn refresh_jitter(&self, batch: &Batch, table: &mut ReplicaTable, shard: u32) {
         let window = overload_window(batch.settings);
         let is_due = |slot: &Slot| {
@@ -149,11 +149,11 @@
     replica.started() > 0 && age < batch.settings.slow_start_duration
 }
 
-/// Whether the replica answers so fast that it bears its load.
-fn has_proven_capacity(batch: &Batch, latencies: &LatencyEstimates, replica: &Replica) -> bool {
+/// Whether the replica has answered, has not just rejected a part, and has a latency far below the objective.
+fn answers_promptly(batch: &Batch, latencies: &LatencyEstimates, replica: &Replica) -> bool {
     let stats = replica.stats();
-    let accepts_parts = stats.last_answer_at > 0 && batch.now >= stats.full_until;
-    let max_latency = PROVEN_LATENCY_FRACTION * batch.timing.shortest_objective;
+    let accepts_parts = stats.last_answer_at > 0 && batch.now >= stats.at_capacity_until;
+    let max_latency = PROMPT_LATENCY_FRACTION * batch.timing.shortest_objective;
     accepts_parts && latencies.latency(batch, replica) < max_latency
 }
 
@@ -162,7 +162,7 @@
 fn max_parts(batch: &Batch, limits: &Limits, replica: &Replica, usual_parts: f64) -> f64 {
     let settings = batch.settings;
     let age = batch.now.saturating_sub(replica.started());
-    // The sends of a whole window count, and the replica bore less at its beginning.
+    // The sends of a whole window count, and the replica sustained less load at its beginning.
     let age_in_window = age.saturating_sub(overload_window(settings) / 2);
     let capacity = limits.initial_capacity
         + (1.0 - limits.initial_capacity) * age_in_window as f64
@@ -181,6 +181,6 @@
 }
 
 /// Time constant of the count of answers, ns.
-fn answer_memory(settings: &Settings) -> f64 {
-    ANSWER_MEMORY_DURATIONS * settings.slow_start_duration.max(1) as f64
+fn answer_time_constant(settings: &Settings) -> f64 {
+    ANSWER_TIME_CONSTANT_DURATIONS * settings.slow_start_duration.max(1) as f64
 }
--- a/crates/decisions/src/tables/due_queue.rs
+++ b/crates/decisions/src/tables/due_queue.rs
@@ -1,5 +1,5 @@
-//! When each open query is next due to be processed. Finding the due ones costs as much as there are of them, however
-//! many are open.
+//! When each open query is next due to be processed. The cost of finding the due ones grows with their number, not
+//! with that of all open queries.
 
 use crate::{Nanos, RequestId};
 use std::collections::{BTreeSet, HashMap};
--- a/crates/decisions/src/tables/open_parts.rs
+++ b/crates/decisions/src/tables/open_parts.rs
@@ -1,5 +1,5 @@
-//! The parts in flight at one replica, and the calls that they share. The totals are kept up to date, so that reading
-//! them costs the same however many parts are in flight.
+//! The parts in flight at one replica, and the calls that they share. Running totals make reading them
+//! independent of how many parts are in flight.
 
 use crate::Nanos;
 use std::collections::VecDeque;
--- a/crates/decisions/src/tables/recent_outcomes.rs
+++ b/crates/decisions/src/tables/recent_outcomes.rs
@@ -1,4 +1,4 @@
-//! The recent outcomes of parts, with a running count of the bad ones.
+//! The recent outcomes of parts, with a running count of those that signal overload.
 
 use crate::Nanos;
 use std::collections::VecDeque;
@@ -7,25 +7,25 @@
 #[derive(Debug, Default)]
 pub struct RecentOutcomes {
     outcomes: VecDeque<PartOutcome>,
-    bad: usize,
+    overload_signals: usize,
 }
 
 /// What became of one part.
 #[derive(Debug)]
 struct PartOutcome {
     recorded_at: Nanos,
-    /// Whether the part was late or rejected.
-    bad: bool,
+    /// See [`crate::weight_cutoff`].
+    overload_signal: bool,
 }
 
 impl RecentOutcomes {
-    /// Records the outcome of a part: `bad` if it was late or rejected. Times must not go back.
-    pub fn record(&mut self, now: Nanos, bad: bool) {
+    /// Records the outcome of a part, and whether it signals overload. Times must not go back.
+    pub fn record(&mut self, now: Nanos, overload_signal: bool) {
         self.outcomes.push_back(PartOutcome {
             recorded_at: now,
-            bad,
+            overload_signal,
         });
-        self.bad += usize::from(bad);
+        self.overload_signals += usize::from(overload_signal);
     }
 
     /// Drops the outcomes that were recorded before `since`.
@@ -34,7 +34,7 @@
             .outcomes
             .pop_front_if(|outcome| outcome.recorded_at < since)
         {
-            self.bad -= usize::from(outcome.bad);
+            self.overload_signals -= usize::from(outcome.overload_signal);
         }
     }
 
@@ -43,8 +43,8 @@
         self.outcomes.len()
     }
 
-    /// How many of them are bad.
-    pub fn bad_count(&self) -> usize {
-        self.bad
+    /// How many of them signal overload.
+    pub fn overload_signal_count(&self) -> usize {
+        self.overload_signals
     }
 }
--- a/crates/decisions/src/tables/replica.rs
+++ b/crates/decisions/src/tables/replica.rs
@@ -16,7 +16,8 @@
     Reopened,
 }
 
-/// A random offset to the capacity of a replica that is warming up, so that coordinators do not act in step.
+/// A random offset to the capacity of a replica that is warming up, so that not all coordinators send
+/// it one more part at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartJitter {
     /// When it was drawn.
@@ -32,22 +33,22 @@
     pub latency: Option<f64>,
     /// When `latency` was last updated.
     pub latency_updated_at: Nanos,
-    /// When the replica last gave a sign of life.
-    pub last_alive_at: Nanos,
+    /// When the replica last responded, be it with an answer, an error or a rejection; 0 for never.
+    pub last_response_at: Nanos,
     /// Smoothed time between two answers while parts are in flight there, ns.
     pub answer_interval: SmoothedMean,
-    /// When it last answered; 0 for never.
+    /// When it last answered a part; 0 for never.
     pub last_answer_at: Nanos,
     /// The kind of connection that the last attempt was sent on.
     pub last_connection: ConnectionKind,
-    /// The connections of attempts that were lost since the last sign of life.
+    /// The connections of attempts that were lost since the last response.
     pub lost_connections: Vec<ConnectionKind>,
-    /// How many times in a row it was ejected for being silent.
+    /// How many times it was ejected since it last responded.
     pub consecutive_ejections: u32,
-    /// Until when it is ejected.
+    /// Until when it is ejected, which means that it is tried last.
     pub ejected_until: Nanos,
-    /// Until when it is held to be at its capacity.
-    pub full_until: Nanos,
+    /// Until when it is held to be at its capacity, since it rejected a part.
+    pub at_capacity_until: Nanos,
     /// Times of the recent sends; kept only where the settings limit the load of replicas that are warming up.
     pub recent_sends: TimeWindow,
     /// Offset to its capacity while it is warming up.
@@ -61,14 +62,14 @@
     pub(super) const NONE: ReplicaStats = ReplicaStats {
         latency: None,
         latency_updated_at: 0,
-        last_alive_at: 0,
+        last_response_at: 0,
         answer_interval: SmoothedMean::NONE,
         last_answer_at: 0,
         last_connection: ConnectionKind::Active,
         lost_connections: Vec::new(),
         consecutive_ejections: 0,
         ejected_until: 0,
-        full_until: 0,
+        at_capacity_until: 0,
         recent_sends: TimeWindow::EMPTY,
         slow_start_jitter: SlowStartJitter {
             drawn_at: 0,
@@ -151,7 +152,7 @@
         self.status == EndpointStatus::Ready
     }
 
-    /// Whether it was silent when it should have answered, and has given no sign of life since.
+    /// Whether it failed to respond in time, and has not responded since.
     pub fn suspected(&self) -> bool {
         self.suspected
     }
@@ -161,13 +162,14 @@
         self.stats.as_deref().unwrap_or(&NO_STATS)
     }
 
-    /// How long the oldest part in flight there has been without a sign of life, ns; 0 if none is in flight.
+    /// How long it has not responded although a part is in flight there, ns: since the oldest part was sent or the last
+    /// response came, whichever is later. 0 if nothing is in flight.
     pub fn silent_for(&self, now: Nanos) -> Nanos {
         let stats = self.stats();
         stats
             .open
             .oldest_sent_at()
-            .map_or(0, |sent_at| now - sent_at.max(stats.last_alive_at))
+            .map_or(0, |sent_at| now - sent_at.max(stats.last_response_at))
     }
 
     /// Whether a part that was sent to it at `now` is in flight.
@@ -180,7 +182,7 @@
         self.suspected && self.is_ready()
     }
 
-    /// Records a restart: the latency and silence of the old process say nothing of the new one.
+    /// Records a restart: what was observed of the old process does not apply to the new one.
     pub(super) fn restart(&mut self, started: Nanos) {
         self.started = started;
         self.suspected = false;
--- a/crates/decisions/src/tables/statistics.rs
+++ b/crates/decisions/src/tables/statistics.rs
@@ -46,9 +46,9 @@
 }
 
 impl DecayingCount {
-    /// Counts an event; earlier events decay with the time constant `memory`, ns.
-    pub fn add(&mut self, now: Nanos, memory: f64) {
-        let kept = (-((now - self.counted_at) as f64) / memory).exp();
+    /// Counts an event; earlier events decay with this time constant, ns.
+    pub fn add(&mut self, now: Nanos, time_constant: f64) {
+        let kept = (-((now - self.counted_at) as f64) / time_constant).exp();
         self.count = self.count * kept + 1.0;
         self.counted_at = now;
     }
--- a/crates/decisions/src/timing.rs
+++ b/crates/decisions/src/timing.rs
@@ -12,7 +12,8 @@
 const TIMER_INTERVALS_PER_OBJECTIVE: Nanos = 200;
 /// Least time between two timer events, in batch intervals.
 const MIN_TIMER_INTERVAL_BATCHES: Nanos = 2;
-/// Time in which what is known of a replica fades to the mean of all, in shortest latency objectives.
+/// Time constant with which the estimates of a replica decay to the mean of all replicas, in shortest latency
+/// objectives.
 const FADE_OBJECTIVES: f64 = 5.0;
 
 /// Durations that follow from the settings of all classes.
@@ -42,7 +43,8 @@
         }
     }
 
-    /// The time constant with which what is known of a replica fades to the mean of all, ns.
+    /// The time constant with which the estimates of a replica decay to the mean of all replicas, ns. Older
+    /// observations count as outdated.
     pub fn fade_time(&self) -> f64 {
         FADE_OBJECTIVES * self.shortest_objective
     }
--- a/crates/decisions/src/weight_cutoff.rs
+++ b/crates/decisions/src/weight_cutoff.rs
@@ -1,4 +1,7 @@
-//! The weight cutoff: while many parts are late or rejected, the lightest parts of queries are not sent.
+//! The weight cutoff: while many parts signal overload, the lightest parts of queries are not sent.
+//!
+//! A part signals overload if it is late or rejected, or if no connection to its replica could be established and the
+//! caller takes that as overload.
 
 use crate::batch::Batch;
 use crate::tables::query_table::{Part, Query};
@@ -10,9 +13,9 @@
 const MAX_CUTOFF: f64 = 0.125;
 /// By how much the cutoff rises at a time, as a fraction of a phase's weight.
 const CUTOFF_STEP: f64 = MAX_CUTOFF / 4.0;
-/// Fraction of the recent parts that were late or rejected above which the cutoff rises.
-const MAX_BAD_FRACTION: f64 = 0.1;
-/// Recent parts below which that fraction is noise.
+/// Fraction of the recent parts with an overload signal above which the cutoff rises.
+const MAX_OVERLOAD_SIGNAL_FRACTION: f64 = 0.1;
+/// Number of recent parts below which that fraction is too noisy to act on.
 const MIN_OUTCOMES: usize = 8;
 /// How long the outcomes of parts count, ns.
 const OUTCOME_WINDOW_NS: Nanos = NS_PER_SECOND;
@@ -38,7 +41,7 @@
     }
 
     /// Records that an attempt of a part has ended, unless the part's outcome is recorded already. A failed attempt is
-    /// no outcome unless it means lost capacity: the replica rejected the part, or could not be connected to and
+    /// no outcome unless it signals overload: the replica rejected the part, or no connection could be established and
     /// `connect_failure_is_overload`.
     pub fn record_attempt_end(
         &mut self,
@@ -47,20 +50,20 @@
         outcome: Outcome,
         connect_failure_is_overload: bool,
     ) {
-        let bad = match outcome {
+        let overload_signal = match outcome {
             Outcome::Rejected => true,
             Outcome::ConnectFailed => connect_failure_is_overload,
             _ => false,
         };
-        if part.answered || bad {
-            self.record_outcome(now, part, bad);
+        if part.answered || overload_signal {
+            self.record_outcome(now, part, overload_signal);
         }
     }
 
-    fn record_outcome(&mut self, now: Nanos, part: &mut Part, bad: bool) {
+    fn record_outcome(&mut self, now: Nanos, part: &mut Part, overload_signal: bool) {
         if !part.outcome_recorded {
             part.outcome_recorded = true;
-            self.outcomes.record(now, bad);
+            self.outcomes.record(now, overload_signal);
         }
     }
 
@@ -98,7 +101,8 @@
     }
 
     /// Skips parts lighter than the cutoff, lightest first, but never so many that the rest falls below the class's
-    /// minimum coverage. The higher the cutoff, the more of the weight above that may go.
+    /// minimum coverage. The higher the cutoff, the more of the weight above that minimum may be
+    /// skipped.
     pub fn skip_light_parts(&self, batch: &Batch, query: &mut Query) {
         let minimum_coverage = batch.class(query).minimum_coverage;
         if self.cutoff <= 0.0 || minimum_coverage >= 1.0 {
@@ -126,5 +130,6 @@
 
 fn is_overloaded(outcomes: &RecentOutcomes) -> bool {
     let count = outcomes.len();
-    count >= MIN_OUTCOMES && outcomes.bad_count() as f64 > MAX_BAD_FRACTION * count as f64
+    count >= MIN_OUTCOMES
+        && outcomes.overload_signal_count() as f64 > MAX_OVERLOAD_SIGNAL_FRACTION * count as f64
 }
--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -59,7 +59,7 @@
     ("crates/decisions/src", r"FADE\w*: f64 = 5\.0", "estimates fade over five targets"),
     ("crates/decisions/src", r"SPARE_INTERVALS: Nanos = 2", "two timer intervals are kept free before the target"),
     ("crates/decisions/src", r"MIN_HEDGE_DELAY_FRACTION: f64 = 0\.125;\nconst MAX_HEDGE_DELAY_FRACTION: f64 = 0\.4", "bounds of the hedging delay"),
-    ("crates/decisions/src", r"HEDGE_LIMIT_PER_PART: f64 = 0\.15", "15% of the parts may get a hedged request"),
+    ("crates/decisions/src", r"EXTRA_ATTEMPT_LIMIT_PER_PART: f64 = 0\.15", "15% of the parts may get a hedged request"),
     ("crates/decisions/src", r"MIN_SUSPECTED_FRACTION: f64 = 0\.1", "probes go out from a tenth suspected on"),
 ]
 
@@ -316,7 +316,7 @@
          f"{number(lost)} entries, {as_bytes(size(lost))} a mixer",
          f"and as many at the return; {of(times(size(lost), 1 / CONTROL_BYTES), 's')} each at 24 KB/s"],
         ["probes once a tenth is suspected, each mixer", f"{number(PROBES)} every {FADE_S * 1e3:.0f} ms",
-         "`probe_quiet_replicas`: all without news for one target; `evict_idle_connection` walks "
+         "`probe_idle_replicas`: all without news for one target; `evict_idle_connection` walks "
          f"{LINKS} connections for each"],
     )
 
@@ -414,7 +414,7 @@
          "**fits** by arithmetic below full load; tested to 300 mixers", "slow start, randomised rounding",
          "`slow_start.rs` (`has_capacity`, `refresh_jitter`); wrong with subsetting"],
         ["probes, a tenth suspected", f"{number(PROBES)} a mixer at once", f"{LINKS} connections",
-         verdict(PROBES, LINKS), "probe budget, outlier ejection", "missing: `probe_quiet_replicas` has no bound"],
+         verdict(PROBES, LINKS), "probe budget, outlier ejection", "missing: `probe_idle_replicas` has no bound"],
     ]
 
 
