--- a/crates/decisions/src/attempts.rs
+++ b/crates/decisions/src/attempts.rs
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Sends the part at `index` of the query to the best replica; false if it has expired, the
-    /// rules of retries do not allow it or no replica may get it.
+    /// Sends the part at `index` of the query to the best replica; false if the query has expired, the rules of retries
+    /// do not allow it or no replica may get it.
     fn send_part(
         &mut self,
         batch: &mut Batch,
@@ -200,7 +200,7 @@
         self.hedging.record_hedged_answer(first_attempt_won);
     }
 
-    /// Forgets what is no longer needed.
+    /// Forgets the arrivals and extra attempts that no limit counts any more.
     pub fn forget_expired(&mut self, batch: &Batch) {
         self.budget_usage.forget_expired(batch);
     }
--- a/crates/decisions/src/client_timeouts.rs
+++ b/crates/decisions/src/client_timeouts.rs
@@ -7,9 +7,9 @@
 use crate::{Class, Nanos};
 use std::collections::BTreeMap;
 
-/// Two timeouts within this fraction of the latency objective, as its inverse, count as the same.
+/// Timeouts count as the same where they differ by at most the latency objective divided by this.
 const TOLERANCE_DIVISOR: Nanos = 100;
-/// Most queries by which the usual timeout leads, so that a change among the clients is noticed soon.
+/// Most votes by which the usual timeout may lead, so that a few queries suffice to replace it.
 const MAX_LEAD: u32 = 16;
 
 /// The usual timeouts of clients' first requests.
@@ -20,8 +20,8 @@
 }
 
 impl ClientTimeouts {
-    /// How much of the client's time was used up before the query was sent, ns: 0 for its first request. A client's
-    /// retry is taken to have the time as its timeout that the first request left of the deadline.
+    /// How much of the client's time was used up before the query was sent, ns: 0 for its first request. A retry's
+    /// timeout is taken to be what the earlier requests left of the deadline.
     pub fn time_used(&mut self, batch: &Batch, class: &Class, query: &QueryArrival) -> Nanos {
         let tolerance = class.latency_objective / TOLERANCE_DIVISOR;
         let key = (query.class, query.tenant);
--- a/crates/decisions/src/hedging.rs
+++ b/crates/decisions/src/hedging.rs
@@ -12,9 +12,10 @@
 /// time as well.
 pub const MIN_HEDGE_DELAY_FRACTION: f64 = 0.125;
 const MAX_HEDGE_DELAY_FRACTION: f64 = 0.4;
-/// Recent extra attempts, retries included, below which a hedged request is always allowed.
+/// Recent extra attempts, retries included, from which on no part is hedged, however few parts there are;
+/// [`RetryBudgetUsage`] says what is recent.
 const MIN_EXTRA_ATTEMPT_LIMIT: f64 = 3.0;
-/// By how much each recent part raises that limit.
+/// By how much each recent query or part raises that limit.
 const EXTRA_ATTEMPT_LIMIT_PER_PART: f64 = 0.15;
 /// Weight of one hedged part in the rate at which first attempts win.
 const WIN_RATE_SMOOTHING: f64 = 0.1;
--- a/crates/decisions/src/latency_estimates.rs
+++ b/crates/decisions/src/latency_estimates.rs
@@ -12,7 +12,7 @@
 /// Weight of an answer in a replica's smoothed latency.
 pub const ANSWER_SMOOTHING: f64 = 0.2;
 /// Weight of a failed attempt or probe in a replica's smoothed latency. A replica that fails fast would otherwise look
-/// fast and draw all parts.
+/// fast and attract all parts.
 const FAILURE_SMOOTHING: f64 = 0.6;
 /// Weight of an answer in the mean over all replicas, which sees far more of them.
 const FLEET_SMOOTHING: f64 = 0.03;
--- a/crates/decisions/src/outlier_detection.rs
+++ b/crates/decisions/src/outlier_detection.rs
@@ -5,7 +5,8 @@
 //! call, and is tried last again while that is in flight.
 //!
 //! Any response counts: an answer, an error, a rejection, the start of a streamed response or a successful probe. A
-//! replica is silent while it has not responded since the oldest part in flight there was sent.
+//! replica with parts in flight is silent since its last response, or since the oldest of these parts was sent if that
+//! was later.
 
 use crate::batch::Batch;
 use crate::hedging::hedge_delay;
@@ -28,8 +29,8 @@
     batch.now + (AT_CAPACITY_OBJECTIVES * batch.timing.shortest_objective) as Nanos
 }
 
-/// Whether the end of an attempt counts as a failure of the replica. A cancelled one does if the replica has not
-/// responded since it was sent, for longer than the hedging delay.
+/// Whether the end of an attempt counts as a failure of the replica. A cancelled one does if it was in flight
+/// for longer than the hedging delay and the replica has not responded since it was sent.
 pub fn is_failure(
     batch: &Batch,
     latencies: &LatencyEstimates,
--- a/crates/decisions/src/replica_set.rs
+++ b/crates/decisions/src/replica_set.rs
@@ -122,11 +122,11 @@
                 connection: attempt.connection,
                 outcome,
             };
-            self.record_end_at(batch, slot, ended);
+            self.record_end_for_slot(batch, slot, ended);
         }
     }
 
-    fn record_end_at(&mut self, batch: &mut Batch, slot: Slot, attempt: EndedAttempt) {
+    fn record_end_for_slot(&mut self, batch: &mut Batch, slot: Slot, attempt: EndedAttempt) {
         self.update_stats(batch, slot, &attempt);
         self.table.close_part(slot, attempt.sent_at);
         match attempt.outcome {
@@ -193,7 +193,7 @@
                     connection: ConnectionKind::Active,
                     outcome,
                 };
-                self.record_end_at(batch, slot, probe);
+                self.record_end_for_slot(batch, slot, probe);
             }
             Outcome::Ok => self.record_response(batch, slot),
             _ => {}
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -43,7 +43,8 @@
     hedging_allowed && usage.allows_extra_attempt(batch.settings, class, batch.now)
 }
 
-/// Whether a part whose attempts have all failed is retried now: at once after the first, else a while after the last.
+/// Whether a part whose attempts have all failed is retried now: at once after the first, else
+/// [`MIN_HEDGE_DELAY_FRACTION`] of the phase's duration after the last was sent.
 pub fn is_due(now: Nanos, part: &Part, last: &Attempt, phase_duration: f64) -> bool {
     let age = (now - last.sent_at) as f64;
     part.attempts.len() < ATTEMPTS_BEFORE_DELAY || age > MIN_HEDGE_DELAY_FRACTION * phase_duration
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -42,7 +42,7 @@
     seed: u64,
     /// When the first batch came; 0 before.
     first_batch_at: Nanos,
-    /// Parts that all replicas have answered.
+    /// Parts answered, over all replicas.
     answered_parts: DecayingCount,
     parts_per_query: SmoothedMean,
 }
--- a/crates/decisions/src/tables/open_parts.rs
+++ b/crates/decisions/src/tables/open_parts.rs
@@ -1,4 +1,4 @@
-//! The parts in flight at one replica, and the calls that they share. Running totals make reading them
+//! The parts in flight at one replica, and the calls that they share. Running totals make the cost of reading them
 //! independent of how many parts are in flight.
 
 use crate::Nanos;
--- a/crates/decisions/src/tables/query_table.rs
+++ b/crates/decisions/src/tables/query_table.rs
@@ -162,7 +162,9 @@
 #[derive(Debug, Default)]
 pub struct QueryTable {
     queries: BTreeMap<RequestId, Query>,
+    /// The query of each group.
     by_group: BTreeMap<u32, RequestId>,
+    /// The query of each part.
     by_part: BTreeMap<RequestId, RequestId>,
     due: DueQueue,
 }
--- a/crates/decisions/src/tables/replica.rs
+++ b/crates/decisions/src/tables/replica.rs
@@ -16,8 +16,8 @@
     Reopened,
 }
 
-/// A random offset to the capacity of a replica that is warming up, so that not all coordinators send
-/// it one more part at the same time.
+/// A random offset to the capacity of a replica that is warming up, so that not all coordinators send it one
+/// more part at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStartJitter {
     /// When it was drawn.
@@ -43,7 +43,7 @@
     pub last_connection: ConnectionKind,
     /// The connections of attempts that were lost since the last response.
     pub lost_connections: Vec<ConnectionKind>,
-    /// How many times it was ejected since it last responded.
+    /// How many times it was ejected since it last responded or started.
     pub consecutive_ejections: u32,
     /// Until when it is ejected, which means that it is tried last.
     pub ejected_until: Nanos,
--- a/crates/decisions/src/tables/statistics.rs
+++ b/crates/decisions/src/tables/statistics.rs
@@ -107,7 +107,7 @@
     }
 }
 
-/// The most common duration, by a running majority vote.
+/// The most common duration, by a running (Boyer-Moore) majority vote.
 #[derive(Debug, Default)]
 pub struct MajorityDuration {
     duration: Nanos,
--- a/crates/decisions/src/weight_cutoff.rs
+++ b/crates/decisions/src/weight_cutoff.rs
@@ -80,13 +80,13 @@
         }
         let since_overload = batch.now.saturating_sub(self.last_overload_at);
         if overloaded {
-            self.change(batch, (self.cutoff + CUTOFF_STEP).min(MAX_CUTOFF));
+            self.set_cutoff(batch, (self.cutoff + CUTOFF_STEP).min(MAX_CUTOFF));
         } else if since_overload >= RECOVERY_TIME_NS {
-            self.change(batch, 0.0);
+            self.set_cutoff(batch, 0.0);
         }
     }
 
-    fn change(&mut self, batch: &mut Batch, cutoff: f64) {
+    fn set_cutoff(&mut self, batch: &mut Batch, cutoff: f64) {
         if cutoff == self.cutoff {
             return;
         }
@@ -101,8 +101,7 @@
     }
 
     /// Skips parts lighter than the cutoff, lightest first, but never so many that the rest falls below the class's
-    /// minimum coverage. The higher the cutoff, the more of the weight above that minimum may be
-    /// skipped.
+    /// minimum coverage. The higher the cutoff, the more of the weight above that minimum may be skipped.
     pub fn skip_light_parts(&self, batch: &Batch, query: &mut Query) {
         let minimum_coverage = batch.class(query).minimum_coverage;
         if self.cutoff <= 0.0 || minimum_coverage >= 1.0 {
