--- a/crates/decisions/src/coordinator/event_handling.rs
+++ b/crates/decisions/src/coordinator/event_handling.rs
@@ -78,9 +78,9 @@
         let Some(attempt) = self.attempts.remove_in_flight(part, number) else {
             return;
         };
-        // A replica without recent news may just be slow to connect.
+        // A replica that has not responded recently may just be slow to connect.
         let connect_failure_is_overload = batch.settings.retry_budget.is_some()
-            || self.replicas.has_recent_news(batch, attempt.replica);
+            || self.replicas.has_responded_recently(batch, attempt.replica);
         self.replicas.record_end(batch, &attempt, outcome);
         let Some(part) = self.queries.part_mut(part) else {
             return;
--- a/crates/decisions/src/coordinator/mod.rs
+++ b/crates/decisions/src/coordinator/mod.rs
@@ -131,7 +131,7 @@
         for query in self.pop_due_queries(batch.now) {
             self.process_query(batch, query);
         }
-        self.replicas.probe_quiet_replicas(batch);
+        self.replicas.probe_idle_replicas(batch);
         let log_lines = std::mem::take(&mut batch.log_lines);
         batch.actions.extend(log_lines.into_iter().map(Action::Log));
         self.schedule_timer(batch);
