--- a/crates/decisions/src/events.rs
+++ b/crates/decisions/src/events.rs
@@ -53,7 +53,8 @@
     Rejected,
     /// No response in time; the part may have executed.
     TimedOut,
-    /// No connection could be established; the part did not execute.
+    /// No connection could be established, none could be opened since no descriptor was free, or the connection closed
+    /// before the part had been sent; the part did not execute. Also a probe whose connection closed.
     ConnectFailed,
     /// The connection was lost after the part had been sent; it may have executed.
     ConnectionReset,
--- a/crates/mixer/src/config/error.rs
+++ b/crates/mixer/src/config/error.rs
@@ -42,14 +42,14 @@
         /// The first missing item, counted from 0.
         index: usize,
     },
-    /// The value is not of the setting's type, or not one of its words.
+    /// The value is not of the setting's type, or not one of its allowed values.
     #[error("setting {key}: bad value '{value}'")]
     InvalidValue {
         /// The setting.
         key: String,
         /// Its value as written.
         value: String,
-        /// What is allowed.
+        /// What is allowed; for callers, the text does not print it.
         expected: &'static str,
     },
     /// The number is outside the setting's range.
@@ -59,7 +59,7 @@
         key: String,
         /// The number as parsed.
         value: String,
-        /// What is allowed.
+        /// What is allowed; for callers, the text does not print it.
         expected: &'static str,
     },
     /// The number does not fit 32 bits.
@@ -67,9 +67,9 @@
     TooLarge {
         /// The setting.
         key: String,
-        /// The number.
+        /// The number; for callers, the text does not print it.
         value: u64,
-        /// The largest number that is allowed.
+        /// The largest number that is allowed; for callers, the text does not print it.
         max: u32,
     },
     /// Queries of two phases are configured; the query protocol does not support them.
@@ -77,7 +77,7 @@
     SecondPhaseUnsupported {
         /// The setting.
         key: &'static str,
-        /// The number of parts in the second phase.
+        /// The number of parts in the second phase; for callers, the text does not print it.
         value: u32,
     },
 }
--- a/crates/mixer/src/config/settings/mixer_settings.rs
+++ b/crates/mixer/src/config/settings/mixer_settings.rs
@@ -16,13 +16,13 @@
 /// [`MixerSettings::drain_grace`] where the settings do not state it.
 const DEFAULT_DRAIN_GRACE_NS: Nanos = 250_000_000;
 
-/// What the mixer has to know beside the settings of the decisions. Lists by class, tenant or zone are in the order
-/// of their numbers.
+/// The settings of the mixer around the decisions, whose own are in `cottonhill_decisions::Settings`. Lists by class,
+/// tenant or zone are in the order of their numbers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MixerSettings {
     /// Names of the classes.
     pub classes: Vec<String>,
-    /// Names of the tenants; empty where tenants are not told apart.
+    /// Names of the tenants; empty where tenants are not distinguished.
     pub tenants: Vec<String>,
     /// Names of the zones.
     pub zones: Vec<String>,
@@ -42,15 +42,18 @@
     pub max_streams_per_connection: usize,
     /// Most attempts of one part.
     pub max_attempts: usize,
-    /// Most queries that may be open, and most parts.
+    /// The most open queries and unanswered parts together; at this number a new query is rejected.
     pub max_open_requests: usize,
     /// Time for a connection to a leaf server to be established, ns.
     pub connect_timeout: Nanos,
     /// Unused connections to leaf servers are closed after this time, ns.
     pub connection_idle_timeout: Nanos,
-    /// The longest `Retry-After` of a rejected query, ns; 0 where none is to be given.
+    /// `Retry-After` of a query that is rejected before the coordinator decides on it, ns. It is sent even if it is 0;
+    /// a query that the coordinator rejects gets none then.
     pub max_retry_after: Nanos,
-    /// After a replica was announced as draining or removed, new attempts may go to it for this time, ns.
+    /// How long after a replica was announced as draining or removed an attempt may still start there, ns. The
+    /// mixer makes no new attempt once it has received the announcement; the grace bounds the interval between requests
+    /// to an agent, and how long a call may wait in its socket.
     pub drain_grace: Nanos,
     /// Datagrams are exchanged with the other mixers.
     pub peer_messages_enabled: bool,
--- a/crates/mixer/src/protocol/query_json/mod.rs
+++ b/crates/mixer/src/protocol/query_json/mod.rs
@@ -17,7 +17,7 @@
 pub struct QuerySchema {
     /// Names of the classes, by their numbers.
     pub classes: Vec<String>,
-    /// Names of the tenants, by their numbers; empty where tenants are not told apart.
+    /// Names of the tenants, by their numbers; empty where tenants are not distinguished.
     pub tenants: Vec<String>,
     /// By class: the client's timeout if the request states none, in nanoseconds.
     pub default_timeouts: Vec<Nanos>,
@@ -51,7 +51,7 @@
     pub timeout: Nanos,
     /// The client marked it as a retry.
     pub client_retry: bool,
-    /// The client's idempotency key, the same on each of its tries.
+    /// The client's idempotency key, the same on each of its retries.
     pub idempotency_key: Option<String>,
     /// The parts, at most one for each shard.
     pub parts: Vec<PartRequest>,
@@ -84,7 +84,7 @@
 pub enum Reply {
     /// A query's answer, complete or partial.
     Answer {
-        /// Whether it rests on all parts.
+        /// Whether the weight of the answered parts reaches the class's completeness threshold.
         complete: bool,
         /// One hit for each part that was answered.
         hits: Vec<Hit>,
--- a/crates/mixer/src/protocol/query_json/request.rs
+++ b/crates/mixer/src/protocol/query_json/request.rs
@@ -96,10 +96,10 @@
         .header("x-request-id")
         .ok_or(RequestError::bad_request("X-Request-ID is missing"))?;
     // It goes into lines of the protocol to leaf servers: a blank or control character could forge another field.
-    let is_plain_word = !id.is_empty()
+    let is_valid = !id.is_empty()
         && id.len() <= MAX_REQUEST_ID_BYTES
         && id.bytes().all(|byte| byte.is_ascii_graphic());
-    if is_plain_word {
+    if is_valid {
         Ok(id.to_string())
     } else {
         Err(RequestError::bad_request(
@@ -141,7 +141,7 @@
     Some((number * ns_per_unit).min(MAX_DURATION_NS) as Nanos)
 }
 
-/// The tenant's number; 0 where tenants are not told apart.
+/// The tenant's number; 0 where tenants are not distinguished.
 fn parse_tenant(request: &Request, schema: &QuerySchema) -> Result<usize, RequestError> {
     if schema.tenants.is_empty() {
         return Ok(0);
--- a/crates/mixer/src/reducer/attempt_results.rs
+++ b/crates/mixer/src/reducer/attempt_results.rs
@@ -1,4 +1,4 @@
-//! What comes in from leaf servers, and how attempts and probes end.
+//! Frames from leaf servers, and how attempts and probes end.
 
 use super::leaf_connection::{AnswerTarget, AttemptId};
 use super::probes::ProbeId;
@@ -25,8 +25,8 @@
             LeafResponse::ProbeAnswer { ok, report } => {
                 self.on_probe_answer(now, id, ok, &report);
             }
-            LeafResponse::ProtocolError(words) => {
-                tracing::warn!(target: log_targets::CONNECTIONS, link = id, words, "leaf server reported a protocol error");
+            LeafResponse::ProtocolError(reason) => {
+                tracing::warn!(target: log_targets::CONNECTIONS, link = id, words = reason, "leaf server reported a protocol error");
             }
             LeafResponse::Malformed(wire_id) => {
                 self.on_malformed_answer(now, id, wire_id.as_deref());
@@ -150,7 +150,8 @@
         self.report_attempt_ended(id, replica, outcome, report);
     }
 
-    /// Ends an attempt that found no connection.
+    /// Ends an attempt that was not placed on a connection: `NotSent` if it is not allowed, `ConnectFailed` if no
+    /// connection could be opened.
     pub(super) fn end_unplaced_attempt(
         &mut self,
         id: AttemptId,
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -15,7 +15,7 @@
     pub(super) connection: ConnectionId,
     /// When it times out.
     pub(super) expires_at: Nanos,
-    /// The shard that is asked.
+    /// The shard to search.
     pub(super) shard: u32,
     /// The text of the query.
     pub(super) text: Bytes,
--- a/crates/mixer/src/reducer/backoff.rs
+++ b/crates/mixer/src/reducer/backoff.rs
@@ -1,6 +1,6 @@
 //! Delays between retries: exponential backoff with jitter, and a first delay that grows with the number of mixers.
-//! Hundreds of mixers that lost discovery at the same instant and retried in step would overload the one service that
-//! could help them.
+//! Hundreds of mixers that lost discovery at the same instant and retried in lockstep would overload the one service
+//! that could help them.
 
 use fastrand::Rng;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 
 impl Backoff {
     /// For one of `mixers` mixers, with delays of `max_delay` at most. The mixers must have different seeds, or they
-    /// would retry in step.
+    /// would retry in lockstep.
     pub fn new(seed: u64, mixers: u32, max_delay: Duration) -> Backoff {
         let first_bound = TIME_PER_MIXER.saturating_mul(mixers.max(1)).min(max_delay);
         Backoff {
@@ -37,12 +37,13 @@
         }
     }
 
-    /// How long to wait after the operation has ended, `limit` at most. `succeeded` says that it brought what was asked
-    /// for, so that this failure counts as a first one; `retry_after` is the least delay that the service asked for.
+    /// How long to wait after the operation has ended, `limit` at most. `succeeded` says that it had succeeded
+    /// before it ended, so that its end counts as a first failure; `retry_after` is the least delay that the service
+    /// requested.
     ///
     /// The first delay may be zero, so that mixers which failed at once don't all retry at once; later ones are at
     /// least half of their upper bound, so that retries become fewer. Mixers that were rejected together got the same
-    /// `retry_after`: half of `limit` is left to spread their retries in, however long that is.
+    /// `retry_after`: half of `limit` is reserved to spread their retries, however long that is.
     pub fn next_delay(
         &mut self,
         succeeded: bool,
--- a/crates/mixer/src/reducer/batch.rs
+++ b/crates/mixer/src/reducer/batch.rs
@@ -39,15 +39,15 @@
             Timer::ProbeTimeout(probe) => self.end_probe(now, probe, Outcome::TimedOut, ""),
             Timer::QueryDeadline(query) => self.on_query_deadline(now, query),
             Timer::WatermarkDue => self.record_watermark(now),
-            Timer::DrainElapsed => self.begin_graceful_shutdown(),
+            Timer::GracePeriodElapsed => self.begin_draining(),
             Timer::ShutdownDeadline => self.on_shutdown_deadline(now),
             Timer::DiscoveryTimeout => self.on_discovery_timeout(now),
-            Timer::SwitchSettled(address) => self.effects.push(Effect::WatchEndpoints {
+            Timer::DiscoverySwitchSettled(address) => self.effects.push(Effect::WatchEndpoints {
                 address,
                 from_version: None,
             }),
-            Timer::WriteStalled(connection, handed_over_at) => {
-                self.on_write_stalled(now, connection, handed_over_at);
+            Timer::WriteStalled(connection, write_started_at) => {
+                self.on_write_stalled(now, connection, write_started_at);
             }
         }
     }
--- a/crates/mixer/src/reducer/client_requests.rs
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -57,13 +57,13 @@
     }
 
     /// A call for a client that has disconnected may still wait in its socket for its first byte, even one that was
-    /// cancelled. The socket gets half of the time in which it may start to report that it was written; the other half
-    /// is for closing the connection.
+    /// cancelled. The socket has half of the time in which the call may start to report that it was written; the other
+    /// half is for closing the connection.
     fn limit_write_after_disconnect(&mut self, now: Nanos, parts: &[RequestId]) {
         let due = now + MAX_START_AFTER_DISCONNECT / 2;
-        for (connection, handed_over_at) in self.connections.writing_any_of(parts) {
+        for (connection, write_started_at) in self.connections.writing_any_of(parts) {
             self.timers
-                .set(due, Timer::WriteStalled(connection, handed_over_at));
+                .set(due, Timer::WriteStalled(connection, write_started_at));
         }
     }
 
@@ -92,7 +92,7 @@
         let stats = Stats {
             counters: &self.counters,
             endpoint_list_version: self.replicas.version(),
-            ms_since_discovery_heard: self.discovery.ms_since_heard(now),
+            ms_since_discovery_message: self.discovery.ms_since_last_message(now),
         };
         serde_json::to_vec_pretty(&stats).unwrap_or_default()
     }
@@ -119,7 +119,7 @@
         if !self.clients.contains(client) {
             return;
         }
-        // The leaf servers could not tell its parts from those of the open query.
+        // Leaf servers could not distinguish its parts from those of the open query.
         if self.queries.contains_request_id(&request.request_id) {
             let error = RequestError {
                 status: 409,
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -19,7 +19,7 @@
     last_active_at: Nanos,
     /// It has sent a query that was accepted.
     sent_accepted_query: bool,
-    /// The transport was asked to close it.
+    /// The transport was requested to close it.
     close_requested: bool,
 }
 
--- a/crates/mixer/src/reducer/connection_handling.rs
+++ b/crates/mixer/src/reducer/connection_handling.rs
@@ -9,7 +9,8 @@
 /// The share of the idle timeout, in tenths, after which a connection is closed. The leaf server closes it at the end
 /// of the timeout, and what is written from then on is lost.
 const IDLE_TIMEOUT_TENTHS: Nanos = 9;
-/// What a socket gets at least to take a call of a replica that is draining or gone, if the settings state no grace.
+/// The least time that a socket has to write a call to a replica that is draining or gone, if the settings state no
+/// grace.
 const MIN_WRITE_TIMEOUT: Nanos = 25 * NANOS_PER_MS;
 
 impl Reducer {
@@ -100,17 +101,17 @@
         }
     }
 
-    /// Takes back the attempts that have not been handed to the socket. A call that was may still wait there for its
-    /// first byte.
+    /// Withdraws the attempts that have not been handed to the socket. A call that was may still wait there for its
+    /// first byte to be written.
     pub(super) fn withdraw_unsent_attempts(&mut self, now: Nanos, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else {
             return;
         };
-        if let Some(handed_over_at) = connection.writing_call_since() {
+        if let Some(write_started_at) = connection.writing_call_since() {
             // Half of the grace is for the socket to report the call as written, half for closing the connection.
             let due = now + (self.settings.drain_grace / 2).max(MIN_WRITE_TIMEOUT);
             self.timers
-                .set(due, Timer::WriteStalled(id, handed_over_at));
+                .set(due, Timer::WriteStalled(id, write_started_at));
         }
         let unsent = connection.unsent_attempts();
         self.counters.watches.withdrawn_attempts += unsent.len() as u64;
@@ -120,15 +121,20 @@
         self.connections.schedule_flush(id);
     }
 
-    /// Closes a connection whose socket still has the call that it was handed at that time: the call must not start any
-    /// more, since its replica is leaving, its client has disconnected, or the leaf server may not recognise a
-    /// repetition.
-    pub(super) fn on_write_stalled(&mut self, now: Nanos, id: ConnectionId, handed_over_at: Nanos) {
+    /// Closes a connection that is still writing the call handed to its socket at `write_started_at`: the call must not
+    /// start any more, since its replica is draining or gone, its client has disconnected, or the leaf server may not
+    /// recognise a repeated attempt.
+    pub(super) fn on_write_stalled(
+        &mut self,
+        now: Nanos,
+        id: ConnectionId,
+        write_started_at: Nanos,
+    ) {
         let writing_since = self
             .connections
             .get(id)
             .and_then(|connection| connection.writing_call_since());
-        if writing_since != Some(handed_over_at) {
+        if writing_since != Some(write_started_at) {
             return;
         }
         self.counters.connections.write_stalled += 1;
@@ -203,7 +209,8 @@
         self.remove_connection(now, id);
     }
 
-    /// Removes a connection that has ended, and ends what was open on it.
+    /// Removes a connection that has ended, and ends what was open on it. An attempt whose frame was not written
+    /// completely ends as `ConnectFailed`, even if the connection was established; so does every probe.
     fn remove_connection(&mut self, now: Nanos, id: ConnectionId) {
         let Some((replica, connection)) = self.connections.remove(id) else {
             return;
--- a/crates/mixer/src/reducer/counters.rs
+++ b/crates/mixer/src/reducer/counters.rs
@@ -14,9 +14,9 @@
     /// The version of the current endpoint list.
     #[serde(rename = "list")]
     pub endpoint_list_version: u64,
-    /// Milliseconds since discovery last sent an update or a heartbeat.
+    /// Milliseconds since the last update or heartbeat of discovery was received; before that, since the start.
     #[serde(rename = "heard_ms_ago")]
-    pub ms_since_discovery_heard: u64,
+    pub ms_since_discovery_message: u64,
 }
 
 /// All counters.
@@ -65,13 +65,14 @@
     /// Of the queries accepted, those that their clients marked as retries.
     #[serde(rename = "repeats")]
     pub client_retries: u64,
-    /// Requests that can't be served: malformed, or with the id of an open query.
+    /// Requests that can't be served: malformed, for an unknown path, class, tenant or shard, or with the id of an open
+    /// query.
     #[serde(rename = "rejected")]
     pub invalid: u64,
-    /// Queries rejected since the limit of open queries and parts was reached.
+    /// Queries rejected since open queries and unanswered parts together had reached their limit.
     #[serde(rename = "over_cap")]
     pub over_limit: u64,
-    /// Queries rejected since their clients had no time left when they were received.
+    /// Queries rejected since no time remained: of their clients' timeouts, or before the exit.
     #[serde(rename = "too_late")]
     pub no_time_left: u64,
 }
@@ -139,10 +140,10 @@
 /// How accepted queries ended.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReplyCounters {
-    /// Answered from all parts.
+    /// Answered from parts whose weight reaches the class's completeness threshold.
     #[serde(rename = "whole")]
     pub complete: u64,
-    /// Answered from some of the parts.
+    /// Answered as partial, from parts whose weight reaches the class's minimum coverage.
     pub partial: u64,
     /// Rejected by the coordinator.
     #[serde(rename = "refused")]
@@ -164,11 +165,12 @@
     /// Connects to leaf servers that failed or timed out.
     #[serde(rename = "failed")]
     pub connect_failed: u64,
-    /// Connections that leaf servers reset or closed.
+    /// Established connections to leaf servers that ended without being closed by the reducer: reset, closed by the
+    /// server, or failed.
     pub broken: u64,
     /// Times that a connection fell silent: an attempt was left unanswered and nothing was received since.
     pub silent: u64,
-    /// Connections closed since a malformed answer was received.
+    /// Connections closed since a malformed answer was received, or one to an attempt that was never sent.
     #[serde(rename = "spoilt")]
     pub malformed: u64,
     /// Connections closed since they were idle for too long.
@@ -187,12 +189,12 @@
     /// Watches and snapshots requested.
     #[serde(rename = "asked")]
     pub requested: u64,
-    /// Watches and requests that ended without what was asked for.
+    /// Watches that ended, and requests for a snapshot that failed.
     pub ended: u64,
-    /// Of those ended, the ones that had fallen silent.
+    /// Of those ended, the ones that timed out: no connection, update or heartbeat in time.
     pub silent: u64,
-    /// Attempts withdrawn before they were handed to a socket, since an update announced that their replica leaves or
-    /// has another address.
+    /// Attempts withdrawn before they were handed to a socket, since an update announced that their replica is draining
+    /// or gone, or has another address.
     #[serde(rename = "withdrawn")]
     pub withdrawn_attempts: u64,
     /// Starts that went on from the cached endpoint list, as discovery sent none in time.
--- a/crates/mixer/src/reducer/discovery.rs
+++ b/crates/mixer/src/reducer/discovery.rs
@@ -11,12 +11,12 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How discovery is asked, and when it last answered.
+/// How the endpoint list is requested from discovery, and when discovery last sent anything.
 #[derive(Debug)]
 pub(super) struct Discovery {
     watch_policy: WatchPolicy,
     /// When an update or a heartbeat last arrived; before that, when the process started.
-    last_heard_at: Nanos,
+    last_received_at: Nanos,
 }
 
 impl Discovery {
@@ -29,11 +29,11 @@
         let mode = watch_mode(mixer_settings, settings);
         Discovery {
             watch_policy: WatchPolicy::new(mode, seed, settings.fleet_size),
-            last_heard_at: now,
+            last_received_at: now,
         }
     }
 
-    /// When discovery is asked, and how long it is waited for.
+    /// When the endpoint list is requested from discovery, and the timeouts of these requests.
     pub(super) fn watch_policy(&self) -> &WatchPolicy {
         &self.watch_policy
     }
@@ -49,12 +49,12 @@
     }
 
     /// Milliseconds since an update or a heartbeat last arrived.
-    pub(super) fn ms_since_heard(&self, now: Nanos) -> u64 {
-        now.saturating_sub(self.last_heard_at) / NANOS_PER_MS
+    pub(super) fn ms_since_last_message(&self, now: Nanos) -> u64 {
+        now.saturating_sub(self.last_received_at) / NANOS_PER_MS
     }
 }
 
-/// How discovery announces changes, as the settings state it.
+/// The watch mode that the settings state.
 fn watch_mode(mixer_settings: &MixerSettings, settings: &Settings) -> WatchMode {
     match settings.discovery_mode {
         DiscoveryMode::Poll => {
@@ -82,10 +82,10 @@
             whole = snapshot,
             changed = changes.endpoints.len(),
             leaving = changes.leaving.len(),
-            since_heard_ms = self.discovery.ms_since_heard(now),
+            since_heard_ms = self.discovery.ms_since_last_message(now),
             "endpoint update applied"
         );
-        self.discovery.last_heard_at = now;
+        self.discovery.last_received_at = now;
         if self.replicas.has_ready() {
             self.lifecycle.on_ready_endpoint();
         }
@@ -94,8 +94,8 @@
             kind: EndpointUpdateKind::Delta,
             endpoints: changes.endpoints,
         });
-        // What waits for a replica that is draining or gone is never sent, nor what waits for an address that a
-        // replica has left.
+        // Attempts that wait for a replica that is draining or gone are never sent, nor those that wait for the former
+        // address of a replica.
         for replica in changes.leaving {
             tracing::debug!(target: log_targets::CONNECTIONS, replica = replica.0, index, "replica announced as draining or gone");
             for connection in self.replicas.connections(replica).to_vec() {
@@ -110,10 +110,10 @@
 
     fn count_update(&mut self, invalid_entries: u64, changes: &EndpointChanges) {
         self.counters.endpoint_updates += 1;
-        let bad_lists = &mut self.counters.update_faults;
-        bad_lists.invalid_entries += invalid_entries;
-        bad_lists.duplicate_entries += changes.duplicate_entries;
-        bad_lists.unknown_removals += changes.unknown_removals;
+        let update_faults = &mut self.counters.update_faults;
+        update_faults.invalid_entries += invalid_entries;
+        update_faults.duplicate_entries += changes.duplicate_entries;
+        update_faults.unknown_removals += changes.unknown_removals;
     }
 
     pub(super) fn on_discovery_timeout(&mut self, now: Nanos) {
@@ -160,20 +160,20 @@
 
     pub(super) fn on_watch_event(&mut self, now: Nanos, event: WatchEvent) {
         let watches = &mut self.counters.watches;
-        let bad_lists = &mut self.counters.update_faults;
+        let update_faults = &mut self.counters.update_faults;
         match event {
             WatchEvent::Requested => watches.requested += 1,
-            WatchEvent::Heartbeat => self.discovery.last_heard_at = now,
+            WatchEvent::Heartbeat => self.discovery.last_received_at = now,
             WatchEvent::Ended { silent } => {
                 watches.ended += 1;
                 watches.silent += u64::from(silent);
             }
-            WatchEvent::UpdateRejected(UpdateFault::TooLarge) => bad_lists.too_large += 1,
-            WatchEvent::UpdateRejected(UpdateFault::Malformed) => bad_lists.malformed += 1,
+            WatchEvent::UpdateRejected(UpdateFault::TooLarge) => update_faults.too_large += 1,
+            WatchEvent::UpdateRejected(UpdateFault::Malformed) => update_faults.malformed += 1,
             WatchEvent::UpdateRejected(UpdateFault::VersionRegressed) => {
-                bad_lists.version_regressed += 1
+                update_faults.version_regressed += 1
             }
-            WatchEvent::VersionRegressed => bad_lists.snapshot_version_regressed += 1,
+            WatchEvent::VersionRegressed => update_faults.snapshot_version_regressed += 1,
         }
     }
 
@@ -190,8 +190,9 @@
             // Versions of another address don't compare with the current one.
             from_version = None;
             let settled_at = self.replicas.on_discovery_switched(now);
-            self.timers.cancel_switch_settled();
-            self.timers.set(settled_at, Timer::SwitchSettled(address));
+            self.timers.cancel_discovery_switch_settled();
+            self.timers
+                .set(settled_at, Timer::DiscoverySwitchSettled(address));
         }
         self.effects.push(Effect::WatchEndpoints {
             address,
--- a/crates/mixer/src/reducer/dispatch.rs
+++ b/crates/mixer/src/reducer/dispatch.rs
@@ -1,4 +1,4 @@
-//! What goes out to leaf servers: attempts, probes, and the frames that carry them.
+//! Sending to leaf servers: attempts, probes, and the frames that carry them.
 
 use super::attempts::Attempt;
 use super::leaf_connection::{AttemptId, CallAttempt, QueuedFrame};
@@ -40,6 +40,7 @@
         if !self.is_ready(replica) || !is_allowed {
             return self.end_unplaced_attempt(id, replica, Outcome::NotSent);
         }
+        // No descriptor is free for a connection: as if the connect had failed, since the attempt did not run.
         let Some(connection) = self.connection_for(now, replica, &wire_id) else {
             return self.end_unplaced_attempt(id, replica, Outcome::ConnectFailed);
         };
@@ -120,7 +121,8 @@
         self.probes.insert(id, probe);
     }
 
-    /// Hands each connection that has work its next frame, and closes those that have none and will get none.
+    /// Hands each connection that may have a frame to write its next one, and closes the idle ones that will get no new
+    /// attempts.
     pub(super) fn flush_connections(&mut self, now: Nanos) {
         while let Some(connection) = self.connections.pop_to_flush() {
             self.end_expired_attempts(now, connection);
@@ -175,7 +177,7 @@
             });
             return;
         }
-        // Nothing was left to write: as if it were written, and on to the next frame.
+        // All attempts of the call have ended: it counts as written, and the next frame follows.
         if let Some(connection) = self.connections.get_mut(id) {
             connection.on_frame_written();
         }
@@ -243,7 +245,7 @@
             target: log_targets::ATTEMPTS, replica = replica.0,
             parts = parts.len(),
             index = self.replicas.version(),
-            since_heard_ms = self.discovery.ms_since_heard(now),
+            since_heard_ms = self.discovery.ms_since_last_message(now),
             "call written"
         );
         if parts.is_empty() {
--- a/crates/mixer/src/reducer/input.rs
+++ b/crates/mixer/src/reducer/input.rs
@@ -22,7 +22,7 @@
     Heartbeat,
     /// The watch ended.
     Ended {
-        /// Nothing came on it in time, although its connection was open.
+        /// It timed out: no connection, update or heartbeat in time.
         silent: bool,
     },
     /// An update was rejected; the endpoint list stays as it is and a snapshot is requested.
--- a/crates/mixer/src/reducer/leaf_connection.rs
+++ b/crates/mixer/src/reducer/leaf_connection.rs
@@ -37,7 +37,7 @@
     Probe(ProbeId),
 }
 
-/// How far the connection has come up.
+/// The phase of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
     /// The connect is under way; nothing can be written.
@@ -83,8 +83,8 @@
 #[derive(Clone, Debug)]
 struct OpenAttempt {
     attempt: AttemptId,
-    /// When its frame was handed to the socket.
-    handed_over_at: Option<Nanos>,
+    /// When its frame was handed to the socket; `None` while it waits.
+    write_started_at: Option<Nanos>,
     /// The socket has taken the last byte of its frame.
     written: bool,
 }
@@ -94,10 +94,10 @@
 pub struct LeafConnection {
     phase: ConnectionPhase,
     waiting: VecDeque<QueuedFrame>,
-    /// The frame that the socket has and has not yet taken whole.
+    /// The frame that is being written to the socket.
     writing: Option<QueuedFrame>,
     /// When the last frame was handed to the socket.
-    handed_over_at: Nanos,
+    write_started_at: Nanos,
     /// The open attempts by their wire ids.
     attempts: BTreeMap<Rc<str>, OpenAttempt>,
     /// Probes written, in order. Answers carry no id, so a cancelled probe keeps its place as `None`.
@@ -106,7 +106,8 @@
     finished: VecDeque<Rc<str>>,
     /// When the last frame was received; before that, when the connection was opened.
     last_received_at: Nanos,
-    /// It left an attempt unanswered: nothing new goes out on it until a frame is received.
+    /// An attempt was cancelled after it had been unanswered for too long: no new attempt or probe is queued until a
+    /// frame is received.
     silent: bool,
     /// Since when nothing is open or waiting.
     pub idle_since: Nanos,
@@ -121,7 +122,7 @@
             phase: ConnectionPhase::Connecting,
             waiting: VecDeque::new(),
             writing: None,
-            handed_over_at: now,
+            write_started_at: now,
             attempts: BTreeMap::new(),
             probes: VecDeque::new(),
             finished: VecDeque::new(),
@@ -132,7 +133,7 @@
         }
     }
 
-    /// How far the connection has come up.
+    /// The phase of the connection.
     pub fn phase(&self) -> ConnectionPhase {
         self.phase
     }
@@ -148,7 +149,7 @@
         self.attempts.len() + self.probes.len() + self.unwritten_probes().count()
     }
 
-    /// Probes that wait or that the socket has not yet taken whole.
+    /// Probes that wait or are being written.
     fn unwritten_probes(&self) -> impl Iterator<Item = ProbeId> + '_ {
         self.waiting
             .iter()
@@ -159,18 +160,19 @@
             })
     }
 
-    /// Nothing is open, waiting or half written.
+    /// Nothing is open, waiting or being written.
     pub fn is_idle(&self) -> bool {
         self.open_streams() == 0 && self.waiting.is_empty() && self.writing.is_none()
     }
 
-    /// Whether it left an attempt unanswered and nothing was received since; see [`LeafConnection::cancel_attempt`].
+    /// Whether an attempt was unanswered for too long and nothing was received since; see
+    /// [`LeafConnection::cancel_attempt`].
     pub fn is_silent(&self) -> bool {
         self.silent
     }
 
     /// Silent, and no attempt is open that might still be answered. What waits are cancellations, which closing the
-    /// connection implies; a frame that the socket can't get rid of would wait for ever.
+    /// connection implies; a frame that the socket can't write would wait for ever.
     pub fn is_unusable(&self) -> bool {
         self.silent && self.attempts.is_empty()
     }
@@ -186,7 +188,7 @@
     ) {
         let open = OpenAttempt {
             attempt,
-            handed_over_at: None,
+            write_started_at: None,
             written: false,
         };
         self.attempts.insert(wire_id.clone(), open);
@@ -211,14 +213,14 @@
     }
 
     /// The next frame for the socket; `None` until [`LeafConnection::on_frame_written`] reports the one before, since
-    /// what waits here can still be dropped whole.
+    /// a frame that waits here can still be dropped.
     pub fn next_frame(&mut self, now: Nanos) -> Option<QueuedFrame> {
         if self.phase != ConnectionPhase::Open || self.writing.is_some() {
             return None;
         }
         self.writing = self.waiting.pop_front();
-        self.handed_over_at = now;
-        self.update_writing_attempts(|open| open.handed_over_at = Some(now));
+        self.write_started_at = now;
+        self.update_writing_attempts(|open| open.write_started_at = Some(now));
         self.writing.clone()
     }
 
@@ -281,7 +283,7 @@
             .filter(|open| open.written);
         let longest_in_flight = || {
             self.written_open_attempts()
-                .min_by_key(|open| (open.handed_over_at, open.attempt))
+                .min_by_key(|open| (open.write_started_at, open.attempt))
         };
         named.or_else(longest_in_flight).map(|open| open.attempt)
     }
@@ -313,7 +315,7 @@
         }
     }
 
-    /// Cancels an attempt; true if it may have run. One that waits is dropped whole and never goes out; one that the
+    /// Cancels an attempt; true if it may have run. One that waits is dropped and never sent; one that the
     /// socket has is followed by a frame that cancels it. If nothing was received for `silence_timeout` nanoseconds
     /// since it was handed to the socket, the connection is silent.
     pub fn cancel_attempt(
@@ -333,10 +335,10 @@
         }
         self.remember_finished(wire_id.clone());
         self.waiting.push_back(QueuedFrame::Cancel(wire_id));
-        if let Some(handed_over_at) = open.handed_over_at {
-            let nothing_received = self.last_received_at <= handed_over_at;
+        if let Some(write_started_at) = open.write_started_at {
+            let nothing_received = self.last_received_at <= write_started_at;
             self.silent |=
-                nothing_received && now.saturating_sub(handed_over_at) >= silence_timeout;
+                nothing_received && now.saturating_sub(write_started_at) >= silence_timeout;
         }
         true
     }
@@ -374,7 +376,7 @@
         unsent
     }
 
-    /// Whether the socket has a call with this part that it has not taken whole.
+    /// Whether a call with this part is being written.
     pub fn is_writing(&self, part: RequestId) -> bool {
         match &self.writing {
             Some(QueuedFrame::Call(call)) => call.iter().any(|entry| entry.attempt.part == part),
@@ -382,10 +384,10 @@
         }
     }
 
-    /// When the call was handed to the socket that it has not taken whole, if it has one. Attempts of it that were
+    /// When the call that is being written was handed to the socket, if one is. Attempts of it that were
     /// cancelled meanwhile still go out with it.
     pub fn writing_call_since(&self) -> Option<Nanos> {
-        matches!(self.writing, Some(QueuedFrame::Call(_))).then_some(self.handed_over_at)
+        matches!(self.writing, Some(QueuedFrame::Call(_))).then_some(self.write_started_at)
     }
 
     /// The connection has ended: what was under way on it.
--- a/crates/mixer/src/reducer/leaf_connections.rs
+++ b/crates/mixer/src/reducer/leaf_connections.rs
@@ -12,7 +12,7 @@
     connections: BTreeMap<ConnectionId, (ReplicaId, LeafConnection)>,
     /// Connections that may have a frame to write.
     to_flush: BTreeSet<ConnectionId>,
-    /// Connections whose last queued call still takes attempts: it was queued in this batch.
+    /// Connections whose last queued call can still be joined by attempts: it was queued in this batch.
     with_open_call: BTreeSet<ConnectionId>,
 }
 
@@ -33,12 +33,12 @@
         self.connections.remove(&id)
     }
 
-    /// A connection.
+    /// The connection with this id, if it is still open.
     pub(super) fn get(&self, id: ConnectionId) -> Option<&LeafConnection> {
         self.connections.get(&id).map(|(_, connection)| connection)
     }
 
-    /// A connection, to change it.
+    /// The connection with this id, if it is still open, to change it.
     pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut LeafConnection> {
         self.connections
             .get_mut(&id)
@@ -50,7 +50,7 @@
         self.connections.get(&id).map(|(replica, _)| *replica)
     }
 
-    /// Whether a connection is there and idle.
+    /// Whether the connection exists and is idle.
     pub(super) fn is_idle(&self, id: ConnectionId) -> bool {
         self.get(id).is_some_and(LeafConnection::is_idle)
     }
@@ -103,8 +103,8 @@
             .map(|(id, _)| *id)
     }
 
-    /// The connections whose sockets have a call with one of these parts and have not taken it whole, each with when
-    /// the call was handed over.
+    /// The connections that are writing a call with one of these parts, each with when the call was handed to its
+    /// socket.
     pub(super) fn writing_any_of(&self, parts: &[RequestId]) -> Vec<(ConnectionId, Nanos)> {
         let writing_since = |connection: &LeafConnection| {
             let since = connection.writing_call_since()?;
--- a/crates/mixer/src/reducer/lifecycle.rs
+++ b/crates/mixer/src/reducer/lifecycle.rs
@@ -3,8 +3,8 @@
 use super::NANOS_PER_MS;
 use cottonhill_decisions::Nanos;
 
-/// How long everything goes on after a shutdown request: new connections still arrive, and clients go on using theirs
-/// for 0.7 s.
+/// How long the mixer serves on unchanged after a shutdown request: new connections still arrive, and clients go on
+/// using theirs for 0.7 s.
 const GRACE_PERIOD: Nanos = 750 * NANOS_PER_MS;
 /// The process is killed no earlier than this after the shutdown request and the longest deadline of a query, which
 /// counts as [`MAX_COUNTED_DEADLINE`] at most.
@@ -13,7 +13,7 @@
 /// How long before the kill the last replies are sent.
 const LAST_REPLIES_MARGIN: Nanos = 100 * NANOS_PER_MS;
 
-/// How far the process has come up.
+/// The phase of the start-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StartupPhase {
     /// Discovery has yet to confirm the cached endpoint list. Queries are accepted, but nothing is decided.
@@ -27,7 +27,7 @@
     Started,
 }
 
-/// How far the shutdown has come.
+/// The phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ShutdownPhase {
     /// No shutdown was requested.
--- a/crates/mixer/src/reducer/mod.rs
+++ b/crates/mixer/src/reducer/mod.rs
@@ -62,9 +62,9 @@
 pub struct Reducer {
     settings: MixerSettings,
     coordinator: Coordinator,
-    /// What the coordinator is told with the next batch.
+    /// The events that the coordinator gets with the next batch.
     events: Vec<Event>,
-    /// What the transport is asked to do once the input is applied.
+    /// The effects that the transport performs once the input is applied.
     effects: Vec<Effect>,
     counters: Counters,
     ids: IdSequence,
@@ -123,7 +123,7 @@
         reducer
     }
 
-    /// When discovery is asked, and how long it is waited for.
+    /// When the endpoint list is requested from discovery, and the timeouts of these requests.
     pub fn watch_policy(&self) -> WatchPolicy {
         self.discovery.watch_policy().clone()
     }
--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -3,6 +3,7 @@
 
 use super::input::ConnectionId;
 use super::replica_table::{Replica, ReplicaTable, Slot};
+use super::watch_policy::STALENESS_BOUND;
 use super::NANOS_PER_MS;
 use crate::log_targets;
 use crate::protocol::endpoint_updates::{Address, EndpointEntry, EndpointUpdate, Status};
@@ -10,11 +11,12 @@
 use std::collections::{BTreeSet, HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// How long, in nanoseconds, an update may lag behind what discovery had to announce: after a switch to another
-/// address, its updates count as current from then on, and a replica that is gone is remembered for as long.
-pub const LATE_UPDATE_WINDOW: Nanos = 6_000_000_000;
+/// How long, in nanoseconds, an update may lag behind the changes that were announced before: the staleness bound of
+/// discovery. After a switch to another address its updates count as current from then on, and a replica that is gone
+/// is remembered for as long.
+pub const LATE_UPDATE_WINDOW: Nanos = STALENESS_BOUND.as_nanos() as Nanos;
 
-/// How many odd entries of each kind are logged for one update; the counters have all.
+/// How many duplicate entries and how many unknown removals are logged for one update; the counters have all.
 const MAX_LOGGED_ENTRIES: u64 = 16;
 
 /// Stands for a zone that the settings do not name.
@@ -28,7 +30,7 @@
     pub endpoints: Vec<Endpoint>,
     /// The replicas that must not get new attempts from now on.
     pub leaving: Vec<ReplicaId>,
-    /// Connections to addresses that their replicas have left.
+    /// Connections to former addresses of their replicas.
     pub stale_connections: Vec<ConnectionId>,
     /// Number of entries for a name that came before in the same update; the last one is used.
     pub duplicate_entries: u64,
@@ -41,9 +43,9 @@
 #[derive(Debug, Default)]
 pub struct Replicas {
     table: ReplicaTable,
-    /// Connections of each replica that has any, oldest first, without those to an address that it has left.
+    /// Connections of each replica that has any, oldest first, without those to a former address.
     connections: HashMap<ReplicaId, Vec<ConnectionId>>,
-    /// Since when the replicas are gone that are.
+    /// For each replica that is gone, since when.
     gone_since: HashMap<ReplicaId, Nanos>,
     /// When the replicas that are gone are to be forgotten, the first one first. One that still has connections then
     /// is added again once they have ended.
@@ -59,7 +61,7 @@
     visited_records: u64,
 }
 
-/// What an entry says of a replica, with what it leaves out.
+/// An entry, with the values that it does not state taken from the replica's record.
 struct ResolvedEntry {
     name: Box<str>,
     address: Address,
@@ -73,7 +75,7 @@
 struct AppliedEntry {
     slot: Slot,
     endpoint: Endpoint,
-    /// Something that the coordinator knows of has changed.
+    /// A value that the coordinator gets has changed.
     changed: bool,
 }
 
@@ -117,7 +119,7 @@
         self.ready > 0
     }
 
-    /// Number of records that updates have looked at so far: what they cost.
+    /// Number of records that updates have visited so far, a measure of their cost.
     pub fn visited_records(&self) -> u64 {
         self.visited_records
     }
@@ -206,8 +208,8 @@
         changes
     }
 
-    /// Forgets the replicas that have been gone for long: they have no connections left, and no late update can mention
-    /// them.
+    /// Forgets the replicas that have been gone for [`LATE_UPDATE_WINDOW`] and have no connections: no late update can
+    /// mention them.
     fn forget_expired(&mut self, now: Nanos) {
         while let Some(&(due, id)) = self.expiry.first() {
             if due > now {
@@ -302,7 +304,7 @@
         let replica = known.and_then(|slot| self.table.record(slot));
         let started = entry.started_ms.saturating_mul(NANOS_PER_MS);
         let status = match entry.status {
-            // A server that is up can't be reached without an address: it may have left the one that is known.
+            // A server that is up can't be reached without an address: its known address may be a former one.
             Status::Up if entry.address.is_some() => self
                 .status_before_lagging_update(now, replica, started)
                 .unwrap_or(EndpointStatus::Ready),
@@ -343,8 +345,8 @@
         index.map_or(UNKNOWN_ZONE, |index| index as u16)
     }
 
-    /// Updates the record of a replica, which is a new one if there is none. Connections to an address that it has left
-    /// are moved to `stale_connections`.
+    /// Updates the record of a replica, which is a new one if there is none. Connections to its former address are
+    /// moved to `stale_connections`.
     fn update_replica(
         &mut self,
         now: Nanos,
--- a/crates/mixer/src/reducer/shutdown.rs
+++ b/crates/mixer/src/reducer/shutdown.rs
@@ -10,14 +10,14 @@
         let Some(grace_period_end) = self.lifecycle.request_shutdown(now) else {
             return;
         };
-        self.timers.set(grace_period_end, Timer::DrainElapsed);
+        self.timers.set(grace_period_end, Timer::GracePeriodElapsed);
         if let Some(deadline) = self.lifecycle.shutdown_deadline() {
             self.timers.set(deadline, Timer::ShutdownDeadline);
         }
     }
 
-    /// The grace period is over: closes the listener and the clients that wait for no reply.
-    pub(super) fn begin_graceful_shutdown(&mut self) {
+    /// Starts draining, as the grace period is over: closes the listener and the clients that wait for no reply.
+    pub(super) fn begin_draining(&mut self) {
         self.lifecycle.start_draining();
         self.effects.push(Effect::CloseListener);
         for client in self.clients.without_open_query() {
--- a/crates/mixer/src/reducer/timers.rs
+++ b/crates/mixer/src/reducer/timers.rs
@@ -24,14 +24,14 @@
     QueryDeadline(RequestId),
     /// The next watermark of the usage records is due.
     WatermarkDue,
-    /// The grace period after the shutdown request is over.
-    DrainElapsed,
+    /// The grace period after the shutdown request is over: draining starts.
+    GracePeriodElapsed,
     /// The process must exit.
     ShutdownDeadline,
     /// Discovery must have confirmed the cached endpoint list.
     DiscoveryTimeout,
-    /// Discovery at this new address has been told everything that was announced before the switch.
-    SwitchSettled(SocketAddr),
+    /// Discovery at this new address has received every change announced before the switch.
+    DiscoverySwitchSettled(SocketAddr),
     /// The socket must have taken the call that it was handed at this time.
     WriteStalled(ConnectionId, Nanos),
 }
@@ -51,10 +51,10 @@
         self.0.remove(&(due, timer));
     }
 
-    /// Cancels [`Timer::SwitchSettled`], whatever its address.
-    pub(super) fn cancel_switch_settled(&mut self) {
+    /// Cancels [`Timer::DiscoverySwitchSettled`], whatever its address.
+    pub(super) fn cancel_discovery_switch_settled(&mut self) {
         self.0
-            .retain(|(_, timer)| !matches!(timer, Timer::SwitchSettled(_)));
+            .retain(|(_, timer)| !matches!(timer, Timer::DiscoverySwitchSettled(_)));
     }
 
     /// When the next timer is due.
--- a/crates/mixer/src/reducer/usage.rs
+++ b/crates/mixer/src/reducer/usage.rs
@@ -49,7 +49,7 @@
 /// How a query ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum QueryOutcome {
-    /// Answered from all parts.
+    /// Answered from parts whose weight reaches the class's completeness threshold.
     Complete,
     /// Answered from parts with this share of the weight, in millionths.
     Partial(u32),
--- a/crates/mixer/src/reducer/watch_policy.rs
+++ b/crates/mixer/src/reducer/watch_policy.rs
@@ -1,26 +1,31 @@
-//! When discovery is asked again, and how long it is waited for, so that the endpoint list stays fresh. There is one
-//! rule for each [`WatchMode`]:
+//! When the endpoint list is requested from discovery again, and the timeouts of these requests, so that the list stays
+//! fresh. There is one rule for each [`WatchMode`]:
 //!
-//! - Push: an agent on the mixer's own machine, which costs nothing to ask and whose list is in force whether or not
-//!   it is watched. Any delay is time in which something in force is not known here, so delays are a small fraction of
+//! - Push: an agent on the mixer's own machine. Requests to it are cheap, and its list is in force whether or not it is
+//!   watched. During any delay a change that is in force is not known here, so delays are a small fraction of
 //!   the drain grace, whatever the size of the fleet and however often the agent has failed.
 //! - Poll: one service for all mixers, which serves one request after another. Requests are spread and become fewer as
-//!   they fail (`Backoff`), within the time after which what it has counts as announced and the longest time that
+//!   they fail (`Backoff`), within the time after which its list counts as announced and the longest time that
 //!   the settings allow without a request.
 
 use super::backoff::Backoff;
 use crate::protocol::endpoint_updates::{self, MAX_UPDATE_BYTES};
 use std::time::Duration;
 
-/// How discovery announces changes.
+/// What serves the endpoint list. Both modes hold the same watch, which delivers each change. They differ in when a
+/// change counts as announced, in when a watch that ended is requested again, and in whether versions are valid at
+/// another address of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMode {
-    /// It sends each change over a watch.
+    /// An agent on the mixer's own machine, whose list is in force at once. Requests keep a short, constant least
+    /// interval, whatever the agent's `Retry-After`.
     Push {
         /// No attempt may start at a replica later than this after it was announced as draining or gone.
         drain_grace: Duration,
     },
-    /// It answers requests with the current list.
+    /// One service for the whole fleet, whose list counts as announced after [`STALENESS_BOUND`]. A watch that ended is
+    /// requested again after a backoff with jitter, which includes the service's `Retry-After` as far as the bound
+    /// allows.
     Poll {
         /// After this time without a request its current list counts as announced; `None` if the settings do not
         /// bound it.
@@ -35,16 +40,17 @@
     pub duration: Duration,
     /// An update or a heartbeat was received on it.
     pub received: bool,
-    /// It fell silent: its connection is open and nothing is received.
+    /// It timed out: no connection, update or heartbeat in time.
     pub silent: bool,
     /// The service's `Retry-After`.
     pub retry_after: Option<Duration>,
 }
 
 /// How long after discovery has a change it counts as announced here, if discovery can be reached, whichever requests
-/// have failed meanwhile. So does what a silent watch misses, from when it fell silent.
+/// have failed meanwhile. What a silent watch misses counts as announced this long after it
+/// fell silent.
 pub const STALENESS_BOUND: Duration = Duration::from_secs(6);
-/// The part of [`STALENESS_BOUND`] that is left for the request that succeeds, to connect and to be answered.
+/// The part of [`STALENESS_BOUND`] that is reserved for the request that succeeds, to connect and to be answered.
 const LAST_REQUEST_TIME: Duration = Duration::from_millis(1_500);
 /// Heartbeats are due every 2 s; one is late by half of that. Mistaking a live watch for a silent one costs one
 /// request.
@@ -63,7 +69,7 @@
 /// The longest that a new process waits for its first endpoint update.
 const MAX_INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When discovery is asked again, and how long it is waited for.
+/// When the endpoint list is requested again, and the timeouts of these requests.
 #[derive(Clone, Debug)]
 pub struct WatchPolicy {
     mode: WatchMode,
@@ -72,7 +78,7 @@
 }
 
 impl WatchPolicy {
-    /// For one of `mixers` mixers. They must have different seeds, or they would ask in step.
+    /// For one of `mixers` mixers. They must have different seeds, or they would send their requests in lockstep.
     pub fn new(mode: WatchMode, seed: u64, mixers: u32) -> WatchPolicy {
         WatchPolicy {
             mode,
@@ -111,9 +117,9 @@
         }
     }
 
-    /// How long a new process waits for its first endpoint update, before which no attempt is made: what discovery has
-    /// had for long counts as announced to a new process as well. If discovery does not answer in this time, the
-    /// cached list is the best there is.
+    /// How long a new process waits for its first endpoint update, before which no attempt is made: changes that
+    /// discovery has had for the staleness bound count as announced to a new process as well. If discovery does not
+    /// answer in this time, the cached list is used.
     pub fn initial_list_timeout(&self) -> Duration {
         MAX_INITIAL_LIST_TIMEOUT.min(self.answer_timeout())
     }
@@ -149,7 +155,7 @@
         // The staleness counts from when the watch fell silent.
         (true, true) => STALENESS_BOUND - SILENCE_TIMEOUT - LAST_REQUEST_TIME,
         (true, false) => retry_interval,
-        // Discovery may have come back right after this request was started.
+        // Discovery may have recovered right after this request was started.
         (false, _) => retry_interval.saturating_sub(ended.duration),
     }
 }
