--- /dev/null
+++ b/crates/mixer/src/reducer/leaf_connection/frame_queue.rs
@@ -0,0 +1,124 @@
+//! The frames of one connection that wait to be written, and the one that is being written.
+
+use super::{AttemptId, CallAttempt, ProbeId, QueuedFrame};
+use cottonhill_decisions::{Nanos, RequestId};
+use std::collections::VecDeque;
+
+/// The frames of one connection, in the order in which they are written. One frame at a time is handed to the socket,
+/// since a frame that waits here can still be dropped.
+#[derive(Debug)]
+pub(super) struct FrameQueue {
+    waiting: VecDeque<QueuedFrame>,
+    /// The frame that is being written to the socket.
+    writing: Option<QueuedFrame>,
+    /// When the last frame was handed to the socket.
+    write_started_at: Nanos,
+}
+
+impl FrameQueue {
+    /// No frame is queued.
+    pub(super) fn new(now: Nanos) -> FrameQueue {
+        FrameQueue {
+            waiting: VecDeque::new(),
+            writing: None,
+            write_started_at: now,
+        }
+    }
+
+    /// Whether no frame waits or is being written.
+    pub(super) fn is_empty(&self) -> bool {
+        self.waiting.is_empty() && self.writing.is_none()
+    }
+
+    /// Queues a frame.
+    pub(super) fn push(&mut self, frame: QueuedFrame) {
+        self.waiting.push_back(frame);
+    }
+
+    /// Queues an attempt: in the last waiting call, if `join_last_call` is set and that call has fewer than
+    /// `max_parts_per_call` parts, else in a new one.
+    pub(super) fn push_attempt(
+        &mut self,
+        entry: CallAttempt,
+        join_last_call: bool,
+        max_parts_per_call: usize,
+    ) {
+        match self.waiting.back_mut() {
+            Some(QueuedFrame::Call(call)) if join_last_call && call.len() < max_parts_per_call => {
+                call.push(entry);
+            }
+            _ => self.push(QueuedFrame::Call(vec![entry])),
+        }
+    }
+
+    /// Starts to write the next frame and returns it; `None` if none waits or one is being written.
+    pub(super) fn start_write(&mut self, now: Nanos) -> Option<QueuedFrame> {
+        if self.writing.is_some() {
+            return None;
+        }
+        self.writing = self.waiting.pop_front();
+        self.write_started_at = now;
+        self.writing.clone()
+    }
+
+    /// The frame that was being written is written completely.
+    pub(super) fn finish_write(&mut self) -> Option<QueuedFrame> {
+        self.writing.take()
+    }
+
+    /// The probes that wait or are being written.
+    pub(super) fn probes(&self) -> impl Iterator<Item = ProbeId> + '_ {
+        self.waiting
+            .iter()
+            .chain(&self.writing)
+            .filter_map(|frame| match frame {
+                QueuedFrame::Probe(probe) => Some(*probe),
+                _ => None,
+            })
+    }
+
+    /// Removes a probe that waits.
+    pub(super) fn remove_waiting_probe(&mut self, probe: ProbeId) {
+        self.waiting
+            .retain(|frame| *frame != QueuedFrame::Probe(probe));
+    }
+
+    /// Removes an attempt from the calls that wait; true if it was in one.
+    pub(super) fn remove_waiting_attempt(&mut self, attempt: AttemptId) -> bool {
+        let mut was_waiting = false;
+        for frame in &mut self.waiting {
+            if let QueuedFrame::Call(call) = frame {
+                let before = call.len();
+                call.retain(|entry| entry.attempt != attempt);
+                was_waiting |= call.len() < before;
+            }
+        }
+        self.waiting
+            .retain(|frame| !matches!(frame, QueuedFrame::Call(call) if call.is_empty()));
+        was_waiting
+    }
+
+    /// The attempts that wait, in the order in which they would be written.
+    pub(super) fn waiting_attempts(&self) -> Vec<AttemptId> {
+        let mut attempts = Vec::new();
+        for frame in &self.waiting {
+            if let QueuedFrame::Call(call) = frame {
+                attempts.extend(call.iter().map(|entry| entry.attempt));
+            }
+        }
+        attempts
+    }
+
+    /// Whether a call with this part is being written.
+    pub(super) fn is_writing(&self, part: RequestId) -> bool {
+        match &self.writing {
+            Some(QueuedFrame::Call(call)) => call.iter().any(|entry| entry.attempt.part == part),
+            _ => false,
+        }
+    }
+
+    /// When the call that is being written was handed to the socket, if one is.
+    pub(super) fn writing_call_since(&self) -> Option<Nanos> {
+        matches!(self.writing, Some(QueuedFrame::Call(_))).then_some(self.write_started_at)
+    }
+}
--- a/crates/mixer/src/reducer/leaf_connection.rs
+++ b/crates/mixer/src/reducer/leaf_connection/mod.rs
@@ -1,11 +1,16 @@
-//! The state of one connection to a leaf server: the frames that wait to be written, the attempts in flight, and what
-//! may be written next. It never touches a socket. Whatever happens, each attempt leaves it exactly once.
+//! The state of one connection to a leaf server: the queue of frames to write, the open attempts and probes, and
+//! whether the connection is usable. It never touches a socket. Whatever happens, each attempt ends exactly once.
 //!
 //! Times are Unix nanoseconds by the mixer's clock ([`Nanos`]).
 
+mod frame_queue;
+mod open_attempts;
+
 use super::probes::ProbeId;
 use cottonhill_decisions::{Nanos, RequestId};
-use std::collections::{BTreeMap, VecDeque};
+use frame_queue::FrameQueue;
+use open_attempts::OpenAttempts;
+use std::collections::VecDeque;
 use std::rc::Rc;
 
 /// Identifies an attempt at a part.
@@ -46,10 +51,6 @@
     Open,
 }
 
-/// How many ids of finished attempts are remembered, since a late answer may still name them: more than a leaf server
-/// has answers under way.
-const MAX_FINISHED_IDS: usize = 64;
-
 /// What the id in an answer refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerTarget {
@@ -79,31 +80,14 @@
     pub may_have_run: bool,
 }
 
-/// An attempt that has neither ended nor been cancelled: waiting, or in flight.
-#[derive(Clone, Debug)]
-struct OpenAttempt {
-    attempt: AttemptId,
-    /// When its frame was handed to the socket; `None` while it waits.
-    write_started_at: Option<Nanos>,
-    /// The socket has taken the last byte of its frame.
-    written: bool,
-}
-
 /// The state of one connection to a leaf server.
 #[derive(Debug)]
 pub struct LeafConnection {
     phase: ConnectionPhase,
-    waiting: VecDeque<QueuedFrame>,
-    /// The frame that is being written to the socket.
-    writing: Option<QueuedFrame>,
-    /// When the last frame was handed to the socket.
-    write_started_at: Nanos,
-    /// The open attempts by their wire ids.
-    attempts: BTreeMap<Rc<str>, OpenAttempt>,
+    queue: FrameQueue,
+    attempts: OpenAttempts,
     /// Probes written, in order. Answers carry no id, so a cancelled probe keeps its place as `None`.
     probes: VecDeque<Option<ProbeId>>,
-    /// Wire ids of finished attempts that were written here, latest last.
-    finished: VecDeque<Rc<str>>,
     /// When the last frame was received; before that, when the connection was opened.
     last_received_at: Nanos,
     /// An attempt was cancelled after it had been unanswered for too long: no new attempt or probe is queued until a
@@ -120,12 +104,9 @@
     pub fn new(now: Nanos) -> LeafConnection {
         LeafConnection {
             phase: ConnectionPhase::Connecting,
-            waiting: VecDeque::new(),
-            writing: None,
-            write_started_at: now,
-            attempts: BTreeMap::new(),
+            queue: FrameQueue::new(now),
+            attempts: OpenAttempts::default(),
             probes: VecDeque::new(),
-            finished: VecDeque::new(),
             last_received_at: now,
             silent: false,
             idle_since: now,
@@ -141,28 +122,17 @@
     /// Whether one more attempt with this wire id may go out on it: fewer than `max_streams` attempts and probes are
     /// open, and none with this id, as their answers could not be distinguished.
     pub fn has_capacity(&self, max_streams: usize, wire_id: &str) -> bool {
-        !self.silent && self.open_streams() < max_streams && !self.attempts.contains_key(wire_id)
+        !self.silent && self.open_streams() < max_streams && !self.attempts.contains(wire_id)
     }
 
     /// Attempts and probes that are open.
     fn open_streams(&self) -> usize {
-        self.attempts.len() + self.probes.len() + self.unwritten_probes().count()
-    }
-
-    /// Probes that wait or are being written.
-    fn unwritten_probes(&self) -> impl Iterator<Item = ProbeId> + '_ {
-        self.waiting
-            .iter()
-            .chain(&self.writing)
-            .filter_map(|frame| match frame {
-                QueuedFrame::Probe(probe) => Some(*probe),
-                _ => None,
-            })
+        self.attempts.len() + self.probes.len() + self.queue.probes().count()
     }
 
     /// Nothing is open, waiting or being written.
     pub fn is_idle(&self) -> bool {
-        self.open_streams() == 0 && self.waiting.is_empty() && self.writing.is_none()
+        self.open_streams() == 0 && self.queue.is_empty()
     }
 
     /// Whether an attempt was unanswered for too long and nothing was received since; see
@@ -186,24 +156,15 @@
         join_last_call: bool,
         max_parts_per_call: usize,
     ) {
-        let open = OpenAttempt {
-            attempt,
-            write_started_at: None,
-            written: false,
-        };
-        self.attempts.insert(wire_id.clone(), open);
+        self.attempts.insert(wire_id.clone(), attempt);
         let entry = CallAttempt { attempt, wire_id };
-        match self.waiting.back_mut() {
-            Some(QueuedFrame::Call(call)) if join_last_call && call.len() < max_parts_per_call => {
-                call.push(entry);
-            }
-            _ => self.waiting.push_back(QueuedFrame::Call(vec![entry])),
-        }
+        self.queue
+            .push_attempt(entry, join_last_call, max_parts_per_call);
     }
 
     /// Queues a probe.
     pub fn queue_probe(&mut self, probe: ProbeId) {
-        self.waiting.push_back(QueuedFrame::Probe(probe));
+        self.queue.push(QueuedFrame::Probe(probe));
     }
 
     /// The connect has succeeded.
@@ -215,33 +176,22 @@
     /// The next frame for the socket; `None` until [`LeafConnection::on_frame_written`] reports the one before, since
     /// a frame that waits here can still be dropped.
     pub fn next_frame(&mut self, now: Nanos) -> Option<QueuedFrame> {
-        if self.phase != ConnectionPhase::Open || self.writing.is_some() {
+        if self.phase != ConnectionPhase::Open {
             return None;
         }
-        self.writing = self.waiting.pop_front();
-        self.write_started_at = now;
-        self.update_writing_attempts(|open| open.write_started_at = Some(now));
-        self.writing.clone()
-    }
-
-    /// Applies a change to the open attempts of the frame that the socket has.
-    fn update_writing_attempts(&mut self, update: impl Fn(&mut OpenAttempt)) {
-        let Some(QueuedFrame::Call(call)) = &self.writing else {
-            return;
-        };
-        for entry in call {
-            match self.attempts.get_mut(&entry.wire_id) {
-                Some(open) if open.attempt == entry.attempt => update(open),
-                _ => {}
-            }
+        let frame = self.queue.start_write(now)?;
+        if let QueuedFrame::Call(call) = &frame {
+            self.attempts.on_write_started(call, now);
         }
+        Some(frame)
     }
 
     /// The socket has taken the last byte of the frame: from now on its parts may run.
     pub fn on_frame_written(&mut self) {
-        self.update_writing_attempts(|open| open.written = true);
-        if let Some(QueuedFrame::Probe(probe)) = self.writing.take() {
-            self.probes.push_back(Some(probe));
+        match self.queue.finish_write() {
+            Some(QueuedFrame::Call(call)) => self.attempts.on_written(&call),
+            Some(QueuedFrame::Probe(probe)) => self.probes.push_back(Some(probe)),
+            Some(QueuedFrame::Cancel(_)) | None => {}
         }
     }
 
@@ -254,49 +204,18 @@
     /// Ends the attempt that an answer is for. An attempt that has not been written yet can't have been answered: such
     /// an answer is for an earlier attempt of the same id.
     pub fn on_answer(&mut self, wire_id: &str) -> AnswerTarget {
-        match self.attempts.get_key_value(wire_id) {
-            Some((wire_id, open)) if open.written => {
-                let (wire_id, attempt) = (wire_id.clone(), open.attempt);
-                self.attempts.remove(&wire_id);
-                self.remember_finished(wire_id);
-                AnswerTarget::InFlight(attempt)
-            }
-            _ if self.finished.iter().any(|finished| **finished == *wire_id) => {
-                AnswerTarget::Finished
-            }
-            _ => AnswerTarget::Unknown,
-        }
-    }
-
-    fn remember_finished(&mut self, wire_id: Rc<str>) {
-        if self.finished.len() == MAX_FINISHED_IDS {
-            self.finished.pop_front();
-        }
-        self.finished.push_back(wire_id);
+        self.attempts.on_answer(wire_id)
     }
 
     /// The attempt that a malformed answer is attributed to: the one that it names, else the one that has been in
     /// flight for longest.
     pub fn attempt_of_malformed_answer(&self, wire_id: Option<&str>) -> Option<AttemptId> {
-        let named = wire_id
-            .and_then(|wire_id| self.attempts.get(wire_id))
-            .filter(|open| open.written);
-        let longest_in_flight = || {
-            self.written_open_attempts()
-                .min_by_key(|open| (open.write_started_at, open.attempt))
-        };
-        named.or_else(longest_in_flight).map(|open| open.attempt)
+        self.attempts.attempt_of_malformed_answer(wire_id)
     }
 
     /// The open attempts whose last byte the socket has taken, in the order of their wire ids.
     pub fn written_attempts(&self) -> Vec<AttemptId> {
-        self.written_open_attempts()
-            .map(|open| open.attempt)
-            .collect()
-    }
-
-    fn written_open_attempts(&self) -> impl Iterator<Item = &OpenAttempt> {
-        self.attempts.values().filter(|open| open.written)
+        self.attempts.written()
     }
 
     /// The probe that an answer is for; `None` if it was cancelled, or none was sent.
@@ -306,8 +225,7 @@
 
     /// Cancels a probe. Its answer, should it come, is not mistaken for the next one's.
     pub fn cancel_probe(&mut self, probe: ProbeId) {
-        self.waiting
-            .retain(|frame| *frame != QueuedFrame::Probe(probe));
+        self.queue.remove_waiting_probe(probe);
         for written in &mut self.probes {
             if *written == Some(probe) {
                 *written = None;
@@ -324,18 +242,15 @@
         now: Nanos,
         silence_timeout: Nanos,
     ) -> bool {
-        let Some(wire_id) = self.wire_id(attempt) else {
+        let Some(removed) = self.attempts.remove(attempt) else {
             return false;
         };
-        let Some(open) = self.attempts.remove(&wire_id) else {
-            return false;
-        };
-        if self.remove_waiting(attempt) {
+        if self.queue.remove_waiting_attempt(attempt) {
             return false;
         }
-        self.remember_finished(wire_id.clone());
-        self.waiting.push_back(QueuedFrame::Cancel(wire_id));
-        if let Some(write_started_at) = open.write_started_at {
+        self.attempts.remember_finished(removed.wire_id.clone());
+        self.queue.push(QueuedFrame::Cancel(removed.wire_id));
+        if let Some(write_started_at) = removed.write_started_at {
             let nothing_received = self.last_received_at <= write_started_at;
             self.silent |=
                 nothing_received && now.saturating_sub(write_started_at) >= silence_timeout;
@@ -343,63 +258,28 @@
         true
     }
 
-    /// Removes an attempt from the frames that wait; true if it was in one.
-    fn remove_waiting(&mut self, attempt: AttemptId) -> bool {
-        let mut was_waiting = false;
-        for frame in &mut self.waiting {
-            if let QueuedFrame::Call(call) = frame {
-                let before = call.len();
-                call.retain(|entry| entry.attempt != attempt);
-                was_waiting |= call.len() < before;
-            }
-        }
-        self.waiting
-            .retain(|frame| !matches!(frame, QueuedFrame::Call(call) if call.is_empty()));
-        was_waiting
-    }
-
-    fn wire_id(&self, attempt: AttemptId) -> Option<Rc<str>> {
-        self.attempts
-            .iter()
-            .find(|(_, open)| open.attempt == attempt)
-            .map(|(wire_id, _)| wire_id.clone())
-    }
-
     /// The attempts that have not been handed to the socket, in the order in which they would be.
     pub fn unsent_attempts(&self) -> Vec<AttemptId> {
-        let mut unsent = Vec::new();
-        for frame in &self.waiting {
-            if let QueuedFrame::Call(call) = frame {
-                unsent.extend(call.iter().map(|entry| entry.attempt));
-            }
-        }
-        unsent
+        self.queue.waiting_attempts()
     }
 
     /// Whether a call with this part is being written.
     pub fn is_writing(&self, part: RequestId) -> bool {
-        match &self.writing {
-            Some(QueuedFrame::Call(call)) => call.iter().any(|entry| entry.attempt.part == part),
-            _ => false,
-        }
+        self.queue.is_writing(part)
     }
 
     /// When the call that is being written was handed to the socket, if one is. Attempts of it that were
     /// cancelled meanwhile still go out with it.
     pub fn writing_call_since(&self) -> Option<Nanos> {
-        matches!(self.writing, Some(QueuedFrame::Call(_))).then_some(self.write_started_at)
+        self.queue.writing_call_since()
     }
 
     /// The connection has ended: what was under way on it.
     pub fn into_interrupted(self) -> Interrupted {
-        let interrupted = |open: &OpenAttempt| InterruptedAttempt {
-            attempt: open.attempt,
-            may_have_run: open.written,
-        };
         let written_probes = self.probes.iter().flatten().copied();
         Interrupted {
-            attempts: self.attempts.values().map(interrupted).collect(),
-            probes: written_probes.chain(self.unwritten_probes()).collect(),
+            attempts: self.attempts.interrupted(),
+            probes: written_probes.chain(self.queue.probes()).collect(),
         }
     }
 }
--- /dev/null
+++ b/crates/mixer/src/reducer/leaf_connection/open_attempts.rs
@@ -0,0 +1,161 @@
+//! The attempts of one connection that have neither ended nor been cancelled, and which of them an answer is for.
+
+use super::{AnswerTarget, AttemptId, CallAttempt, InterruptedAttempt};
+use cottonhill_decisions::Nanos;
+use std::collections::{BTreeMap, VecDeque};
+use std::rc::Rc;
+
+/// How many ids of finished attempts are remembered, since a late answer may still name them: more than a leaf server
+/// has answers under way.
+const MAX_FINISHED_IDS: usize = 64;
+
+/// An attempt that has neither ended nor been cancelled: waiting, or in flight.
+#[derive(Clone, Debug)]
+struct OpenAttempt {
+    attempt: AttemptId,
+    /// When its frame was handed to the socket; `None` while it waits.
+    write_started_at: Option<Nanos>,
+    /// The socket has taken the last byte of its frame.
+    written: bool,
+}
+
+/// An attempt that was removed, with what is known of its frame.
+pub(super) struct RemovedAttempt {
+    /// Its wire id.
+    pub(super) wire_id: Rc<str>,
+    /// When its frame was handed to the socket; `None` if it waits.
+    pub(super) write_started_at: Option<Nanos>,
+}
+
+/// The open attempts of one connection, and the ids of those that have finished of late.
+#[derive(Debug, Default)]
+pub(super) struct OpenAttempts {
+    /// The open attempts by their wire ids.
+    attempts: BTreeMap<Rc<str>, OpenAttempt>,
+    /// Wire ids of finished attempts that were written here, latest last.
+    finished: VecDeque<Rc<str>>,
+}
+
+impl OpenAttempts {
+    /// Number of open attempts.
+    pub(super) fn len(&self) -> usize {
+        self.attempts.len()
+    }
+
+    /// Whether no attempt is open.
+    pub(super) fn is_empty(&self) -> bool {
+        self.attempts.is_empty()
+    }
+
+    /// Whether an open attempt has this wire id.
+    pub(super) fn contains(&self, wire_id: &str) -> bool {
+        self.attempts.contains_key(wire_id)
+    }
+
+    /// Adds an attempt whose frame waits.
+    pub(super) fn insert(&mut self, wire_id: Rc<str>, attempt: AttemptId) {
+        let open = OpenAttempt {
+            attempt,
+            write_started_at: None,
+            written: false,
+        };
+        self.attempts.insert(wire_id, open);
+    }
+
+    /// The call is handed to the socket.
+    pub(super) fn on_write_started(&mut self, call: &[CallAttempt], now: Nanos) {
+        self.update_call(call, |open| open.write_started_at = Some(now));
+    }
+
+    /// The socket has taken the last byte of the call.
+    pub(super) fn on_written(&mut self, call: &[CallAttempt]) {
+        self.update_call(call, |open| open.written = true);
+    }
+
+    /// Applies a change to the attempts of a call that are still open.
+    fn update_call(&mut self, call: &[CallAttempt], update: impl Fn(&mut OpenAttempt)) {
+        for entry in call {
+            match self.attempts.get_mut(&entry.wire_id) {
+                Some(open) if open.attempt == entry.attempt => update(open),
+                _ => {}
+            }
+        }
+    }
+
+    /// Ends the attempt that an answer is for. An attempt that has not been written yet can't have been answered: such
+    /// an answer is for an earlier attempt of the same id.
+    pub(super) fn on_answer(&mut self, wire_id: &str) -> AnswerTarget {
+        match self.attempts.get_key_value(wire_id) {
+            Some((wire_id, open)) if open.written => {
+                let (wire_id, attempt) = (wire_id.clone(), open.attempt);
+                self.attempts.remove(&wire_id);
+                self.remember_finished(wire_id);
+                AnswerTarget::InFlight(attempt)
+            }
+            _ if self.finished.iter().any(|finished| **finished == *wire_id) => {
+                AnswerTarget::Finished
+            }
+            _ => AnswerTarget::Unknown,
+        }
+    }
+
+    /// Remembers the id of an attempt that has finished here, as a late answer may still name it.
+    pub(super) fn remember_finished(&mut self, wire_id: Rc<str>) {
+        if self.finished.len() == MAX_FINISHED_IDS {
+            self.finished.pop_front();
+        }
+        self.finished.push_back(wire_id);
+    }
+
+    /// Removes an attempt.
+    pub(super) fn remove(&mut self, attempt: AttemptId) -> Option<RemovedAttempt> {
+        let wire_id = self.wire_id(attempt)?;
+        let open = self.attempts.remove(&wire_id)?;
+        Some(RemovedAttempt {
+            wire_id,
+            write_started_at: open.write_started_at,
+        })
+    }
+
+    fn wire_id(&self, attempt: AttemptId) -> Option<Rc<str>> {
+        self.attempts
+            .iter()
+            .find(|(_, open)| open.attempt == attempt)
+            .map(|(wire_id, _)| wire_id.clone())
+    }
+
+    /// The attempt that a malformed answer is attributed to: the one that it names, else the one that has been in
+    /// flight for longest.
+    pub(super) fn attempt_of_malformed_answer(&self, wire_id: Option<&str>) -> Option<AttemptId> {
+        let named = wire_id
+            .and_then(|wire_id| self.attempts.get(wire_id))
+            .filter(|open| open.written);
+        let longest_in_flight = || {
+            self.written_open_attempts()
+                .min_by_key(|open| (open.write_started_at, open.attempt))
+        };
+        named.or_else(longest_in_flight).map(|open| open.attempt)
+    }
+
+    /// The open attempts whose last byte the socket has taken, in the order of their wire ids.
+    pub(super) fn written(&self) -> Vec<AttemptId> {
+        self.written_open_attempts()
+            .map(|open| open.attempt)
+            .collect()
+    }
+
+    fn written_open_attempts(&self) -> impl Iterator<Item = &OpenAttempt> {
+        self.attempts.values().filter(|open| open.written)
+    }
+
+    /// The open attempts, as interrupted by the end of the connection, in the order of their wire ids.
+    pub(super) fn interrupted(&self) -> Vec<InterruptedAttempt> {
+        self.attempts
+            .values()
+            .map(|open| InterruptedAttempt {
+                attempt: open.attempt,
+                may_have_run: open.written,
+            })
+            .collect()
+    }
+}
