--- a/crates/mixer/src/reducer/mod.rs
+++ b/crates/mixer/src/reducer/mod.rs
@@ -19,6 +19,8 @@
 mod discovery;
 mod dispatch;
 pub mod effect;
+mod entry_resolver;
+mod gone_replicas;
 pub mod input;
 pub mod leaf_connection;
 mod leaf_connections;
--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -1,14 +1,15 @@
 //! The leaf servers as discovery has announced them, with their ids for the coordinator. Updates are applied in time
 //! proportional to their entries, whatever the size of the fleet.
 
+use super::entry_resolver::{is_removal, EntryResolver, ResolvedEntry, UNKNOWN_ZONE};
+use super::gone_replicas::GoneReplicas;
 use super::input::ConnectionId;
 use super::replica_table::{Replica, ReplicaTable, Slot};
 use super::watch_policy::STALENESS_BOUND;
-use super::NANOS_PER_MS;
 use crate::log_targets;
-use crate::protocol::endpoint_updates::{Address, EndpointEntry, EndpointUpdate, Status};
+use crate::protocol::endpoint_updates::{Address, EndpointEntry, EndpointUpdate};
 use cottonhill_decisions::{Endpoint, EndpointStatus, Nanos, ReplicaId};
-use std::collections::{BTreeSet, HashMap, HashSet};
+use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
 /// How long, in nanoseconds, an update may lag behind the changes that were announced before: the staleness bound of
@@ -19,9 +20,6 @@
 /// How many duplicate entries and how many unknown removals are logged for one update; the counters have all.
 const MAX_LOGGED_ENTRIES: u64 = 16;
 
-/// Stands for a zone that the settings do not name.
-const UNKNOWN_ZONE: u16 = u16::MAX;
-
 /// What an update changes.
 #[derive(Debug, Default)]
 pub struct EndpointChanges {
@@ -45,32 +43,15 @@
     table: ReplicaTable,
     /// Connections of each replica that has any, oldest first, without those to a former address.
     connections: HashMap<ReplicaId, Vec<ConnectionId>>,
-    /// For each replica that is gone, since when.
-    gone_since: HashMap<ReplicaId, Nanos>,
-    /// When the replicas that are gone are to be forgotten, the first one first. One that still has connections then
-    /// is added again once they have ended.
-    expiry: BTreeSet<(Nanos, ReplicaId)>,
+    gone: GoneReplicas,
+    resolver: EntryResolver,
     /// Number of replicas that are ready.
     ready: usize,
     last_id: u64,
-    /// The names of the zones, in the order of the settings.
-    zones: Vec<String>,
     version: u64,
-    /// Until then, updates may come from a discovery that lags behind the one before.
-    lagging_until: Nanos,
     visited_records: u64,
 }
 
-/// An entry, with the values that it does not state taken from the replica's record.
-struct ResolvedEntry {
-    name: Box<str>,
-    address: Address,
-    cell: u16,
-    zone: u16,
-    started: Nanos,
-    status: EndpointStatus,
-}
-
 /// An entry that was applied.
 struct AppliedEntry {
     slot: Slot,
@@ -83,7 +64,7 @@
     /// No replica is known. `zones` are the names of the zones, in the order of the settings.
     pub fn new(zones: Vec<String>) -> Replicas {
         Replicas {
-            zones,
+            resolver: EntryResolver::new(zones),
             ..Replicas::default()
         }
     }
@@ -152,17 +133,16 @@
     }
 
     fn remove_all_connections(&mut self, id: ReplicaId) -> Vec<ConnectionId> {
-        if let Some(since) = self.gone_since.get(&id) {
-            self.expiry.insert((since + LATE_UPDATE_WINDOW, id));
-        }
+        self.gone.schedule_expiry(id);
         self.connections.remove(&id).unwrap_or_default()
     }
 
     /// Updates come from another address from now on. Discovery there may not know yet what was announced before:
     /// until it must have, it can't make a replica ready that is draining or gone. Returns when that is.
     pub fn on_discovery_switched(&mut self, now: Nanos) -> Nanos {
-        self.lagging_until = now + LATE_UPDATE_WINDOW;
-        self.lagging_until
+        let settled_at = now + LATE_UPDATE_WINDOW;
+        self.resolver.set_lagging_until(settled_at);
+        settled_at
     }
 
     /// Applies an update.
@@ -211,14 +191,10 @@
     /// Forgets the replicas that have been gone for [`LATE_UPDATE_WINDOW`] and have no connections: no late update can
     /// mention them.
     fn forget_expired(&mut self, now: Nanos) {
-        while let Some(&(due, id)) = self.expiry.first() {
-            if due > now {
-                return;
-            }
-            self.expiry.remove(&(due, id));
+        while let Some(id) = self.gone.pop_expired(now) {
             self.visited_records += 1;
             if !self.connections.contains_key(&id) {
-                self.gone_since.remove(&id);
+                self.gone.remove(id);
                 self.table.remove(id);
             }
         }
@@ -238,7 +214,8 @@
         if known.is_none() && is_removal(&entry, snapshot) {
             self.on_unknown_removal(version, &entry, changes);
         }
-        let resolved = self.resolve_entry(now, entry, known)?;
+        let replica = known.and_then(|slot| self.table.record(slot));
+        let resolved = self.resolver.resolve(now, entry, replica)?;
         self.update_replica(now, resolved, known, &mut changes.stale_connections)
     }
 
@@ -294,57 +271,6 @@
             .collect()
     }
 
-    /// Completes an entry from the record of its name, if there is one. `None` if the address is not known.
-    fn resolve_entry(
-        &self,
-        now: Nanos,
-        entry: EndpointEntry,
-        known: Option<Slot>,
-    ) -> Option<ResolvedEntry> {
-        let replica = known.and_then(|slot| self.table.record(slot));
-        let started = entry.started_ms.saturating_mul(NANOS_PER_MS);
-        let status = match entry.status {
-            // A server that is up can't be reached without an address: its known address may be a former one.
-            Status::Up if entry.address.is_some() => self
-                .status_before_lagging_update(now, replica, started)
-                .unwrap_or(EndpointStatus::Ready),
-            Status::Up | Status::Draining => EndpointStatus::Draining,
-            Status::Removed => EndpointStatus::Gone,
-        };
-        let address = entry
-            .address
-            .or_else(|| replica.map(|replica| replica.address.clone()))?;
-        Some(ResolvedEntry {
-            name: entry.name,
-            address,
-            cell: entry.cell,
-            zone: self.zone_index(&entry.zone),
-            started,
-            status,
-        })
-    }
-
-    /// The status that a replica keeps although an update lists it as up, since the update may lag behind: draining or
-    /// gone, unless the server has been restarted.
-    fn status_before_lagging_update(
-        &self,
-        now: Nanos,
-        replica: Option<&Replica>,
-        started: Nanos,
-    ) -> Option<EndpointStatus> {
-        let replica = replica?;
-        let is_lagging = now < self.lagging_until;
-        let was_restarted = started > replica.started;
-        let is_leaving = replica.status != EndpointStatus::Ready;
-        (is_lagging && is_leaving && !was_restarted).then_some(replica.status)
-    }
-
-    /// The zone's index in the settings.
-    fn zone_index(&self, name: &str) -> u16 {
-        let index = self.zones.iter().position(|zone| zone == name);
-        index.map_or(UNKNOWN_ZONE, |index| index as u16)
-    }
-
     /// Updates the record of a replica, which is a new one if there is none. Connections to its former address are
     /// moved to `stale_connections`.
     fn update_replica(
@@ -419,10 +345,9 @@
         self.ready -= usize::from(before == EndpointStatus::Ready);
         self.ready += usize::from(status == EndpointStatus::Ready);
         if status == EndpointStatus::Gone {
-            let since = *self.gone_since.entry(id).or_insert(now);
-            self.expiry.insert((since + LATE_UPDATE_WINDOW, id));
-        } else if let Some(since) = self.gone_since.remove(&id) {
-            self.expiry.remove(&(since + LATE_UPDATE_WINDOW, id));
+            self.gone.insert(id, now);
+        } else {
+            self.gone.remove(id);
         }
     }
 
@@ -455,12 +380,3 @@
         }
     }
 }
-
-/// Whether an entry only removes: of a name that is not known it changes nothing.
-fn is_removal(entry: &EndpointEntry, snapshot: bool) -> bool {
-    match entry.status {
-        Status::Up => false,
-        Status::Draining => !snapshot,
-        Status::Removed => true,
-    }
-}
