--- a/crates/mixer/src/protocol/endpoint_updates/message.rs
+++ b/crates/mixer/src/protocol/endpoint_updates/message.rs
@@ -1,4 +1,5 @@
-//! The JSON of an endpoint update. Entries are parsed one by one, so that a malformed entry costs that entry alone.
+//! The JSON of an endpoint update. Entries are parsed one by one, so that a malformed entry does not invalidate the
+//! others.
 
 use super::{Address, EndpointEntry, EndpointUpdate, Status, UpdateError, MAX_ENTRIES};
 use crate::log_targets;
--- a/crates/mixer/src/protocol/http/framing.rs
+++ b/crates/mixer/src/protocol/http/framing.rs
@@ -14,7 +14,7 @@
 }
 
 impl FramingError {
-    /// The reason as the peer or the log gets it.
+    /// The reason, for the response or the log.
     pub(super) const fn reason(self) -> &'static str {
         match self {
             FramingError::InvalidLength => "bad length",
--- a/crates/mixer/src/reducer/batch.rs
+++ b/crates/mixer/src/reducer/batch.rs
@@ -9,7 +9,7 @@
 const MAX_DATAGRAM_BYTES: usize = 256;
 
 impl Reducer {
-    /// Fires the timers that are due, then decides on what has come in since the batch before.
+    /// Fires the timers that are due, then decides on the events since the previous batch.
     pub(super) fn process_batch(&mut self, now: Nanos) {
         while let Some(timer) = self.timers.pop_due(now) {
             self.fire_timer(now, timer);
--- a/crates/mixer/src/reducer/client_requests.rs
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -11,7 +11,7 @@
 use cottonhill_decisions::{Event, Nanos, RequestId};
 use std::rc::Rc;
 
-/// Taken off the time that a client waits: for the network there and back, and for a late batch.
+/// Subtracted from the client's timeout: the network's round trip, and the delay of a late batch.
 const CLIENT_TIMEOUT_MARGIN: Nanos = 8 * NANOS_PER_MS;
 /// How long after its client has disconnected an attempt may still start.
 const MAX_START_AFTER_DISCONNECT: Nanos = 100 * NANOS_PER_MS;
--- a/crates/mixer/src/reducer/connection_handling.rs
+++ b/crates/mixer/src/reducer/connection_handling.rs
@@ -35,7 +35,7 @@
             .map(|connection| connection.phase())
         {
             Some(ConnectionPhase::Connecting) => self.counters.connections.connect_failed += 1,
-            Some(ConnectionPhase::Open) => self.counters.connections.broken += 1,
+            Some(ConnectionPhase::Open) => self.counters.connections.lost += 1,
             None => {}
         }
         self.remove_connection(now, id);
@@ -196,8 +196,8 @@
         true
     }
 
-    /// Closes a connection; what is open on it ends as if it had broken. The socket may have taken the last byte of a
-    /// call a moment ago without having reported it, so that call may run.
+    /// Closes a connection; what is open on it ends as if the connection had been lost. The socket may have taken the
+    /// last byte of a call a moment ago without having reported it, so that call may run.
     pub(super) fn close_connection(&mut self, now: Nanos, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(id) {
             if connection.writing_call_since().is_some() {
--- a/crates/mixer/src/reducer/counters.rs
+++ b/crates/mixer/src/reducer/counters.rs
@@ -43,7 +43,7 @@
     pub update_faults: UpdateFaultCounters,
     /// The watch on discovery.
     pub watches: WatchCounters,
-    /// Usage records handed on; 0 if no usage is recorded.
+    /// Usage records passed to the transport; 0 if no usage is recorded.
     #[serde(rename = "recorded")]
     pub usage_records: u64,
     /// The usage records by `TENANT CLASS`, as the settings name them.
@@ -167,7 +167,8 @@
     pub connect_failed: u64,
     /// Established connections to leaf servers that ended without being closed by the reducer: reset, closed by the
     /// server, or failed.
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub lost: u64,
     /// Times that a connection fell silent: an attempt was left unanswered and nothing was received since.
     pub silent: u64,
     /// Connections closed since a malformed answer was received, or one to an attempt that was never sent.
@@ -221,7 +222,7 @@
     /// Entries that can't be used; the endpoint that they name gets no new attempts.
     #[serde(rename = "unusable")]
     pub invalid_entries: u64,
-    /// Entries for a name that came before in the same update; the last one is used.
+    /// Entries for a name that occurred earlier in the same update; the last one is used.
     #[serde(rename = "repeated")]
     pub duplicate_entries: u64,
     /// Entries that remove a server that was not listed.
--- a/crates/mixer/src/reducer/descriptor_budget.rs
+++ b/crates/mixer/src/reducer/descriptor_budget.rs
@@ -1,5 +1,5 @@
-//! How the file descriptors of the process are shared out, so that neither clients nor leaf servers can take those
-//! that the other needs.
+//! How the file descriptors of the process are divided between clients and leaf servers, so that neither can exhaust
+//! those that the other needs.
 
 use std::ops::RangeInclusive;
 
@@ -24,7 +24,7 @@
 }
 
 impl DescriptorBudget {
-    /// Shares out this number of descriptors. Each kind gets one at least.
+    /// Divides this number of descriptors. Each kind gets one at least.
     pub(super) fn new(descriptors: usize) -> DescriptorBudget {
         let closing_clients = (descriptors / CLOSING_CLIENTS_DIVISOR)
             .clamp(*CLOSING_CLIENTS_RANGE.start(), *CLOSING_CLIENTS_RANGE.end());
--- a/crates/mixer/src/reducer/discovery.rs
+++ b/crates/mixer/src/reducer/discovery.rs
@@ -89,7 +89,7 @@
         if self.replicas.has_ready() {
             self.lifecycle.on_ready_endpoint();
         }
-        // A snapshot was reduced to what it changes, too: endpoints that it leaves out are in there as gone.
+        // A snapshot was reduced to its changes, too: endpoints that it does not list are among them as gone.
         self.events.push(Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Delta,
             endpoints: changes.endpoints,
--- a/crates/mixer/src/reducer/leaf_connection/mod.rs
+++ b/crates/mixer/src/reducer/leaf_connection/mod.rs
@@ -95,7 +95,7 @@
     silent: bool,
     /// Since when nothing is open or waiting.
     pub idle_since: Nanos,
-    /// When the timer fires that checks for idleness: one at a time, however often the connection falls idle.
+    /// When the timer fires that checks for idleness: one at a time, however often the connection becomes idle.
     pub idle_timer: Option<Nanos>,
 }
 
@@ -119,7 +119,7 @@
         self.phase
     }
 
-    /// Whether one more attempt with this wire id may go out on it: fewer than `max_streams` attempts and probes are
+    /// Whether one more attempt with this wire id may be sent on it: fewer than `max_streams` attempts and probes are
     /// open, and none with this id, as their answers could not be distinguished.
     pub fn has_capacity(&self, max_streams: usize, wire_id: &str) -> bool {
         !self.silent && self.open_streams() < max_streams && !self.attempts.contains(wire_id)
@@ -233,9 +233,9 @@
         }
     }
 
-    /// Cancels an attempt; true if it may have run. One that waits is dropped and never sent; one that the
-    /// socket has is followed by a frame that cancels it. If nothing was received for `silence_timeout` nanoseconds
-    /// since it was handed to the socket, the connection is silent.
+    /// Cancels an attempt; true if it may have run. One that waits is dropped and never sent; one whose frame was
+    /// handed to the socket is followed by a frame that cancels it. If nothing was received for `silence_timeout`
+    /// nanoseconds since it was handed to the socket, the connection is silent.
     pub fn cancel_attempt(
         &mut self,
         attempt: AttemptId,
@@ -268,8 +268,8 @@
         self.queue.is_writing(part)
     }
 
-    /// When the call that is being written was handed to the socket, if one is. Attempts of it that were
-    /// cancelled meanwhile still go out with it.
+    /// When the call that is being written was handed to the socket, if one is. Attempts of it that were cancelled
+    /// meanwhile are still sent with it.
     pub fn writing_call_since(&self) -> Option<Nanos> {
         self.queue.writing_call_since()
     }
--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -24,13 +24,13 @@
 #[derive(Debug, Default)]
 pub struct EndpointChanges {
     /// For a delta, its entries. For a snapshot, those entries that differ from the list before, and as gone the
-    /// replicas that it leaves out.
+    /// replicas that it does not list.
     pub endpoints: Vec<Endpoint>,
     /// The replicas that must not get new attempts from now on.
     pub leaving: Vec<ReplicaId>,
     /// Connections to former addresses of their replicas.
     pub stale_connections: Vec<ConnectionId>,
-    /// Number of entries for a name that came before in the same update; the last one is used.
+    /// Number of entries for a name that occurred earlier in the same update; the last one is used.
     pub duplicate_entries: u64,
     /// Number of entries that remove a server that was not listed.
     pub unknown_removals: u64,
@@ -351,7 +351,7 @@
         }
     }
 
-    /// Marks the replicas as gone that a snapshot leaves out.
+    /// Marks as gone the replicas that a snapshot does not list.
     fn remove_unlisted(
         &mut self,
         now: Nanos,
