--- /dev/null
+++ b/crates/mixer/src/reducer/leaf_connection/mod.rs
@@ -0,0 +1,285 @@
+//! The state of one connection to a leaf server: the queue of frames to write, the open attempts and probes, and
+//! whether the connection is usable. It never touches a socket. Whatever happens, each attempt ends exactly once.
+//!
+//! Times are Unix nanoseconds by the mixer's clock ([`Nanos`]).
+
+mod frame_queue;
+mod open_attempts;
+
+use super::probes::ProbeId;
+use cottonhill_decisions::{Nanos, RequestId};
+use frame_queue::FrameQueue;
+use open_attempts::OpenAttempts;
+use std::collections::VecDeque;
+use std::rc::Rc;
+
+/// Identifies an attempt at a part.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptId {
+    /// The part.
+    pub part: RequestId,
+    /// The attempts at a part are numbered from 0.
+    pub number: u8,
+}
+
+/// An attempt in a call.
+#[derive(Clone, Debug, PartialEq)]
+pub struct CallAttempt {
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// The id of its part in the frame.
+    pub wire_id: Rc<str>,
+}
+
+/// A frame to write.
+#[derive(Clone, Debug, PartialEq)]
+pub enum QueuedFrame {
+    /// Attempts that are sent together.
+    Call(Vec<CallAttempt>),
+    /// Cancels the attempt with this wire id, which was handed to the socket before.
+    Cancel(Rc<str>),
+    /// A probe.
+    Probe(ProbeId),
+}
+
+/// The phase of the connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionPhase {
+    /// The connect is under way; nothing can be written.
+    Connecting,
+    /// Frames can be written.
+    Open,
+}
+
+/// What the id in an answer refers to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AnswerTarget {
+    /// An attempt in flight, which the answer ends.
+    InFlight(AttemptId),
+    /// An attempt that was answered or cancelled before: the answer is a duplicate, or crossed the cancellation.
+    Finished,
+    /// Nothing that was ever written here: the answer is corrupt.
+    Unknown,
+}
+
+/// What was under way on a connection that has ended.
+#[derive(Debug, Default)]
+pub struct Interrupted {
+    /// Its open attempts.
+    pub attempts: Vec<InterruptedAttempt>,
+    /// Its open probes.
+    pub probes: Vec<ProbeId>,
+}
+
+/// An attempt whose connection has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct InterruptedAttempt {
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// Its frame was written, so it may have run.
+    pub may_have_run: bool,
+}
+
+/// The state of one connection to a leaf server.
+#[derive(Debug)]
+pub struct LeafConnection {
+    phase: ConnectionPhase,
+    queue: FrameQueue,
+    attempts: OpenAttempts,
+    /// Probes written, in order. Answers carry no id, so a cancelled probe keeps its place as `None`.
+    probes: VecDeque<Option<ProbeId>>,
+    /// When the last frame was received; before that, when the connection was opened.
+    last_received_at: Nanos,
+    /// An attempt was cancelled after it had been unanswered for too long: no new attempt or probe is queued until a
+    /// frame is received.
+    silent: bool,
+    /// Since when nothing is open or waiting.
+    pub idle_since: Nanos,
+    /// When the timer fires that checks for idleness: one at a time, however often the connection becomes idle.
+    pub idle_timer: Option<Nanos>,
+}
+
+impl LeafConnection {
+    /// A connection whose connect begins now.
+    pub fn new(now: Nanos) -> LeafConnection {
+        LeafConnection {
+            phase: ConnectionPhase::Connecting,
+            queue: FrameQueue::new(now),
+            attempts: OpenAttempts::default(),
+            probes: VecDeque::new(),
+            last_received_at: now,
+            silent: false,
+            idle_since: now,
+            idle_timer: None,
+        }
+    }
+
+    /// The phase of the connection.
+    pub fn phase(&self) -> ConnectionPhase {
+        self.phase
+    }
+
+    /// Whether one more attempt with this wire id may be sent on it: fewer than `max_streams` attempts and probes are
+    /// open, and none with this id, as their answers could not be distinguished.
+    pub fn has_capacity(&self, max_streams: usize, wire_id: &str) -> bool {
+        !self.silent && self.open_streams() < max_streams && !self.attempts.contains(wire_id)
+    }
+
+    /// Attempts and probes that are open.
+    fn open_streams(&self) -> usize {
+        self.attempts.len() + self.probes.len() + self.queue.probes().count()
+    }
+
+    /// Nothing is open, waiting or being written.
+    pub fn is_idle(&self) -> bool {
+        self.open_streams() == 0 && self.queue.is_empty()
+    }
+
+    /// Whether an attempt was unanswered for too long and nothing was received since; see
+    /// [`LeafConnection::cancel_attempt`].
+    pub fn is_silent(&self) -> bool {
+        self.silent
+    }
+
+    /// Silent, and no attempt is open that might still be answered. What waits are cancellations, which closing the
+    /// connection implies; a frame that the socket can't write would wait for ever.
+    pub fn is_unusable(&self) -> bool {
+        self.silent && self.attempts.is_empty()
+    }
+
+    /// Queues an attempt. With `join_last_call` it is added to the last waiting call, if that has fewer than
+    /// `max_parts_per_call` parts.
+    pub fn queue_attempt(
+        &mut self,
+        attempt: AttemptId,
+        wire_id: Rc<str>,
+        join_last_call: bool,
+        max_parts_per_call: usize,
+    ) {
+        self.attempts.insert(wire_id.clone(), attempt);
+        let entry = CallAttempt { attempt, wire_id };
+        self.queue
+            .push_attempt(entry, join_last_call, max_parts_per_call);
+    }
+
+    /// Queues a probe.
+    pub fn queue_probe(&mut self, probe: ProbeId) {
+        self.queue.push(QueuedFrame::Probe(probe));
+    }
+
+    /// The connect has succeeded.
+    pub fn on_connected(&mut self, now: Nanos) {
+        self.phase = ConnectionPhase::Open;
+        self.last_received_at = now;
+    }
+
+    /// The next frame for the socket; `None` until [`LeafConnection::on_frame_written`] reports the one before, since
+    /// a frame that waits here can still be dropped.
+    pub fn next_frame(&mut self, now: Nanos) -> Option<QueuedFrame> {
+        if self.phase != ConnectionPhase::Open {
+            return None;
+        }
+        let frame = self.queue.start_write(now)?;
+        if let QueuedFrame::Call(call) = &frame {
+            self.attempts.on_write_started(call, now);
+        }
+        Some(frame)
+    }
+
+    /// The socket has taken the last byte of the frame: from now on its parts may run.
+    pub fn on_frame_written(&mut self) {
+        match self.queue.finish_write() {
+            Some(QueuedFrame::Call(call)) => self.attempts.on_written(&call),
+            Some(QueuedFrame::Probe(probe)) => self.probes.push_back(Some(probe)),
+            Some(QueuedFrame::Cancel(_)) | None => {}
+        }
+    }
+
+    /// A frame was received, so the connection is not silent.
+    pub fn on_frame_received(&mut self, now: Nanos) {
+        self.last_received_at = now;
+        self.silent = false;
+    }
+
+    /// Ends the attempt that an answer is for. An attempt that has not been written yet can't have been answered: such
+    /// an answer is for an earlier attempt of the same id.
+    pub fn on_answer(&mut self, wire_id: &str) -> AnswerTarget {
+        self.attempts.on_answer(wire_id)
+    }
+
+    /// The attempt that a malformed answer is attributed to: the one that it names, else the one that has been in
+    /// flight for longest.
+    pub fn attempt_of_malformed_answer(&self, wire_id: Option<&str>) -> Option<AttemptId> {
+        self.attempts.attempt_of_malformed_answer(wire_id)
+    }
+
+    /// The open attempts whose last byte the socket has taken, in the order of their wire ids.
+    pub fn written_attempts(&self) -> Vec<AttemptId> {
+        self.attempts.written()
+    }
+
+    /// The probe that an answer is for; `None` if it was cancelled, or none was sent.
+    pub fn on_probe_answer(&mut self) -> Option<ProbeId> {
+        self.probes.pop_front().flatten()
+    }
+
+    /// Cancels a probe. Its answer, should it come, is not mistaken for the next one's.
+    pub fn cancel_probe(&mut self, probe: ProbeId) {
+        self.queue.remove_waiting_probe(probe);
+        for written in &mut self.probes {
+            if *written == Some(probe) {
+                *written = None;
+            }
+        }
+    }
+
+    /// Cancels an attempt; true if it may have run. One that waits is dropped and never sent; one whose frame was
+    /// handed to the socket is followed by a frame that cancels it. If nothing was received for `silence_timeout`
+    /// nanoseconds since it was handed to the socket, the connection is silent.
+    pub fn cancel_attempt(
+        &mut self,
+        attempt: AttemptId,
+        now: Nanos,
+        silence_timeout: Nanos,
+    ) -> bool {
+        let Some(removed) = self.attempts.remove(attempt) else {
+            return false;
+        };
+        if self.queue.remove_waiting_attempt(attempt) {
+            return false;
+        }
+        self.attempts.remember_finished(removed.wire_id.clone());
+        self.queue.push(QueuedFrame::Cancel(removed.wire_id));
+        if let Some(write_started_at) = removed.write_started_at {
+            let nothing_received = self.last_received_at <= write_started_at;
+            self.silent |=
+                nothing_received && now.saturating_sub(write_started_at) >= silence_timeout;
+        }
+        true
+    }
+
+    /// The attempts that have not been handed to the socket, in the order in which they would be.
+    pub fn unsent_attempts(&self) -> Vec<AttemptId> {
+        self.queue.waiting_attempts()
+    }
+
+    /// Whether a call with this part is being written.
+    pub fn is_writing(&self, part: RequestId) -> bool {
+        self.queue.is_writing(part)
+    }
+
+    /// When the call that is being written was handed to the socket, if one is. Attempts of it that were cancelled
+    /// meanwhile are still sent with it.
+    pub fn writing_call_since(&self) -> Option<Nanos> {
+        self.queue.writing_call_since()
+    }
+
+    /// The connection has ended: what was under way on it.
+    pub fn into_interrupted(self) -> Interrupted {
+        let written_probes = self.probes.iter().flatten().copied();
+        Interrupted {
+            attempts: self.attempts.interrupted(),
+            probes: written_probes.chain(self.queue.probes()).collect(),
+        }
+    }
+}
