--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -119,7 +119,7 @@
     if batch.now < stats.at_capacity_until {
         return f64::INFINITY;
     }
-    let parts_ahead = stats.open().parts();
+    let parts_ahead = stats.parts_in_flight().parts();
     let since_answer = batch.now.saturating_sub(stats.last_answer_at) as f64;
     let staleness = since_answer / batch.timing.shortest_objective;
     let answer_interval = stats.answer_interval.mean().unwrap_or(0.0);
--- a/crates/decisions/src/completion.rs
+++ b/crates/decisions/src/completion.rs
@@ -29,7 +29,7 @@
     /// Reject or fail it.
     GiveUp,
     /// Retry or hedge its parts.
-    Retry,
+    RetryOrHedge,
     /// Wait for the attempts in flight.
     Wait,
 }
@@ -137,7 +137,7 @@
     if query_of_death && phase_age <= max_wait {
         return Decision::Wait;
     }
-    Decision::Retry
+    Decision::RetryOrHedge
 }
 
 /// Whether the query seems to crash each replica that executes a part of it: none of its parts is answered, and
--- a/crates/decisions/src/connection_loss.rs
+++ b/crates/decisions/src/connection_loss.rs
@@ -117,7 +117,7 @@
 /// Whether the connections to a replica have not been used for `idle_after`: nothing is in flight, and its last
 /// response was longer ago.
 fn has_idle_connection(now: Nanos, stats: &ReplicaStats, idle_after: Nanos) -> bool {
-    stats.open().is_empty()
+    stats.parts_in_flight().is_empty()
         && stats.last_response_at > 0
         && now - stats.last_response_at > idle_after
 }
--- a/crates/decisions/src/coordinator/query_lifecycle.rs
+++ b/crates/decisions/src/coordinator/query_lifecycle.rs
@@ -64,7 +64,7 @@
                 self.give_up_query(batch, query);
                 return;
             }
-            Decision::Retry => self.attempts.retry_and_hedge(
+            Decision::RetryOrHedge => self.attempts.retry_and_hedge(
                 batch,
                 &mut self.replicas,
                 &mut self.weight_cutoff,
--- a/crates/decisions/src/health_check.rs
+++ b/crates/decisions/src/health_check.rs
@@ -55,5 +55,5 @@
     let stats = replica.stats();
     let last_activity_at = stats.last_response_at.max(stats.latency_updated_at);
     let idle_for = batch.now.saturating_sub(last_activity_at) as f64;
-    stats.open().is_empty() && idle_for > batch.timing.shortest_objective
+    stats.parts_in_flight().is_empty() && idle_for > batch.timing.shortest_objective
 }
--- a/crates/decisions/src/outlier_detection.rs
+++ b/crates/decisions/src/outlier_detection.rs
@@ -87,7 +87,8 @@
     let silent_for = replica.silent_for(batch.now) as f64;
     let silent = silent_for > hedge_delay(latencies, batch.timing.shortest_objective);
     let stats = replica.stats();
-    let ejected_or_on_probation = batch.now < stats.ejected_until || !stats.open().is_empty();
+    let ejected_or_on_probation =
+        batch.now < stats.ejected_until || !stats.parts_in_flight().is_empty();
     let at_capacity = batch.now < stats.at_capacity_until;
     silent || replica.suspected() && ejected_or_on_probation || at_capacity
 }
--- a/crates/decisions/src/replica_set.rs
+++ b/crates/decisions/src/replica_set.rs
@@ -106,7 +106,7 @@
         let connection = self
             .connection_loss
             .prepare_connection(batch, &mut self.table, slot);
-        self.table.open_part(slot, batch.now);
+        self.table.add_part_in_flight(slot, batch.now);
         if slow_start::is_enabled(batch.settings) {
             let since = batch.now.saturating_sub(batch.settings.overload_window);
             self.table.record_send(slot, batch.now, since);
@@ -128,7 +128,7 @@
 
     fn record_end_for_slot(&mut self, batch: &mut Batch, slot: Slot, attempt: EndedAttempt) {
         self.update_stats(batch, slot, &attempt);
-        self.table.close_part(slot, attempt.sent_at);
+        self.table.remove_part_in_flight(slot, attempt.sent_at);
         match attempt.outcome {
             Outcome::Ok => {
                 self.slow_start.record_answer(batch);
@@ -159,7 +159,10 @@
                 stats.at_capacity_until = outlier_detection::at_capacity_until(batch)
             }
             Outcome::Ok => {
-                let oldest_sent_at = stats.open().oldest_sent_at().unwrap_or(attempt.sent_at);
+                let oldest_sent_at = stats
+                    .parts_in_flight()
+                    .oldest_sent_at()
+                    .unwrap_or(attempt.sent_at);
                 let busy_since = stats.last_answer_at.max(oldest_sent_at);
                 let interval = (batch.now - busy_since) as f64;
                 stats.answer_interval.add(interval, ANSWER_SMOOTHING);
--- a/crates/decisions/src/tables/mod.rs
+++ b/crates/decisions/src/tables/mod.rs
@@ -3,7 +3,7 @@
 mod cell_index;
 pub(crate) mod due_queue;
 pub(crate) mod in_flight;
-pub(crate) mod open_parts;
+pub(crate) mod parts_in_flight;
 pub(crate) mod query_table;
 pub(crate) mod recent_outcomes;
 mod replica;
--- a/crates/decisions/src/tables/open_parts.rs
+++ b/crates/decisions/src/tables/parts_in_flight.rs
@@ -15,16 +15,16 @@
 
 /// The parts in flight at one replica.
 #[derive(Debug, Default, PartialEq)]
-pub struct OpenParts {
+pub struct PartsInFlight {
     by_time: VecDeque<SentParts>,
     parts: u32,
     /// Calls that they fill, partly filled ones included.
     calls: u32,
 }
 
-impl OpenParts {
+impl PartsInFlight {
     /// No parts.
-    pub const NONE: OpenParts = OpenParts {
+    pub const NONE: PartsInFlight = PartsInFlight {
         by_time: VecDeque::new(),
         parts: 0,
         calls: 0,
--- a/crates/decisions/src/tables/replica.rs
+++ b/crates/decisions/src/tables/replica.rs
@@ -1,6 +1,6 @@
 //! One replica: its entry of the endpoint list, and what attempts and probes have shown of it.
 
-use super::open_parts::OpenParts;
+use super::parts_in_flight::PartsInFlight;
 use super::statistics::{SmoothedMean, TimeWindow};
 use crate::{Endpoint, EndpointStatus, Nanos, ReplicaId};
 
@@ -54,7 +54,7 @@
     /// Offset to its capacity while it is warming up.
     pub slow_start_jitter: SlowStartJitter,
     /// The parts in flight there.
-    pub(super) open: OpenParts,
+    pub(super) parts_in_flight: PartsInFlight,
 }
 
 impl ReplicaStats {
@@ -75,12 +75,12 @@
             drawn_at: 0,
             parts: 0.0,
         },
-        open: OpenParts::NONE,
+        parts_in_flight: PartsInFlight::NONE,
     };
 
     /// The parts in flight at the replica.
-    pub fn open(&self) -> &OpenParts {
-        &self.open
+    pub fn parts_in_flight(&self) -> &PartsInFlight {
+        &self.parts_in_flight
     }
 }
 
@@ -167,14 +167,14 @@
     pub fn silent_for(&self, now: Nanos) -> Nanos {
         let stats = self.stats();
         stats
-            .open
+            .parts_in_flight
             .oldest_sent_at()
             .map_or(0, |sent_at| now - sent_at.max(stats.last_response_at))
     }
 
     /// Whether a part that was sent to it at `now` is in flight.
     pub fn was_sent_part_at(&self, now: Nanos) -> bool {
-        self.stats().open.newest_sent_at() == Some(now)
+        self.stats().parts_in_flight.newest_sent_at() == Some(now)
     }
 
     /// Whether it is suspected although the endpoint list has it as ready.
--- a/crates/decisions/src/tables/replica_table.rs
+++ b/crates/decisions/src/tables/replica_table.rs
@@ -56,7 +56,10 @@
 
     /// Calls in flight at a replica; one that was opened at `now` and has room for one more part is not counted.
     pub fn calls_in_flight(&self, replica: &Replica, now: Nanos) -> u32 {
-        replica.stats().open.calls(now, self.max_parts_per_call)
+        replica
+            .stats()
+            .parts_in_flight
+            .calls(now, self.max_parts_per_call)
     }
 
     /// How many replicas are known, those gone and not forgotten included.
@@ -233,9 +236,11 @@
     }
 
     /// Records a part that is sent to a replica now.
-    pub fn open_part(&mut self, slot: Slot, now: Nanos) {
+    pub fn add_part_in_flight(&mut self, slot: Slot, now: Nanos) {
         let max_parts_per_call = self.max_parts_per_call;
-        self.stats_mut(slot).open.add(now, max_parts_per_call);
+        self.stats_mut(slot)
+            .parts_in_flight
+            .add(now, max_parts_per_call);
     }
 
     /// Keeps the time of a send that is made now, and those of the sends since `since`.
@@ -246,9 +251,9 @@
     }
 
     /// Records the end of a part that was sent to a replica at `sent_at`.
-    pub fn close_part(&mut self, slot: Slot, sent_at: Nanos) {
+    pub fn remove_part_in_flight(&mut self, slot: Slot, sent_at: Nanos) {
         let max_parts_per_call = self.max_parts_per_call;
-        let open = &mut self.stats_mut(slot).open;
+        let open = &mut self.stats_mut(slot).parts_in_flight;
         if open.remove(sent_at, max_parts_per_call) && open.is_empty() {
             self.queue_expiry(slot);
         }
@@ -265,7 +270,8 @@
             self.count_visits(1);
             let replica = &mut self.replicas[slot.index()];
             replica.queued_for_expiry = false;
-            if replica.status != EndpointStatus::Gone || !replica.stats().open.is_empty() {
+            if replica.status != EndpointStatus::Gone || !replica.stats().parts_in_flight.is_empty()
+            {
                 continue;
             }
             if replica.stats().latency_updated_at > updated_until {
--- a/crates/decisions/tests/replica_table.rs
+++ b/crates/decisions/tests/replica_table.rs
@@ -233,7 +233,7 @@
             return;
         };
         let now = self.now;
-        self.table.open_part(slot, now);
+        self.table.add_part_in_flight(slot, now);
         *self.expected(id).parts_in_flight.entry(now).or_default() += 1;
     }
 
@@ -248,7 +248,7 @@
             expected.parts_in_flight.insert(sent, parts - 1);
         }
         let slot = self.table.slot(id).expect("known to the oracle");
-        self.table.close_part(slot, sent);
+        self.table.remove_part_in_flight(slot, sent);
     }
 
     fn record_latency(&mut self, id: ReplicaId) {
@@ -304,7 +304,7 @@
         let Some(replica) = self.table.get(id) else {
             return (0, 0);
         };
-        let open = replica.stats().open();
+        let open = replica.stats().parts_in_flight();
         (open.parts(), open.calls(self.now, PARTS_PER_CALL))
     }
 }
@@ -320,7 +320,7 @@
         latency: replica.stats().latency,
         parts_in_flight: replica
             .stats()
-            .open()
+            .parts_in_flight()
             .by_time()
             .map(|open| (open.sent_at, open.parts))
             .collect(),
--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -316,7 +316,7 @@
          f"{number(lost)} entries, {as_bytes(size(lost))} a mixer",
          f"and as many at the return; {of(times(size(lost), 1 / CONTROL_BYTES), 's')} each at 24 KB/s"],
         ["probes once a tenth is suspected, each mixer", f"{number(PROBES)} every {FADE_S * 1e3:.0f} ms",
-         "`probe_idle_replicas`: all without news for one target; `evict_idle_connection` walks "
+         "`probe_idle_replicas`: all without an observation for one target; `evict_idle_connection` walks "
          f"{LINKS} connections for each"],
     )
 
