--- a/crates/cottonhill/src/main.rs
+++ b/crates/cottonhill/src/main.rs
@@ -1,7 +1,7 @@
 //! `cottonhill`: the mixer and its ledger on one command line.
 //!
-//! [`commands`] holds one module for each subcommand, [`mixer`] runs the mixer's process, and [`files`] reads what both
-//! are told by: the platform's configuration and the settings, against the one [`schema`].
+//! [`commands`] holds one module for each subcommand, [`mixer`] runs the mixer's process, and [`files`] reads the two
+//! files that both need: the platform's configuration and the settings, against the one [`schema`].
 
 mod commands;
 mod error;
--- a/crates/simulator-adapter/src/wire/vocabulary.rs
+++ b/crates/simulator-adapter/src/wire/vocabulary.rs
@@ -1,4 +1,4 @@
-//! The simulator's vocabulary beside ours: codes of records and values, and positions of fields from the record's code on.
+//! Codes of the wire's records and values, and positions of fields from the record's code on, each under the code's term.
 //! Doc comments give the name on the wire.
 
 use cottonhill_decisions::{EndpointStatus, EndpointUpdateKind, Outcome};
