--- a/crates/decisions/src/actions.rs
+++ b/crates/decisions/src/actions.rs
@@ -1,15 +1,15 @@
-//! The actions that a [`crate::Coordinator`] asks its owner to perform.
+//! The actions that a [`crate::Coordinator`] requests from its caller.
 
 use crate::ids::{Nanos, ReplicaId, RequestId};
 
-/// An action; the owner performs the actions of a batch in order, at the time of the batch.
+/// An action. The caller performs the actions of a batch in order, at the time of the batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Sends a part to a replica.
     Send {
         /// The part.
         part: RequestId,
-        /// Where it is sent.
+        /// The replica that receives the part.
         replica: ReplicaId,
         /// When the attempt times out.
         expires_at: Nanos,
@@ -21,38 +21,38 @@
         /// The attempt's number.
         attempt: u8,
     },
-    /// Answers a query from the parts that have been answered.
+    /// Answers a query with the results of its answered parts.
     Answer {
         /// The query.
         query: RequestId,
         /// Whether the answer counts as complete.
         complete: bool,
     },
-    /// Rejects a query: the client may safely retry.
+    /// Rejects a query that the client may safely retry.
     Reject {
         /// The query.
         query: RequestId,
-        /// The `Retry-After` to give, ns.
+        /// The `Retry-After` sent to the client, ns; `None` to send none.
         retry_after: Option<Nanos>,
     },
-    /// Fails a query, with no promise about whether it executed.
+    /// Fails a query that may have executed, so that a retry by the client may not be safe.
     Fail {
         /// The query.
         query: RequestId,
     },
-    /// Requests an [`crate::Event::TimerFired`].
+    /// Schedules an [`crate::Event::TimerFired`].
     SetTimer {
-        /// Returned in the event.
+        /// Token that the event carries.
         token: u64,
-        /// When it fires, from now, ns.
+        /// Delay from the time of the batch, ns.
         delay: Nanos,
     },
-    /// Subscribes to endpoint updates, or ends the subscription.
+    /// Starts or ends the subscription to endpoint updates.
     SubscribeEndpoints {
-        /// Whether to subscribe.
+        /// Whether to start the subscription rather than end it.
         enabled: bool,
     },
-    /// Requests one snapshot of the endpoint list.
+    /// Requests a single snapshot of the endpoint list.
     FetchEndpoints,
     /// Probes a replica.
     Probe {
@@ -66,7 +66,7 @@
     },
     /// Sends a datagram to other coordinators.
     SendDatagram {
-        /// The receiver; all others if `None`.
+        /// The receiver; `None` for all other coordinators.
         to: Option<u32>,
         /// The payload.
         bytes: Vec<u8>,
--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -1,5 +1,5 @@
-//! Admission: whether a query can be answered within its latency objective, and which of its parts cannot. A query that
-//! cannot would only delay others.
+//! Admission control: rejects queries that cannot be answered within their latency objective, since they would only
+//! delay others, and skips single parts that cannot be answered in time.
 
 use crate::batch::Batch;
 use crate::replica_set::ReplicaSet;
@@ -9,12 +9,12 @@
 use crate::timing::phase_count;
 use crate::Class;
 
-/// Fraction of the time left that the expected latency of a query's parts may take up for it to be admitted.
+/// Maximum expected latency of a part as a fraction of the remaining time per phase, for the query to be admitted.
 const MAX_LATENCY_FRACTION: f64 = 0.5;
-/// Bounds of the factor by which a query's priority per work scales that fraction.
+/// Bounds of the factor by which a query's priority weight per part scales that fraction.
 const MIN_PRIORITY_FACTOR: f64 = 0.7;
 const MAX_PRIORITY_FACTOR: f64 = 1.3;
-/// Weight of one query in the usual priority per work.
+/// Weight of one query in the smoothed mean of the priority weight per part.
 const PRIORITY_SMOOTHING: f64 = 0.03;
 /// Tolerance for rounding errors in sums of weights.
 const WEIGHT_TOLERANCE: f64 = 1e-4;
@@ -22,13 +22,13 @@
 /// Admits the queries that can be answered within their latency objectives.
 #[derive(Debug, Default)]
 pub struct Admission {
-    /// Mean priority weight per part over all queries.
-    usual_priority_per_work: SmoothedMean,
+    /// Smoothed mean of the priority weight per part over all queries.
+    mean_priority_per_part: SmoothedMean,
 }
 
 impl Admission {
-    /// Whether the query can be answered within its latency objective; parts that cannot are skipped where a partial
-    /// answer is enough.
+    /// Returns whether the query can be answered within its latency objective. Marks parts that cannot be answered in
+    /// time as skipped if a partial answer without them is sufficient.
     pub fn can_meet_objective(
         &mut self,
         batch: &Batch,
@@ -37,35 +37,39 @@
     ) -> bool {
         let class = batch.class(query);
         let latency_fraction = MAX_LATENCY_FRACTION * self.priority_factor(class, query);
-        let time_left = (query.objective_at - query.arrived_at) as f64;
-        let max_latency = latency_fraction * time_left / f64::from(phase_count(class));
-        if cannot_earn_value(class, query) || time_left < usual_latency(class, replicas) {
+        let remaining_time = (query.objective_at - query.arrived_at) as f64;
+        let max_latency = latency_fraction * remaining_time / f64::from(phase_count(class));
+        if cannot_earn_priority_weight(class, query)
+            || remaining_time < bounded_mean_latency(class, replicas)
+        {
             return false;
         }
         skip_slow_parts(batch, replicas.table(), query, max_latency)
     }
 
-    /// Priority weight per part against the usual one: queries with a high priority for little work may wait longer.
+    /// The query's priority weight per part relative to the mean of all queries. Queries with a high priority and few
+    /// parts may wait longer.
     fn priority_factor(&mut self, class: &Class, query: &Query) -> f64 {
         let priority_weight = class.priority_weight.unwrap_or(1.0);
-        let priority_per_work = priority_weight / query.parts.len().max(1) as f64;
-        let usual = self
-            .usual_priority_per_work
-            .add(priority_per_work, PRIORITY_SMOOTHING);
-        (priority_per_work / usual.max(f64::MIN_POSITIVE))
+        let priority_per_part = priority_weight / query.parts.len().max(1) as f64;
+        let mean = self
+            .mean_priority_per_part
+            .add(priority_per_part, PRIORITY_SMOOTHING);
+        (priority_per_part / mean.max(f64::MIN_POSITIVE))
             .clamp(MIN_PRIORITY_FACTOR, MAX_PRIORITY_FACTOR)
     }
 }
 
-/// Whether no answer can earn any priority weight, however fast it is.
-fn cannot_earn_value(class: &Class, query: &Query) -> bool {
-    let too_late = query.objective_missed_on_arrival && class.late_weight_fraction <= 0.0;
-    too_late || query.client_timeout_too_short
+/// Whether no answer to the query can earn any priority weight, even an immediate one.
+fn cannot_earn_priority_weight(class: &Class, query: &Query) -> bool {
+    let missed_without_late_weight =
+        query.objective_missed_on_arrival && class.late_weight_fraction <= 0.0;
+    missed_without_late_weight || query.client_timeout_too_short
 }
 
-/// The mean latency of all replicas, ns. It is bounded by a fraction of the latency objective: if a slow period led to
-/// the rejection of all queries, no answer would ever show its end.
-fn usual_latency(class: &Class, replicas: &ReplicaSet) -> f64 {
+/// The mean latency over all replicas, ns, bounded by a fraction of the latency objective. Without the bound, a slow
+/// period could lead to the rejection of all queries, and then no answer would ever lower the mean again.
+fn bounded_mean_latency(class: &Class, replicas: &ReplicaSet) -> f64 {
     replicas
         .latencies()
         .fleet_mean()
@@ -73,8 +77,8 @@
         .min(MAX_LATENCY_FRACTION * class.latency_objective as f64)
 }
 
-/// Skips the parts that are expected to take longer than `max_latency`, if the others suffice for a partial answer;
-/// false if they do not suffice for any answer.
+/// Marks the parts that are expected to take longer than `max_latency` as skipped if the other parts are sufficient for
+/// a partial answer. Returns false if the other parts are not sufficient for any answer.
 fn skip_slow_parts(
     batch: &Batch,
     table: &ReplicaTable,
@@ -84,7 +88,7 @@
     let class = batch.class(query);
     let minimum_coverage = class.minimum_coverage.min(class.completeness_threshold);
     let slow: Vec<usize> = (0..query.parts.len())
-        .filter(|index| least_queueing_delay(batch, table, &query.parts[*index]) > max_latency)
+        .filter(|index| min_queueing_delay(batch, table, &query.parts[*index]) > max_latency)
         .collect();
     let slow_weight = slow
         .iter()
@@ -102,8 +106,8 @@
     true
 }
 
-/// The least queueing delay of all ready holders of the part, ns; infinite if there is none.
-fn least_queueing_delay(batch: &Batch, table: &ReplicaTable, part: &Part) -> f64 {
+/// The minimum queueing delay over all ready replicas that hold the part's shard, ns; infinite if there are none.
+fn min_queueing_delay(batch: &Batch, table: &ReplicaTable, part: &Part) -> f64 {
     let holders = table.holders(part.shard);
     holders
         .iter()
@@ -113,7 +117,9 @@
         .fold(f64::INFINITY, f64::min)
 }
 
-/// When one more part is expected back: after the parts in flight there, at the rate at which it answers, ns.
+/// Expected time until the replica answers one more part, ns: its mean interval between answers times the parts in
+/// flight there plus one, where an interval decays with its age. It is infinite while the replica is at capacity, and
+/// at least the time for which the replica has been unresponsive.
 fn queueing_delay(batch: &Batch, replica: &Replica) -> f64 {
     let stats = replica.stats();
     if batch.now < stats.at_capacity_until {
@@ -124,5 +130,5 @@
     let staleness = since_answer / batch.timing.shortest_objective;
     let answer_interval = stats.answer_interval.mean().unwrap_or(0.0);
     let queued = answer_interval * f64::from(parts_ahead + 1) * (-staleness).exp();
-    queued.max(replica.silent_for(batch.now) as f64)
+    queued.max(replica.unresponsive_for(batch.now) as f64)
 }
--- a/crates/decisions/src/attempts.rs
+++ b/crates/decisions/src/attempts.rs
@@ -9,11 +9,11 @@
 use crate::tables::in_flight::{InFlightAttempt, InFlightAttempts};
 use crate::tables::query_table::{Attempt, Part, Query};
 use crate::tables::replica_table::Slot;
-use crate::timing::{phase_duration, LATENESS_THRESHOLD};
+use crate::timing::{phase_duration, OVERDUE_FRACTION};
 use crate::weight_cutoff::WeightCutoff;
 use crate::{Action, Nanos, RequestId};
 
-/// Sends parts, and keeps the attempts in flight and what limits extra attempts.
+/// Sends parts, and stores the attempts in flight and the limits on extra attempts (retries and hedged requests).
 #[derive(Debug, Default)]
 pub struct Attempts {
     in_flight: InFlightAttempts,
@@ -21,15 +21,15 @@
     hedging: Hedging,
 }
 
-/// The state of a query's present phase that its retries and hedged requests depend on.
+/// The state of a query's current phase that decides about retries and hedged requests.
 struct PhaseProgress {
-    /// The time that the phase has, ns.
+    /// The time available for the phase, ns.
     duration: f64,
-    /// How long to wait for an attempt before its part is hedged, ns.
+    /// How long an attempt is in flight before its part may be hedged, ns.
     hedge_delay: f64,
-    /// Enough of the phase is over that its unanswered parts count as late.
-    late: bool,
-    /// At least half of the parts that are not skipped are answered.
+    /// Whether [`OVERDUE_FRACTION`] of the phase has passed, after which its unanswered parts are overdue.
+    overdue: bool,
+    /// Whether at least half of the parts that are not skipped are answered.
     half_answered: bool,
 }
 
@@ -42,24 +42,24 @@
         PhaseProgress {
             duration,
             hedge_delay: hedging::hedge_delay(replicas.latencies(), duration),
-            late: phase_age > LATENESS_THRESHOLD * duration,
+            overdue: phase_age > OVERDUE_FRACTION * duration,
             half_answered: 2 * answered >= sent_parts().count(),
         }
     }
 }
 
 impl Attempts {
-    /// A query or part was received, which adds to the retry budget.
+    /// Records that a query or part was received, which increases the retry budget.
     pub fn record_arrival(&mut self, now: Nanos) {
         self.budget_usage.record_arrival(now);
     }
 
-    /// What has been used of the retry budget.
+    /// The usage of the retry budget.
     pub fn budget_usage(&self) -> &RetryBudgetUsage {
         &self.budget_usage
     }
 
-    /// Sends the parts of a query that have not been sent, heaviest first.
+    /// Sends the parts of a query that have not been sent and are not skipped, in descending order of weight.
     pub fn send_new_parts(
         &mut self,
         batch: &mut Batch,
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Sends the part at `index` of the query to the best replica; false if the query has expired, the rules of retries
-    /// do not allow it or no replica may get it.
+    /// Sends the part at `index` of the query to the preferred replica. Returns false if the query has expired, the
+    /// retry rules do not allow another attempt, or no replica can receive the part.
     fn send_part(
         &mut self,
         batch: &mut Batch,
@@ -128,7 +128,7 @@
         });
     }
 
-    /// Retries the failed parts of the query's present phase, hedges the slow ones and records the late ones.
+    /// Retries the failed parts of the query's current phase, hedges the slow ones and records the overdue ones.
     /// `open_parts` is the number of parts of all open queries.
     pub fn retry_and_hedge(
         &mut self,
@@ -140,16 +140,16 @@
     ) {
         let progress = PhaseProgress::new(batch, replicas, query);
         for index in 0..query.parts.len() {
-            let in_present_phase = query.parts[index].phase == query.phase;
+            let in_current_phase = query.parts[index].phase == query.phase;
             let part = &mut query.parts[index];
             if part.answered {
                 part.cancel_attempts(batch.settings.cancellation_enabled, batch.actions);
             }
-            if part.answered || part.skipped || !in_present_phase {
+            if part.answered || part.skipped || !in_current_phase {
                 continue;
             }
-            if progress.late {
-                weight_cutoff.record_late_part(batch.now, part);
+            if progress.overdue {
+                weight_cutoff.record_overdue_part(batch.now, part);
             }
             self.retry_or_hedge_part(batch, replicas, &progress, query, index, open_parts);
         }
@@ -184,28 +184,28 @@
         ) && hedging::has_faster_replica(batch, replicas, part, &last)
             && self.hedging.allows_hedge(&self.budget_usage, open_parts);
         if may_hedge && self.send_part(batch, replicas, query, index) {
-            replicas.eject_if_silent_since(batch, &last);
+            replicas.eject_if_unresponsive_since(batch, &last);
         }
     }
 
-    /// Removes attempt `number` of a part, which has ended; `None` if it is not in flight.
+    /// Removes attempt `number` of a part after it has ended. Returns `None` if it was not in flight.
     pub fn remove_in_flight(&mut self, part: RequestId, number: u8) -> Option<InFlightAttempt> {
         self.in_flight.remove(part, number)
     }
 
-    /// Records the success of attempt `number` of a part that other attempts are in flight for.
+    /// Records that attempt `number` of a part succeeded while other attempts of the part were in flight.
     pub fn record_hedged_answer(&mut self, part: &Part, number: u8) {
         let mut earlier = part.attempts.iter().take(usize::from(number));
         let first_attempt_won = earlier.all(|attempt| !attempt.in_flight);
         self.hedging.record_hedged_answer(first_attempt_won);
     }
 
-    /// Forgets the arrivals and extra attempts that no limit counts any more.
-    pub fn forget_expired(&mut self, batch: &Batch) {
-        self.budget_usage.forget_expired(batch);
+    /// Removes the arrivals and extra attempts that are older than the retention time of the retry budget.
+    pub fn remove_expired(&mut self, batch: &Batch) {
+        self.budget_usage.remove_expired(batch);
     }
 
-    /// How many entries are kept.
+    /// Number of retained entries.
     pub fn retained_entries(&self) -> usize {
         self.in_flight.len() + self.budget_usage.recent_arrivals()
     }
--- a/crates/decisions/src/batch.rs
+++ b/crates/decisions/src/batch.rs
@@ -1,23 +1,23 @@
-//! What all decisions of one batch share: the time, the settings, randomness, and the actions decided on.
+//! The context of one batch: its time, the settings, the random number generator and the resulting actions.
 
 use crate::tables::query_table::Query;
 use crate::timing::Timing;
 use crate::{Action, Class, Nanos, Settings};
 
-/// The environment in which the events of one batch are processed.
+/// The context in which the events of one batch are processed.
 #[derive(Debug)]
 pub struct Batch<'a> {
     /// The time of the batch.
     pub now: Nanos,
     /// The coordinator's settings.
     pub settings: &'a Settings,
-    /// Durations that follow from the settings.
+    /// Durations derived from the settings.
     pub timing: &'a Timing,
-    /// The coordinator's source of randomness; each draw changes all later ones.
+    /// The coordinator's random number generator. An additional draw changes the results of all later draws.
     pub random: &'a mut fastrand::Rng,
-    /// The actions decided on so far, in order.
+    /// The actions so far, in order.
     pub actions: &'a mut Vec<Action>,
-    /// Log lines, which are written after all other actions.
+    /// Log lines; they are appended after all other actions.
     pub log_lines: Vec<String>,
 }
 
@@ -27,8 +27,8 @@
         &self.settings.classes[query.class]
     }
 
-    /// How long ago the time `at` was, in fade times; see [`Timing::fade_time`].
-    pub fn age_in_fade_times(&self, at: Nanos) -> f64 {
-        self.now.saturating_sub(at) as f64 / self.timing.fade_time()
+    /// Time elapsed since `time`, in multiples of [`Timing::decay_time`].
+    pub fn age_in_decay_times(&self, time: Nanos) -> f64 {
+        self.now.saturating_sub(time) as f64 / self.timing.decay_time()
     }
 }
--- a/crates/decisions/src/client_timeouts.rs
+++ b/crates/decisions/src/client_timeouts.rs
@@ -1,5 +1,5 @@
-//! Client timeouts: how much of its time a query's client has used up on earlier requests for it, judged by its
-//! timeout.
+//! Client timeouts: estimates from a query's timeout how long its client has already waited for earlier requests of the
+//! same query.
 
 use crate::batch::Batch;
 use crate::query_arrival::QueryArrival;
@@ -7,38 +7,43 @@
 use crate::{Class, Nanos};
 use std::collections::BTreeMap;
 
-/// Timeouts count as the same where they differ by at most the latency objective divided by this.
+/// Timeouts count as equal if they differ by at most the latency objective divided by this number.
 const TOLERANCE_DIVISOR: Nanos = 100;
-/// Most votes by which the usual timeout may lead, so that a few queries suffice to replace it.
+/// Maximum lead of the typical timeout in the majority vote, so that a few queries are sufficient to replace it.
 const MAX_LEAD: u32 = 16;
 
-/// The usual timeouts of clients' first requests.
+/// The typical timeouts of clients' first requests.
 #[derive(Debug, Default)]
 pub struct ClientTimeouts {
-    /// By class and tenant, so that the clients of one tenant do not mislead another's.
-    usual: BTreeMap<(usize, u32), MajorityDuration>,
+    /// The typical timeout by class and tenant, so that the clients of one tenant do not distort another tenant's.
+    typical: BTreeMap<(usize, u32), MajorityDuration>,
 }
 
 impl ClientTimeouts {
-    /// How much of the client's time was used up before the query was sent, ns: 0 for its first request. A retry's
-    /// timeout is taken to be what the earlier requests left of the deadline.
-    pub fn time_used(&mut self, batch: &Batch, class: &Class, query: &QueryArrival) -> Nanos {
+    /// How long the client had waited for earlier requests when it sent this query, ns; 0 for a first request. The
+    /// timeout of a client's retry is assumed to be the remainder of the class's deadline after the earlier requests.
+    pub fn elapsed_client_time(
+        &mut self,
+        batch: &Batch,
+        class: &Class,
+        query: &QueryArrival,
+    ) -> Nanos {
         let tolerance = class.latency_objective / TOLERANCE_DIVISOR;
         let key = (query.class, query.tenant);
-        let usual = self.usual.entry(key).or_default();
+        let typical = self.typical.entry(key).or_default();
         if !query.client_retry {
-            usual.vote(query.client_timeout, tolerance, MAX_LEAD);
+            typical.vote(query.client_timeout, tolerance, MAX_LEAD);
         }
         let first_request = batch.settings.client_retries_marked && !query.client_retry;
-        let usual_timeout = usual.is_near(query.client_timeout, tolerance);
-        if first_request || usual_timeout || !usual.is_known() {
+        let is_typical = typical.is_near(query.client_timeout, tolerance);
+        if first_request || is_typical || !typical.has_majority() {
             return 0;
         }
         class.deadline.saturating_sub(query.client_timeout)
     }
 
-    /// How many entries are kept.
+    /// Number of retained entries.
     pub fn retained_entries(&self) -> usize {
-        self.usual.len()
+        self.typical.len()
     }
 }
--- a/crates/decisions/src/connection_loss.rs
+++ b/crates/decisions/src/connection_loss.rs
@@ -1,34 +1,36 @@
-//! Connection loss: whether attempts are lost on idle connections, which are then closed before they are used again.
+//! Detection of lost idle connections: if attempts on idle connections are lost, such connections are closed before
+//! they would be used again.
 //!
-//! A firewall or load balancer on the path may drop an idle connection without telling either end. Idle connections are
-//! reopened where many attempts are lost on them and few on active ones, and no longer if reopened ones lose as many.
+//! A firewall or load balancer on the path may drop an idle connection without notifying either end. Idle connections
+//! are reopened if many attempts are lost on them and few on active ones. Reopening stops if attempts on reopened
+//! connections are lost at a similar rate.
 
 use crate::batch::Batch;
 use crate::tables::replica_table::{ConnectionKind, ReplicaStats, ReplicaTable, Slot};
 use crate::{Action, Nanos};
 
-/// Fraction of the idle timeout of connections after which one counts as idle.
+/// Time without use after which a connection counts as idle, as a fraction of the connections' idle timeout.
 const IDLE_FRACTION: f64 = 0.04;
-/// Weight of one attempt in the loss rate.
+/// Weight of one attempt in the smoothed loss rate.
 const LOSS_SMOOTHING: f64 = 0.05;
-/// Loss rate of idle connections from which on they may be reopened.
+/// Loss rate on idle connections above which they may be reopened.
 const MIN_LOSS_RATE: f64 = 0.2;
-/// Two loss rates count as similar where the lower is more than this fraction of the higher.
+/// Two loss rates count as similar if the lower is more than this fraction of the higher.
 const SIMILAR_LOSS_RATIO: f64 = 0.7;
-/// How long connections are reopened at a time, in shortest latency objectives.
+/// Duration of one period of reopening connections, in multiples of the shortest latency objective.
 const REOPENING_OBJECTIVES: f64 = 15.0;
 
 /// Loss rates of attempts by kind of connection, and whether idle connections are reopened.
 #[derive(Debug, Default)]
 pub struct ConnectionLoss {
     loss_rates: LossRates,
-    /// From when on reopening may start again.
+    /// Earliest time at which a new period of reopening may start.
     reopening_allowed_at: Nanos,
-    /// Until when idle connections are reopened.
+    /// End of the period in which idle connections are reopened.
     reopening_until: Nanos,
 }
 
-/// Fraction of the attempts that are lost, by kind of connection.
+/// Smoothed fraction of the attempts that are lost, by kind of connection.
 #[derive(Debug, Default)]
 struct LossRates {
     active: f64,
@@ -46,20 +48,20 @@
         *rate += LOSS_SMOOTHING * (f64::from(u8::from(lost)) - *rate);
     }
 
-    /// Whether attempts are lost on idle connections, and far fewer on active ones.
+    /// Whether attempts are lost on idle connections at a rate far above that of active ones.
     fn idle_connections_fail(&self) -> bool {
         self.idle > MIN_LOSS_RATE.max(self.active / SIMILAR_LOSS_RATIO)
     }
 
-    /// Whether attempts are lost on reopened connections as on idle ones.
+    /// Whether attempts are lost on reopened connections at a rate similar to that of idle ones.
     fn reopening_fails(&self) -> bool {
         self.reopened > MIN_LOSS_RATE.max(SIMILAR_LOSS_RATIO * self.idle)
     }
 }
 
 impl ConnectionLoss {
-    /// Records whether an attempt was lost. A lost one is recorded once its replica has responded again: until then
-    /// the replica may have failed and not the connection.
+    /// Records whether an attempt was lost. The caller records a lost attempt only after its replica has responded
+    /// again: before that, the replica may have failed rather than the connection.
     pub fn record_attempt(&mut self, batch: &mut Batch, connection: ConnectionKind, lost: bool) {
         self.loss_rates.record(connection, lost);
         let reopening_time = REOPENING_OBJECTIVES * batch.timing.shortest_objective;
@@ -72,7 +74,8 @@
         let idle_connections_fail =
             connection == ConnectionKind::Idle && self.loss_rates.idle_connections_fail();
         if idle_connections_fail && batch.now >= self.reopening_allowed_at {
-            let line = "attempts on idle connections are lost: idle connections are reopened";
+            let line =
+                "attempts are being lost on idle connections: closing idle connections before use";
             batch.log_lines.push(line.into());
             self.reopening_allowed_at = reopening_end;
             self.reopening_until = reopening_end;
@@ -80,8 +83,8 @@
         }
     }
 
-    /// The kind of connection that an attempt at a replica is sent on now. The idle connections to it are closed first
-    /// while they are reopened.
+    /// Returns the kind of connection on which an attempt is sent to a replica now. During a period of reopening,
+    /// closes the idle connections to the replica first.
     pub fn prepare_connection(
         &self,
         batch: &mut Batch,
@@ -114,8 +117,8 @@
     }
 }
 
-/// Whether the connections to a replica have not been used for `idle_after`: nothing is in flight, and its last
-/// response was longer ago.
+/// Whether the connections to a replica are idle: no part is in flight, and its last response was more than
+/// `idle_after` ago.
 fn has_idle_connection(now: Nanos, stats: &ReplicaStats, idle_after: Nanos) -> bool {
     stats.parts_in_flight().is_empty()
         && stats.last_response_at > 0
--- a/crates/decisions/src/coordinator/event_handling.rs
+++ b/crates/decisions/src/coordinator/event_handling.rs
@@ -1,4 +1,4 @@
-//! What each event of a batch changes.
+//! Application of single events to the coordinator's state.
 
 use super::State;
 use crate::batch::Batch;
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl State {
-    /// Applies an event; queries whose parts it brings are added to `queries_with_new_parts`.
+    /// Applies an event. For a received part, adds the id of its query to `queries_with_new_parts`.
     pub(super) fn apply_event(
         &mut self,
         batch: &mut Batch,
@@ -78,7 +78,8 @@
         let Some(attempt) = self.attempts.remove_in_flight(part, number) else {
             return;
         };
-        // A replica that has not responded recently may just be slow to connect.
+        // A failed connection to a replica that has not responded recently may be due to a slow handshake, not
+        // overload.
         let connect_failure_is_overload = batch.settings.retry_budget.is_some()
             || self.replicas.has_responded_recently(batch, attempt.replica);
         self.replicas.record_end(batch, &attempt, outcome);
@@ -105,7 +106,7 @@
     }
 }
 
-/// A weight that is neither negative nor infinite nor not a number.
+/// Replaces a negative, infinite or NaN weight by 0.
 fn sanitize_weight(weight: f64) -> f64 {
     if weight.is_finite() {
         weight.max(0.0)
--- a/crates/decisions/src/coordinator/mod.rs
+++ b/crates/decisions/src/coordinator/mod.rs
@@ -1,4 +1,5 @@
-//! The coordinator: applies a batch of events to the owners of state, in order, and collects the actions decided on.
+//! The coordinator: applies the events of a batch in order to the modules that own the state, and collects the
+//! resulting actions.
 
 mod event_handling;
 mod query_lifecycle;
@@ -17,10 +18,10 @@
 use crate::{Action, Event, Nanos, RequestId, Settings};
 use std::collections::BTreeSet;
 
-/// Makes the decisions of one coordinator.
+/// The decision logic of one coordinator.
 ///
-/// It is given events in batches and answers each batch with actions. It holds no clock, no thread and nothing global:
-/// the same settings, seed and events give the same actions.
+/// Each batch of events results in a list of actions. The coordinator has no clock, no threads and no global state: the
+/// same settings, seed and events result in the same actions.
 #[derive(Debug)]
 pub struct Coordinator {
     settings: Settings,
@@ -30,7 +31,7 @@
 }
 
 impl Coordinator {
-    /// A coordinator that has seen no events; `seed` determines its random choices.
+    /// Creates a coordinator. `seed` determines its random choices.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Coordinator {
             timing: Timing::new(&settings),
@@ -40,29 +41,29 @@
         }
     }
 
-    /// How many entries are kept of queries, attempts and replicas.
+    /// Number of retained entries for queries, attempts, client timeouts and replicas.
     pub fn retained_entries(&self) -> usize {
         self.state.retained_entries()
     }
 
-    /// How many replicas were looked at so far: a measure of cost, for tests.
+    /// Number of replica entries visited so far, which measures cost in tests.
     pub fn replicas_visited(&self) -> u64 {
         self.state.replicas.table().replicas_visited()
     }
 
-    /// How many times an open query was processed so far: a measure of cost, for tests.
+    /// Number of times that open queries were processed so far, which measures cost in tests.
     pub fn queries_processed(&self) -> u64 {
         self.state.queries_processed
     }
 
-    /// Processes all open queries in every batch from now on, due or not. The actions are the same, for tests to
-    /// compare.
+    /// Processes all open queries in every batch from now on, even if they are not due. The actions stay the same;
+    /// tests compare the two modes.
     #[doc(hidden)]
     pub fn process_all_queries(&mut self) {
         self.state.processes_all_queries = true;
     }
 
-    /// Processes the events observed at `now`, in order, and appends the actions decided on to `actions`.
+    /// Processes the events of the batch at `now` in order, and appends the resulting actions to `actions`.
     pub fn process_batch(&mut self, now: Nanos, events: &[Event], actions: &mut Vec<Action>) {
         let mut batch = Batch {
             now,
@@ -76,7 +77,7 @@
     }
 }
 
-/// The owners of state, and the tables that they share.
+/// The modules that own the state, and the tables that they share.
 #[derive(Debug)]
 struct State {
     replicas: ReplicaSet,
@@ -117,13 +118,13 @@
     }
 
     fn process_batch(&mut self, batch: &mut Batch, events: &[Event]) {
-        self.replicas.record_batch(batch.now);
+        self.replicas.record_batch_start(batch.now);
         self.endpoint_polling.request_if_due(batch);
         let mut queries_with_new_parts = BTreeSet::new();
         for event in events {
             self.apply_event(batch, event, &mut queries_with_new_parts);
         }
-        self.attempts.forget_expired(batch);
+        self.attempts.remove_expired(batch);
         self.weight_cutoff.update(batch);
         for query in queries_with_new_parts {
             self.start_query_parts(batch, query);
@@ -145,7 +146,8 @@
         }
     }
 
-    /// Schedules the timer: at intervals while any query is open, else for the next request of the endpoint list.
+    /// Schedules the timer for the next timer interval while any query is open, else for the next request for the
+    /// endpoint list.
     fn schedule_timer(&mut self, batch: &mut Batch) {
         let next = if self.queries.is_empty() {
             self.endpoint_polling.next_request_at()
--- a/crates/decisions/src/coordinator/query_lifecycle.rs
+++ b/crates/decisions/src/coordinator/query_lifecycle.rs
@@ -1,5 +1,5 @@
-//! The course of a query: it is opened, its parts are started, and it is processed whenever it is due, until it is
-//! answered or given up.
+//! The lifecycle of a query: it is opened, its parts are sent, and it is processed whenever it is due until it is
+//! answered, rejected or failed.
 
 use super::State;
 use crate::batch::Batch;
@@ -16,12 +16,14 @@
         let Some(class) = batch.settings.classes.get(arrival.class) else {
             return;
         };
-        let time_used = self.client_timeouts.time_used(batch, class, &arrival);
+        let elapsed_client_time = self
+            .client_timeouts
+            .elapsed_client_time(batch, class, &arrival);
         self.queries
-            .open(arrival.into_query(batch, class, time_used));
+            .open(arrival.into_query(batch, class, elapsed_client_time));
     }
 
-    /// Rejects a query, or sends the parts that were received for its present phase.
+    /// Rejects a query that is not admitted, or sends the parts received for its current phase.
     pub(super) fn start_query_parts(&mut self, batch: &mut Batch, id: RequestId) {
         let Some(mut query) = self.queries.remove(id) else {
             return;
@@ -29,7 +31,7 @@
         if query.phase == 1 {
             self.replicas.record_query(query.parts.len());
             if !self.admits_query(batch, &mut query) {
-                self.give_up_query(batch, query);
+                self.reject_or_fail_query(batch, query);
                 return;
             }
             self.weight_cutoff.skip_light_parts(batch, &mut query);
@@ -45,7 +47,7 @@
             && !self.load_shedding.should_shed(batch.random)
     }
 
-    /// Answers an open query, gives it up, or retries and hedges its parts.
+    /// Answers an open query, ends it without an answer, or retries and hedges its parts.
     pub(super) fn process_query(&mut self, batch: &mut Batch, id: RequestId) {
         let Some(mut query) = self.queries.remove(id) else {
             return;
@@ -57,11 +59,11 @@
                 self.answer_query(batch, query, complete);
                 return;
             }
-            Decision::GiveUp => {
+            Decision::RejectOrFail => {
                 if completion::has_used_capacity(&query) {
                     self.load_shedding.record_wasted_query();
                 }
-                self.give_up_query(batch, query);
+                self.reject_or_fail_query(batch, query);
                 return;
             }
             Decision::RetryOrHedge => self.attempts.retry_and_hedge(
@@ -73,16 +75,16 @@
             ),
             Decision::Wait => {}
         }
-        self.keep_query(batch, query);
+        self.reschedule_query(batch, query);
     }
 
-    /// Keeps a query open until it is next due.
-    fn keep_query(&mut self, batch: &Batch, query: Query) {
+    /// Returns a query to the table with its next due time.
+    fn reschedule_query(&mut self, batch: &Batch, query: Query) {
         let due_at = completion::next_due_at(batch, &query);
         self.queries.restore(query, due_at);
     }
 
-    /// Answers the present phase of a query; the query stays open if another phase follows.
+    /// Answers the current phase of a query. The query stays open if another phase follows.
     fn answer_query(&mut self, batch: &mut Batch, mut query: Query, complete: bool) {
         batch.actions.push(Action::Answer {
             query: query.id,
@@ -96,18 +98,18 @@
         query.phase += 1;
         query.phase_started_at = batch.now;
         query.first_phase_complete = complete;
-        self.keep_query(batch, query);
+        self.reschedule_query(batch, query);
     }
 
-    /// Ends a query without an answer.
-    fn give_up_query(&mut self, batch: &mut Batch, query: Query) {
+    /// Ends a query without an answer by rejecting or failing it.
+    fn reject_or_fail_query(&mut self, batch: &mut Batch, query: Query) {
         batch
             .actions
-            .push(completion::give_up_action(batch, &query));
+            .push(completion::reject_or_fail_action(batch, &query));
         self.close_query(batch, query);
     }
 
-    /// Cancels the attempts of a query that is over, and forgets it.
+    /// Cancels the attempts of a query that has ended, and removes its remaining entries from the query table.
     pub(super) fn close_query(&mut self, batch: &mut Batch, mut query: Query) {
         query.cancel_attempts(batch.settings.cancellation_enabled, batch.actions);
         self.queries.close(&query);
--- a/crates/decisions/src/endpoint_polling.rs
+++ b/crates/decisions/src/endpoint_polling.rs
@@ -1,28 +1,28 @@
-//! Endpoint polling: when to request the endpoint list where it is not pushed.
+//! Endpoint polling: schedules requests for the endpoint list if it is not pushed.
 
 use crate::batch::Batch;
 use crate::{Action, DiscoveryMode, EndpointUpdateKind, Nanos, Settings};
 
-/// Mean delay of the first retry, as a fraction of the time within which the list is needed; each further one in a row
-/// is twice as long.
+/// Mean delay of the first retry, as a fraction of the allowed staleness of the list. The delay doubles with each
+/// further consecutive failure.
 const BASE_DELAY_FRACTION: f64 = 0.06;
-/// Longest mean delay, as a fraction of that time.
+/// Maximum mean delay, as a fraction of the allowed staleness of the list.
 const MAX_DELAY_FRACTION: f64 = 0.5;
-/// Least factor of the jitter, which is uniform between this and 1 more, so that its mean is 1.
+/// Minimum jitter factor. The factor is uniform between this value and this value plus 1, so that its mean is 1.
 const MIN_JITTER_FACTOR: f64 = 0.5;
-/// Most times that the delay doubles, against overflow.
+/// Maximum number of doublings of the delay, to avoid overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// When the endpoint list is requested next.
+/// The schedule of requests for the endpoint list.
 #[derive(Debug)]
 pub struct EndpointPolling {
-    /// `None` while a request is under way or endpoint updates are pushed.
+    /// `None` while a request is pending or if endpoint updates are pushed.
     next_request_at: Option<Nanos>,
     consecutive_failures: u32,
 }
 
 impl EndpointPolling {
-    /// Requests the list in the first batch, if it is polled for.
+    /// Schedules the first request for the first batch if the settings require polling.
     pub fn new(settings: &Settings) -> Self {
         let polls = settings.discovery_mode == DiscoveryMode::Poll;
         EndpointPolling {
@@ -31,12 +31,12 @@
         }
     }
 
-    /// When the list is requested next; `None` if nothing is planned.
+    /// Time of the next request; `None` if none is scheduled.
     pub fn next_request_at(&self) -> Option<Nanos> {
         self.next_request_at
     }
 
-    /// Requests the list if it is due.
+    /// Requests the list if the request is due.
     pub fn request_if_due(&mut self, batch: &mut Batch) {
         if self
             .next_request_at
@@ -49,27 +49,27 @@
         }
     }
 
-    /// An endpoint update arrived.
+    /// Records the arrival of an endpoint update.
     pub fn record_update(&mut self, kind: EndpointUpdateKind) {
         if kind != EndpointUpdateKind::CachedSnapshot {
             self.consecutive_failures = 0;
         }
     }
 
-    /// A request failed: plans the next one, with exponential backoff and jitter. All coordinators use one discovery
-    /// service, and immediate retries would keep it too busy to answer any.
+    /// Records a failed request and schedules the next one with exponential backoff and jitter. All coordinators use
+    /// the same discovery service, and immediate retries would keep it overloaded.
     pub fn record_failure(&mut self, batch: &mut Batch) {
         let pushed = batch.settings.discovery_mode == DiscoveryMode::Push;
         if self.next_request_at.is_some() || pushed {
             return;
         }
         let max_staleness = batch.settings.max_list_staleness as f64;
-        let needed_within = max_staleness.max(batch.timing.fade_time());
+        let allowed_staleness = max_staleness.max(batch.timing.decay_time());
         let doublings = self.consecutive_failures.min(MAX_DOUBLINGS);
         let delay_fraction =
             (BASE_DELAY_FRACTION * f64::from(1u32 << doublings)).min(MAX_DELAY_FRACTION);
         let jitter = MIN_JITTER_FACTOR + batch.random.f64();
-        let delay = (needed_within * delay_fraction * jitter) as Nanos;
+        let delay = (allowed_staleness * delay_fraction * jitter) as Nanos;
         self.next_request_at = Some(batch.now + delay);
         self.consecutive_failures += 1;
     }
--- a/crates/decisions/src/events.rs
+++ b/crates/decisions/src/events.rs
@@ -2,65 +2,65 @@
 
 use crate::ids::{Nanos, ReplicaId, RequestId};
 
-/// Whether a replica may get requests.
+/// Whether a replica may receive requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It may get requests.
+    /// It may receive requests.
     #[default]
     Ready,
-    /// It finishes what it has and gets nothing new.
+    /// It finishes its pending requests and receives no new ones.
     Draining,
     /// It has been removed.
-    Gone,
+    Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The replica that it describes.
+    /// The replica that the entry describes.
     pub replica: ReplicaId,
     /// The cell whose shards the replica holds; see [`crate::Settings::cells`].
     pub cell: u16,
     /// The zone that the replica is in.
     pub zone: u16,
-    /// When the replica last started; 0 means long ago.
-    pub started: Nanos,
-    /// Whether it may get requests.
+    /// Time of the replica's last start; 0 if it started long ago.
+    pub started_at: Nanos,
+    /// Whether the replica may receive requests.
     pub status: EndpointStatus,
 }
 
 /// What an endpoint update contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
-    /// Changed entries only.
+    /// Only the changed entries.
     Delta,
     /// The complete list.
     Snapshot,
-    /// The complete list as cached before a restart; it may be stale.
+    /// The complete list from a cache written before a restart; it may be stale.
     CachedSnapshot,
-    /// Nothing: a request for the list failed.
+    /// No entries, because a request for the list failed.
     RequestFailed,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// The replica answered successfully.
     Ok,
-    /// The replica reports an error; the part may have executed.
+    /// The replica reported an error; the part may have executed.
     Error,
     /// The replica rejected the part without executing it.
     Rejected,
-    /// No response in time; the part may have executed.
+    /// No response arrived in time; the part may have executed.
     TimedOut,
-    /// No connection could be established, none could be opened since no descriptor was free, or the connection closed
-    /// before the part had been sent; the part did not execute. Also a probe whose connection closed.
+    /// No connection could be established, no file descriptor was free to open one, or the connection closed before the
+    /// part had been sent; the part did not execute. Also reported for a probe whose connection closed.
     ConnectFailed,
     /// The connection was lost after the part had been sent; it may have executed.
     ConnectionReset,
     /// Cancelled by the coordinator; the part may have executed.
     Cancelled,
-    /// Dropped before it was sent.
+    /// Dropped before it was sent; the part did not execute.
     NotSent,
 }
 
@@ -74,50 +74,50 @@
     }
 }
 
-/// The load that a replica reports about itself: values in the order that the operator's settings name.
+/// The load that a replica reports about itself: values in the order configured in the operator's settings.
 pub type LoadReport = Vec<f32>;
 
-/// An event, as the owner of a coordinator observes it.
+/// An event that the caller of a coordinator has observed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// An endpoint update arrived.
     EndpointsUpdated {
-        /// What the update contains.
+        /// The content of the update.
         kind: EndpointUpdateKind,
         /// Its entries.
         endpoints: Vec<Endpoint>,
     },
-    /// A query arrived; its parts follow in the same batch and carry the same `group`.
+    /// A query arrived. Its parts follow in the same batch and have the same `group`.
     QueryReceived {
         /// The query's id.
         id: RequestId,
-        /// Ties the parts to the query.
+        /// Group number that the query shares with its parts.
         group: u32,
         /// Index into [`crate::Settings::classes`].
         class: u16,
         /// The tenant's index.
         tenant: u32,
-        /// How long the client still waits, ns.
+        /// Remaining time that the client waits for the answer, ns.
         client_timeout: Nanos,
-        /// Of the client's time, what had passed when the query arrived and what the answer's way back may take, ns.
+        /// Time that the query was in transit from the client plus the expected transit time of the answer, ns.
         network_delay: Nanos,
-        /// The client's estimate of the work, ns.
+        /// The client's estimate of the query's work, ns.
         work: Option<Nanos>,
-        /// The client marked it as a retry.
+        /// Whether the client marked the query as a retry.
         client_retry: bool,
     },
     /// A part of the query with the same `group` arrived.
     PartReceived {
         /// The part's id.
         id: RequestId,
-        /// Ties the part to its query.
+        /// Group number of the part's query.
         group: u32,
         /// The shard that the part searches.
         shard: u32,
-        /// The part's fraction of its phase.
+        /// The part's weight, as a fraction of its phase.
         weight: f64,
     },
-    /// An attempt ended. The attempts of a part count from 0 in the order sent.
+    /// An attempt ended. The attempts of a part are numbered from 0 in the order sent.
     AttemptEnded {
         /// The part.
         part: RequestId,
@@ -127,7 +127,7 @@
         replica: ReplicaId,
         /// How it ended.
         outcome: Outcome,
-        /// The replica's load report; empty where none came.
+        /// The replica's load report; empty if it sent none.
         report: LoadReport,
     },
     /// A streamed response has started.
@@ -139,7 +139,7 @@
         /// The replica that responds.
         replica: ReplicaId,
     },
-    /// The client disconnected; the query is over.
+    /// The client disconnected, which ends the query.
     ClientDisconnected {
         /// The query's id.
         id: RequestId,
@@ -155,9 +155,9 @@
         replica: ReplicaId,
         /// How the probe ended.
         outcome: Outcome,
-        /// How long it took, ns.
+        /// Duration of the probe, ns.
         latency: Nanos,
-        /// The replica's load report; empty where none came.
+        /// The replica's load report; empty if it sent none.
         report: LoadReport,
     },
     /// A datagram from another coordinator arrived.
--- a/crates/decisions/src/health_check.rs
+++ b/crates/decisions/src/health_check.rs
@@ -1,23 +1,23 @@
-//! Active health checks: while many replicas are suspected, idle replicas are probed, so that failed ones are found at
-//! once rather than each by a query that it delays.
+//! Active health checks: while many replicas are suspected, idle replicas are probed, so that failed replicas are
+//! detected by probes instead of by queries that they delay.
 
 use crate::batch::Batch;
 use crate::tables::replica_table::{Replica, ReplicaTable};
 use crate::{Action, Nanos, ReplicaId};
 
-/// Fraction of the ready replicas that must be suspected for idle replicas to be probed.
+/// Minimum fraction of the ready replicas that are suspected for idle replicas to be probed.
 const MIN_SUSPECTED_FRACTION: f64 = 0.1;
 
-/// When to probe replicas.
+/// The state that decides when idle replicas are probed.
 #[derive(Debug, Default)]
 pub struct HealthCheck {
-    /// A replica was ejected since probes were last considered.
+    /// Whether a replica was ejected since the last check for probes.
     newly_ejected: bool,
     last_probed_at: Nanos,
 }
 
 impl HealthCheck {
-    /// A replica was ejected.
+    /// Records the ejection of a replica.
     pub fn record_ejection(&mut self, batch: &mut Batch, replica: ReplicaId) {
         if !self.newly_ejected {
             let line = format!("replica {:x} suspected and ejected: no response", replica.0);
@@ -26,10 +26,11 @@
         self.newly_ejected = true;
     }
 
-    /// Probes the idle replicas, if many are suspected and the last probes were long enough ago.
+    /// Probes the idle replicas if many replicas are suspected and the last probes were at least
+    /// [`crate::timing::Timing::decay_time`] ago.
     pub fn probe_idle_replicas(&mut self, batch: &mut Batch, table: &ReplicaTable) {
-        let too_early = batch.age_in_fade_times(self.last_probed_at) < 1.0;
-        if !batch.settings.probing_enabled || too_early || !self.newly_ejected {
+        let probed_recently = batch.age_in_decay_times(self.last_probed_at) < 1.0;
+        if !batch.settings.probing_enabled || probed_recently || !self.newly_ejected {
             return;
         }
         self.newly_ejected = false;
@@ -49,8 +50,8 @@
     }
 }
 
-/// Whether nothing is in flight at the replica, and it neither responded nor ended an attempt within the shortest
-/// latency objective.
+/// Whether no part is in flight at the replica, and no response or end of an attempt was recorded for it within the
+/// shortest latency objective.
 fn is_idle(batch: &Batch, replica: &Replica) -> bool {
     let stats = replica.stats();
     let last_activity_at = stats.last_response_at.max(stats.latency_updated_at);
--- a/crates/decisions/src/hedging.rs
+++ b/crates/decisions/src/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedging: sending a part that takes long to a second replica as well.
+//! Hedging: sends a slow part to a second replica while the first attempt is still in flight.
 
 use crate::batch::Batch;
 use crate::latency_estimates::LatencyEstimates;
@@ -6,37 +6,38 @@
 use crate::retry_budget::RetryBudgetUsage;
 use crate::tables::query_table::{Attempt, Part};
 
-/// Deviations above the mean latency from which on an attempt is slow.
+/// Number of mean deviations above the mean latency after which an attempt counts as slow.
 const SLOW_DEVIATIONS: f64 = 4.0;
-/// Bounds of the time after which a part may be hedged, as fractions of its phase's duration: the hedged request needs
-/// time as well.
+/// Bounds of the delay after which a part may be hedged, as fractions of its phase's duration. The upper bound leaves
+/// time for the hedged request.
 pub const MIN_HEDGE_DELAY_FRACTION: f64 = 0.125;
 const MAX_HEDGE_DELAY_FRACTION: f64 = 0.4;
-/// Recent extra attempts, retries included, from which on no part is hedged, however few parts there are;
-/// [`RetryBudgetUsage`] says what is recent.
+/// Minimum of the limit on recent extra attempts (retries and hedged requests) at which hedging stops.
+/// [`RetryBudgetUsage`] defines the retention time of recent attempts.
 const MIN_EXTRA_ATTEMPT_LIMIT: f64 = 3.0;
-/// By how much each recent query or part raises that limit.
+/// Increase of that limit for each recent query or part.
 const EXTRA_ATTEMPT_LIMIT_PER_PART: f64 = 0.15;
-/// Weight of one hedged part in the rate at which first attempts win.
+/// Weight of one hedged part in the smoothed win rate of first attempts.
 const WIN_RATE_SMOOTHING: f64 = 0.1;
 
-/// Limits hedged requests by how often they help, since each adds load.
+/// Limits hedged requests by their success rate, since each of them adds load.
 #[derive(Debug, Default)]
 pub struct Hedging {
-    /// Fraction of the hedged parts whose first attempt answered before the hedged request.
+    /// Smoothed fraction of the hedged parts for which the first attempt was answered before the hedged request.
     first_attempt_win_rate: f64,
 }
 
 impl Hedging {
-    /// A part with several attempts in flight was answered, by the first of them or not.
+    /// Records that a part with several attempts in flight was answered, and whether the first of these attempts won.
     pub fn record_hedged_answer(&mut self, first_attempt_won: bool) {
         let won = f64::from(u8::from(first_attempt_won));
         self.first_attempt_win_rate += WIN_RATE_SMOOTHING * (won - self.first_attempt_win_rate);
     }
 
-    /// Whether one more hedged request is allowed, by the retries and hedged requests within the retention time of
-    /// [`RetryBudgetUsage`]. The limit grows with the queries and parts received in that time or the parts open, and
-    /// falls to the minimum where first attempts nearly always win.
+    /// Whether another hedged request is allowed: the number of retries and hedged requests within the retention time
+    /// of [`RetryBudgetUsage`] is below the limit. The limit grows with the number of recent queries and parts or of
+    /// open parts, whichever is higher, and drops to its minimum if first attempts win at least three quarters of the
+    /// time.
     pub fn allows_hedge(&self, usage: &RetryBudgetUsage, open_parts: usize) -> bool {
         let parts = usage.recent_arrivals().max(open_parts);
         let success_factor = (1.5 - 2.0 * self.first_attempt_win_rate).clamp(0.0, 1.0);
@@ -46,7 +47,7 @@
     }
 }
 
-/// How long to wait for an attempt of a phase of this duration before the part is hedged, ns.
+/// How long an attempt is in flight before its part may be hedged, ns, in a phase of this duration.
 pub fn hedge_delay(latencies: &LatencyEstimates, phase_duration: f64) -> f64 {
     let mean = latencies.fleet_mean_or_initial(phase_duration);
     let slow = mean + SLOW_DEVIATIONS * latencies.fleet_deviation();
@@ -56,9 +57,9 @@
     )
 }
 
-/// Whether a part's last attempt has been in flight for longer than `hedge_delay`, and its replica rather than the
-/// whole fleet seems slow: it has not responded since, or at least half of the phase's parts are answered
-/// (`half_answered`).
+/// Whether a part's last attempt has been in flight for longer than `hedge_delay` and its replica appears slower than
+/// the other replicas: it has not responded since the attempt was sent, or at least half of the phase's parts are
+/// answered (`half_answered`).
 pub fn is_due(
     batch: &Batch,
     replicas: &ReplicaSet,
@@ -71,13 +72,13 @@
         return false;
     }
     let replica = replicas.table().get(last.replica);
-    let silent_since_sent =
+    let unresponsive_since_sent =
         replica.is_none_or(|replica| replica.stats().last_response_at <= last.sent_at);
-    half_answered || silent_since_sent
+    half_answered || unresponsive_since_sent
 }
 
-/// Whether the best replica for a hedged request is expected to answer within the time that the part has been in
-/// flight.
+/// Whether the preferred replica for a hedged request is expected to answer in less time than the last attempt has been
+/// in flight.
 pub fn has_faster_replica(
     batch: &mut Batch,
     replicas: &mut ReplicaSet,
--- a/crates/decisions/src/ids.rs
+++ b/crates/decisions/src/ids.rs
@@ -1,11 +1,11 @@
-//! Identifiers and the unit of time that settings, events and actions share.
+//! Identifiers and the unit of time that are common to settings, events and actions.
 
-/// Nanoseconds: a point on the caller's clock, or a duration. The clock may start anywhere and never runs backwards.
+/// Nanoseconds: a timestamp of the caller's clock, or a duration. The clock is monotonic and has an arbitrary origin.
 pub type Nanos = u64;
 
-/// Identifies a query or a part. No id is ever used twice.
+/// Identifies a query or a part. Ids are never reused.
 pub type RequestId = u64;
 
-/// Identifies a replica: a leaf server that holds shards. Its owner chooses the number.
+/// Identifies a replica, which is a leaf server that holds shards. The caller assigns the number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaId(pub u64);
--- a/crates/decisions/src/latency_estimates.rs
+++ b/crates/decisions/src/latency_estimates.rs
@@ -4,20 +4,20 @@
 use crate::replica_set::EndedAttempt;
 use crate::tables::replica_table::Replica;
 use crate::tables::statistics::MeanAndDeviation;
-use crate::timing::LATENESS_THRESHOLD;
+use crate::timing::OVERDUE_FRACTION;
 use crate::Outcome;
 
-/// Latency that is assumed before any is known, as a fraction of the time available.
+/// Latency assumed before the first answer, as a fraction of the available time.
 const INITIAL_LATENCY_FRACTION: f64 = 0.1;
 /// Weight of an answer in a replica's smoothed latency.
 pub const ANSWER_SMOOTHING: f64 = 0.2;
-/// Weight of a failed attempt or probe in a replica's smoothed latency. A replica that fails fast would otherwise look
-/// fast and attract all parts.
+/// Weight of a failed attempt or probe in a replica's smoothed latency. With a lower weight, a replica that fails
+/// quickly would be preferred as a fast one and receive all parts.
 const FAILURE_SMOOTHING: f64 = 0.6;
-/// Weight of an answer in the mean over all replicas, which sees far more of them.
+/// Weight of an answer in the mean over all replicas, which has far more samples than that of one replica.
 const FLEET_SMOOTHING: f64 = 0.03;
 
-/// Latency over all replicas, and how a replica's own is estimated from it.
+/// Mean latency over all replicas, and estimates of single replicas' latencies.
 #[derive(Debug, Default)]
 pub struct LatencyEstimates {
     fleet: MeanAndDeviation,
@@ -34,7 +34,7 @@
         self.fleet.mean()
     }
 
-    /// Mean latency over all replicas, ns; before the first answer, a guess for attempts that have `time_available`.
+    /// Mean latency over all replicas, ns; before the first answer, a fixed fraction of `time_available`.
     pub fn fleet_mean_or_initial(&self, time_available: f64) -> f64 {
         self.fleet
             .mean()
@@ -46,26 +46,26 @@
         self.fleet.deviation()
     }
 
-    /// The replica's latency, ns: smoothed, but never less than the time for which it has been silent, so that a
-    /// replica that hangs counts as slow before its answers show it.
+    /// The replica's estimated latency, ns: its smoothed latency, but at least the time for which it has been
+    /// unresponsive, so that a replica that hangs counts as slow before its next answer.
     pub fn latency(&self, batch: &Batch, replica: &Replica) -> f64 {
         self.smoothed_latency(batch, replica)
-            .max(replica.silent_for(batch.now) as f64)
+            .max(replica.unresponsive_for(batch.now) as f64)
     }
 
-    /// The replica's smoothed latency, ns, fading to the mean over all replicas while it is not updated.
+    /// The replica's smoothed latency, ns. It decays to the mean over all replicas while it is not updated.
     pub fn smoothed_latency(&self, batch: &Batch, replica: &Replica) -> f64 {
         let mean = self.fleet_mean_or_initial(batch.timing.shortest_objective);
         let stats = replica.stats();
         stats.latency.map_or(mean, |own| {
-            let age = batch.age_in_fade_times(stats.latency_updated_at);
+            let age = batch.age_in_decay_times(stats.latency_updated_at);
             mean + (own - mean) * (-age).exp()
         })
     }
 
-    /// The replica's smoothed latency after an attempt or probe has ended, ns; `failed` as in
-    /// [`crate::outlier_detection::is_failure`].
-    pub fn latency_after(
+    /// The replica's new smoothed latency after an attempt or probe has ended, ns. `failed` is the result of
+    /// [`crate::outlier_detection::is_failure`] for it.
+    pub fn updated_latency(
         &self,
         batch: &Batch,
         replica: &Replica,
@@ -79,7 +79,7 @@
             Outcome::Ok => age,
             Outcome::NotSent => latency,
             Outcome::Cancelled => age.max(latency),
-            _ => latency.max(LATENESS_THRESHOLD * batch.timing.shortest_objective),
+            _ => latency.max(OVERDUE_FRACTION * batch.timing.shortest_objective),
         };
         let weight = if failed {
             FAILURE_SMOOTHING
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,7 +1,8 @@
-//! Every decision about queries and parts: admission, load shedding, replica choice, retries and hedging, and when a
-//! query is answered or rejected. Events go in, actions come out; the crate does no I/O and reads no clock.
+//! The decision logic for queries and their parts: admission, load shedding, replica choice, retries, hedging, and the
+//! time at which a query is answered or rejected. The input is events and the output is actions; the crate does no I/O
+//! and reads no clock.
 //!
-//! [`Coordinator`] applies each batch of events to the modules below, each of which owns the state of one concern.
+//! [`Coordinator`] applies each batch of events to the modules below. Each module owns the state of one concern.
 
 #![warn(missing_docs)]
 
--- a/crates/decisions/src/load_shedding.rs
+++ b/crates/decisions/src/load_shedding.rs
@@ -1,41 +1,42 @@
-//! Load shedding: rejecting a fraction of all queries while replicas reject parts.
+//! Load shedding: rejects a fraction of all queries while replicas reject parts.
 //!
-//! An admitted query takes up capacity until it has run, answered or not. Where all holders of a shard reject parts,
-//! one more query costs other queries their parts and is itself lost. These rejections are all that a coordinator sees
-//! of the load from the others, so each sheds load at once, and less again with each answer.
+//! An admitted query uses capacity until its parts have run, even if it is never answered. If all replicas of a shard
+//! reject parts, an additional query displaces parts of other queries and is itself not answered. These rejections are
+//! the only sign that a coordinator has of the load from other coordinators. Each coordinator therefore starts to shed
+//! load immediately, and sheds less with each answer.
 
-/// Weight of a part's repeated rejection in the fraction shed.
+/// Weight of a part's repeated rejection in the fraction of queries shed.
 const REPEATED_REJECTION_WEIGHT: f64 = 0.25;
-/// Weight of a query given up after replicas had worked for it.
+/// Weight of a query that ended without an answer although replicas had executed parts of it.
 const WASTED_QUERY_WEIGHT: f64 = 0.6;
-/// By how much each answered part reduces the fraction shed.
+/// Relative decrease of the fraction of queries shed with each answered part.
 const RECOVERY_PER_ANSWER: f64 = 0.03;
-/// Least fraction of the queries that is admitted: without their answers, recovery would go unnoticed.
+/// Minimum fraction of queries that are admitted: their answers are needed to detect the recovery.
 const MIN_ADMITTED_FRACTION: f64 = 0.1;
 
-/// Rejects a fraction of all queries.
+/// Decides which queries are shed, and adapts the fraction of queries shed.
 #[derive(Debug, Default)]
 pub struct LoadShedding {
     load_shed_fraction: f64,
 }
 
 impl LoadShedding {
-    /// Whether to reject the next query. Draws a random number only while load is shed.
+    /// Whether to reject the next query. Draws a random number only while the fraction of queries shed is above zero.
     pub fn should_shed(&self, random: &mut fastrand::Rng) -> bool {
         self.load_shed_fraction > 0.0 && random.f64() < self.load_shed_fraction
     }
 
-    /// A replica rejected a part that another attempt had been made for.
+    /// Records that a replica rejected a retry or hedged request.
     pub fn record_repeated_rejection(&mut self) {
         self.increase(REPEATED_REJECTION_WEIGHT);
     }
 
-    /// A query was given up after replicas had worked for it.
+    /// Records that a query ended without an answer although replicas had executed parts of it.
     pub fn record_wasted_query(&mut self) {
         self.increase(WASTED_QUERY_WEIGHT);
     }
 
-    /// A part was answered.
+    /// Records an answered part.
     pub fn record_answer(&mut self) {
         self.load_shed_fraction *= 1.0 - RECOVERY_PER_ANSWER;
     }
--- a/crates/decisions/src/outlier_detection.rs
+++ b/crates/decisions/src/outlier_detection.rs
@@ -1,12 +1,12 @@
-//! Outlier detection: which replicas are tried last.
+//! Outlier detection: identifies the replicas that receive parts only as a last resort.
 //!
-//! A replica that fails to respond is ejected for a while, longer each time in a row. An ejected replica is tried last,
-//! not excluded: it still gets a part that no other holder may get. After the ejection it is on probation: it gets one
-//! call, and is tried last again while that is in flight.
+//! A replica that fails to respond is ejected for a time that doubles with each consecutive ejection. An ejected
+//! replica is not excluded: it still receives a part if no other holder of the shard can. After the ejection time it is
+//! on probation: it receives one call, and is a last resort again while that call is in flight.
 //!
-//! Any response counts: an answer, an error, a rejection, the start of a streamed response or a successful probe. A
-//! replica with parts in flight is silent since its last response, or since the oldest of these parts was sent if that
-//! was later.
+//! Any of these counts as a response: an answer, an error, a rejection, the start of a streamed response or a
+//! successful probe. A replica with parts in flight is unresponsive since its last response, or since the oldest of
+//! these parts was sent if that was later.
 
 use crate::batch::Batch;
 use crate::hedging::hedge_delay;
@@ -15,22 +15,24 @@
 use crate::tables::replica_table::{ConnectionKind, Replica, ReplicaTable, Slot};
 use crate::{Nanos, Outcome};
 
-/// First ejection time, in shortest latency objectives; each further one in a row is twice as long.
+/// Duration of the first ejection, in multiples of the shortest latency objective. It doubles with each further
+/// consecutive ejection.
 const BASE_EJECTION_OBJECTIVES: f64 = 0.5;
-/// Longest ejection time, in shortest latency objectives.
+/// Maximum duration of an ejection, in multiples of the shortest latency objective.
 const MAX_EJECTION_OBJECTIVES: f64 = 4.0;
-/// Most times that the ejection time doubles, against overflow.
+/// Maximum number of doublings of the ejection time, to avoid overflow.
 const MAX_DOUBLINGS: u32 = 16;
-/// Time for which a replica that rejected a part is held to be at its capacity, in shortest latency objectives.
+/// Duration for which a replica is assumed to be at capacity after it rejected a part, in multiples of the shortest
+/// latency objective.
 const AT_CAPACITY_OBJECTIVES: f64 = 0.125;
 
-/// Until when a replica that rejects a part now is held to be at its capacity.
+/// End of the time for which a replica that rejects a part now is assumed to be at capacity.
 pub fn at_capacity_until(batch: &Batch) -> Nanos {
     batch.now + (AT_CAPACITY_OBJECTIVES * batch.timing.shortest_objective) as Nanos
 }
 
-/// Whether the end of an attempt counts as a failure of the replica. A cancelled one does if it was in flight
-/// for longer than the hedging delay and the replica has not responded since it was sent.
+/// Whether the end of an attempt counts as a failure of the replica. A cancelled attempt counts if it was in flight for
+/// longer than the hedging delay and the replica has not responded since it was sent.
 pub fn is_failure(
     batch: &Batch,
     latencies: &LatencyEstimates,
@@ -48,8 +50,8 @@
     }
 }
 
-/// Records that a replica has responded: it is no longer suspected or ejected. Returns the connections of the attempts
-/// that were lost since its last response.
+/// Records a response of a replica, which ends its suspicion and ejection. Returns the kinds of connection of the
+/// attempts that were lost since its previous response.
 pub fn record_response(batch: &Batch, table: &mut ReplicaTable, slot: Slot) -> Vec<ConnectionKind> {
     table.set_suspected(slot, false);
     let stats = table.stats_mut(slot);
@@ -59,9 +61,9 @@
     std::mem::take(&mut stats.lost_connections)
 }
 
-/// Ejects a replica that was sent a part or probe at `sent_at`, unless it has responded since or is ejected already.
-/// Returns whether it was ejected.
-pub fn eject_if_silent_since(
+/// Ejects a replica that received a part or probe at `sent_at`, unless it has responded since then or is already
+/// ejected. Returns whether it was ejected.
+pub fn eject_if_unresponsive_since(
     batch: &Batch,
     table: &mut ReplicaTable,
     slot: Slot,
@@ -81,14 +83,14 @@
     true
 }
 
-/// Whether the replica is tried last: it is silent for longer than the hedging delay, ejected, on probation with a call
-/// in flight, or at its capacity.
+/// Whether the replica receives parts only as a last resort: it is unresponsive for longer than the hedging delay,
+/// ejected, on probation with a call in flight, or at capacity.
 pub fn is_outlier(batch: &Batch, latencies: &LatencyEstimates, replica: &Replica) -> bool {
-    let silent_for = replica.silent_for(batch.now) as f64;
-    let silent = silent_for > hedge_delay(latencies, batch.timing.shortest_objective);
+    let unresponsive_for = replica.unresponsive_for(batch.now) as f64;
+    let unresponsive = unresponsive_for > hedge_delay(latencies, batch.timing.shortest_objective);
     let stats = replica.stats();
     let ejected_or_on_probation =
         batch.now < stats.ejected_until || !stats.parts_in_flight().is_empty();
     let at_capacity = batch.now < stats.at_capacity_until;
-    silent || replica.suspected() && ejected_or_on_probation || at_capacity
+    unresponsive || replica.suspected() && ejected_or_on_probation || at_capacity
 }
--- a/crates/decisions/src/query_arrival.rs
+++ b/crates/decisions/src/query_arrival.rs
@@ -1,32 +1,32 @@
-//! The arrival of a query: its latency objective and deadline as points in time.
+//! The arrival of a query, and its latency objective and deadline as timestamps.
 
 use crate::batch::Batch;
 use crate::tables::query_table::Query;
 use crate::{Class, Event, Nanos, RequestId};
 
-/// A query as received; the fields are those of [`crate::Event::QueryReceived`].
+/// A query as received, with the fields of [`crate::Event::QueryReceived`].
 #[derive(Clone, Copy, Debug)]
 pub struct QueryArrival {
     /// The query's id.
     pub id: RequestId,
-    /// Ties the parts to the query.
+    /// Group number that the query shares with its parts.
     pub group: u32,
     /// Index into [`crate::Settings::classes`].
     pub class: usize,
     /// The tenant's index.
     pub tenant: u32,
-    /// How long the client still waits, ns.
+    /// Remaining time that the client waits for the answer, ns.
     pub client_timeout: Nanos,
-    /// Of the client's time, what had passed when the query arrived and what the answer's way back may take, ns.
+    /// Time that the query was in transit from the client plus the expected transit time of the answer, ns.
     pub network_delay: Nanos,
-    /// The client's estimate of the work, ns.
+    /// The client's estimate of the query's work, ns.
     pub work: Option<Nanos>,
-    /// The client marked it as a retry.
+    /// Whether the client marked the query as a retry.
     pub client_retry: bool,
 }
 
 impl QueryArrival {
-    /// The query that an event announces; `None` for other events.
+    /// The query of a [`crate::Event::QueryReceived`]; `None` for other events.
     pub fn from_event(event: &Event) -> Option<Self> {
         match *event {
             Event::QueryReceived {
@@ -52,11 +52,12 @@
         }
     }
 
-    /// The open query, without parts yet; `time_used` is how much of the client's time was used up before, ns.
-    pub fn into_query(self, batch: &Batch, class: &Class, time_used: Nanos) -> Query {
+    /// Converts the arrival into an open query without parts. `elapsed_client_time` is how long the client had waited
+    /// for earlier requests when it sent the query, ns.
+    pub fn into_query(self, batch: &Batch, class: &Class, elapsed_client_time: Nanos) -> Query {
         let deadline = batch.now + self.client_timeout;
         let objective_at = (batch.now + class.latency_objective + self.additional_time(class))
-            .saturating_sub(time_used.max(self.network_delay));
+            .saturating_sub(elapsed_client_time.max(self.network_delay));
         let objective_missed = objective_at <= batch.now;
         Query {
             id: self.id,
@@ -71,7 +72,7 @@
             objective_missed_on_arrival: objective_missed,
             deadline,
             client_timeout_too_short: self.client_retry
-                && time_used == 0
+                && elapsed_client_time == 0
                 && self.client_timeout < class.latency_objective,
             phase: 1,
             phase_started_at: batch.now,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// What the query's expected work adds to the latency objective, ns.
+    /// Extension of the latency objective for the query's expected work, ns.
     fn additional_time(&self, class: &Class) -> Nanos {
         let objective_per_work = class.objective_per_expected_work.unwrap_or(0.0);
         (objective_per_work * self.work.unwrap_or(0) as f64) as Nanos
--- a/crates/decisions/src/replica_choice.rs
+++ b/crates/decisions/src/replica_choice.rs
@@ -1,4 +1,4 @@
-//! Replica choice: which holder of a shard gets a part.
+//! Replica choice: selects the holder of a shard that receives a part.
 
 use crate::batch::Batch;
 use crate::latency_estimates::LatencyEstimates;
@@ -7,23 +7,25 @@
 use crate::tables::query_table::Part;
 use crate::tables::replica_table::{Replica, ReplicaTable, Slot};
 
-/// Latency that a send to another zone adds for comparison, in shortest latency objectives at a cross-zone cost of 1.
+/// Penalty on the expected delay of a replica in another zone at a cross-zone cost of 1, in multiples of the shortest
+/// latency objective.
 const CROSS_ZONE_OBJECTIVES: f64 = 4.0;
 
-/// The order in which replicas are preferred for a part, by the fields in turn; the least is chosen.
+/// Sort key of the candidate replicas for a part, compared field by field. The replica with the lowest key is chosen.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
 struct Preference {
-    /// Outliers come last, and replicas that the part was sent to before come after others.
+    /// Outliers rank after all other replicas. Among both, replicas that an attempt of the part was sent to rank after
+    /// those without one.
     rank: u32,
-    /// Latency times calls in flight, plus what a send to another zone counts for, ns.
+    /// Latency times the calls in flight including the new one, plus the penalty for another zone, ns.
     expected_delay: f64,
-    /// Replicas that are sent parts in this batch already come first: the parts may share a call.
-    no_shared_call: bool,
-    /// Chooses among equals.
+    /// False for replicas that already receive parts in this batch, which are preferred: the parts may share a call.
+    needs_new_call: bool,
+    /// Random value that decides between otherwise equal replicas.
     tie_breaker: u32,
 }
 
-/// Chooses the holder of the part's shard that gets it; `None` if none may.
+/// Selects the holder of the part's shard that receives the part; `None` if no holder can.
 pub fn choose_replica(
     batch: &mut Batch,
     table: &mut ReplicaTable,
@@ -40,15 +42,15 @@
         if !may_send || part.is_in_flight_at(replica.id()) {
             continue;
         }
-        let already_tried = part.was_sent_to(replica.id());
+        let already_attempted = part.was_sent_to(replica.id());
         let outlier = is_outlier(batch, latencies, replica);
         let preference = Preference {
-            rank: 2 * u32::from(outlier) + u32::from(already_tried),
+            rank: 2 * u32::from(outlier) + u32::from(already_attempted),
             expected_delay: expected_delay(batch, table, latencies, replica),
-            no_shared_call: !replica.was_sent_part_at(batch.now),
+            needs_new_call: !replica.was_sent_part_at(batch.now),
             tie_breaker: batch.random.u32(..),
         };
-        if best.is_none_or(|(least, _)| preference < least) {
+        if best.is_none_or(|(best_preference, _)| preference < best_preference) {
             best = Some((preference, slot));
         }
     }
--- a/crates/decisions/src/replica_set.rs
+++ b/crates/decisions/src/replica_set.rs
@@ -1,4 +1,4 @@
-//! The replicas, and all that is known of their health and load.
+//! The replicas of the endpoint list, with the observations of their health and load.
 
 use crate::batch::Batch;
 use crate::connection_loss::ConnectionLoss;
@@ -15,7 +15,7 @@
 /// An attempt or probe that has ended.
 #[derive(Clone, Copy, Debug)]
 pub struct EndedAttempt {
-    /// When it was sent.
+    /// Time when it was sent.
     pub sent_at: Nanos,
     /// The kind of connection that it was sent on.
     pub connection: ConnectionKind,
@@ -23,7 +23,7 @@
     pub outcome: Outcome,
 }
 
-/// The replicas of the endpoint list, and the owners of what is known of them.
+/// The replicas of the endpoint list, and the modules that own the observations of their health and load.
 #[derive(Debug)]
 pub struct ReplicaSet {
     table: ReplicaTable,
@@ -34,7 +34,7 @@
 }
 
 impl ReplicaSet {
-    /// No replicas yet; `seed` determines the jitter of slow start.
+    /// Creates an empty set. `seed` determines the jitter of slow start.
     pub fn new(settings: &Settings, seed: u64) -> Self {
         ReplicaSet {
             table: ReplicaTable::new(
@@ -59,17 +59,18 @@
         &self.latencies
     }
 
-    /// A batch has started.
-    pub fn record_batch(&mut self, now: Nanos) {
-        self.slow_start.record_batch(now);
+    /// Records the start of a batch.
+    pub fn record_batch_start(&mut self, now: Nanos) {
+        self.slow_start.record_batch_start(now);
     }
 
-    /// A query with so many parts was received.
+    /// Records the number of parts of a received query.
     pub fn record_query(&mut self, parts: usize) {
         self.slow_start.record_query(parts);
     }
 
-    /// Applies an endpoint update, and forgets replicas that are long gone.
+    /// Applies an endpoint update, and evicts replicas that have been removed and were last observed at least
+    /// [`crate::timing::Timing::decay_time`] ago.
     pub fn apply_update(
         &mut self,
         batch: &Batch,
@@ -78,19 +79,20 @@
     ) {
         let snapshot = kind != EndpointUpdateKind::Delta;
         self.table.apply_update(endpoints, snapshot);
-        let fade_time = batch.timing.fade_time() as Nanos;
-        self.table.forget_gone(batch.now.saturating_sub(fade_time));
+        let decay_time = batch.timing.decay_time() as Nanos;
+        self.table
+            .evict_removed(batch.now.saturating_sub(decay_time));
     }
 
-    /// Whether a replica is known and has responded within the fade time; see [`crate::timing::Timing::fade_time`].
+    /// Whether a replica is in the table and has responded within [`crate::timing::Timing::decay_time`].
     pub fn has_responded_recently(&self, batch: &Batch, replica: ReplicaId) -> bool {
         self.table.get(replica).is_some_and(|replica| {
             let last_response_at = replica.stats().last_response_at;
-            batch.age_in_fade_times(last_response_at) < 1.0
+            batch.age_in_decay_times(last_response_at) < 1.0
         })
     }
 
-    /// Chooses the replica that gets a part; `None` if none may.
+    /// Selects the replica that receives a part; `None` if no replica can.
     pub fn choose(&mut self, batch: &mut Batch, part: &Part) -> Option<Slot> {
         choose_replica(
             batch,
@@ -101,7 +103,7 @@
         )
     }
 
-    /// Records a part that is sent to a replica now. Returns the kind of connection that it is sent on.
+    /// Records that a part is sent to a replica now. Returns the kind of connection that it is sent on.
     pub fn record_send(&mut self, batch: &mut Batch, slot: Slot) -> ConnectionKind {
         let connection = self
             .connection_loss
@@ -109,7 +111,7 @@
         self.table.add_part_in_flight(slot, batch.now);
         if slow_start::is_enabled(batch.settings) {
             let since = batch.now.saturating_sub(batch.settings.overload_window);
-            self.table.record_send(slot, batch.now, since);
+            self.table.record_send_time(slot, batch.now, since);
         }
         connection
     }
@@ -140,7 +142,7 @@
             }
             Outcome::Error | Outcome::Rejected => self.record_response(batch, slot),
             Outcome::ConnectFailed | Outcome::ConnectionReset | Outcome::TimedOut => {
-                self.eject_slot_if_silent_since(batch, slot, attempt.sent_at);
+                self.eject_slot_if_unresponsive_since(batch, slot, attempt.sent_at);
             }
             Outcome::Cancelled | Outcome::NotSent => {}
         }
@@ -151,7 +153,7 @@
         let failed = outlier_detection::is_failure(batch, &self.latencies, replica, attempt);
         let latency = self
             .latencies
-            .latency_after(batch, replica, attempt, failed);
+            .updated_latency(batch, replica, attempt, failed);
         let stats = self.table.stats_mut(slot);
         match attempt.outcome {
             Outcome::NotSent => return,
@@ -217,20 +219,20 @@
     }
 
     /// Ejects the replica of an attempt if it has not responded since the attempt was sent.
-    pub fn eject_if_silent_since(&mut self, batch: &mut Batch, attempt: &Attempt) {
+    pub fn eject_if_unresponsive_since(&mut self, batch: &mut Batch, attempt: &Attempt) {
         if let Some(slot) = self.table.slot(attempt.replica) {
-            self.eject_slot_if_silent_since(batch, slot, attempt.sent_at);
+            self.eject_slot_if_unresponsive_since(batch, slot, attempt.sent_at);
         }
     }
 
-    fn eject_slot_if_silent_since(&mut self, batch: &mut Batch, slot: Slot, sent_at: Nanos) {
-        if outlier_detection::eject_if_silent_since(batch, &mut self.table, slot, sent_at) {
+    fn eject_slot_if_unresponsive_since(&mut self, batch: &mut Batch, slot: Slot, sent_at: Nanos) {
+        if outlier_detection::eject_if_unresponsive_since(batch, &mut self.table, slot, sent_at) {
             let id = self.table.replica(slot).id();
             self.health_check.record_ejection(batch, id);
         }
     }
 
-    /// Probes idle replicas, if many replicas are suspected.
+    /// Probes idle replicas if many replicas are suspected.
     pub fn probe_idle_replicas(&mut self, batch: &mut Batch) {
         self.health_check.probe_idle_replicas(batch, &self.table);
     }
--- a/crates/decisions/src/retry.rs
+++ b/crates/decisions/src/retry.rs
@@ -1,4 +1,4 @@
-//! The rules of retries: whether a part may be attempted again, and when a failed one is.
+//! Retry rules: whether another attempt of a part is allowed, and when a failed part is retried.
 
 use crate::batch::Batch;
 use crate::hedging::MIN_HEDGE_DELAY_FRACTION;
@@ -6,10 +6,10 @@
 use crate::tables::query_table::{Attempt, Part};
 use crate::{Class, Idempotency, Nanos};
 
-/// How often a failed part is attempted before its retries are delayed.
+/// Number of attempts of a failed part before further retries are delayed.
 const ATTEMPTS_BEFORE_DELAY: usize = 2;
 
-/// Whether the settings and the part's idempotency allow one more attempt.
+/// Whether the maximum number of attempts and the class's idempotency allow another attempt.
 pub fn may_attempt_again(batch: &Batch, class: &Class, part: &Part) -> bool {
     let max_attempts = batch.settings.max_attempts.unwrap_or(u32::MAX) as usize;
     if part.attempts.len() >= max_attempts {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Whether a part that may have been executed since `first_sent_at` may be executed again.
+/// Whether a part may be executed again. `first_sent_at` is the time of its first attempt that may have executed.
 fn may_execute_again(now: Nanos, class: &Class, first_sent_at: Nanos) -> bool {
     match class.idempotency {
         Idempotency::NonIdempotent => false,
@@ -43,8 +43,8 @@
     hedging_allowed && usage.allows_extra_attempt(batch.settings, class, batch.now)
 }
 
-/// Whether a part whose attempts have all failed is retried now: at once after the first, else
-/// [`MIN_HEDGE_DELAY_FRACTION`] of the phase's duration after the last was sent.
+/// Whether a part whose attempts have all failed is retried now. The first retry is immediate; each further one follows
+/// when [`MIN_HEDGE_DELAY_FRACTION`] of the phase's duration has passed since the last attempt was sent.
 pub fn is_due(now: Nanos, part: &Part, last: &Attempt, phase_duration: f64) -> bool {
     let age = (now - last.sent_at) as f64;
     part.attempts.len() < ATTEMPTS_BEFORE_DELAY || age > MIN_HEDGE_DELAY_FRACTION * phase_duration
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -1,119 +1,121 @@
-//! The settings of a [`crate::Coordinator`]. `None` means that the operator has not stated the value.
+//! The settings of a [`crate::Coordinator`]. `None` means that the operator has not configured the value.
 
 use crate::ids::Nanos;
 
 /// Whether a part may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Executing it again has no further effect: it may be retried and hedged freely.
+    /// Repeated execution has no further effect: the part may be retried and hedged without restriction.
     #[default]
     Idempotent,
-    /// Leaf servers deduplicate it by a key, for [`Class::idempotency_window`] from its first attempt that may have
-    /// executed.
+    /// Leaf servers deduplicate the part by a key for [`Class::idempotency_window`], which starts with its first
+    /// attempt that may have executed.
     IdempotencyKey,
-    /// Executing it again has a second effect: only an attempt that is known not to have executed may be retried.
+    /// Repeated execution repeats the effect: only an attempt that is known not to have executed may be retried.
     NonIdempotent,
 }
 
 /// The settings of one class of queries.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// An answer within this time earns the full priority weight, ns.
+    /// Time within which an answer earns the full priority weight, ns.
     pub latency_objective: Nanos,
-    /// The latency objective grows by this multiple of the query's own expected work.
+    /// Multiple of the query's expected work that is added to the latency objective; nothing is added if `None`.
     pub objective_per_expected_work: Option<f64>,
-    /// The longest that a client waits, its retries included, ns.
+    /// Maximum time that a client waits including its retries, ns.
     pub deadline: Nanos,
-    /// Whether its parts may be executed more than once.
+    /// Whether parts of the class may be executed more than once.
     pub idempotency: Idempotency,
-    /// How long leaf servers deduplicate a part by its idempotency key, ns.
+    /// Duration for which leaf servers deduplicate a part by its idempotency key, ns.
     pub idempotency_window: Nanos,
-    /// What a complete answer in time is worth, against other classes; 1 where not stated.
+    /// Value of a complete answer within the latency objective, relative to other classes; 1 if `None`.
     pub priority_weight: Option<f64>,
-    /// Fraction of the priority weight that an answer after the latency objective earns.
+    /// Fraction of the priority weight earned by an answer after the latency objective.
     pub late_weight_fraction: f64,
-    /// Fraction of the first phase's weight that a complete answer needs.
+    /// Minimum coverage of the first phase for an answer to count as complete, as a fraction of the phase's weight.
     pub completeness_threshold: f64,
-    /// Least fraction of the weight that any answer needs.
+    /// Minimum coverage for any answer, as a fraction of the phase's weight.
     pub minimum_coverage: f64,
-    /// What a partial answer earns, times its coverage over `completeness_threshold`.
+    /// Fraction of the priority weight earned by a partial answer, before it is multiplied by the ratio of the answer's
+    /// coverage to `completeness_threshold`.
     pub partial_answer_value: f64,
-    /// Most parts of the second phase; 0 where there is none.
+    /// Maximum number of parts in the second phase; 0 if the class has a single phase.
     pub second_phase_parts: u32,
 }
 
-/// Limits retries and hedged requests: in any `window`, at most `minimum` plus `ratio` times the queries and parts
-/// received in it.
+/// Limit on retries and hedged requests: in any period of length `window`, at most `minimum` plus `ratio` times the
+/// number of queries and parts received in that period.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Extra attempts that are allowed whatever the traffic.
+    /// Number of extra attempts allowed in a window regardless of traffic.
     pub minimum: f64,
-    /// Extra attempts for each query or part received.
+    /// Number of additional extra attempts per query or part received.
     pub ratio: f64,
     /// Length of the window, ns.
     pub window: Nanos,
 }
 
-/// How endpoint updates arrive.
+/// How the coordinator receives endpoint updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Discovery pushes them.
+    /// The discovery service pushes updates.
     #[default]
     Push,
-    /// The coordinator polls for them.
+    /// The coordinator polls for updates.
     Poll,
 }
 
 /// All settings of a coordinator.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// The classes, by the index that [`crate::Event::QueryReceived`] uses.
+    /// The classes; [`crate::Event::QueryReceived`] refers to them by index.
     pub classes: Vec<Class>,
     /// Number of cells. Shard `s` is held by the replicas of the cells `s` to `s + replication_factor - 1`, modulo
-    /// this.
+    /// `cells`.
     pub cells: u32,
-    /// How many cells hold each shard.
+    /// Number of cells that hold each shard.
     pub replication_factor: u32,
     /// The coordinator's own zone.
     pub zone: u16,
-    /// Cost of sending all parts to other zones, as a fraction of all priority weight.
+    /// Cost of sending all parts to other zones, as a fraction of the total priority weight.
     pub cross_zone_cost: f64,
-    /// Most parts that share a call when sent to one replica in one batch.
+    /// Maximum number of parts in one call; parts share a call if they are sent to the same replica in the same batch.
     pub max_parts_per_call: Option<u32>,
-    /// How many coordinators there are, this one included.
+    /// Number of coordinators in the fleet, including this one.
     pub fleet_size: u32,
-    /// Least time between two batches of events, ns.
+    /// Minimum time between two batches of events, ns.
     pub batch_interval: Nanos,
-    /// Most attempts of one part.
+    /// Maximum number of attempts of one part.
     pub max_attempts: Option<u32>,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation_enabled: bool,
-    /// Clients mark their retries; a query without the mark is a client's first request.
+    /// Whether clients mark their retries, so that a query without the mark is a first request.
     pub client_retries_marked: bool,
-    /// A part may have several attempts in flight.
+    /// Whether a part may have several attempts in flight.
     pub hedging_enabled: bool,
-    /// Replicas may be probed.
+    /// Whether replicas may be probed.
     pub probing_enabled: bool,
-    /// The longest `Retry-After` of a rejected query, ns; 0 where none is to be given.
+    /// Maximum `Retry-After` sent with the rejection of a query, ns; 0 to send none.
     pub max_retry_after: Nanos,
-    /// The least fraction of its capacity that a replica has when it starts; it has all after `slow_start_duration`.
+    /// Capacity of a replica that has just started, as a fraction of its full capacity, which it reaches after
+    /// `slow_start_duration`.
     pub slow_start_initial_capacity: Option<f64>,
-    /// How long a started replica warms up, ns.
+    /// Time that a replica needs to warm up after its start, ns.
     pub slow_start_duration: Nanos,
-    /// A replica that is warming up fails when it gets more than this multiple of its present capacity for
+    /// Multiple of its current capacity above which a replica that is warming up fails if the load lasts for
     /// `overload_window`.
     pub overload_multiple: Option<f64>,
-    /// See `overload_multiple`, ns.
+    /// Duration of the overload after which a replica that is warming up fails, ns; see `overload_multiple`.
     pub overload_window: Nanos,
-    /// Limits retries and hedged requests.
+    /// Limit on retries and hedged requests; unlimited if `None`.
     pub retry_budget: Option<RetryBudget>,
-    /// Queries a second that the whole fleet admits, over all tenants; 0 where not stated.
+    /// Rate limit of the entire fleet over all tenants, in queries per second; 0 if not configured.
     pub fleet_rate_limit: f64,
-    /// Unused connections are closed after this time, ns.
+    /// Time without use after which a connection is closed, ns.
     pub connection_idle_timeout: Nanos,
-    /// How endpoint updates arrive.
+    /// How the coordinator receives endpoint updates.
     pub discovery_mode: DiscoveryMode,
-    /// With [`DiscoveryMode::Poll`]: a coordinator that has not polled for this time is held to know the endpoint
-    /// list as it was that long ago, ns.
+    /// With [`DiscoveryMode::Poll`], the staleness assumed for the endpoint list of a coordinator that has not polled
+    /// for this time or longer, ns.
     pub max_list_staleness: Nanos,
 }
--- a/crates/decisions/src/tables/cell_index.rs
+++ b/crates/decisions/src/tables/cell_index.rs
@@ -1,12 +1,12 @@
-//! The slots of the replicas by cell, to find the holders of a shard.
+//! An index of the replicas by cell, for lookups of the holders of a shard.
 
 use super::replica::Replica;
 use super::slot::Slot;
 use slab::Slab;
 use std::borrow::Cow;
 
-/// Which replicas each cell has. The cell and the id of a replica are read from its entry in the table, which must be
-/// there for as long as its slot is in the index, and its cell must not change meanwhile.
+/// The slots of each cell's replicas. The index reads the cell and the id of a replica from its table entry. That entry
+/// must exist and its cell must not change while the replica's slot is in the index.
 #[derive(Debug)]
 pub(super) struct CellIndex {
     cells: u32,
@@ -16,7 +16,7 @@
 }
 
 impl CellIndex {
-    /// An index of `cells` cells, where shard `s` is held by the replicas of the cells `s` to
+    /// Creates an empty index of `cells` cells, where shard `s` is held by the replicas of the cells `s` to
     /// `s + replication_factor - 1`, modulo `cells`.
     pub(super) fn new(cells: u32, replication_factor: u32) -> Self {
         CellIndex {
@@ -41,22 +41,24 @@
         Cow::Owned(holders)
     }
 
-    /// The cells that hold a shard, each once, as far as any replica was listed in them.
+    /// The slots of each cell that holds a shard, each cell once; cells above the highest cell of any replica so far
+    /// are omitted.
     fn cells_of(&self, shard: u32) -> impl Iterator<Item = &Vec<Slot>> {
         let cells = u64::from(self.cells);
         let first = u64::from(shard % self.cells);
-        let holding = u64::from(self.replication_factor.min(self.cells));
-        let listed = self.slots.len() as u64;
-        // Walks the shorter of the two: the cells that hold the shard, or those that are listed.
-        let (by_shard, by_list) = if holding <= listed {
-            (0..holding, 0..0)
+        let cells_per_shard = u64::from(self.replication_factor.min(self.cells));
+        let indexed_cells = self.slots.len() as u64;
+        // Iterates over the cells that hold the shard or over the indexed cells, whichever are fewer.
+        let (offsets, candidates) = if cells_per_shard <= indexed_cells {
+            (0..cells_per_shard, 0..0)
         } else {
-            (0..0, 0..listed)
+            (0..0, 0..indexed_cells)
         };
-        let from_shard = by_shard.map(move |offset| (first + offset) % cells);
-        let from_list = by_list.filter(move |cell| (cell + cells - first) % cells < holding);
-        from_shard
-            .chain(from_list)
+        let by_offset = offsets.map(move |offset| (first + offset) % cells);
+        let by_candidate =
+            candidates.filter(move |cell| (cell + cells - first) % cells < cells_per_shard);
+        by_offset
+            .chain(by_candidate)
             .filter_map(|cell| self.slots.get(cell as usize))
     }
 
@@ -78,7 +80,7 @@
         self.slots[cell].retain(|other| *other != slot);
     }
 
-    /// The cell of a replica, below the number of cells whatever its entry states.
+    /// The cell of a replica modulo the number of cells, since the endpoint list may contain an invalid cell.
     fn cell_number(&self, replica: &Replica) -> usize {
         (u32::from(replica.cell) % self.cells) as usize
     }
--- a/crates/decisions/src/tables/in_flight.rs
+++ b/crates/decisions/src/tables/in_flight.rs
@@ -4,12 +4,12 @@
 use crate::{Nanos, ReplicaId, RequestId};
 use std::collections::BTreeMap;
 
-/// Where an attempt in flight was sent, and when.
+/// The replica, time and connection of an attempt in flight.
 #[derive(Debug)]
 pub struct InFlightAttempt {
     /// The replica that it was sent to.
     pub replica: ReplicaId,
-    /// When it was sent.
+    /// Time when it was sent.
     pub sent_at: Nanos,
     /// The kind of connection that it was sent on.
     pub connection: ConnectionKind,
@@ -22,7 +22,7 @@
     number: u8,
 }
 
-/// All attempts whose end has not been reported, those cancelled included.
+/// All attempts whose end has not been reported, including cancelled ones.
 #[derive(Debug, Default)]
 pub struct InFlightAttempts {
     attempts: BTreeMap<AttemptId, InFlightAttempt>,
@@ -34,12 +34,12 @@
         self.attempts.insert(AttemptId { part, number }, attempt);
     }
 
-    /// Removes attempt `number` of a part; `None` if it is not in flight.
+    /// Removes attempt `number` of a part. Returns `None` if it was not in flight.
     pub fn remove(&mut self, part: RequestId, number: u8) -> Option<InFlightAttempt> {
         self.attempts.remove(&AttemptId { part, number })
     }
 
-    /// How many attempts are in flight.
+    /// Number of attempts in flight.
     pub fn len(&self) -> usize {
         self.attempts.len()
     }
--- a/crates/decisions/src/tables/mod.rs
+++ b/crates/decisions/src/tables/mod.rs
@@ -1,4 +1,5 @@
-//! The data that the decisions read and update: replicas, open queries, and statistics. Nothing here decides anything.
+//! Data structures that the decision modules read and update: replicas, open queries and statistics. They contain no
+//! decision logic.
 
 mod cell_index;
 pub(crate) mod due_queue;
--- a/crates/decisions/src/tables/parts_in_flight.rs
+++ b/crates/decisions/src/tables/parts_in_flight.rs
@@ -1,15 +1,15 @@
-//! The parts in flight at one replica, and the calls that they share. Running totals make the cost of reading them
-//! independent of how many parts are in flight.
+//! The parts in flight at one replica, and the calls that they share. Running totals make the cost of reading the
+//! counts independent of the number of parts in flight.
 
 use crate::Nanos;
 use std::collections::VecDeque;
 
-/// Parts that were sent to one replica at one time; they share calls.
+/// The parts in flight that were sent to one replica at the same time and share calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SentParts {
-    /// When they were sent.
+    /// Time when they were sent.
     pub sent_at: Nanos,
-    /// How many of them are in flight; at least 1.
+    /// Number of these parts that are still in flight; at least 1.
     pub parts: u32,
 }
 
@@ -18,13 +18,13 @@
 pub struct PartsInFlight {
     by_time: VecDeque<SentParts>,
     parts: u32,
-    /// Calls that they fill, partly filled ones included.
+    /// Number of calls that contain these parts, including partly filled ones.
     calls: u32,
 }
 
 impl PartsInFlight {
     /// No parts.
-    pub const NONE: PartsInFlight = PartsInFlight {
+    pub const EMPTY: PartsInFlight = PartsInFlight {
         by_time: VecDeque::new(),
         parts: 0,
         calls: 0,
@@ -35,36 +35,36 @@
         self.by_time.is_empty()
     }
 
-    /// How many parts are in flight.
+    /// Number of parts in flight.
     pub fn parts(&self) -> u32 {
         self.parts
     }
 
-    /// The parts in flight by the time when they were sent, oldest first.
+    /// The parts in flight grouped by the time when they were sent, oldest first.
     pub fn by_time(&self) -> impl Iterator<Item = &SentParts> {
         self.by_time.iter()
     }
 
-    /// When the oldest part in flight was sent.
+    /// Time when the oldest part in flight was sent.
     pub fn oldest_sent_at(&self) -> Option<Nanos> {
         self.by_time.front().map(|oldest| oldest.sent_at)
     }
 
-    /// When the newest part in flight was sent.
+    /// Time when the newest part in flight was sent.
     pub fn newest_sent_at(&self) -> Option<Nanos> {
         self.by_time.back().map(|newest| newest.sent_at)
     }
 
-    /// Calls in flight, of at most `max_parts_per_call` parts each; one that was opened at `now` and has room for one
-    /// more part is not counted.
+    /// Number of calls in flight, of at most `max_parts_per_call` parts each. A call opened at `now` that another part
+    /// can still be added to is not counted.
     pub fn calls(&self, now: Nanos, max_parts_per_call: u32) -> u32 {
         let newest = self.by_time.back().filter(|newest| newest.sent_at == now);
-        let has_room =
+        let can_extend_newest =
             newest.is_some_and(|newest| !newest.parts.is_multiple_of(max_parts_per_call));
-        self.calls - u32::from(has_room)
+        self.calls - u32::from(can_extend_newest)
     }
 
-    /// Adds a part that is sent now; times must not go back.
+    /// Adds a part that is sent at `now`, which must not be earlier than the time of any previous part.
     pub fn add(&mut self, now: Nanos, max_parts_per_call: u32) {
         if self.newest_sent_at() != Some(now) {
             self.by_time.push_back(SentParts {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Removes a part that was sent at `sent_at`; false where no such part is in flight.
+    /// Removes a part that was sent at `sent_at`. Returns false if no such part is in flight.
     pub fn remove(&mut self, sent_at: Nanos, max_parts_per_call: u32) -> bool {
         let found = self
             .by_time
@@ -95,7 +95,7 @@
             self.by_time.remove(index);
         }
         if self.by_time.is_empty() {
-            // Frees the memory: most replicas have nothing in flight.
+            // Frees the memory, since most replicas have no part in flight.
             self.by_time = VecDeque::new();
         }
         true
--- a/crates/decisions/src/tables/query_table.rs
+++ b/crates/decisions/src/tables/query_table.rs
@@ -1,10 +1,10 @@
-//! The open queries by id, group and part, and when each is next due to be processed.
+//! The open queries by id, group and part, and the time when each is next due for processing.
 
 use super::due_queue::DueQueue;
 use crate::{Action, Nanos, Outcome, ReplicaId, RequestId};
 use std::collections::BTreeMap;
 
-/// A due time that has always passed.
+/// Due time of a query that is due in the current batch.
 const IMMEDIATELY: Nanos = 0;
 
 /// One attempt of a part at a replica.
@@ -12,13 +12,13 @@
 pub struct Attempt {
     /// The replica that it was sent to.
     pub replica: ReplicaId,
-    /// When it was sent.
+    /// Time when it was sent.
     pub sent_at: Nanos,
-    /// It has neither ended nor been cancelled.
+    /// Whether it has neither ended nor been cancelled.
     pub in_flight: bool,
-    /// It ended, and the part is known not to have been executed by it.
+    /// Whether it has ended and is known not to have executed the part.
     pub did_not_execute: bool,
-    /// It ended since its connection was lost.
+    /// Whether it ended because its connection was lost.
     pub connection_reset: bool,
 }
 
@@ -35,24 +35,24 @@
 pub struct Part {
     /// The part's id.
     pub id: RequestId,
-    /// The shard that it searches.
+    /// The shard that the part searches.
     pub shard: u32,
-    /// Its fraction of its phase.
+    /// The part's weight, as a fraction of its phase.
     pub weight: f64,
-    /// The phase of the query that it belongs to, from 1.
+    /// The phase of the query that the part belongs to, starting at 1.
     pub phase: u8,
-    /// An attempt succeeded.
+    /// Whether an attempt succeeded.
     pub answered: bool,
-    /// It is not sent, to save work.
+    /// Whether the part is not sent, to reduce load.
     pub skipped: bool,
-    /// It has an entry in the recent outcomes.
+    /// Whether the recent outcomes of the weight cutoff include this part.
     pub outcome_recorded: bool,
-    /// Its attempts in the order sent.
+    /// The part's attempts in the order sent.
     pub attempts: Vec<Attempt>,
 }
 
 impl Part {
-    /// Records how its attempt of this number ended.
+    /// Records the end of attempt `number`.
     pub fn end_attempt(&mut self, number: u8, outcome: Outcome) {
         if let Some(attempt) = self.attempts.get_mut(usize::from(number)) {
             attempt.end(outcome);
@@ -78,7 +78,7 @@
             .any(|attempt| attempt.replica == replica)
     }
 
-    /// Counts its attempts in flight as over; with `cancellation_enabled`, they are cancelled at the replicas too.
+    /// Marks all attempts in flight as ended and, with `cancellation_enabled`, requests their cancellation.
     pub fn cancel_attempts(&mut self, cancellation_enabled: bool, actions: &mut Vec<Action>) {
         for (number, attempt) in self.attempts.iter_mut().enumerate() {
             if !attempt.in_flight {
@@ -100,37 +100,38 @@
 pub struct Query {
     /// The query's id.
     pub id: RequestId,
-    /// Ties the parts to the query.
+    /// Group number that the query shares with its parts.
     pub group: u32,
     /// Index into [`crate::Settings::classes`].
     pub class: usize,
-    /// When it arrived.
+    /// Time when the query arrived.
     pub arrived_at: Nanos,
-    /// An answer until then meets the latency objective. The deadline where the objective was missed on arrival.
+    /// Latest time for an answer to meet the latency objective. Equal to the deadline if the objective had already been
+    /// missed on arrival.
     pub objective_at: Nanos,
-    /// The latency objective had passed when the query arrived.
+    /// Whether the latency objective had already passed when the query arrived.
     pub objective_missed_on_arrival: bool,
-    /// When the client stops waiting.
+    /// Time when the client stops waiting.
     pub deadline: Nanos,
-    /// It is a client's retry with a timeout shorter than the latency objective.
+    /// Whether the query is a client's retry with a timeout shorter than the latency objective.
     pub client_timeout_too_short: bool,
-    /// The present phase, from 1.
+    /// The current phase, starting at 1.
     pub phase: u8,
-    /// When the present phase started.
+    /// Time when the current phase started.
     pub phase_started_at: Nanos,
-    /// The answer of the first phase was complete.
+    /// Whether the answer of the first phase was complete.
     pub first_phase_complete: bool,
     /// The parts of all phases, in the order received.
     pub parts: Vec<Part>,
 }
 
 impl Query {
-    /// The parts of the present phase.
+    /// The parts of the current phase.
     pub fn phase_parts(&self) -> impl Iterator<Item = &Part> {
         self.parts.iter().filter(|part| part.phase == self.phase)
     }
 
-    /// Weight of the answered parts of the present phase.
+    /// Total weight of the answered parts of the current phase.
     pub fn answered_weight(&self) -> f64 {
         self.phase_parts()
             .filter(|part| part.answered)
@@ -138,19 +139,19 @@
             .sum()
     }
 
-    /// The indices of its parts, lightest first.
+    /// The indices of the query's parts in ascending order of weight.
     pub fn parts_by_weight(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.parts.len()).collect();
         order.sort_by(|a, b| self.parts[*a].weight.total_cmp(&self.parts[*b].weight));
         order
     }
 
-    /// The attempts of all its parts.
+    /// The attempts of all parts of the query.
     pub fn attempts(&self) -> impl Iterator<Item = &Attempt> {
         self.parts.iter().flat_map(|part| &part.attempts)
     }
 
-    /// Cancels all attempts in flight; see [`Part::cancel_attempts`].
+    /// Ends the attempts in flight of all parts; see [`Part::cancel_attempts`].
     pub fn cancel_attempts(&mut self, cancellation_enabled: bool, actions: &mut Vec<Action>) {
         for part in &mut self.parts {
             part.cancel_attempts(cancellation_enabled, actions);
@@ -175,35 +176,36 @@
         self.queries.is_empty()
     }
 
-    /// How many parts are open.
+    /// Number of parts of all open queries.
     pub fn part_count(&self) -> usize {
         self.by_part.len()
     }
 
-    /// How many entries are kept.
+    /// Number of retained entries.
     pub fn retained_entries(&self) -> usize {
         self.queries.len() + self.by_group.len() + self.by_part.len()
     }
 
-    /// The ids of all queries, in order.
+    /// The ids of all queries in ascending order.
     pub fn ids(&self) -> Vec<RequestId> {
         self.queries.keys().copied().collect()
     }
 
-    /// Removes the queries due at `now` from the queue and returns their ids in order. Each gets its next due time
-    /// from [`QueryTable::restore`].
+    /// Removes the queries due at `now` from the queue and returns their ids in ascending order.
+    /// [`QueryTable::restore`] sets the next due time of each.
     pub fn pop_due(&mut self, now: Nanos) -> Vec<RequestId> {
         self.due.pop_due(now)
     }
 
-    /// Adds a query, due immediately; its parts follow.
+    /// Adds a query without parts, which is due immediately.
     pub fn open(&mut self, query: Query) {
         self.by_group.insert(query.group, query.id);
         self.due.set(query.id, IMMEDIATELY);
         self.queries.insert(query.id, query);
     }
 
-    /// Adds a part to the query of that group, which becomes due. The query's id; `None` if it is not open.
+    /// Adds a part to the query of `group`, which becomes due immediately. Returns the query's id, or `None` if the
+    /// query is not open.
     pub fn add_part(
         &mut self,
         id: RequestId,
@@ -225,7 +227,7 @@
         Some(owner)
     }
 
-    /// A part, whose query becomes due; `None` if its query is not open.
+    /// Returns a part, whose query becomes due immediately; `None` if the query is not open.
     pub fn part_mut(&mut self, part: RequestId) -> Option<&mut Part> {
         let owner = *self.by_part.get(&part)?;
         let query = self.queries.get_mut(&owner)?;
@@ -233,18 +235,19 @@
         query.parts.iter_mut().find(|other| other.id == part)
     }
 
-    /// Takes a query out, to be restored or closed.
+    /// Removes a query for processing, after which the caller passes it to [`QueryTable::restore`] or
+    /// [`QueryTable::close`].
     pub fn remove(&mut self, id: RequestId) -> Option<Query> {
         self.queries.remove(&id)
     }
 
-    /// Puts a query back that was removed, due at `due_at`.
+    /// Returns a removed query to the table, with its next due time.
     pub fn restore(&mut self, query: Query, due_at: Nanos) {
         self.due.set(query.id, due_at);
         self.queries.insert(query.id, query);
     }
 
-    /// Forgets the group, the parts and the due time of a query that was removed.
+    /// Deletes the group, the parts and the due time of a removed query that has ended.
     pub fn close(&mut self, query: &Query) {
         self.due.remove(query.id);
         self.by_group.remove(&query.group);
--- a/crates/decisions/src/tables/recent_outcomes.rs
+++ b/crates/decisions/src/tables/recent_outcomes.rs
@@ -1,16 +1,16 @@
-//! The recent outcomes of parts, with a running count of those that signal overload.
+//! The recent outcomes of parts, with a running count of the outcomes that signal overload.
 
 use crate::Nanos;
 use std::collections::VecDeque;
 
-/// Outcomes of parts, oldest first.
+/// The recent outcomes of parts, oldest first.
 #[derive(Debug, Default)]
 pub struct RecentOutcomes {
     outcomes: VecDeque<PartOutcome>,
     overload_signals: usize,
 }
 
-/// What became of one part.
+/// The outcome of one part.
 #[derive(Debug)]
 struct PartOutcome {
     recorded_at: Nanos,
@@ -19,7 +19,8 @@
 }
 
 impl RecentOutcomes {
-    /// Records the outcome of a part, and whether it signals overload. Times must not go back.
+    /// Records the outcome of a part, and whether it signals overload. `now` must not be earlier than the time of any
+    /// previous outcome.
     pub fn record(&mut self, now: Nanos, overload_signal: bool) {
         self.outcomes.push_back(PartOutcome {
             recorded_at: now,
@@ -28,8 +29,8 @@
         self.overload_signals += usize::from(overload_signal);
     }
 
-    /// Drops the outcomes that were recorded before `since`.
-    pub fn forget_before(&mut self, since: Nanos) {
+    /// Removes the outcomes that were recorded before `since`.
+    pub fn remove_before(&mut self, since: Nanos) {
         while let Some(outcome) = self
             .outcomes
             .pop_front_if(|outcome| outcome.recorded_at < since)
@@ -38,12 +39,12 @@
         }
     }
 
-    /// How many outcomes are kept.
+    /// Number of retained outcomes.
     pub fn len(&self) -> usize {
         self.outcomes.len()
     }
 
-    /// How many of them signal overload.
+    /// Number of retained outcomes that signal overload.
     pub fn overload_signal_count(&self) -> usize {
         self.overload_signals
     }
--- a/crates/decisions/src/tables/replica_table.rs
+++ b/crates/decisions/src/tables/replica_table.rs
@@ -1,7 +1,8 @@
 //! The replicas of the endpoint list, by id and by cell.
 //!
-//! The table keeps its counts as entries change and forgets replicas that are gone by a queue, so that a lookup costs
-//! as much as the shard has holders and a change as much as it has entries, however large the fleet is.
+//! The table updates its counts with each change and evicts removed replicas by means of a queue. The cost of a lookup
+//! therefore depends only on the number of holders of the shard, and that of a delta only on its number of entries, not
+//! on the size of the fleet.
 
 use super::cell_index::CellIndex;
 pub use super::replica::{ConnectionKind, Replica, ReplicaStats, SlowStartJitter};
@@ -13,25 +14,25 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// A replica that is gone, in the queue of those to forget.
-type Expiry = Reverse<(Nanos, Slot)>;
+/// A removed replica in the eviction queue, with the time of its last latency update.
+type EvictionEntry = Reverse<(Nanos, Slot)>;
 
-/// All replicas that are listed, and those gone that are not forgotten yet.
+/// All replicas of the endpoint list, and the removed replicas that have not been evicted.
 #[derive(Debug)]
 pub struct ReplicaTable {
     max_parts_per_call: u32,
-    /// The replicas by slot; the slot that was freed last is reused first.
+    /// The replicas by slot. The slot that was freed last is reused first.
     replicas: Slab<Replica>,
     slots: HashMap<ReplicaId, Slot>,
     by_cell: CellIndex,
     ready: usize,
     suspected_and_ready: usize,
-    /// Replicas that are gone, by the time of their last latency update when they were queued.
-    expiries: BinaryHeap<Expiry>,
+    /// Removed replicas in ascending order of the time of their last latency update before they were queued.
+    eviction_queue: BinaryHeap<EvictionEntry>,
     visited: Cell<u64>,
 }
 
-/// A table in which no shard has holders.
+/// Creates a table in which no shard has holders.
 impl Default for ReplicaTable {
     fn default() -> Self {
         ReplicaTable::new(1, 0, 1)
@@ -39,7 +40,7 @@
 }
 
 impl ReplicaTable {
-    /// A table for `cells` cells, where shard `s` is held by the replicas of the cells `s` to
+    /// Creates an empty table for `cells` cells, where shard `s` is held by the replicas of the cells `s` to
     /// `s + replication_factor - 1`, modulo `cells`, and a call has at most `max_parts_per_call` parts.
     pub fn new(cells: u32, replication_factor: u32, max_parts_per_call: u32) -> Self {
         ReplicaTable {
@@ -49,12 +50,13 @@
             by_cell: CellIndex::new(cells, replication_factor),
             ready: 0,
             suspected_and_ready: 0,
-            expiries: BinaryHeap::new(),
+            eviction_queue: BinaryHeap::new(),
             visited: Cell::new(0),
         }
     }
 
-    /// Calls in flight at a replica; one that was opened at `now` and has room for one more part is not counted.
+    /// Number of calls in flight at a replica. A call opened at `now` that another part can still be added to is not
+    /// counted.
     pub fn calls_in_flight(&self, replica: &Replica, now: Nanos) -> u32 {
         replica
             .stats()
@@ -62,52 +64,52 @@
             .calls(now, self.max_parts_per_call)
     }
 
-    /// How many replicas are known, those gone and not forgotten included.
+    /// Number of replicas in the table, including removed ones that have not been evicted.
     pub fn len(&self) -> usize {
         self.replicas.len()
     }
 
-    /// Whether no replica is known.
+    /// Whether the table contains no replicas.
     pub fn is_empty(&self) -> bool {
         self.replicas.is_empty()
     }
 
-    /// How many replicas are listed as ready.
+    /// Number of ready replicas.
     pub fn ready_count(&self) -> usize {
         self.ready
     }
 
-    /// How many of the ready replicas are suspected.
+    /// Number of ready replicas that are suspected to have failed.
     pub fn suspected_ready_count(&self) -> usize {
         self.suspected_and_ready
     }
 
-    /// How many replicas were looked at so far, as holders of a shard or by a walk: a measure of cost, for tests.
+    /// Number of replica entries visited so far by lookups, updates and scans, which measures cost in tests.
     pub fn replicas_visited(&self) -> u64 {
         self.visited.get()
     }
 
-    /// The position of a replica; `None` if it is not known.
+    /// The slot of a replica; `None` if it is not in the table.
     pub fn slot(&self, id: ReplicaId) -> Option<Slot> {
         self.slots.get(&id).copied()
     }
 
-    /// The replica at a position.
+    /// The replica in a slot.
     pub fn replica(&self, slot: Slot) -> &Replica {
         &self.replicas[slot.index()]
     }
 
-    /// The replica of this id; `None` if it is not known.
+    /// The replica with this id; `None` if it is not in the table.
     pub fn get(&self, id: ReplicaId) -> Option<&Replica> {
         self.slot(id).map(|slot| self.replica(slot))
     }
 
-    /// The stats of a replica, to be changed.
+    /// Mutable statistics of a replica.
     pub fn stats_mut(&mut self, slot: Slot) -> &mut ReplicaStats {
         self.replicas[slot.index()].stats.get_or_insert_default()
     }
 
-    /// The holders of a shard, whatever their status, in the order of their ids.
+    /// The holders of a shard in ascending order of their ids, regardless of their status.
     pub fn holders(&self, shard: u32) -> Cow<'_, [Slot]> {
         let holders = self.by_cell.holders(shard, &self.replicas);
         self.count_visits(holders.len());
@@ -121,7 +123,7 @@
             .any(|slot| self.replica(*slot).is_ready())
     }
 
-    /// The ready replicas in the order of their ids. Walks over all replicas.
+    /// The ready replicas in ascending order of their ids. Scans all replicas.
     pub fn ready_slots(&self) -> Vec<Slot> {
         self.count_visits(self.replicas.len());
         let mut ready = self.slots_where(|_, replica| replica.is_ready());
@@ -129,7 +131,7 @@
         ready
     }
 
-    /// The slots of the replicas that match, in the order of the slots.
+    /// The slots of the replicas that match, in ascending order.
     fn slots_where(&self, matches: impl Fn(Slot, &Replica) -> bool) -> Vec<Slot> {
         let mut slots = Vec::new();
         for (index, replica) in &self.replicas {
@@ -145,7 +147,7 @@
         self.visited.set(self.visited.get() + replicas as u64);
     }
 
-    /// Applies entries of the endpoint list, in order; the replicas that a `snapshot` does not name are gone.
+    /// Applies entries of the endpoint list in order. With `snapshot`, replicas without an entry are marked as removed.
     pub fn apply_update(&mut self, endpoints: &[Endpoint], snapshot: bool) {
         if !snapshot {
             for endpoint in endpoints {
@@ -157,26 +159,27 @@
         let additional = endpoints.len().saturating_sub(self.replicas.len());
         self.replicas.reserve_exact(additional);
         self.slots.reserve(additional);
-        let mut listed = vec![false; self.replicas.capacity()];
+        let mut in_snapshot = vec![false; self.replicas.capacity()];
         for endpoint in endpoints {
             let slot = self.apply_entry(endpoint);
-            if listed.len() <= slot.index() {
-                listed.resize(slot.index() + 1, false);
+            if in_snapshot.len() <= slot.index() {
+                in_snapshot.resize(slot.index() + 1, false);
             }
-            listed[slot.index()] = true;
+            in_snapshot[slot.index()] = true;
         }
         self.count_visits(endpoints.len() + self.replicas.len());
-        self.remove_unlisted(&listed);
+        self.mark_missing_as_removed(&in_snapshot);
     }
 
-    /// Sets the status of the replicas that are not listed, by slot, to gone.
-    fn remove_unlisted(&mut self, listed: &[bool]) {
-        let is_listed = |slot: Slot| listed.get(slot.index()).is_some_and(|listed| *listed);
-        let unlisted = self.slots_where(|slot, replica| {
-            replica.status != EndpointStatus::Gone && !is_listed(slot)
+    /// Sets the status of replicas that are not in a snapshot to removed. `in_snapshot` states for each slot whether
+    /// its replica is.
+    fn mark_missing_as_removed(&mut self, in_snapshot: &[bool]) {
+        let is_missing = |slot: Slot| !in_snapshot.get(slot.index()).is_some_and(|listed| *listed);
+        let missing = self.slots_where(|slot, replica| {
+            replica.status != EndpointStatus::Removed && is_missing(slot)
         });
-        for slot in unlisted {
-            self.change(slot, |replica| replica.status = EndpointStatus::Gone);
+        for slot in missing {
+            self.update_replica(slot, |replica| replica.status = EndpointStatus::Removed);
         }
     }
 
@@ -185,18 +188,19 @@
             .slot(endpoint.replica)
             .unwrap_or_else(|| self.add(endpoint));
         self.move_to_cell(slot, endpoint.cell);
-        self.change(slot, |replica| {
+        self.update_replica(slot, |replica| {
             replica.zone = endpoint.zone;
             replica.status = endpoint.status;
-            if endpoint.status == EndpointStatus::Ready && replica.started != endpoint.started {
-                replica.restart(endpoint.started);
+            if endpoint.status == EndpointStatus::Ready && replica.started_at != endpoint.started_at
+            {
+                replica.restart(endpoint.started_at);
             }
         });
-        self.queue_expiry(slot);
+        self.queue_for_eviction(slot);
         slot
     }
 
-    /// Adds a replica that counts as gone until its entry is applied.
+    /// Adds a replica, which counts as removed until the status of its entry is applied.
     fn add(&mut self, endpoint: &Endpoint) -> Slot {
         let slot = Slot::from_index(self.replicas.insert(Replica::new(endpoint)));
         self.slots.insert(endpoint.replica, slot);
@@ -213,8 +217,8 @@
         self.by_cell.insert(slot, &self.replicas);
     }
 
-    /// Changes a replica's status or suspicion and keeps the counts and the queue of expiries true.
-    fn change(&mut self, slot: Slot, change: impl FnOnce(&mut Replica)) {
+    /// Changes a replica's status or suspicion, and updates the counts and the eviction queue accordingly.
+    fn update_replica(&mut self, slot: Slot, change: impl FnOnce(&mut Replica)) {
         let replica = &mut self.replicas[slot.index()];
         let status_before = replica.status;
         let suspected_before = replica.is_suspected_and_ready();
@@ -225,17 +229,17 @@
         self.ready -= usize::from(status_before == EndpointStatus::Ready);
         self.suspected_and_ready += usize::from(suspected_after);
         self.suspected_and_ready -= usize::from(suspected_before);
-        if status_before != EndpointStatus::Gone && status_after == EndpointStatus::Gone {
-            self.queue_expiry(slot);
+        if status_before != EndpointStatus::Removed && status_after == EndpointStatus::Removed {
+            self.queue_for_eviction(slot);
         }
     }
 
     /// Sets whether a replica is suspected to have failed.
     pub fn set_suspected(&mut self, slot: Slot, suspected: bool) {
-        self.change(slot, |replica| replica.suspected = suspected);
+        self.update_replica(slot, |replica| replica.suspected = suspected);
     }
 
-    /// Records a part that is sent to a replica now.
+    /// Records that a part is sent to a replica at `now`.
     pub fn add_part_in_flight(&mut self, slot: Slot, now: Nanos) {
         let max_parts_per_call = self.max_parts_per_call;
         self.stats_mut(slot)
@@ -243,57 +247,57 @@
             .add(now, max_parts_per_call);
     }
 
-    /// Keeps the time of a send that is made now, and those of the sends since `since`.
-    pub fn record_send(&mut self, slot: Slot, now: Nanos, since: Nanos) {
+    /// Records the time of a send, and removes the times of sends before `since`.
+    pub fn record_send_time(&mut self, slot: Slot, now: Nanos, since: Nanos) {
         let sends = &mut self.stats_mut(slot).recent_sends;
         sends.push(now);
-        sends.forget_before(since);
+        sends.remove_before(since);
     }
 
     /// Records the end of a part that was sent to a replica at `sent_at`.
     pub fn remove_part_in_flight(&mut self, slot: Slot, sent_at: Nanos) {
         let max_parts_per_call = self.max_parts_per_call;
-        let open = &mut self.stats_mut(slot).parts_in_flight;
-        if open.remove(sent_at, max_parts_per_call) && open.is_empty() {
-            self.queue_expiry(slot);
+        let in_flight = &mut self.stats_mut(slot).parts_in_flight;
+        if in_flight.remove(sent_at, max_parts_per_call) && in_flight.is_empty() {
+            self.queue_for_eviction(slot);
         }
     }
 
-    /// Forgets the replicas that are gone, have no part in flight, and whose latency was not updated after
-    /// `updated_until`.
-    pub fn forget_gone(&mut self, updated_until: Nanos) {
-        while let Some(Reverse((updated_at, slot))) = self.expiries.peek().copied() {
+    /// Evicts the removed replicas that have no part in flight and whose latency was not updated after `updated_until`.
+    pub fn evict_removed(&mut self, updated_until: Nanos) {
+        while let Some(Reverse((updated_at, slot))) = self.eviction_queue.peek().copied() {
             if updated_at > updated_until {
                 return;
             }
-            self.expiries.pop();
+            self.eviction_queue.pop();
             self.count_visits(1);
             let replica = &mut self.replicas[slot.index()];
-            replica.queued_for_expiry = false;
-            if replica.status != EndpointStatus::Gone || !replica.stats().parts_in_flight.is_empty()
+            replica.queued_for_eviction = false;
+            if replica.status != EndpointStatus::Removed
+                || !replica.stats().parts_in_flight.is_empty()
             {
                 continue;
             }
             if replica.stats().latency_updated_at > updated_until {
-                self.queue_expiry(slot);
+                self.queue_for_eviction(slot);
             } else {
-                self.forget(slot);
+                self.evict(slot);
             }
         }
     }
 
-    /// Queues a replica that is gone to be forgotten, unless it is queued already.
-    fn queue_expiry(&mut self, slot: Slot) {
+    /// Adds a replica to the eviction queue if it has been removed and is not in the queue.
+    fn queue_for_eviction(&mut self, slot: Slot) {
         let replica = &mut self.replicas[slot.index()];
-        if replica.status != EndpointStatus::Gone || replica.queued_for_expiry {
+        if replica.status != EndpointStatus::Removed || replica.queued_for_eviction {
             return;
         }
-        replica.queued_for_expiry = true;
+        replica.queued_for_eviction = true;
         let updated_at = replica.stats().latency_updated_at;
-        self.expiries.push(Reverse((updated_at, slot)));
+        self.eviction_queue.push(Reverse((updated_at, slot)));
     }
 
-    fn forget(&mut self, slot: Slot) {
+    fn evict(&mut self, slot: Slot) {
         self.by_cell.remove(slot, &self.replicas);
         let replica = self.replicas.remove(slot.index());
         self.slots.remove(&replica.id);
--- a/crates/decisions/src/tables/slot.rs
+++ b/crates/decisions/src/tables/slot.rs
@@ -1,6 +1,6 @@
 //! Positions in the replica table.
 
-/// Position of a replica in its table; valid until the next endpoint update.
+/// Position of a replica in the replica table. It is valid until the next endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slot(u32);
 
--- a/crates/decisions/src/tables/statistics.rs
+++ b/crates/decisions/src/tables/statistics.rs
@@ -1,4 +1,4 @@
-//! Running statistics: times in a window, a decaying count, a mean with its deviation, a majority vote.
+//! Running statistics: event times in a window, a decaying count, smoothed means, a mean deviation and a majority vote.
 
 use crate::Nanos;
 use std::collections::VecDeque;
@@ -10,31 +10,31 @@
 }
 
 impl TimeWindow {
-    /// A window without events.
+    /// A window that contains no events.
     pub const EMPTY: TimeWindow = TimeWindow {
         times: VecDeque::new(),
     };
 
-    /// Adds an event; times must not go back.
+    /// Adds an event at `now`, which must not be earlier than the time of any previous event.
     pub fn push(&mut self, now: Nanos) {
         self.times.push_back(now);
     }
 
-    /// Drops the events before `since`.
-    pub fn forget_before(&mut self, since: Nanos) {
-        while self.times.front().is_some_and(|at| *at < since) {
+    /// Removes the events before `since`.
+    pub fn remove_before(&mut self, since: Nanos) {
+        while self.times.front().is_some_and(|time| *time < since) {
             self.times.pop_front();
         }
     }
 
-    /// How many events are kept.
+    /// Number of retained events.
     pub fn len(&self) -> usize {
         self.times.len()
     }
 
-    /// How many events were at `since` or later.
+    /// Number of events at or after `since`.
     pub fn count_from(&self, since: Nanos) -> usize {
-        self.times.len() - self.times.partition_point(|at| *at < since)
+        self.times.len() - self.times.partition_point(|time| *time < since)
     }
 }
 
@@ -46,14 +46,14 @@
 }
 
 impl DecayingCount {
-    /// Counts an event; earlier events decay with this time constant, ns.
+    /// Counts an event. Earlier events decay with `time_constant`, ns.
     pub fn add(&mut self, now: Nanos, time_constant: f64) {
-        let kept = (-((now - self.counted_at) as f64) / time_constant).exp();
-        self.count = self.count * kept + 1.0;
+        let decay_factor = (-((now - self.counted_at) as f64) / time_constant).exp();
+        self.count = self.count * decay_factor + 1.0;
         self.counted_at = now;
     }
 
-    /// The count as of the last event.
+    /// The count at the time of the last event.
     pub fn count(&self) -> f64 {
         self.count
     }
@@ -67,9 +67,9 @@
 
 impl SmoothedMean {
     /// The mean of no samples.
-    pub const NONE: SmoothedMean = SmoothedMean { mean: None };
+    pub const EMPTY: SmoothedMean = SmoothedMean { mean: None };
 
-    /// Adds a sample of this weight and returns the new mean.
+    /// Adds a sample with weight `weight` and returns the new mean.
     pub fn add(&mut self, sample: f64, weight: f64) -> f64 {
         let mean = self.mean.unwrap_or(sample);
         *self.mean.insert(mean + weight * (sample - mean))
@@ -89,7 +89,7 @@
 }
 
 impl MeanAndDeviation {
-    /// Adds a sample of this weight.
+    /// Adds a sample with weight `weight`.
     pub fn add(&mut self, sample: f64, weight: f64) {
         let mean = self.mean.unwrap_or(sample);
         self.deviation += weight * ((sample - mean).abs() - self.deviation);
@@ -115,8 +115,8 @@
 }
 
 impl MajorityDuration {
-    /// Counts a vote: for the current majority if `duration` is within `tolerance` of it, else against it. The lead
-    /// grows to `max_lead` votes.
+    /// Counts a vote for the current majority if `duration` is within `tolerance` of it, else a vote against it. The
+    /// lead of the majority is at most `max_lead` votes.
     pub fn vote(&mut self, duration: Nanos, tolerance: Nanos, max_lead: u32) {
         if self.lead == 0 {
             self.duration = duration;
@@ -128,12 +128,12 @@
         }
     }
 
-    /// Whether any duration leads.
-    pub fn is_known(&self) -> bool {
+    /// Whether any duration has a majority.
+    pub fn has_majority(&self) -> bool {
         self.lead > 0
     }
 
-    /// Whether a duration is within `tolerance` of the last one to lead.
+    /// Whether a duration is within `tolerance` of the last duration that had a majority.
     pub fn is_near(&self, duration: Nanos, tolerance: Nanos) -> bool {
         duration.abs_diff(self.duration) <= tolerance
     }
--- a/crates/decisions/src/timer.rs
+++ b/crates/decisions/src/timer.rs
@@ -1,19 +1,19 @@
-//! The timer that wakes the coordinator when no event arrives.
+//! The timer that triggers a batch when no other event arrives.
 
 use crate::batch::Batch;
 use crate::{Action, Nanos};
 
-/// The coordinator's only timer, which needs no token to tell it from others.
+/// Token of the timer. The coordinator has a single timer, so any value works.
 const TIMER_TOKEN: u64 = 0;
 
-/// When the timer was last asked to fire.
+/// The time for which the timer was last scheduled.
 #[derive(Debug, Default)]
 pub struct Timer {
     fires_at: Option<Nanos>,
 }
 
 impl Timer {
-    /// Makes sure that the timer fires at `next` or before.
+    /// Schedules the timer for `next` unless it is already scheduled for `next` or earlier.
     pub fn schedule(&mut self, batch: &mut Batch, next: Nanos) {
         let already_scheduled = self
             .fires_at
--- a/crates/decisions/src/weight_cutoff.rs
+++ b/crates/decisions/src/weight_cutoff.rs
@@ -1,7 +1,7 @@
 //! The weight cutoff: while many parts signal overload, the lightest parts of queries are not sent.
 //!
-//! A part signals overload if it is late or rejected, or if no connection to its replica could be established and the
-//! caller takes that as overload.
+//! A part signals overload if it is overdue or rejected, or if no connection to its replica could be established and
+//! the caller classifies that as overload.
 
 use crate::batch::Batch;
 use crate::tables::query_table::{Part, Query};
@@ -11,38 +11,38 @@
 
 /// Maximum of the cutoff, as a fraction of a phase's weight.
 const MAX_CUTOFF: f64 = 0.125;
-/// By how much the cutoff rises at a time, as a fraction of a phase's weight.
+/// Increment of the cutoff, as a fraction of a phase's weight.
 const CUTOFF_STEP: f64 = MAX_CUTOFF / 4.0;
-/// Fraction of the recent parts with an overload signal above which the cutoff rises.
+/// Fraction of the recent parts with an overload signal above which the cutoff is raised.
 const MAX_OVERLOAD_SIGNAL_FRACTION: f64 = 0.1;
-/// Number of recent parts below which that fraction is too noisy to act on.
+/// Minimum number of recent parts for that fraction to be used; with fewer parts it is too noisy.
 const MIN_OUTCOMES: usize = 8;
-/// How long the outcomes of parts count, ns.
+/// Retention time of the outcomes of parts, ns.
 const OUTCOME_WINDOW_NS: Nanos = NS_PER_SECOND;
-/// Least time between two changes of the cutoff, ns.
+/// Minimum time between two changes of the cutoff, ns.
 const MIN_CHANGE_INTERVAL_NS: Nanos = NS_PER_SECOND;
-/// Time without overload after which the cutoff returns to zero, ns.
+/// Time without overload after which the cutoff is reset to zero, ns.
 const RECOVERY_TIME_NS: Nanos = 2 * NS_PER_SECOND;
 
-/// The weight below which parts are not sent, and the recent outcomes of parts that it follows from.
+/// The weight below which parts are not sent, and the recent outcomes of parts from which it is derived.
 #[derive(Debug, Default)]
 pub struct WeightCutoff {
     outcomes: RecentOutcomes,
-    /// As a fraction of a phase's weight; 0 while all parts are sent.
+    /// The cutoff as a fraction of a phase's weight; 0 while all parts are sent.
     cutoff: f64,
     changed_at: Nanos,
     last_overload_at: Nanos,
 }
 
 impl WeightCutoff {
-    /// Records that a part is late, unless its outcome is recorded already.
-    pub fn record_late_part(&mut self, now: Nanos, part: &mut Part) {
+    /// Records that a part is overdue, unless its outcome is already recorded.
+    pub fn record_overdue_part(&mut self, now: Nanos, part: &mut Part) {
         self.record_outcome(now, part, true);
     }
 
-    /// Records that an attempt of a part has ended, unless the part's outcome is recorded already. A failed attempt is
-    /// no outcome unless it signals overload: the replica rejected the part, or no connection could be established and
-    /// `connect_failure_is_overload`.
+    /// Records the end of an attempt as the part's outcome if the part is answered or the attempt signals overload,
+    /// unless an outcome of the part is already recorded. An attempt signals overload if the replica rejected it, or if
+    /// no connection could be established and `connect_failure_is_overload` is true.
     pub fn record_attempt_end(
         &mut self,
         now: Nanos,
@@ -67,10 +67,10 @@
         }
     }
 
-    /// Raises the cutoff during overload, and resets it after.
+    /// Raises the cutoff during overload, and resets it to zero after [`RECOVERY_TIME_NS`] without overload.
     pub fn update(&mut self, batch: &mut Batch) {
         let since = batch.now.saturating_sub(OUTCOME_WINDOW_NS);
-        self.outcomes.forget_before(since);
+        self.outcomes.remove_before(since);
         let overloaded = is_overloaded(&self.outcomes);
         if overloaded {
             self.last_overload_at = batch.now;
@@ -91,17 +91,20 @@
             return;
         }
         if self.cutoff == 0.0 {
-            let line = "weight cutoff raised from zero: light parts are not sent";
+            let line = "weight cutoff raised from zero: not sending the lightest parts";
             batch.log_lines.push(line.into());
         } else if cutoff == 0.0 {
-            batch.log_lines.push("weight cutoff back at zero".into());
+            batch
+                .log_lines
+                .push("weight cutoff reset to zero: sending all parts".into());
         }
         self.cutoff = cutoff;
         self.changed_at = batch.now;
     }
 
-    /// Skips parts lighter than the cutoff, lightest first, but never so many that the rest falls below the class's
-    /// minimum coverage. The higher the cutoff, the more of the weight above that minimum may be skipped.
+    /// Marks parts with a weight below the cutoff as skipped, in ascending order of weight. The weight of the remaining
+    /// parts stays at or above the class's minimum coverage, and the fraction of the weight above that minimum that may
+    /// be skipped is proportional to the cutoff.
     pub fn skip_light_parts(&self, batch: &Batch, query: &mut Query) {
         let minimum_coverage = batch.class(query).minimum_coverage;
         if self.cutoff <= 0.0 || minimum_coverage >= 1.0 {
--- a/crates/mixer/src/reducer/dispatch.rs
+++ b/crates/mixer/src/reducer/dispatch.rs
@@ -92,7 +92,7 @@
         let is_listed = self
             .replicas
             .get(replica)
-            .is_some_and(|replica| replica.status != EndpointStatus::Gone);
+            .is_some_and(|replica| replica.status != EndpointStatus::Removed);
         let connection = if is_listed && self.settings.probing_enabled {
             self.connection_for(now, replica, "")
         } else {
--- a/crates/mixer/src/reducer/entry_resolver.rs
+++ b/crates/mixer/src/reducer/entry_resolver.rs
@@ -61,7 +61,7 @@
                 .status_before_lagging_update(now, replica, started)
                 .unwrap_or(EndpointStatus::Ready),
             Status::Up | Status::Draining => EndpointStatus::Draining,
-            Status::Removed => EndpointStatus::Gone,
+            Status::Removed => EndpointStatus::Removed,
         };
         let address = entry
             .address
--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -310,7 +310,7 @@
                 replica: id,
                 cell,
                 zone,
-                started,
+                started_at: started,
                 status,
             },
             changed: known.is_none() || !unchanged,
@@ -344,7 +344,7 @@
         let before = std::mem::replace(&mut replica.status, status);
         self.ready -= usize::from(before == EndpointStatus::Ready);
         self.ready += usize::from(status == EndpointStatus::Ready);
-        if status == EndpointStatus::Gone {
+        if status == EndpointStatus::Removed {
             self.gone.insert(id, now);
         } else {
             self.gone.remove(id);
@@ -361,19 +361,19 @@
         self.visited_records += self.table.len() as u64;
         let mut unlisted: Vec<(ReplicaId, Slot)> = Vec::new();
         for (slot, replica) in self.table.iter() {
-            if replica.status != EndpointStatus::Gone && !listed.contains(&slot) {
+            if replica.status != EndpointStatus::Removed && !listed.contains(&slot) {
                 unlisted.push((replica.id, slot));
             }
         }
         unlisted.sort_unstable();
         for (_, slot) in unlisted {
-            self.set_status(now, slot, EndpointStatus::Gone);
+            self.set_status(now, slot, EndpointStatus::Removed);
             if let Some(replica) = self.table.record(slot) {
                 endpoints.push(Endpoint {
                     replica: replica.id,
                     cell: replica.cell,
                     zone: replica.zone,
-                    started: replica.started,
+                    started_at: replica.started,
                     status: replica.status,
                 });
             }
--- a/crates/simulator-adapter/src/wire/events.rs
+++ b/crates/simulator-adapter/src/wire/events.rs
@@ -119,7 +119,7 @@
         replica: entry.replica(endpoint::REPLICA),
         cell: entry.u16(endpoint::CELL),
         zone: entry.u16(endpoint::ZONE),
-        started: entry.u64(endpoint::STARTED),
+        started_at: entry.u64(endpoint::STARTED),
         status,
     })
 }
--- a/crates/simulator-adapter/src/wire/vocabulary.rs
+++ b/crates/simulator-adapter/src/wire/vocabulary.rs
@@ -103,7 +103,7 @@
 /// `availability`
 pub fn endpoint_status(code: u8) -> Option<EndpointStatus> {
     Some(match code {
-        0 => EndpointStatus::Gone,
+        0 => EndpointStatus::Removed,
         1 => EndpointStatus::Ready,
         2 => EndpointStatus::Draining,
         _ => return None,
