--- a/crates/decisions/tests/admission.rs
+++ b/crates/decisions/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which queries start: those that can meet their latency objective, and no client retry that comes too late for it.
+//! Admission: queries and client retries that cannot meet their latency objective are rejected.
 
 mod support;
 
@@ -33,14 +33,17 @@
     for at_ms in 0..5 {
         harness.send_query_with_timeout(at_ms, 6000);
     }
-    let (_, late_retry) = harness.send_query_with_timeout(10, 3000);
-    assert_eq!(final_replies(&late_retry), [FinalReply::Rejected]);
-    let (_, early_retry) = harness.send_query_with_timeout(20, 5000);
-    assert_eq!(sent_parts(&early_retry).len(), 1);
+    let (_, retry_after_objective) = harness.send_query_with_timeout(10, 3000);
+    assert_eq!(
+        final_replies(&retry_after_objective),
+        [FinalReply::Rejected]
+    );
+    let (_, retry_before_objective) = harness.send_query_with_timeout(20, 5000);
+    assert_eq!(sent_parts(&retry_before_objective).len(), 1);
 }
 
 #[test]
-fn longer_timeout_of_client_retry_does_not_make_first_tries_retries() {
+fn longer_timeout_of_client_retry_does_not_turn_first_requests_into_retries() {
     let mut harness = Harness::new(complete_only_settings(), 3);
     harness.send_query_with_timeout(0, 5000);
     harness.send_client_retry(1, 5900);
@@ -48,11 +51,12 @@
     let actions = harness.run_timers(10, 1850);
     assert!(
         final_replies(&actions).is_empty(),
-        "none is given up before its latency objective"
+        "no query ends before its latency objective"
     );
 }
 
-/// Clients that give up early and retry at once must not make other clients' queries look like late retries.
+/// If clients with a short timeout retry immediately, the long timeouts of other clients must not be mistaken for those
+/// of retries after the latency objective.
 #[test]
 fn short_timeouts_of_one_client_do_not_reject_another() {
     let mut harness = Harness::new(marked_retry_settings(), 3);
@@ -64,13 +68,14 @@
     let (_, short_timeout) = harness.send_query_with_timeout(210, 700);
     assert!(
         !is_rejected(&short_timeout),
-        "a first try always has its time left"
+        "no time of a first request has elapsed before it is sent"
     );
 }
 
-/// Clients that leave before a usual part is answered and retry at once: their work would only delay others.
+/// Clients may disconnect before the mean latency of a part and retry immediately. Their queries cannot be answered in
+/// time and would only delay others.
 #[test]
-fn rejects_query_whose_timeout_is_below_usual_part_latency() {
+fn rejects_query_whose_timeout_is_below_mean_part_latency() {
     let mut harness = Harness::new(marked_retry_settings(), 3);
     for i in 0..20 {
         harness.serve_query(i * 500, 450);
@@ -81,33 +86,33 @@
     assert_eq!(sent_parts(&long_enough).len(), 1);
 }
 
-/// Where queries are rare, an overload seen seconds ago must not reject what comes now.
+/// With few queries, an overload observed several seconds ago must not lead to the rejection of new queries.
 #[test]
 fn past_overload_does_not_reject_later_query() {
     let mut harness = Harness::new(complete_only_settings(), 1);
     harness.serve_query(0, 1500);
-    let (_, at_once) = harness.send_query(1510, 0, &[1.0]);
-    assert_eq!(final_replies(&at_once), [FinalReply::Rejected]);
+    let (_, immediate) = harness.send_query(1510, 0, &[1.0]);
+    assert_eq!(final_replies(&immediate), [FinalReply::Rejected]);
     let (_, later) = harness.send_query(6000, 0, &[1.0]);
     assert_eq!(sent_parts(&later).len(), 1);
 }
 
-/// Client retries that give up before the latency objective have no more time than the try that failed.
+/// A client's retry with a timeout below the latency objective has no more time than the failed first request.
 #[test]
 fn rejects_client_retry_whose_timeout_is_too_short() {
     let mut harness = Harness::new(marked_retry_settings(), 3);
-    let (_, first_try) = harness.send_query_with_timeout(0, 900);
-    assert_eq!(sent_parts(&first_try).len(), 1);
-    let (_, hasty_retry) = harness.send_client_retry(910, 900);
-    assert!(sent_parts(&hasty_retry).is_empty() && is_rejected(&hasty_retry));
+    let (_, first_request) = harness.send_query_with_timeout(0, 900);
+    assert_eq!(sent_parts(&first_request).len(), 1);
+    let (_, short_retry) = harness.send_client_retry(910, 900);
+    assert!(sent_parts(&short_retry).is_empty() && is_rejected(&short_retry));
 
     let mut harness = Harness::new(marked_retry_settings(), 3);
     harness.send_query_with_timeout(0, 2500);
-    let (_, patient_retry) = harness.send_client_retry(910, 2500);
-    assert!(!is_rejected(&patient_retry));
+    let (_, long_retry) = harness.send_client_retry(910, 2500);
+    assert!(!is_rejected(&long_retry));
 }
 
-/// The latency to expect is the mean: a query with time for that is not rejected for a few slow answers.
+/// The expected latency is the mean: a query with enough time for it is not rejected because of some slow answers.
 #[test]
 fn admits_query_with_time_for_mean_latency() {
     let mut harness = Harness::new(marked_retry_settings(), 4);
--- a/crates/decisions/tests/batch_cost.rs
+++ b/crates/decisions/tests/batch_cost.rs
@@ -1,5 +1,5 @@
-//! What a batch costs, in operations: it depends on the parts of its queries and their holders, not on the size of the
-//! fleet or on all that is open.
+//! The cost of a batch in operations: it depends on the parts of the batch's queries and on their holders, not on the
+//! size of the fleet or the number of open queries.
 
 mod support;
 
@@ -30,7 +30,7 @@
         cancellation_enabled: true,
         hedging_enabled: true,
         probing_enabled: true,
-        // So that the limit of warming replicas is worked out, too.
+        // Enables slow start, so that its cost is included.
         slow_start_initial_capacity: Some(0.25),
         slow_start_duration: 6000 * MS,
         overload_multiple: Some(2.0),
@@ -73,7 +73,7 @@
         harness
     }
 
-    /// Processes a batch so many ms after the last one; how many replicas that visited.
+    /// Processes a batch `after_ms` after the previous one. Returns the number of replicas visited.
     fn process(&mut self, after_ms: u64, events: &[Event]) -> u64 {
         self.now += after_ms * MS;
         self.actions.clear();
@@ -87,14 +87,14 @@
         self.process(5, &query(id))
     }
 
-    /// Processes a batch 5 ms after the last one; how many queries that processed.
+    /// Processes a batch 5 ms after the previous one. Returns the number of queries processed.
     fn queries_processed_by(&mut self, events: &[Event]) -> u64 {
         let before = self.coordinator.queries_processed();
         self.process(5, events);
         self.coordinator.queries_processed() - before
     }
 
-    /// The end of the parts sent last.
+    /// Events that end the parts sent in the last batch with the same outcome.
     fn outcomes(&self, outcome: Outcome) -> Vec<Event> {
         let attempt_ended = |action: &Action| match *action {
             Action::Send { part, replica, .. } => Some(Event::AttemptEnded {
@@ -133,8 +133,8 @@
     events
 }
 
-/// Replicas visited for a query, the answers to its parts, a second query of which some parts fail and the others are
-/// silent, and an endpoint update.
+/// The number of replicas visited in each batch: for a query, the answers to its parts, a second query, the failure of
+/// some of its parts, the hedging of the others, and an endpoint update.
 fn replicas_visited(replicas: u64) -> Vec<u64> {
     let mut harness = Harness::new(replicas);
     let mut visited = vec![harness.send_query(1000)];
@@ -144,7 +144,7 @@
     let failures = harness.outcomes(Outcome::ConnectionReset);
     visited.push(harness.process(60, &failures[..5]));
     visited.push(harness.process(400, &[]));
-    let gone = Endpoint {
+    let removed = Endpoint {
         status: EndpointStatus::Removed,
         ..endpoint(0)
     };
@@ -154,7 +154,7 @@
     };
     let update = Event::EndpointsUpdated {
         kind: EndpointUpdateKind::Delta,
-        endpoints: vec![gone, added],
+        endpoints: vec![removed, added],
     };
     visited.push(harness.process(5, &[update]));
     visited
@@ -170,7 +170,8 @@
     assert_eq!(small_fleet, replicas_visited(30_000));
 }
 
-/// Queries processed for a query, for each answer to its parts and for an empty batch, beside so many that are open.
+/// The number of queries processed in each batch while `open_queries` other queries are open: for a query, for each
+/// answer to its parts, and for an empty batch.
 fn queries_processed(open_queries: u64) -> Vec<u64> {
     let mut harness = Harness::new(300);
     for i in 0..open_queries {
@@ -180,7 +181,7 @@
     for answer in harness.outcomes(Outcome::Ok) {
         processed.push(harness.queries_processed_by(&[answer]));
         if harness.now > START + 100 * MS {
-            // The others are about to be hedged.
+            // The other open queries are hedged soon after this.
             break;
         }
     }
@@ -198,6 +199,10 @@
                 .all(|count| *count == 1),
         "{few_open:?}"
     );
-    assert_eq!(few_open[few_open.len() - 1], 0, "nothing happened");
+    assert_eq!(
+        few_open[few_open.len() - 1],
+        0,
+        "a batch without events processes no query"
+    );
     assert_eq!(few_open, queries_processed(512));
 }
--- a/crates/decisions/tests/batch_processing.rs
+++ b/crates/decisions/tests/batch_processing.rs
@@ -1,4 +1,4 @@
-//! Batches as such: they are deterministic, and no event breaks the coordinator.
+//! Processing of batches: the actions are deterministic, and invalid events are tolerated.
 
 mod support;
 
--- a/crates/decisions/tests/completion.rs
+++ b/crates/decisions/tests/completion.rs
@@ -1,4 +1,4 @@
-//! When a query is answered, completely or partially, rejected, or over because its client disconnected.
+//! Completion of queries: complete and partial answers, rejections, and the end after a client disconnect.
 
 mod support;
 
@@ -22,7 +22,11 @@
             ..Query::new(0, &[1.0])
         };
         let (_, actions) = harness.submit(7000, without_time);
-        assert_eq!(final_replies(&actions).len(), 1, "its client does not wait");
+        assert_eq!(
+            final_replies(&actions).len(),
+            1,
+            "a client that does not wait"
+        );
     }
 }
 
@@ -46,7 +50,10 @@
         part: id + 1,
         attempt: 0,
     };
-    assert!(after.contains(&cancel), "its attempt is cancelled");
+    assert!(
+        after.contains(&cancel),
+        "the attempt in flight is cancelled"
+    );
 }
 
 #[test]
@@ -100,7 +107,7 @@
         let first_phase_end = harness.run_timers(110, 1000);
         assert!(
             answered_parts == 2 || final_replies(&first_phase_end) == [FinalReply::Partial],
-            "half of the latency objective is left for the second phase"
+            "half of the latency objective is reserved for the second phase"
         );
         let second_phase_part = Event::PartReceived {
             id: id + 50,
@@ -120,21 +127,21 @@
     let mut query_class = class(2000, 0.4);
     query_class.second_phase_parts = 1;
     let mut harness = Harness::new(settings(vec![query_class]), 3);
-    let late_query = Query {
+    let delayed_query = Query {
         client_timeout: 3000 * MS,
         network_delay: 1995 * MS,
         ..Query::new(0, &[0.5, 0.5])
     };
-    let (_, actions) = harness.submit(0, late_query);
+    let (_, actions) = harness.submit(0, delayed_query);
     let all_actions = [actions, harness.run_timers(10, 3000)].concat();
     assert_eq!(
         final_replies(&all_actions),
         [FinalReply::Rejected],
-        "no time is left to answer in"
+        "no time remains for an answer"
     );
 }
 
-/// A complete answer that one part has made impossible is given up, though others are still in flight.
+/// The query is rejected as soon as one part can no longer be answered, although another is still in flight.
 #[test]
 fn rejects_query_once_it_can_no_longer_be_complete() {
     let single_attempt = Settings {
@@ -148,7 +155,7 @@
     assert_eq!(final_replies(&after), [FinalReply::Rejected]);
 }
 
-/// When the partial answer to a query with this network delay leaves, ms after the query arrived.
+/// Time at which a query with this network delay is answered partially, in ms after its arrival.
 fn partial_answer_at_ms(network_delay_ms: u64) -> Option<u64> {
     let mut harness = Harness::new(settings(vec![class(600, 0.5)]), 2);
     let query = Query {
@@ -165,8 +172,8 @@
         .find(|at_ms| final_replies(&harness.fire_timer(*at_ms)).contains(&FinalReply::Partial))
 }
 
-/// The client counts from its sending: the time that the query was on the way, and the answer's way back, come off the
-/// latency objective as they come off the client's timeout.
+/// The client measures the latency from the time when it sends the query. The transit times of the query and the answer
+/// are therefore subtracted from the latency objective, as they are from the client's timeout.
 #[test]
 fn partial_answer_leaves_time_for_network_delay() {
     let without_delay_ms = partial_answer_at_ms(0).expect("in time");
--- a/crates/decisions/tests/connection_loss.rs
+++ b/crates/decisions/tests/connection_loss.rs
@@ -1,4 +1,4 @@
-//! Idle connections that are lost on the way: they are closed before use, for as long as that helps.
+//! Lost idle connections: idle connections are closed before use for as long as that reduces the losses.
 
 mod support;
 
@@ -11,9 +11,9 @@
         .any(|action| matches!(action, Action::CloseIdleConnections { .. }))
 }
 
-/// Something on the way drops idle connections unnoticed: what is sent on one is lost, though the replica lives. Sends
-/// queries whose attempts on idle connections are reset; before which of them the idle connections are closed.
-/// `new_connections_fail`: attempts on new connections are reset as well.
+/// Simulates a network that drops idle connections without notification: attempts on them are reset although the
+/// replica is healthy. With `new_connections_fail`, attempts on new connections are reset as well. Returns for each
+/// query whether idle connections were closed before it was sent.
 fn idle_connection_closes(queries: u64, new_connections_fail: bool) -> Vec<bool> {
     let settings = Settings {
         connection_idle_timeout: 15_000 * MS,
@@ -48,14 +48,17 @@
     let closes = idle_connection_closes(40, false);
     assert!(
         !closes[..2].contains(&true),
-        "one or two losses may be chance"
+        "one or two losses may be coincidence"
     );
     assert!(count_closes(&closes) > 20, "{closes:?}");
 }
 
 #[test]
-fn stops_closing_idle_connections_where_it_does_not_help() {
+fn stops_closing_idle_connections_if_it_does_not_reduce_losses() {
     let closes = idle_connection_closes(80, true);
-    assert!(closes.contains(&true), "it is tried");
+    assert!(
+        closes.contains(&true),
+        "idle connections are closed at first"
+    );
     assert!(count_closes(&closes) < 60, "{closes:?}");
 }
--- a/crates/decisions/tests/due_queries.rs
+++ b/crates/decisions/tests/due_queries.rs
@@ -1,4 +1,4 @@
-//! A coordinator that processes queries when they are due, against one that processes every open query in every batch.
+//! Compares a coordinator that processes only due queries with one that processes every open query in every batch.
 
 mod random_events;
 mod support;
@@ -14,19 +14,19 @@
     "send", "cancel", "complete", "partial", "reject", "fail", "probe", "close", "cutoff",
 ];
 
-/// How often each kind of action was taken.
+/// Number of actions of each kind.
 type ActionCounts = BTreeMap<&'static str, u64>;
 
-/// What both coordinators did in one random deployment.
+/// The actions and cost of both coordinators in one random deployment.
 struct Comparison {
     actions: ActionCounts,
-    /// Queries processed by the coordinator that processes those that are due.
+    /// Number of queries processed by the coordinator that processes only due queries.
     due_processed: u64,
-    /// Queries processed by the one that processes all.
+    /// Number of queries processed by the coordinator that processes all queries.
     all_processed: u64,
 }
 
-/// Runs one random deployment at both coordinators and checks that they act alike.
+/// Runs one random deployment with both coordinators and checks that their actions are equal.
 fn compare_coordinators(seed: u64) -> Comparison {
     let mut script = Script::new(seed);
     let mut due_only = Coordinator::new(script.settings(), seed);
@@ -42,7 +42,7 @@
         all_queries.process_batch(now, &events, &mut expected);
         assert_eq!(
             actions, expected,
-            "seed {seed}, batch {batch}: due queries only against all queries"
+            "seed {seed}, batch {batch}: actions of due queries only differ from those of all queries"
         );
         assert_eq!(
             due_only.retained_entries(),
@@ -88,7 +88,7 @@
     }
 }
 
-/// The comparison means little unless the random deployments meet everything that a coordinator does.
+/// The comparison is only meaningful if the random deployments produce every kind of action.
 #[test]
 fn random_deployments_produce_every_kind_of_action_and_few_due_queries() {
     let mut actions = ActionCounts::new();
--- a/crates/decisions/tests/endpoint_polling.rs
+++ b/crates/decisions/tests/endpoint_polling.rs
@@ -1,4 +1,4 @@
-//! Polling for the endpoint list, where discovery does not push it.
+//! Polling for the endpoint list if the discovery service does not push it.
 
 mod support;
 
@@ -17,15 +17,15 @@
         .any(|action| matches!(action, Action::SetTimer { .. }))
 }
 
-/// When the coordinator next subscribes, in steps of 10 ms after this time.
+/// Time of the coordinator's next subscription after `after_ms`, in steps of 10 ms.
 fn next_subscription_ms(harness: &mut Harness, after_ms: u64) -> u64 {
     (after_ms / 10 + 1..)
         .map(|tick| tick * 10)
         .find(|at_ms| subscribes(&harness.fire_timer(*at_ms)))
-        .expect("it subscribes again")
+        .expect("the coordinator subscribes again")
 }
 
-/// If all whose request failed repeated it at once, the discovery service would be too busy to answer any.
+/// If all coordinators repeated failed requests immediately, the discovery service would remain overloaded.
 #[test]
 fn polls_again_after_failure_with_growing_backoff() {
     let polling = Settings {
@@ -46,19 +46,22 @@
         let actions = harness.process(failed_at_ms, &[failed]);
         assert!(
             sets_timer(&actions) && !subscribes(&actions),
-            "a timer, no request, though no query is open"
+            "sets a timer instead of an immediate request, even if no query is open"
         );
         subscribed_at_ms = next_subscription_ms(&mut harness, failed_at_ms);
         let backoff_ms = subscribed_at_ms - failed_at_ms;
-        assert!(backoff_ms >= 500 << failure, "longer each time");
+        assert!(
+            backoff_ms >= 500 << failure,
+            "the minimum backoff doubles with each failure"
+        );
         assert!(
             backoff_ms <= MAX_LIST_STALENESS_MS,
-            "within the time in which it has to poll"
+            "the list is requested within its maximum staleness"
         );
     }
     harness.update_endpoints(EndpointUpdateKind::Delta, vec![ready_endpoint(1)]);
     assert!(
         (0..300).all(|i| !subscribes(&harness.fire_timer(subscribed_at_ms + 100 + i * 100))),
-        "it is subscribed"
+        "no further subscription after an update"
     );
 }
--- a/crates/decisions/tests/fleet_simulation/mod.rs
+++ b/crates/decisions/tests/fleet_simulation/mod.rs
@@ -1,5 +1,6 @@
-//! A simulated fleet: many coordinators side by side with uneven load, one replica that is replaced by a new one, and
-//! what they send to that one together, over any window, against what the settings allow it.
+//! A simulated fleet: many coordinators with uneven load and one replica that is replaced by a new one. The total
+//! number of parts sent to the new replica in any overload window is compared with the budget that follows from the
+//! settings.
 
 use crate::support::{MS, START};
 use cottonhill_decisions::{
@@ -10,17 +11,17 @@
 
 /// Time between two batches of each coordinator, ms.
 const STEP_MS: u64 = 10;
-/// Parts a second that one warm replica can serve.
+/// Number of parts per second that one warm replica can serve.
 const CAPACITY_PER_SECOND: f64 = 60.0;
 const REPLICAS: u64 = 8;
 const LATENCY_MS: u64 = 50;
-/// How long the fleet is observed after the replacement, ms.
+/// Duration of the simulation after the replacement, ms.
 const OBSERVED_MS: u64 = 6_000;
-/// Where clients come in bursts, the time between two of them, ms.
+/// Time between two bursts of queries, ms.
 const BURST_INTERVAL_MS: u64 = 200;
 const INITIAL_CAPACITY: f64 = 0.25;
 const OVERLOAD_MULTIPLE: f64 = 2.0;
-/// The replica that is replaced, and the one in its place, which is warming up.
+/// The replica that is replaced, and its replacement, which is warming up.
 const REPLACED: ReplicaId = ReplicaId(1);
 const WARMING: ReplicaId = ReplicaId(100);
 
@@ -28,15 +29,15 @@
 pub struct Fleet {
     pub coordinators: u32,
     pub seed: u64,
-    /// What clients ask for, as a fraction of what all replicas can serve.
+    /// Query rate as a fraction of the capacity of all replicas.
     pub demand: f64,
-    /// The fleet's rate limit, as a fraction of what all replicas can serve; 0 where not stated.
+    /// The fleet's rate limit as a fraction of the capacity of all replicas; 0 if not configured.
     pub rate_limit: f64,
-    /// How long all coordinators have run before one replica is replaced.
+    /// Time between the start of the coordinators and the replacement of one replica, ms.
     pub warm_up_ms: u64,
-    /// Whether clients come in bursts that all coordinators see at once.
+    /// Whether queries arrive in bursts, simultaneously at all coordinators.
     pub bursts: bool,
-    /// From the replacement on, the shard of the warming replica is queried so many times as often.
+    /// Factor by which queries to the shard of the warming replica increase at the replacement.
     pub hot_shard_factor: f64,
 }
 
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Queries that reach the whole fleet in the step that begins at this time.
+    /// Mean number of queries that arrive at the entire fleet in the step that starts at `at_ms`.
     fn queries_in_step(&self, at_ms: u64) -> f64 {
         let mean = self.demand * CAPACITY_PER_SECOND * REPLICAS as f64 * STEP_MS as f64 / 1000.0;
         match (self.bursts, at_ms % BURST_INTERVAL_MS) {
@@ -79,10 +80,10 @@
     }
 }
 
-/// The window in which the warming replica gets most, against its budget.
+/// The overload window with the highest excess of parts sent to the warming replica over its budget.
 #[derive(Clone, Copy, Debug)]
 pub struct WorstWindow {
-    /// By how much the budget is exceeded, in what is put down to chance; up to 1 is chance.
+    /// Number of parts above the budget, divided by the allowance for random variation. Values up to 1 are acceptable.
     pub excess: f64,
     pub parts: usize,
     pub budget: f64,
@@ -101,11 +102,16 @@
     for end_ms in (STEP_MS..slow_start_ms).step_by(STEP_MS as usize) {
         let begin_ms = (end_ms + STEP_MS).saturating_sub(window_ms);
         let window = begin_ms..=end_ms;
-        let parts = sent_ms.iter().filter(|at| window.contains(at)).count();
-        // Its capacity grows evenly; the one at the middle of the window is the mean.
+        let parts = sent_ms
+            .iter()
+            .filter(|sent_at| window.contains(sent_at))
+            .count();
+        // The capacity grows linearly, so that the value at the middle of the window is the mean.
         let middle_ms = (end_ms as f64 - window_ms as f64 / 2.0).max(0.0);
-        let warmth = INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * middle_ms / slow_start_ms as f64;
-        let budget = OVERLOAD_MULTIPLE * warmth * CAPACITY_PER_SECOND * window_ms as f64 / 1000.0;
+        let capacity_fraction =
+            INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * middle_ms / slow_start_ms as f64;
+        let budget =
+            OVERLOAD_MULTIPLE * capacity_fraction * CAPACITY_PER_SECOND * window_ms as f64 / 1000.0;
         let excess = (parts as f64 - budget) / (2.0 * budget.sqrt() + 2.0);
         if excess > worst.excess {
             worst = WorstWindow {
@@ -118,7 +124,7 @@
     worst
 }
 
-/// An attempt that is going to be answered.
+/// The future answer to an attempt.
 struct Answer {
     due_ms: u64,
     coordinator: usize,
@@ -131,13 +137,13 @@
     fleet: Fleet,
     random: fastrand::Rng,
     coordinators: Vec<Coordinator>,
-    /// Each coordinator's share of the queries: some see several times the mean.
+    /// Relative query rate of each coordinator; some receive several times as many queries as others.
     weights: Vec<f64>,
     answers: VecDeque<Answer>,
-    /// Attempts made so far, by part: each ends under its own number.
+    /// Number of attempts so far by part, which is the number of the next attempt.
     attempts: BTreeMap<RequestId, u8>,
     last_id: RequestId,
-    /// When parts were sent to the warming replica, ms after its start.
+    /// Times when parts were sent to the warming replica, ms after its start.
     sent_to_warming_ms: Vec<u64>,
 }
 
@@ -164,7 +170,7 @@
         }
     }
 
-    /// When parts were sent to the warming replica, ms after its start.
+    /// Returns the times when parts were sent to the warming replica, ms after its start.
     fn run(mut self) -> Vec<u64> {
         self.send_initial_snapshot();
         for at_ms in (0..self.fleet.warm_up_ms + OBSERVED_MS).step_by(STEP_MS as usize) {
@@ -173,7 +179,8 @@
         self.sent_to_warming_ms
     }
 
-    /// One replica in cell 0, the rest in cell 1: no other holds the shard of the one that is replaced.
+    /// Sends a list with one replica in cell 0 and all others in cell 1, so that no other replica holds the shard of
+    /// the replica that is replaced.
     fn send_initial_snapshot(&mut self) {
         let endpoints: Vec<Endpoint> = (1..=REPLICAS)
             .map(|r| endpoint(ReplicaId(r), u16::from(r > 1), EndpointStatus::Ready, 0))
@@ -239,7 +246,7 @@
         }
     }
 
-    /// A whole number that is this one on average.
+    /// Rounds up or down at random, such that the expected value is `mean`.
     fn round_randomly(&mut self, mean: f64) -> u64 {
         mean.floor() as u64 + u64::from(self.random.f64() < mean.fract())
     }
@@ -288,7 +295,7 @@
     }
 }
 
-/// The warming replica takes the place of the one that is replaced.
+/// The endpoint update that replaces one replica by the warming one.
 fn replacement(at_ms: u64) -> Event {
     let started_at = START + at_ms * MS - MS;
     Event::EndpointsUpdated {
--- a/crates/decisions/tests/health_check.rs
+++ b/crates/decisions/tests/health_check.rs
@@ -1,4 +1,5 @@
-//! Probes: after failures at many replicas, those that have not been tried are probed before they get parts.
+//! Active health checks: after failures of many replicas, replicas that were not contacted are probed before they
+//! receive parts.
 
 mod support;
 
@@ -13,10 +14,10 @@
     actions.iter().filter_map(probed).collect()
 }
 
-/// Failures at many replicas may be the coordinator's own trouble: which untried ones it can reach is found out by
-/// probes, not by parts.
+/// Failures of many replicas may be due to the coordinator's own network. Probes instead of parts determine which of
+/// the replicas without contact are reachable.
 #[test]
-fn probes_untried_replicas_once_after_many_failures() {
+fn probes_uncontacted_replicas_once_after_many_failures() {
     for probing_enabled in [false, true] {
         let settings = Settings {
             probing_enabled,
@@ -30,11 +31,11 @@
         assert_eq!(probed.is_empty(), !probing_enabled);
         assert!(
             sent.iter().all(|failed| !probed.contains(&failed.replica)),
-            "only those not tried yet"
+            "only replicas that were not contacted are probed"
         );
         assert!(
             probed_replicas(&harness.run_timers(260, 1000)).is_empty(),
-            "one round only"
+            "the replicas are probed once"
         );
         let Some(&unreachable) = probed.first() else {
             continue;
--- a/crates/decisions/tests/hedging.rs
+++ b/crates/decisions/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged requests: a part whose attempt is late is sent to another replica as well.
+//! Hedged requests: a part whose attempt is slow is also sent to another replica.
 
 mod support;
 
@@ -9,20 +9,20 @@
 };
 
 #[test]
-fn suspects_silent_replica_and_hedges_to_another() {
+fn suspects_unresponsive_replica_and_hedges_to_another() {
     let mut harness = Harness::new(complete_only_settings(), 3);
     let (id, actions) = harness.send_query(0, 0, &[1.0]);
-    let silent = first_replica(&actions);
+    let unresponsive = first_replica(&actions);
     let actions = harness.run_timers(10, 400);
     let hedges = sent_parts(&actions);
     assert_eq!(hedges.len(), 1);
-    assert_ne!(hedges[0].replica, silent);
+    assert_ne!(hedges[0].replica, unresponsive);
     assert!(is_logged(&actions, "suspected"));
     for i in 0..10 {
         let (_, actions) = harness.send_query(410 + i, 0, &[1.0]);
-        assert_ne!(first_replica(&actions), silent);
+        assert_ne!(first_replica(&actions), unresponsive);
     }
-    let after_answer = harness.end_attempt(950, id + 1, 0, silent, Outcome::Ok);
+    let after_answer = harness.end_attempt(950, id + 1, 0, unresponsive, Outcome::Ok);
     assert_eq!(final_replies(&after_answer)[0], FinalReply::Complete);
 }
 
@@ -53,14 +53,14 @@
     assert_eq!(
         sent_parts(&actions).len(),
         1,
-        "the lost call does not delay others"
+        "the lost call does not delay other queries"
     );
 }
 
-/// One-sided loss: the hedged request is answered, the lost attempt is cancelled, and nothing ever reports that it was
-/// lost.
+/// The first attempt is lost without an error and is cancelled when the hedged request is answered, so that no event
+/// reports the loss.
 #[test]
-fn counts_silent_attempt_overtaken_by_hedge_as_failure() {
+fn counts_unanswered_attempt_cancelled_after_hedge_as_failure() {
     let mut harness = Harness::new(complete_only_settings(), 2);
     for i in 0..10 {
         harness.serve_query(i * 200, 100);
@@ -75,9 +75,10 @@
     }
 }
 
-/// A lone query of many parts, most of them lost: its hedges must not end when its parts are two seconds old.
+/// A query with many lost parts and no other traffic: hedging must not stop when the arrivals of its parts are older
+/// than the retention time of 2 s.
 #[test]
-fn keeps_hedging_lone_long_query() {
+fn keeps_hedging_long_query_without_other_traffic() {
     let unbatched = Settings {
         max_parts_per_call: None,
         ..settings(vec![class(4000, 1.0)])
@@ -89,20 +90,17 @@
     }
     let sent = sent_parts(&harness.run_timers(310, 3900));
     let hedges = sent.iter().filter(|sent| sent.part > id).count();
-    assert!(
-        hedges > 15,
-        "{hedges} hedged requests for thirty lost parts"
-    );
+    assert!(hedges > 15, "{hedges} hedged requests for 30 lost parts");
 }
 
-/// Which of a part's two attempts is answered; the other one is cancelled.
+/// The one of a part's two attempts that is answered. The other one is cancelled.
 #[derive(Clone, Copy)]
 enum Winner {
     FirstAttempt,
     Hedge,
 }
 
-/// Hedged requests of the last of twelve queries, when all hedged parts are won by the same attempt.
+/// Number of hedged requests for the last of 12 queries if the same attempt wins for all hedged parts.
 fn hedges_of_last_query(winner: Winner) -> usize {
     let mut harness = Harness::new(unbatched_settings(), 24);
     for i in 0..40 {
@@ -137,9 +135,10 @@
     events
 }
 
-/// When all replicas are slow the first attempt is answered before its hedge: hedges double the load and win nothing.
+/// If all replicas are slow, first attempts are answered before their hedged requests, which then double the load
+/// without benefit.
 #[test]
-fn hedges_less_while_hedged_requests_lose() {
+fn sends_fewer_hedged_requests_while_first_attempts_win() {
     let after_wins = hedges_of_last_query(Winner::Hedge);
     let after_losses = hedges_of_last_query(Winner::FirstAttempt);
     assert!(after_wins > after_losses, "{after_wins} and {after_losses}");
--- a/crates/decisions/tests/load_shedding.rs
+++ b/crates/decisions/tests/load_shedding.rs
@@ -1,5 +1,5 @@
-//! Load shedding: parts of an overloaded shard are left out, and queries are rejected while the replicas do work for
-//! nothing.
+//! Load shedding: parts of an overloaded shard are skipped, and queries are rejected while replicas execute parts of
+//! queries that end without an answer.
 
 mod support;
 
@@ -9,10 +9,11 @@
     ready_endpoint, sent_parts, settings, FinalReply, Harness, SentPart,
 };
 
-/// Queries that are sent to see how many are admitted.
+/// Number of queries sent to measure the fraction that is admitted.
 const SAMPLE_QUERIES: u64 = 40;
 
-/// Sends a query whose client disconnects at once, and cancels its attempts; the actions that it led to.
+/// Sends a query whose client disconnects immediately, and ends its attempts as cancelled. Returns the actions of its
+/// arrival.
 fn send_abandoned_query(harness: &mut Harness, at_ms: u64, weights: &[f64]) -> Vec<Action> {
     let (id, actions) = harness.send_query(at_ms, 0, weights);
     harness.disconnect_client(at_ms, id);
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn leaves_out_parts_of_overloaded_shard_where_minimum_coverage_allows() {
+fn skips_parts_of_overloaded_shard_if_minimum_coverage_allows() {
     let two_cells = Settings {
         cells: 2,
         ..settings(vec![class(2000, 0.5)])
@@ -45,7 +46,7 @@
     assert_eq!(sent_parts(&actions), [part_of_other_shard]);
 }
 
-/// How many of the sample queries, of 20 parts each, are admitted.
+/// Number of sample queries, of 20 parts each, that are admitted.
 fn admitted_queries(harness: &mut Harness, from_ms: u64) -> usize {
     (0..SAMPLE_QUERIES)
         .map(|i| send_abandoned_query(harness, from_ms + i, &[0.05; 20]))
@@ -53,8 +54,8 @@
         .count()
 }
 
-/// Parts that leaf servers accepted go on running when their query is given up. A hundred coordinators that each go on
-/// sending while all replicas reject parts keep every queue full of work for nobody.
+/// Parts accepted by leaf servers keep running after their query has ended without an answer. If many coordinators keep
+/// sending while all replicas reject parts, every queue stays full of such parts.
 #[test]
 fn sheds_load_while_replicas_reject_parts_and_recovers_with_answers() {
     let new_harness = || Harness::new(settings(vec![class(2000, 0.5)]), 4);
@@ -62,7 +63,10 @@
     let (id, actions) = harness.send_query(0, 0, &[0.05; 20]);
     let rejected = first_attempts_ended(&sent_parts(&actions), Outcome::Rejected);
     let retries = sent_parts(&harness.process(2, &rejected));
-    assert!(retries.len() > 10, "each part is tried at a second replica");
+    assert!(
+        retries.len() > 10,
+        "each part is retried on a second replica"
+    );
     assert_eq!(admitted_queries(&mut new_harness(), 0), 40);
     let rejected_again: Vec<_> = retries
         .iter()
@@ -71,7 +75,7 @@
     harness.process(4, &rejected_again);
     harness.disconnect_client(5, id);
 
-    // The replicas' own backoff after a rejection is over by then.
+    // By this time the replicas no longer count as at capacity because of the rejections.
     let admitted = admitted_queries(&mut harness, 600);
     assert!(
         (1..=12).contains(&admitted),
@@ -92,7 +96,7 @@
     );
 }
 
-/// How many of the sample queries, of one part each, are rejected.
+/// Number of sample queries, of one part each, that are rejected.
 fn rejected_queries(harness: &mut Harness, from_ms: u64) -> usize {
     (0..SAMPLE_QUERIES)
         .map(|i| send_abandoned_query(harness, from_ms + i, &[1.0]))
@@ -100,7 +104,8 @@
         .count()
 }
 
-/// A query that is given up with parts in flight has cost their work for nothing; the next ones would too.
+/// A query that ends without an answer while parts are in flight has used capacity without a result, and the next
+/// queries would as well.
 #[test]
 fn sheds_load_after_queries_time_out_with_parts_in_flight() {
     let mut harness = Harness::new(complete_only_settings(), 4);
--- a/crates/decisions/tests/outlier_detection.rs
+++ b/crates/decisions/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Replicas that fail: how long they are avoided or ejected, and that one is used all the same where all fail.
+//! Failed replicas: the time for which they are avoided or ejected, and their use if no other replica is available.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::{complete_only_settings, first_replica, sent_parts, Harness};
 
 #[test]
-fn uses_least_bad_replica_when_all_are_silent() {
+fn uses_unresponsive_replica_if_no_other_is_available() {
     let mut harness = Harness::new(complete_only_settings(), 1);
     harness.send_query(0, 0, &[1.0]);
     harness.run_timers(10, 900);
@@ -26,7 +26,8 @@
     }
 }
 
-/// Resets the connection to replica 1 and returns for how many ms it gets nothing. Replica 2 fails all that it gets.
+/// Resets the connection to replica 1 and returns the time until it receives the next part, ms. Replica 2 answers every
+/// part with an error.
 fn ejection_ms_after_reset(harness: &mut Harness) -> u64 {
     let mut reset_at_ms = None;
     for _ in 0..400 {
@@ -61,9 +62,9 @@
     );
 }
 
-/// Where queries are rare, a replica that never answered must not look like the average again soon after it failed.
+/// With few queries, the estimate of a replica that failed and never answered must not return to the mean too soon.
 #[test]
-fn remembers_failure_of_replica_that_never_answered() {
+fn avoids_failed_replica_that_never_answered() {
     let mut harness = Harness::new(complete_only_settings(), 2);
     let (id, actions) = harness.send_query(0, 0, &[1.0]);
     let failed = first_replica(&actions);
--- a/crates/decisions/tests/random_events/mod.rs
+++ b/crates/decisions/tests/random_events/mod.rs
@@ -1,5 +1,5 @@
-//! Random deployments and random events: endpoint updates, queries, parts, outcomes and disconnects that follow from
-//! the actions of a coordinator. The same seed and actions give the same batches.
+//! Random deployments and random events: endpoint updates, queries, parts, outcomes and disconnects, some of which
+//! depend on the actions of a coordinator. The same seed and actions result in the same batches.
 
 use crate::support::MS;
 use cottonhill_decisions::{
@@ -10,7 +10,7 @@
 
 const MAX_OPEN_QUERIES: usize = 40;
 
-/// Settings of a random deployment; times are multiples of 5 ms, so that batches fall on the edges of its rules.
+/// Settings of a random deployment. Durations are multiples of 5 ms, so that batches coincide with time limits.
 fn settings(random: &mut fastrand::Rng) -> Settings {
     let classes = (0..random.u32(1..=3)).map(|_| class(random)).collect();
     let slow_start = random.bool();
@@ -79,7 +79,8 @@
     &from[random.usize(..from.len())]
 }
 
-/// A random entry of the endpoint list, of few replicas, so that they leave, return, restart and move.
+/// A random entry of the endpoint list. The number of replicas is small, so that replicas are removed, added again,
+/// restarted and moved to other cells.
 fn endpoint(random: &mut fastrand::Rng, now: Nanos, cells: u32, replicas: u64) -> Endpoint {
     Endpoint {
         replica: ReplicaId(random.u64(1..=replicas)),
@@ -109,7 +110,7 @@
     group: u32,
 }
 
-/// The events of one random deployment, batch by batch.
+/// Generates the events of one random deployment, batch by batch.
 pub struct Script {
     random: fastrand::Rng,
     settings: Settings,
@@ -117,19 +118,19 @@
     now: u64,
     last_id: RequestId,
     open_queries: Vec<OpenQuery>,
-    /// Events to come, by their time and the order of scheduling.
+    /// Future events by time and order of scheduling.
     scheduled: BTreeMap<(Nanos, u64), Event>,
-    /// Attempts made of each part.
+    /// Number of attempts of each part.
     attempts: BTreeMap<RequestId, u8>,
-    /// Replicas that never answer.
-    silent: BTreeSet<ReplicaId>,
+    /// Replicas that do not answer.
+    unresponsive: BTreeSet<ReplicaId>,
     /// Replicas that reset the connection of each call.
     resetting: BTreeSet<ReplicaId>,
     /// Replicas that reject every part.
     rejecting: BTreeSet<ReplicaId>,
-    /// Chance that a batch brings one more query, in percent.
+    /// Probability that a batch contains another query, in percent.
     load_percent: u32,
-    /// Mean number of batches between two changes of how a replica behaves, and between two endpoint updates.
+    /// Mean number of batches between two changes of a replica's behavior, and between two endpoint updates.
     change_interval: u32,
 }
 
@@ -150,7 +151,7 @@
             open_queries: Vec::new(),
             scheduled: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            silent: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
             resetting: BTreeSet::new(),
             rejecting: BTreeSet::new(),
             load_percent,
@@ -167,7 +168,7 @@
         self.last_id
     }
 
-    /// The next batch, after these actions of the last one.
+    /// Generates the next batch, given the actions of the previous one.
     pub fn next_batch(&mut self, actions: &[Action]) -> (u64, Vec<Event>) {
         for action in actions {
             self.react_to(action);
@@ -212,17 +213,21 @@
         )
     }
 
-    /// Now and then a replica falls silent, resets connections, rejects parts or recovers.
+    /// Occasionally makes a replica unresponsive, lets it reset connections or reject parts, or lets it recover.
     fn change_replica_behavior(&mut self) {
         if self.random.u32(..self.change_interval) > 0 {
             return;
         }
         let replica = ReplicaId(self.random.u64(1..=self.replicas));
-        for replicas in [&mut self.silent, &mut self.resetting, &mut self.rejecting] {
+        for replicas in [
+            &mut self.unresponsive,
+            &mut self.resetting,
+            &mut self.rejecting,
+        ] {
             replicas.remove(&replica);
         }
         match self.random.u32(..5) {
-            0 => self.silent.insert(replica),
+            0 => self.unresponsive.insert(replica),
             1 => self.resetting.insert(replica),
             2 => self.rejecting.insert(replica),
             _ => false,
@@ -279,7 +284,7 @@
                 self.add_parts(query.group, events);
             }
         }
-        // Further parts of a query that is open, in a later batch.
+        // Adds parts to an open query in a later batch.
         if !self.open_queries.is_empty() && self.random.u32(..40) == 0 {
             let group = self.open_queries[self.random.usize(..self.open_queries.len())].group;
             self.add_parts(group, events);
@@ -344,7 +349,7 @@
     }
 
     fn schedule_probe_end(&mut self, replica: ReplicaId) {
-        let answers = !self.silent.contains(&replica) && self.random.u32(..4) > 0;
+        let answers = !self.unresponsive.contains(&replica) && self.random.u32(..4) > 0;
         let (outcome, latency) = if answers {
             (Outcome::Ok, 5 * MS)
         } else {
@@ -382,15 +387,15 @@
     }
 
     fn pick_outcome(&mut self, replica: ReplicaId) -> Outcome {
-        const FAILURES_OF_SILENT: [Outcome; 2] = [Outcome::TimedOut, Outcome::ConnectFailed];
+        const UNRESPONSIVE_OUTCOMES: [Outcome; 2] = [Outcome::TimedOut, Outcome::ConnectFailed];
         const RARE_FAILURES: [Outcome; 4] = [
             Outcome::Error,
             Outcome::NotSent,
             Outcome::Rejected,
             Outcome::TimedOut,
         ];
-        if self.silent.contains(&replica) {
-            *pick(&mut self.random, &FAILURES_OF_SILENT)
+        if self.unresponsive.contains(&replica) {
+            *pick(&mut self.random, &UNRESPONSIVE_OUTCOMES)
         } else if self.resetting.contains(&replica) {
             Outcome::ConnectionReset
         } else if self.rejecting.contains(&replica) {
@@ -402,7 +407,8 @@
         }
     }
 
-    /// After the first phase the parts of the second may follow; a query without them ends by itself.
+    /// Schedules the parts of the second phase for some of the queries. A query that receives no such parts ends
+    /// without further events.
     fn schedule_second_phase(&mut self, query: RequestId) {
         let Some(i) = self.open_queries.iter().position(|open| open.id == query) else {
             return;
--- a/crates/decisions/tests/replica_choice.rs
+++ b/crates/decisions/tests/replica_choice.rs
@@ -1,4 +1,4 @@
-//! Which replica gets a part: calls shared by parts, expected latency, draining endpoints and zones.
+//! Replica choice: calls shared by parts, expected latency, draining endpoints and zones.
 
 mod support;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn chooses_replica_with_least_latency_times_calls_in_flight() {
+fn chooses_replica_with_lowest_latency_times_calls_in_flight() {
     let mut harness = Harness::new(complete_only_settings(), 2);
     let slow = harness.serve_query(0, 400);
     let fast = ReplicaId(3 - slow.0);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn sends_nothing_new_to_draining_replica() {
+fn sends_no_new_parts_to_draining_replica() {
     let mut harness = Harness::new(complete_only_settings(), 2);
     let draining = Endpoint {
         status: EndpointStatus::Draining,
@@ -63,11 +63,14 @@
     }
     harness.update_endpoints(EndpointUpdateKind::Snapshot, vec![]);
     let (_, actions) = harness.send_query(500, 0, &[1.0]);
-    assert!(sent_parts(&actions).is_empty(), "the list is empty");
+    assert!(
+        sent_parts(&actions).is_empty(),
+        "no part is sent with an empty endpoint list"
+    );
 }
 
-/// Each part that crosses zones has a cost, whatever the load: while there is time, a short queue at the near replica
-/// is better than crossing, and a long one is not.
+/// Each part sent to another zone has a fixed cost. It is higher than that of a short queue at the replica in the own
+/// zone and lower than that of a long one.
 #[test]
 fn prefers_replica_in_own_zone_while_its_queue_is_short() {
     let settings = Settings {
@@ -89,6 +92,6 @@
     assert_eq!(
         sent_to_own_zone,
         [true, true, false],
-        "one in its queue costs less than crossing, two cost more"
+        "one part in the queue costs less than another zone, two cost more"
     );
 }
--- a/crates/decisions/tests/replica_table.rs
+++ b/crates/decisions/tests/replica_table.rs
@@ -1,4 +1,4 @@
-//! The replica table against a full scan of all replicas, and how many entries it visits.
+//! Compares the replica table with a full scan of all replicas, and checks the number of entries that it visits.
 
 use cottonhill_decisions::replica_table::{Replica, ReplicaTable, Slot};
 use cottonhill_decisions::{Endpoint, EndpointStatus, Nanos, ReplicaId};
@@ -6,14 +6,14 @@
 use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long what was observed of a removed replica is kept, ns.
+/// Retention time of a removed replica after its last observation, ns.
 const RETENTION: Nanos = 50;
 const REPLICAS: u64 = 8;
 const PARTS_PER_CALL: u32 = 2;
 /// The latency that steps record.
 const LATENCY: f64 = 1.5;
 
-/// The oracle: every question is answered by a scan of all replicas.
+/// The reference implementation, in which every lookup scans all replicas.
 #[derive(Default)]
 struct FullScan {
     cells: u32,
@@ -30,11 +30,11 @@
     suspected: bool,
     last_observed: Nanos,
     latency: Option<f64>,
-    /// Parts in flight, by when they were sent.
+    /// Number of parts in flight by the time when they were sent.
     parts_in_flight: BTreeMap<Nanos, u32>,
 }
 
-/// Parts in flight at a replica, and calls that cannot be shared with a part that is sent now.
+/// Number of parts in flight at a replica, and number of calls in flight that cannot include another part sent now.
 type InFlight = (u32, u32);
 
 impl FullScan {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Forgets removed replicas without parts in flight that were last observed at `until` or before.
+    /// Evicts removed replicas without parts in flight that were last observed at `until` or before.
     fn evict_removed(&mut self, until: Nanos) {
         self.replicas.retain(|_, replica| {
             replica.status != EndpointStatus::Removed
@@ -125,7 +125,7 @@
         snapshot: bool,
     },
     SendPart(ReplicaId),
-    /// The oldest part in flight at a replica ends.
+    /// Ends the oldest part in flight at a replica.
     EndPart(ReplicaId),
     RecordLatency(ReplicaId),
     SetSuspected(ReplicaId, bool),
@@ -171,7 +171,8 @@
     ]
 }
 
-/// Cells and replication factor: few cells, more than any endpoint names, and a factor above the number of cells.
+/// Number of cells and replication factor. Includes few cells, more cells than the endpoints use, and replication
+/// factors above the number of cells.
 fn any_layout() -> impl Strategy<Value = (u32, u32)> {
     prop_oneof![
         4 => (1u32..8, 0u32..10),
@@ -179,11 +180,11 @@
     ]
 }
 
-/// The table and its oracle, to which the same steps are applied.
+/// The table and the reference implementation, to which the same steps are applied.
 struct Comparison {
     now: Nanos,
     table: ReplicaTable,
-    oracle: FullScan,
+    reference: FullScan,
 }
 
 impl Comparison {
@@ -191,7 +192,7 @@
         Comparison {
             now: RETENTION + 1,
             table: ReplicaTable::new(cells, replication_factor, PARTS_PER_CALL),
-            oracle: FullScan {
+            reference: FullScan {
                 cells,
                 replication_factor,
                 ..FullScan::default()
@@ -216,16 +217,16 @@
     fn update(&mut self, endpoints: &[Endpoint], snapshot: bool) {
         let evict_until = self.now.saturating_sub(RETENTION);
         self.table.apply_update(endpoints, snapshot);
-        self.oracle.update(endpoints, snapshot);
+        self.reference.update(endpoints, snapshot);
         self.table.evict_removed(evict_until);
-        self.oracle.evict_removed(evict_until);
+        self.reference.evict_removed(evict_until);
     }
 
     fn expected(&mut self, id: ReplicaId) -> &mut ExpectedReplica {
-        self.oracle
+        self.reference
             .replicas
             .get_mut(&id)
-            .expect("known to the oracle")
+            .expect("the replica is in the reference implementation")
     }
 
     fn send_part(&mut self, id: ReplicaId) {
@@ -239,7 +240,7 @@
     }
 
     fn end_part(&mut self, id: ReplicaId) {
-        let Some(expected) = self.oracle.replicas.get_mut(&id) else {
+        let Some(expected) = self.reference.replicas.get_mut(&id) else {
             return;
         };
         let Some((sent, parts)) = expected.parts_in_flight.pop_first() else {
@@ -248,7 +249,10 @@
         if parts > 1 {
             expected.parts_in_flight.insert(sent, parts - 1);
         }
-        let slot = self.table.slot(id).expect("known to the oracle");
+        let slot = self
+            .table
+            .slot(id)
+            .expect("the replica is in the reference implementation");
         self.table.remove_part_in_flight(slot, sent);
     }
 
@@ -274,28 +278,28 @@
     }
 
     fn check(&self) -> Result<(), TestCaseError> {
-        prop_assert_eq!(self.table.len(), self.oracle.replicas.len());
+        prop_assert_eq!(self.table.len(), self.reference.replicas.len());
         for id in (1..=REPLICAS).map(ReplicaId) {
             let known = known_replica(&self.table, id);
-            prop_assert_eq!(known.as_ref(), self.oracle.replicas.get(&id));
+            prop_assert_eq!(known.as_ref(), self.reference.replicas.get(&id));
             let in_flight = self.in_flight(id);
-            prop_assert_eq!(in_flight, self.oracle.in_flight(id, self.now));
+            prop_assert_eq!(in_flight, self.reference.in_flight(id, self.now));
         }
         for shard in (0..10).chain([65_530, 99_999, 100_001, u32::MAX]) {
             let holders = replica_ids(&self.table, &self.table.holders(shard));
-            prop_assert_eq!(holders, self.oracle.holders(shard));
+            prop_assert_eq!(holders, self.reference.holders(shard));
         }
         self.check_ready()
     }
 
     fn check_ready(&self) -> Result<(), TestCaseError> {
-        let ready = self.oracle.ready();
+        let ready = self.reference.ready();
         prop_assert_eq!(self.table.ready_count(), ready.len());
-        let listed_ready = replica_ids(&self.table, &self.table.ready_slots());
-        prop_assert_eq!(listed_ready, ready.clone());
+        let ready_in_table = replica_ids(&self.table, &self.table.ready_slots());
+        prop_assert_eq!(ready_in_table, ready.clone());
         let suspected = ready
             .iter()
-            .filter(|id| self.oracle.replicas[id].suspected)
+            .filter(|id| self.reference.replicas[id].suspected)
             .count();
         prop_assert_eq!(self.table.suspected_ready_count(), suspected);
         Ok(())
@@ -305,8 +309,8 @@
         let Some(replica) = self.table.get(id) else {
             return (0, 0);
         };
-        let open = replica.stats().parts_in_flight();
-        (open.parts(), open.calls(self.now, PARTS_PER_CALL))
+        let in_flight = replica.stats().parts_in_flight();
+        (in_flight.parts(), in_flight.calls(self.now, PARTS_PER_CALL))
     }
 }
 
@@ -323,7 +327,7 @@
             .stats()
             .parts_in_flight()
             .by_time()
-            .map(|open| (open.sent_at, open.parts))
+            .map(|sent| (sent.sent_at, sent.parts))
             .collect(),
     })
 }
@@ -370,14 +374,14 @@
     }
 }
 
-/// Entries that an operation visits.
+/// Number of entries that an operation visits.
 fn entries_visited(table: &mut ReplicaTable, operation: impl FnOnce(&mut ReplicaTable)) -> u64 {
     let before = table.replicas_visited();
     operation(table);
     table.replicas_visited() - before
 }
 
-/// Entries visited by a lookup, and by the removal of one endpoint.
+/// Number of entries visited by a lookup and by the removal of one endpoint.
 fn visited_by_lookup_and_removal(replicas: u64) -> (u64, u64) {
     let cells = replicas.div_ceil(3) as u32;
     let mut table = ReplicaTable::new(cells, 1, 1);
@@ -391,7 +395,7 @@
     assert_eq!(
         table.len(),
         replicas as usize - 1,
-        "the removed one was never contacted"
+        "the removed replica is evicted, since it was never contacted"
     );
     (by_lookup, by_removal)
 }
@@ -403,29 +407,29 @@
 }
 
 #[test]
-fn replica_that_leaves_and_returns_repeatedly_is_queued_once() {
+fn replica_removed_and_added_repeatedly_is_queued_once() {
     let mut table = ReplicaTable::new(1, 1, 1);
     let ready = ready_endpoints(1);
-    let gone = [removed(&ready[0])];
+    let removed = [removed(&ready[0])];
     table.apply_update(&ready, false);
     let slot = table.slot(ReplicaId(1)).unwrap();
     table.stats_mut(slot).latency_updated_at = 100;
     for _ in 0..50 {
-        table.apply_update(&gone, false);
+        table.apply_update(&removed, false);
         table.evict_removed(50);
         table.apply_update(&ready, false);
         table.evict_removed(50);
     }
-    table.apply_update(&gone, false);
-    let visited_early = entries_visited(&mut table, |table| table.evict_removed(99));
-    assert_eq!(visited_early, 0, "too early");
+    table.apply_update(&removed, false);
+    let visited_before_due = entries_visited(&mut table, |table| table.evict_removed(99));
+    assert_eq!(visited_before_due, 0, "the eviction is not due");
     let visited_when_due = entries_visited(&mut table, |table| table.evict_removed(100));
     assert_eq!(visited_when_due, 1);
     assert!(table.is_empty());
 }
 
 #[test]
-fn late_observation_of_removed_replica_delays_its_eviction() {
+fn observation_after_removal_delays_eviction() {
     let mut table = ReplicaTable::new(1, 1, 1);
     let endpoints = ready_endpoints(2);
     table.apply_update(&endpoints, true);
@@ -439,14 +443,14 @@
     assert_eq!(table.len(), 1);
 }
 
-/// How the table's slab stores a replica.
+/// Models how the table's slab stores a replica.
 #[allow(dead_code)]
 enum StoredReplica {
     Vacant(usize),
     Occupied(Replica),
 }
 
-/// Every coordinator of a large fleet holds all entries; most of them it has never contacted.
+/// Every coordinator of a large fleet stores an entry for each replica, most of which it never contacts.
 #[test]
 fn entry_of_uncontacted_replica_is_small() {
     let size = std::mem::size_of::<Replica>();
@@ -454,6 +458,6 @@
     let stored = std::mem::size_of::<StoredReplica>();
     assert_eq!(
         stored, size,
-        "a free slot keeps the next one in a replica's space"
+        "a vacant slot of the slab needs no space beyond that of a replica"
     );
 }
--- a/crates/decisions/tests/retry.rs
+++ b/crates/decisions/tests/retry.rs
@@ -1,4 +1,5 @@
-//! Which failed parts are sent again: never a non-idempotent one that may have executed, never too often.
+//! Retries: no retry of a non-idempotent part that may have executed, no more attempts than allowed, and no retry of a
+//! query of death.
 
 mod support;
 
@@ -19,7 +20,7 @@
     assert_eq!(
         sent_parts(&retried).len(),
         1,
-        "it did not execute, so it may be sent again"
+        "the part did not execute, so it is sent again"
     );
     let replica = first_replica(&retried);
     let lost = harness.end_attempt(20, id + 1, 1, replica, Outcome::ConnectionReset);
@@ -63,23 +64,26 @@
     assert_eq!(
         final_replies(&actions),
         [FinalReply::Rejected],
-        "given up at once"
+        "rejected immediately"
     );
 }
 
-/// A query of death brings down each replica that starts on it: retried again and again, it takes the whole fleet.
+/// A query of death crashes each replica that executes it. With unlimited retries it would crash the entire fleet.
 #[test]
 fn does_not_retry_query_of_death() {
     let mut harness = Harness::new(unbatched_settings(), 12);
     let (_, actions) = harness.send_query(0, 0, &[0.25; 4]);
     let sent = sent_parts(&actions);
     let after = harness.process(10, &first_attempts_ended(&sent, Outcome::ConnectionReset));
-    assert!(sent_parts(&after).is_empty(), "no further replica");
-    assert_eq!(final_replies(&after), [FinalReply::Rejected], "at once");
+    assert!(
+        sent_parts(&after).is_empty(),
+        "no part is sent to another replica"
+    );
+    assert_eq!(final_replies(&after), [FinalReply::Rejected], "immediately");
 }
 
 #[test]
-fn retries_query_that_met_failing_replicas_by_chance() {
+fn retries_query_whose_replicas_failed_for_other_reasons() {
     let mut harness = Harness::new(unbatched_settings(), 12);
     let (_, actions) = harness.send_query(0, 0, &[0.2; 5]);
     let sent = sent_parts(&actions);
@@ -87,16 +91,20 @@
     let after_resets = harness.process(10, &resets);
     assert!(
         sent_parts(&after_resets).is_empty() && final_replies(&after_resets).is_empty(),
-        "held while a part may still be answered"
+        "neither retried nor rejected while a part may still be answered"
     );
     let after_answer = harness.process(150, &first_attempts_ended(&sent[4..], Outcome::Ok));
-    assert_eq!(sent_parts(&after_answer).len(), 4, "it does no harm");
+    assert_eq!(
+        sent_parts(&after_answer).len(),
+        4,
+        "retried, since the answer shows that it is not a query of death"
+    );
 }
 
-/// Waiting for a retry that can't be sent, for want of budget before the latency objective or of a replica, would only
-/// hold the query.
+/// A retry may be impossible because the retry budget is exhausted until the latency objective or because no replica is
+/// available. Waiting for it would only delay the rejection.
 #[test]
-fn rejects_query_at_once_when_its_retry_cannot_be_sent() {
+fn rejects_query_immediately_if_its_retry_cannot_be_sent() {
     let without_budget = Settings {
         retry_budget: Some(RetryBudget {
             minimum: 0.0,
@@ -109,7 +117,11 @@
     let (id, actions) = harness.send_query(0, 0, &[1.0]);
     let replica = first_replica(&actions);
     let after = harness.end_attempt(20, id + 1, 0, replica, Outcome::ConnectFailed);
-    assert_eq!(final_replies(&after), [FinalReply::Rejected], "no budget");
+    assert_eq!(
+        final_replies(&after),
+        [FinalReply::Rejected],
+        "no retry budget"
+    );
 
     let mut harness = Harness::new(complete_only_settings(), 1);
     let (id, actions) = harness.send_query(0, 0, &[1.0]);
--- a/crates/decisions/tests/retry_budget.rs
+++ b/crates/decisions/tests/retry_budget.rs
@@ -8,7 +8,7 @@
     Harness, MS,
 };
 
-/// A budget of so many retries in each second, whatever the traffic.
+/// A budget of `minimum` retries per second regardless of traffic.
 fn retries_per_second(minimum: f64) -> Option<RetryBudget> {
     Some(RetryBudget {
         minimum,
@@ -17,7 +17,7 @@
     })
 }
 
-/// How often a part is sent.
+/// Number of times that a part is sent.
 fn times_sent(actions: &[Action], part: RequestId) -> usize {
     sent_parts(actions)
         .iter()
@@ -43,7 +43,7 @@
     assert_eq!(times_sent(&harness.run_timers(1020, 1100), second + 1), 1);
 }
 
-/// Retries for queries that may do without a part must not starve those that need every part.
+/// Retries for queries that allow partial answers must not use up the budget of queries that need every part.
 #[test]
 fn reserves_half_of_budget_for_classes_that_need_every_part() {
     let four_retries = Settings {
--- a/crates/decisions/tests/slow_start.rs
+++ b/crates/decisions/tests/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start: how much a replica that is warming up gets, from one coordinator and from a fleet of them.
+//! Slow start: the number of parts that a replica receives while it is warming up, from one coordinator and from a
+//! fleet.
 
 mod fleet_simulation;
 mod support;
@@ -9,7 +10,8 @@
 use fleet_simulation::{find_worst_window, Fleet};
 use support::{complete_only_settings, ready_endpoint, sent_parts, Harness, MS, START};
 
-/// A replica starts with a fifth of its capacity, has all of it after 10 s, and fails at four times its present one.
+/// A replica starts with a fifth of its capacity, reaches full capacity after 10 s, and fails at four times its current
+/// capacity.
 fn slow_start_settings() -> Settings {
     Settings {
         fleet_size: 1,
@@ -21,7 +23,7 @@
     }
 }
 
-/// A replica that starts as the test begins.
+/// A replica that starts just before the test.
 fn warming_endpoint() -> Endpoint {
     Endpoint {
         started_at: START - MS,
@@ -29,7 +31,7 @@
     }
 }
 
-/// A second replica, which starts 10 s after the test has begun.
+/// A second replica, which starts just before 10 s after the start of the test.
 fn later_warming_endpoint() -> Endpoint {
     Endpoint {
         started_at: START + 9_990 * MS,
@@ -52,7 +54,7 @@
         .sum();
     assert!(
         burst <= 3,
-        "{burst} parts sent to a warming replica at once"
+        "{burst} parts sent to a warming replica within 50 ms"
     );
 }
 
@@ -69,7 +71,7 @@
     );
 }
 
-/// Dozens of coordinators, each with one part a window, would overload a warming replica together.
+/// If each of many coordinators sent one part per window, they would overload a warming replica together.
 #[test]
 fn coordinators_share_capacity_of_warming_replica() {
     let fleet_of_fifty = Settings {
@@ -85,12 +87,12 @@
     }
     assert!(
         parts <= 5,
-        "{parts} parts at once from fifty that have just started"
+        "{parts} simultaneous parts from 50 coordinators that have just started"
     );
 }
 
-/// The retry budget keeps sends for longer than the overload window; what a warming replica may get must not be
-/// derived from all of them.
+/// The retry budget retains times for longer than the overload window. The limit of a warming replica must not include
+/// the older ones.
 #[test]
 fn long_retry_budget_window_does_not_raise_slow_start_limit() {
     let long_budget = Settings {
@@ -111,12 +113,12 @@
         .sum();
     assert!(
         (1..=6).contains(&to_warming),
-        "{to_warming} parts for one that bears about four"
+        "{to_warming} parts for a replica that sustains about 4"
     );
 }
 
-/// Sends a query each 20 ms for a second, each of which is answered after this time where that is given; how many
-/// parts are sent with each query.
+/// Sends a query every 20 ms for one second, each of which is answered after `latency_ms` if that is `Some`. Returns
+/// the number of parts sent on the arrival of each query.
 fn parts_sent_in_a_second(
     harness: &mut Harness,
     from_ms: u64,
@@ -134,7 +136,7 @@
     parts
 }
 
-/// Parts that the only replica gets in its first second.
+/// Number of parts that the only replica receives in its first second.
 fn parts_sent_to_warming_replica(fleet_rate_limit: f64, latency_ms: Option<u64>) -> usize {
     let settings = Settings {
         fleet_rate_limit,
@@ -146,12 +148,12 @@
         .sum()
 }
 
-/// A coordinator that has just started, or that rarely meets each of many replicas, has seen little load to derive a
-/// limit from: without the rate limit, warming replicas would stand idle while the others are overloaded.
+/// A coordinator that has just started or sends few parts to each of many replicas has observed too little load to
+/// derive a limit from. Without the rate limit, warming replicas would be idle while the others are overloaded.
 #[test]
 fn slow_start_limit_follows_fleet_rate_limit() {
     assert!(parts_sent_to_warming_replica(0.0, None) <= 3);
-    // 50 a second are admitted; at a fifth of its capacity the replica bears 10, and four times that overloads it.
+    // 50 queries per second are admitted. At a fifth of its capacity the replica sustains 10 of them, and fails at 40.
     let with_rate_limit = parts_sent_to_warming_replica(50.0, None);
     assert!((15..=40).contains(&with_rate_limit), "{with_rate_limit}");
     assert!(parts_sent_to_warming_replica(25.0, None) < with_rate_limit);
@@ -168,25 +170,25 @@
     assert!(answered <= 40, "{answered}");
 }
 
-/// The load that was answered is one that all replicas bear, and the whole overload multiple of it is used already:
-/// any more would overload the warming replica.
+/// The answered load is one that all replicas sustain, and the limit already applies the full overload multiple to it.
+/// A higher limit would overload the warming replica.
 #[test]
 fn fast_answers_do_not_raise_limit_derived_from_answered_load() {
     let mut harness = Harness::new(slow_start_settings(), 1);
     for i in 0..100 {
         harness.serve_query(i * 100, 50);
     }
-    let gone = Endpoint {
+    let removed = Endpoint {
         status: EndpointStatus::Removed,
         ..ready_endpoint(1)
     };
-    let replacement = vec![gone, later_warming_endpoint()];
+    let replacement = vec![removed, later_warming_endpoint()];
     harness.update_endpoints(EndpointUpdateKind::Delta, replacement);
     let parts = parts_sent_in_a_second(&mut harness, 10_000, Some(10));
     let admitted = parts.iter().filter(|parts| **parts > 0).count();
     assert!(
         (4..=13).contains(&admitted),
-        "{admitted} queries for one that bears about ten"
+        "{admitted} queries for a replica that sustains about 10"
     );
 }
 
@@ -196,10 +198,13 @@
     for fleet in simulated_fleets() {
         let worst = find_worst_window(fleet);
         let summary = format!(
-            "{fleet:?}: {} parts where {:.0} are allowed",
+            "{fleet:?}: {} parts, {:.0} allowed",
             worst.parts, worst.budget
         );
-        eprintln!("{summary}, {:.2} of what is chance", worst.excess);
+        eprintln!(
+            "{summary}, {:.2} of the random variation allowed",
+            worst.excess
+        );
         if worst.excess > 1.0 {
             failed.push(summary);
         }
@@ -211,12 +216,13 @@
     let mut fleets = Vec::new();
     for coordinators in [20, 30, 300] {
         for (demand, rate_limit, warm_up_ms, bursts) in [
-            // Without a rate limit the limit follows what was answered, up to all that the replicas can do.
+            // Without a rate limit, the limit is derived from the answered load, up to the full capacity of the
+            // replicas.
             (1.0, 0.0, 24_000, false),
             (1.0, 0.0, 24_000, true),
             (0.6, 0.94, 24_000, false),
             (0.6, 0.94, 24_000, true),
-            // All have just started.
+            // All coordinators have just started.
             (0.9, 0.94, 100, true),
             (0.9, 0.94, 100, false),
         ] {
--- a/crates/decisions/tests/support/mod.rs
+++ b/crates/decisions/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! Builders and a harness shared by the tests of the coordinator: settings, endpoints, events and one coordinator that
-//! is driven batch by batch.
+//! Shared helpers of the coordinator tests: builders of settings, endpoints and events, and a harness that passes
+//! batches to a coordinator.
 
-#![allow(dead_code)] // Each test file uses its own part of it.
+#![allow(dead_code)] // Each test file uses some of the helpers.
 
 use cottonhill_decisions::{
     Action, Class, Coordinator, Endpoint, EndpointStatus, EndpointUpdateKind, Event, Nanos,
@@ -10,15 +10,15 @@
 
 /// One millisecond, ns.
 pub const MS: Nanos = 1_000_000;
-/// When a test begins, on the coordinator's clock.
+/// Start of each test on the coordinator's clock.
 pub const START: Nanos = 100_000 * MS;
-/// How long a client waits unless a test states something else.
+/// Client timeout unless a test specifies another one.
 const DEFAULT_CLIENT_TIMEOUT: Nanos = 6000 * MS;
-/// Ids between two queries: a query's id is followed by those of its parts.
+/// Distance between the ids of two queries. The ids of a query's parts follow the query's id.
 const IDS_PER_QUERY: u64 = 100;
 const SEED: u64 = 7;
 
-/// A class that needs all parts for a complete answer.
+/// A class in which a complete answer requires all parts.
 pub fn class(latency_objective_ms: u64, minimum_coverage: f64) -> Class {
     Class {
         latency_objective: latency_objective_ms * MS,
@@ -30,7 +30,7 @@
     }
 }
 
-/// One cell, and everything allowed.
+/// Settings with one cell, up to four attempts, cancellation and hedging, and no other limits.
 pub fn settings(classes: Vec<Class>) -> Settings {
     Settings {
         classes,
@@ -47,12 +47,12 @@
     }
 }
 
-/// One class that needs every part, with a latency objective of 2 s.
+/// Settings with one class that requires every part and has a latency objective of 2 s.
 pub fn complete_only_settings() -> Settings {
     settings(vec![class(2000, 1.0)])
 }
 
-/// One class that needs every part, and clients that mark their retries.
+/// Settings with one class that requires every part, and clients that mark their retries.
 pub fn marked_retry_settings() -> Settings {
     Settings {
         client_retries_marked: true,
@@ -60,7 +60,7 @@
     }
 }
 
-/// One class that needs every part, each part sent in a call of its own.
+/// Settings with one class that requires every part, and one part per call.
 pub fn unbatched_settings() -> Settings {
     Settings {
         max_parts_per_call: None,
@@ -68,7 +68,7 @@
     }
 }
 
-/// An endpoint that is ready and has long been running.
+/// A ready endpoint that started long ago.
 pub fn ready_endpoint(replica: u64) -> Endpoint {
     Endpoint {
         replica: ReplicaId(replica),
@@ -79,14 +79,14 @@
     }
 }
 
-/// A part that was sent, and where.
+/// A part that was sent, and the replica that it was sent to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SentPart {
     pub part: RequestId,
     pub replica: ReplicaId,
 }
 
-/// How a query ended for its client.
+/// The outcome of a query for its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FinalReply {
     Complete,
@@ -95,7 +95,7 @@
     Failed,
 }
 
-/// A coordinator under test and its clock. Times are milliseconds after [`START`].
+/// A coordinator under test and its clock. All times are milliseconds after [`START`].
 pub struct Harness {
     pub coordinator: Coordinator,
     pub now: Nanos,
@@ -103,7 +103,7 @@
 }
 
 impl Harness {
-    /// With a cached list of so many ready replicas, numbered from 1.
+    /// Starts with a cached endpoint list of `replicas` ready replicas, numbered from 1.
     pub fn new(settings: Settings, replicas: u64) -> Harness {
         let mut harness = Harness::without_endpoints(settings, SEED);
         harness.update_endpoints(
@@ -113,14 +113,14 @@
         harness
     }
 
-    /// With this snapshot of the endpoint list.
+    /// Starts with `endpoints` as a snapshot of the endpoint list.
     pub fn with_endpoints(settings: Settings, endpoints: Vec<Endpoint>) -> Harness {
         let mut harness = Harness::new(settings, 0);
         harness.update_endpoints(EndpointUpdateKind::Snapshot, endpoints);
         harness
     }
 
-    /// Before any endpoint update.
+    /// Starts without any endpoint update.
     pub fn without_endpoints(settings: Settings, seed: u64) -> Harness {
         Harness {
             coordinator: Coordinator::new(settings, seed),
@@ -149,14 +149,14 @@
         );
     }
 
-    /// Sends a query in a batch of its own; its id, after which its parts are numbered, and the actions.
+    /// Sends a query in a separate batch. Returns its id and the actions; the ids of its parts follow its own.
     pub fn submit(&mut self, at_ms: u64, query: Query) -> (RequestId, Vec<Action>) {
         let id = self.next_query * IDS_PER_QUERY;
         self.next_query += 1;
         (id, self.process(at_ms, &query.events(id)))
     }
 
-    /// Sends a query with parts of these weights, whose client waits for long.
+    /// Sends a query with parts of these weights and the default client timeout.
     pub fn send_query(
         &mut self,
         at_ms: u64,
@@ -166,7 +166,7 @@
         self.submit(at_ms, Query::new(class, weights))
     }
 
-    /// Sends a query of class 0 with one part, whose client waits for so long.
+    /// Sends a query of class 0 with one part and this client timeout.
     pub fn send_query_with_timeout(
         &mut self,
         at_ms: u64,
@@ -181,7 +181,7 @@
         )
     }
 
-    /// The same, marked as a client's retry.
+    /// Sends a query of class 0 with one part and this client timeout, marked as a client's retry.
     pub fn send_client_retry(
         &mut self,
         at_ms: u64,
@@ -197,7 +197,7 @@
         )
     }
 
-    /// Sends a query of one part that is answered after `latency_ms`; the replica that answered.
+    /// Sends a query of one part that is answered after `latency_ms`. Returns the replica that answered.
     pub fn serve_query(&mut self, at_ms: u64, latency_ms: u64) -> ReplicaId {
         let (id, actions) = self.send_query(at_ms, 0, &[1.0]);
         let replica = first_replica(&actions);
@@ -224,7 +224,7 @@
         self.process(at_ms, &[Event::TimerFired { token: 0 }])
     }
 
-    /// Fires the timer every 10 ms from one time to another, both included; all actions.
+    /// Fires the timer every 10 ms from `from_ms` to `to_ms`, inclusive. Returns all actions.
     pub fn run_timers(&mut self, from_ms: u64, to_ms: u64) -> Vec<Action> {
         (from_ms / 10..=to_ms / 10)
             .flat_map(|tick| self.fire_timer(tick * 10))
@@ -232,11 +232,11 @@
     }
 }
 
-/// A query as its client sends it.
+/// A query sent by a client.
 #[derive(Clone, Copy)]
 pub struct Query<'a> {
     pub class: u16,
-    /// Weights of its parts, which search the shards 0, 1, ...
+    /// Weights of the query's parts, which search the shards 0, 1, ...
     pub weights: &'a [f64],
     pub client_timeout: Nanos,
     pub network_delay: Nanos,
@@ -277,7 +277,7 @@
     }
 }
 
-/// The group that ties the parts of a query to it.
+/// The group number that a query shares with its parts.
 pub fn group_of(query: RequestId) -> u32 {
     (query / IDS_PER_QUERY) as u32
 }
@@ -292,14 +292,14 @@
     }
 }
 
-/// All these first attempts end alike.
+/// Events that end the first attempts of these parts with the same outcome.
 pub fn first_attempts_ended(sent: &[SentPart], outcome: Outcome) -> Vec<Event> {
     sent.iter()
         .map(|sent| attempt_ended(sent.part, 0, sent.replica, outcome))
         .collect()
 }
 
-/// The parts that are sent, in order.
+/// The parts that are sent, in the order of the actions.
 pub fn sent_parts(actions: &[Action]) -> Vec<SentPart> {
     let sent_part = |action: &Action| match action {
         Action::Send { part, replica, .. } => Some(SentPart {
@@ -316,7 +316,7 @@
     sent_parts(actions)[0].replica
 }
 
-/// Of the parts that are sent, those that are numbered after this query: its own and those of later ones.
+/// The sent parts with ids above that of this query: its own parts and those of later queries.
 pub fn parts_sent_after(actions: &[Action], query: RequestId) -> Vec<RequestId> {
     sent_parts(actions)
         .into_iter()
@@ -325,7 +325,7 @@
         .collect()
 }
 
-/// How queries ended, in order.
+/// The final replies to queries, in the order of the actions.
 pub fn final_replies(actions: &[Action]) -> Vec<FinalReply> {
     let final_reply = |action: &Action| match action {
         Action::Answer { complete: true, .. } => Some(FinalReply::Complete),
@@ -339,7 +339,7 @@
     actions.iter().filter_map(final_reply).collect()
 }
 
-/// Whether a line is logged that contains this text.
+/// Whether a log line contains this text.
 pub fn is_logged(actions: &[Action], text: &str) -> bool {
     actions
         .iter()
--- a/crates/decisions/tests/weight_cutoff.rs
+++ b/crates/decisions/tests/weight_cutoff.rs
@@ -1,4 +1,4 @@
-//! The weight cutoff: under overload the lightest parts are not sent.
+//! The weight cutoff: during overload, the lightest parts are not sent.
 
 mod support;
 
@@ -8,21 +8,21 @@
 const CUTOFF_RAISED: &str = "cutoff raised from zero";
 const CUTOFF_RESET: &str = "cutoff reset";
 
-/// Ten queries at once, of which no part is answered.
+/// Sends 10 queries within 10 ms, none of whose parts are answered.
 fn send_unanswered_queries(harness: &mut Harness, from_ms: u64) {
     for i in 0..10 {
         harness.send_query(from_ms + i, 0, &[0.6, 0.3, 0.1]);
     }
 }
 
-/// Ten queries whose parts all stay in flight past the latency objective.
+/// Sends 10 queries whose parts are all in flight until just before the latency objective.
 fn overload(harness: &mut Harness, from_ms: u64) {
     send_unanswered_queries(harness, from_ms);
     harness.run_timers(from_ms + 10, from_ms + 1900);
 }
 
 #[test]
-fn raises_cutoff_under_overload_and_drops_lightest_part() {
+fn raises_cutoff_during_overload_and_skips_lightest_part() {
     let mut harness = Harness::new(settings(vec![class(2000, 0.5), class(90_000, 0.5)]), 3);
     let (_, before) = harness.send_query(0, 1, &[0.6, 0.39, 0.01]);
     assert_eq!(sent_parts(&before).len(), 3, "the cutoff is zero");
@@ -45,11 +45,11 @@
     }
 }
 
-/// Stepwise, it would leave out light parts that could all be served.
+/// A stepwise decrease would skip light parts although the capacity for them is available again.
 #[test]
-fn resets_cutoff_at_once_from_any_level() {
+fn resets_cutoff_in_one_step_from_any_level() {
     let mut harness = Harness::new(settings(vec![class(2000, 0.5)]), 3);
-    // Late at 1.6 and at 2.3 s: overload until 3.3 s, two steps up.
+    // The parts are overdue at 1.6 s and 2.3 s. The overload lasts until 3.3 s and raises the cutoff by two steps.
     for from_ms in [0, 700] {
         send_unanswered_queries(&mut harness, from_ms);
         harness.run_timers(from_ms + 10, from_ms + 690);
@@ -62,7 +62,7 @@
         .collect();
     assert!(
         is_logged(&after, "cutoff reset to zero"),
-        "by two seconds after the overload"
+        "reset within 3 s after the overload"
     );
 }
 
@@ -80,16 +80,16 @@
 }
 
 #[test]
-fn single_late_part_does_not_raise_cutoff() {
+fn single_overdue_part_does_not_raise_cutoff() {
     let mut harness = Harness::new(settings(vec![class(2000, 0.5)]), 3);
     harness.send_query(0, 0, &[0.6, 0.3, 0.1]);
     let actions = harness.run_timers(10, 1900);
     assert!(!is_logged(&actions, CUTOFF_RAISED));
 }
 
-/// A hundred light parts: one bad second must not drop all that the minimum coverage allows.
+/// One second of overload must not skip all of 100 light parts that the minimum coverage allows to skip.
 #[test]
-fn cutoff_step_drops_at_most_a_quarter_of_droppable_parts() {
+fn cutoff_step_skips_at_most_a_quarter_of_skippable_parts() {
     let mut harness = Harness::new(settings(vec![class(2000, 0.5), class(90_000, 0.6)]), 3);
     overload(&mut harness, 0);
     let (id, actions) = harness.send_query(1900, 1, &[0.01; 100]);
@@ -100,9 +100,9 @@
     );
 }
 
-/// A coordinator that has just started and meets slow handshakes finds no connection. That is no overload.
+/// A coordinator that has just started may fail to connect because of slow handshakes, which does not signal overload.
 #[test]
-fn failed_connections_to_untried_replicas_do_not_raise_cutoff() {
+fn failed_connections_to_uncontacted_replicas_do_not_raise_cutoff() {
     for replicas_have_answered in [false, true] {
         let mut harness = Harness::new(settings(vec![class(2000, 0.5), class(90_000, 0.5)]), 3);
         let mut at_ms = 0;
