--- a/crates/cottonhill/src/commands/ledger/key.rs
+++ b/crates/cottonhill/src/commands/ledger/key.rs
@@ -9,6 +9,6 @@
 /// # Errors
 /// Standard output can't be written.
 pub fn run(class: &str, idempotency_key: &str) -> CommandResult {
-    let key = usage::key_of_client(class, idempotency_key);
+    let key = usage::key_from_idempotency_key(class, idempotency_key);
     output::print(format!("{key:016x}\n").as_bytes())
 }
--- a/crates/cottonhill/src/mixer/usage_recorder.rs
+++ b/crates/cottonhill/src/mixer/usage_recorder.rs
@@ -30,7 +30,7 @@
         sequence: usage.sequence,
         tenant: usage.tenant,
         class: u32::from(usage.class),
-        arrived_ms: usage.arrived / NANOS_PER_MS,
+        arrived_ms: usage.arrived_at / NANOS_PER_MS,
         outcome: outcome.into(),
         share,
         parts: usage.parts,
--- a/crates/mixer/src/reducer/attempt_results.rs
+++ b/crates/mixer/src/reducer/attempt_results.rs
@@ -26,7 +26,7 @@
                 self.on_probe_answer(now, id, ok, &report);
             }
             LeafResponse::ProtocolError(reason) => {
-                tracing::warn!(target: log_targets::CONNECTIONS, link = id, words = reason, "leaf server reported a protocol error");
+                tracing::warn!(target: log_targets::CONNECTIONS, connection = id, reason, "leaf server reported a protocol error");
             }
             LeafResponse::Malformed(wire_id) => {
                 self.on_malformed_answer(now, id, wire_id.as_deref());
@@ -83,12 +83,12 @@
         };
         self.counters.connections.malformed += 1;
         tracing::info!(
-            target: log_targets::CONNECTIONS, link = id,
+            target: log_targets::CONNECTIONS, connection = id,
             replica = replica.0,
             id = wire_id,
             "malformed answer, connection closed"
         );
-        let failed = connection.attempt_of_malformed_answer(wire_id);
+        let failed = connection.attempt_for_malformed_answer(wire_id);
         let in_flight = connection.written_attempts();
         if let Some(failed) = failed {
             self.end_attempt(failed, Outcome::Error, LoadReport::new());
@@ -112,16 +112,16 @@
             return;
         };
         let connection_id = attempt.connection;
-        let silence_timeout = 2 * self.settings.connect_timeout;
+        let response_timeout = 2 * self.settings.connect_timeout;
         let mut outcome = outcome;
         if let Some(connection) = self.connections.get_mut(connection_id) {
-            let was_silent = connection.is_silent();
-            let was_sent = connection.cancel_attempt(id, now, silence_timeout);
+            let was_unresponsive = connection.is_unresponsive();
+            let was_sent = connection.cancel_attempt(id, now, response_timeout);
             if !was_sent && outcome == Outcome::TimedOut {
                 outcome = Outcome::NotSent;
             }
-            let fell_silent = connection.is_silent() && !was_silent;
-            self.counters.connections.silent += u64::from(fell_silent);
+            let became_unresponsive = connection.is_unresponsive() && !was_unresponsive;
+            self.counters.connections.unresponsive += u64::from(became_unresponsive);
         }
         self.connections.schedule_flush(connection_id);
         self.end_attempt(id, outcome, LoadReport::new());
@@ -136,7 +136,7 @@
             .cancel(attempt.expires_at, Timer::AttemptDeadline(id));
         if outcome.did_not_execute() {
             if let Some(part) = self.queries.part_mut(id.part) {
-                part.forget_sent_attempt(id.number);
+                part.remove_sent_attempt(id.number);
             }
         }
         let replica = attempt.replica;
@@ -152,7 +152,7 @@
 
     /// Ends an attempt that was not placed on a connection: `NotSent` if it is not allowed, `ConnectFailed` if no
     /// connection could be opened.
-    pub(super) fn end_unplaced_attempt(
+    pub(super) fn end_unqueued_attempt(
         &mut self,
         id: AttemptId,
         replica: ReplicaId,
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -47,7 +47,7 @@
     }
 
     /// The attempts at a part, in the order in which they were made.
-    pub(super) fn of_part(&self, part: RequestId) -> impl Iterator<Item = (AttemptId, &Attempt)> {
+    pub(super) fn for_part(&self, part: RequestId) -> impl Iterator<Item = (AttemptId, &Attempt)> {
         let first = AttemptId { part, number: 0 };
         let last = AttemptId {
             part,
--- a/crates/mixer/src/reducer/backoff.rs
+++ b/crates/mixer/src/reducer/backoff.rs
@@ -7,7 +7,7 @@
 
 /// The time that the service has for each mixer if all fail at once: the first delay is spread over as many of these
 /// as there are mixers, as far as the longest delay allows.
-const TIME_PER_MIXER: Duration = Duration::from_millis(50);
+const FIRST_DELAY_PER_MIXER: Duration = Duration::from_millis(50);
 
 /// The delays between the retries of one operation.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     /// No delay exceeds it, however often the operation fails.
     max_delay: Duration,
     /// The operation before has failed, too.
-    failed_before: bool,
+    previous_failed: bool,
     random: Rng,
 }
 
@@ -27,12 +27,14 @@
     /// For one of `mixers` mixers, with delays of `max_delay` at most. The mixers must have different seeds, or they
     /// would retry in lockstep.
     pub fn new(seed: u64, mixers: u32, max_delay: Duration) -> Backoff {
-        let first_bound = TIME_PER_MIXER.saturating_mul(mixers.max(1)).min(max_delay);
+        let first_bound = FIRST_DELAY_PER_MIXER
+            .saturating_mul(mixers.max(1))
+            .min(max_delay);
         Backoff {
             first_bound,
             next_bound: first_bound,
             max_delay,
-            failed_before: false,
+            previous_failed: false,
             random: Rng::with_seed(seed),
         }
     }
@@ -52,16 +54,16 @@
     ) -> Duration {
         if succeeded {
             self.next_bound = self.first_bound;
-            self.failed_before = false;
+            self.previous_failed = false;
         }
         let requested = retry_after.unwrap_or_default().min(limit / 2);
         let upper_bound = (requested + self.next_bound).min(limit);
-        let lower_bound = if self.failed_before {
+        let lower_bound = if self.previous_failed {
             requested.max(upper_bound / 2)
         } else {
             requested
         };
-        self.failed_before = true;
+        self.previous_failed = true;
         self.next_bound = (self.next_bound * 2).min(self.max_delay);
         let jitter_range = upper_bound.saturating_sub(lower_bound);
         lower_bound + jitter_range.mul_f64(self.random.f64())
--- a/crates/mixer/src/reducer/batch.rs
+++ b/crates/mixer/src/reducer/batch.rs
@@ -42,7 +42,7 @@
             Timer::GracePeriodElapsed => self.begin_draining(),
             Timer::ShutdownDeadline => self.on_shutdown_deadline(now),
             Timer::DiscoveryTimeout => self.on_discovery_timeout(now),
-            Timer::DiscoverySwitchSettled(address) => self.effects.push(Effect::WatchEndpoints {
+            Timer::DiscoveryCaughtUp(address) => self.effects.push(Effect::WatchEndpoints {
                 address,
                 from_version: None,
             }),
--- a/crates/mixer/src/reducer/client_requests.rs
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -26,14 +26,14 @@
                 client,
                 immediate: false,
             });
-        } else if self.clients.len() > self.descriptor_budget.clients() / 2 {
+        } else if self.clients.len() > self.descriptor_budget.max_clients() / 2 {
             self.close_idle_clients(now, client);
         }
     }
 
     fn close_idle_clients(&mut self, now: Nanos, newest: ClientId) {
-        let limit = self.descriptor_budget.clients();
-        for client in self.clients.choose_to_close(now, newest, limit) {
+        let limit = self.descriptor_budget.max_clients();
+        for client in self.clients.select_for_closing(now, newest, limit) {
             self.effects.push(Effect::CloseClient {
                 client,
                 immediate: true,
@@ -61,7 +61,7 @@
     /// half is for closing the connection.
     fn limit_write_after_disconnect(&mut self, now: Nanos, parts: &[RequestId]) {
         let due = now + MAX_START_AFTER_DISCONNECT / 2;
-        for (connection, write_started_at) in self.connections.writing_any_of(parts) {
+        for (connection, write_started_at) in self.connections.writing_any_part(parts) {
             self.timers
                 .set(due, Timer::WriteStalled(connection, write_started_at));
         }
@@ -103,7 +103,7 @@
         tracing::debug!(
             target: log_targets::CLIENTS, client,
             status = error.status,
-            why = error.reason,
+            reason = error.reason,
             "request rejected"
         );
         self.send_reply(now, client, Reply::InvalidRequest(error));
@@ -137,27 +137,27 @@
             );
             return self.reject_before_decision(now, client, received_at, &request);
         }
-        let time_left = self.time_left(now, received_at, &request);
-        if time_left == 0 {
-            self.counters.requests.no_time_left += 1;
+        let remaining_time = self.remaining_time(now, received_at, &request);
+        if remaining_time == 0 {
+            self.counters.requests.deadline_exceeded += 1;
             tracing::info!(
                 target: log_targets::CLIENTS, timeout_ms = request.timeout / NANOS_PER_MS,
                 "query rejected: no time left"
             );
             return self.reject_before_decision(now, client, received_at, &request);
         }
-        self.accept_query(now, client, received_at, request, time_left);
+        self.accept_query(now, client, received_at, request, remaining_time);
     }
 
     /// How long the client still waits, less what is needed to reply; less than that during a shutdown, since the
     /// process may be killed before.
-    fn time_left(&self, now: Nanos, received_at: Nanos, request: &QueryRequest) -> Nanos {
-        let time_left = request
+    fn remaining_time(&self, now: Nanos, received_at: Nanos, request: &QueryRequest) -> Nanos {
+        let remaining_time = request
             .timeout
             .saturating_sub(network_delay(now, received_at));
         match self.lifecycle.shutdown_deadline() {
-            Some(deadline) => time_left.min(deadline.saturating_sub(now)),
-            None => time_left,
+            Some(deadline) => remaining_time.min(deadline.saturating_sub(now)),
+            None => remaining_time,
         }
     }
 
@@ -179,7 +179,7 @@
         client: ClientId,
         received_at: Nanos,
         request: QueryRequest,
-        time_left: Nanos,
+        remaining_time: Nanos,
     ) {
         let open_parts = self.queries.unanswered_parts();
         let id = self.ids.next_id();
@@ -190,14 +190,14 @@
             group,
             class: request.class,
             tenant: request.tenant,
-            client_timeout: time_left,
+            client_timeout: remaining_time,
             network_delay: network_delay(now, received_at),
             work: request.parts.iter().map(|part| part.work).sum(),
             client_retry: request.client_retry,
         });
         let parts = self.accept_parts(id, group, &request);
         self.count_accepted(&request);
-        let deadline = now + time_left;
+        let deadline = now + remaining_time;
         self.timers.set(deadline, Timer::QueryDeadline(id));
         let query = Query {
             request_id: request.request_id.as_str().into(),
@@ -213,9 +213,9 @@
         self.queries.insert(id, query);
         tracing::debug!(
             target: log_targets::CLIENTS, id,
-            name = request.request_id,
+            request_id = request.request_id,
             class = request.class,
-            patience_ms = time_left / NANOS_PER_MS,
+            remaining_ms = remaining_time / NANOS_PER_MS,
             open_parts,
             "query accepted"
         );
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -91,7 +91,7 @@
     /// Chooses clients to close since `newest` has connected, and marks them as closing: first those that never sent
     /// an accepted query, then those that have been idle for longest. Up to `limit` clients only idle ones that have
     /// sent one are closed. Each client is chosen once, since many may connect before the first one has gone.
-    pub(super) fn choose_to_close(
+    pub(super) fn select_for_closing(
         &mut self,
         now: Nanos,
         newest: ClientId,
--- a/crates/mixer/src/reducer/connection_handling.rs
+++ b/crates/mixer/src/reducer/connection_handling.rs
@@ -139,7 +139,7 @@
         }
         self.counters.connections.write_stalled += 1;
         tracing::info!(
-            target: log_targets::CONNECTIONS, link = id,
+            target: log_targets::CONNECTIONS, connection = id,
             "call not written in time, connection closed"
         );
         self.close_connection(now, id);
@@ -166,7 +166,7 @@
 
     /// Opens a connection to a replica, if the descriptor budget allows it and the replica is known.
     fn open_connection(&mut self, now: Nanos, replica: ReplicaId) -> Option<ConnectionId> {
-        let is_full = self.connections.len() >= self.descriptor_budget.leaf_connections();
+        let is_full = self.connections.len() >= self.descriptor_budget.max_leaf_connections();
         if is_full && !self.evict_idle_connection(now) {
             return None;
         }
--- a/crates/mixer/src/reducer/counters.rs
+++ b/crates/mixer/src/reducer/counters.rs
@@ -74,7 +74,7 @@
     pub over_limit: u64,
     /// Queries rejected since no time remained: of their clients' timeouts, or before the exit.
     #[serde(rename = "too_late")]
-    pub no_time_left: u64,
+    pub deadline_exceeded: u64,
 }
 
 /// What was sent to leaf servers and other mixers.
@@ -170,7 +170,8 @@
     #[serde(rename = "broken")]
     pub lost: u64,
     /// Times that a connection fell silent: an attempt was left unanswered and nothing was received since.
-    pub silent: u64,
+    #[serde(rename = "silent")]
+    pub unresponsive: u64,
     /// Connections closed since a malformed answer was received, or one to an attempt that was never sent.
     #[serde(rename = "spoilt")]
     pub malformed: u64,
@@ -193,7 +194,8 @@
     /// Watches that ended, and requests for a snapshot that failed.
     pub ended: u64,
     /// Of those ended, the ones that timed out: no connection, update or heartbeat in time.
-    pub silent: u64,
+    #[serde(rename = "silent")]
+    pub timed_out: u64,
     /// Attempts withdrawn before they were handed to a socket, since an update announced that their replica is draining
     /// or gone, or has another address.
     #[serde(rename = "withdrawn")]
@@ -227,7 +229,7 @@
     pub duplicate_entries: u64,
     /// Entries that remove a server that was not listed.
     #[serde(rename = "unknown")]
-    pub unknown_removals: u64,
+    pub unlisted_removals: u64,
 }
 
 /// Times that the configuration was read again.
--- a/crates/mixer/src/reducer/descriptor_budget.rs
+++ b/crates/mixer/src/reducer/descriptor_budget.rs
@@ -18,41 +18,41 @@
 /// The most descriptors that each kind of connection may take.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DescriptorBudget {
-    leaf_connections: usize,
-    clients: usize,
-    closing_clients: usize,
+    max_leaf_connections: usize,
+    max_clients: usize,
+    max_closing_clients: usize,
 }
 
 impl DescriptorBudget {
     /// Divides this number of descriptors. Each kind gets one at least.
     pub(super) fn new(descriptors: usize) -> DescriptorBudget {
-        let closing_clients = (descriptors / CLOSING_CLIENTS_DIVISOR)
+        let max_closing_clients = (descriptors / CLOSING_CLIENTS_DIVISOR)
             .clamp(*CLOSING_CLIENTS_RANGE.start(), *CLOSING_CLIENTS_RANGE.end());
-        let shared = descriptors.saturating_sub(RESERVED_DESCRIPTORS + closing_clients);
+        let shared = descriptors.saturating_sub(RESERVED_DESCRIPTORS + max_closing_clients);
         let leaf_connections =
             shared * LEAF_CONNECTIONS_PERCENT / (LEAF_CONNECTIONS_PERCENT + CLIENTS_PERCENT);
         let clients = (shared - leaf_connections).min(descriptors * CLIENTS_PERCENT / 100);
         DescriptorBudget {
-            leaf_connections: leaf_connections
+            max_leaf_connections: leaf_connections
                 .min(descriptors * LEAF_CONNECTIONS_PERCENT / 100)
                 .max(1),
-            clients: clients.max(1),
-            closing_clients,
+            max_clients: clients.max(1),
+            max_closing_clients,
         }
     }
 
     /// The most connections to leaf servers.
-    pub(super) fn leaf_connections(&self) -> usize {
-        self.leaf_connections
+    pub(super) fn max_leaf_connections(&self) -> usize {
+        self.max_leaf_connections
     }
 
     /// The most clients that are served.
-    pub(super) fn clients(&self) -> usize {
-        self.clients
+    pub(super) fn max_clients(&self) -> usize {
+        self.max_clients
     }
 
     /// The most clients, those included that are being closed to make room.
-    pub(super) fn clients_with_closing(&self) -> usize {
-        self.clients + self.closing_clients
+    pub(super) fn max_clients_with_closing(&self) -> usize {
+        self.max_clients + self.max_closing_clients
     }
 }
--- a/crates/mixer/src/reducer/discovery.rs
+++ b/crates/mixer/src/reducer/discovery.rs
@@ -71,18 +71,18 @@
 
 impl Reducer {
     pub(super) fn on_endpoints_updated(&mut self, now: Nanos, update: EndpointUpdate) {
-        let (index, snapshot) = (update.version, update.snapshot);
+        let (version, snapshot) = (update.version, update.snapshot);
         let entries = update.entries.len();
         let invalid_entries = update.invalid_entries as u64;
         let changes = self.replicas.apply_update(now, update);
         self.count_update(invalid_entries, &changes);
         tracing::debug!(
-            target: log_targets::CONNECTIONS, index,
-            lines = entries,
-            whole = snapshot,
-            changed = changes.endpoints.len(),
-            leaving = changes.leaving.len(),
-            since_heard_ms = self.discovery.ms_since_last_message(now),
+            target: log_targets::CONNECTIONS, version,
+            entries,
+            snapshot,
+            changed_endpoints = changes.endpoints.len(),
+            not_ready = changes.not_ready.len(),
+            ms_since_last_message = self.discovery.ms_since_last_message(now),
             "endpoint update applied"
         );
         self.discovery.last_received_at = now;
@@ -96,8 +96,8 @@
         });
         // Attempts that wait for a replica that is draining or gone are never sent, nor those that wait for the former
         // address of a replica.
-        for replica in changes.leaving {
-            tracing::debug!(target: log_targets::CONNECTIONS, replica = replica.0, index, "replica announced as draining or gone");
+        for replica in changes.not_ready {
+            tracing::debug!(target: log_targets::CONNECTIONS, replica = replica.0, version, "replica announced as draining or gone");
             for connection in self.replicas.connections(replica).to_vec() {
                 self.withdraw_unsent_attempts(now, connection);
             }
@@ -105,7 +105,7 @@
         for connection in changes.stale_connections {
             self.withdraw_unsent_attempts(now, connection);
         }
-        self.on_discovery_settled(now);
+        self.stop_awaiting_discovery(now);
     }
 
     fn count_update(&mut self, invalid_entries: u64, changes: &EndpointChanges) {
@@ -113,7 +113,7 @@
         let update_faults = &mut self.counters.update_faults;
         update_faults.invalid_entries += invalid_entries;
         update_faults.duplicate_entries += changes.duplicate_entries;
-        update_faults.unknown_removals += changes.unknown_removals;
+        update_faults.unlisted_removals += changes.unlisted_removals;
     }
 
     pub(super) fn on_discovery_timeout(&mut self, now: Nanos) {
@@ -122,16 +122,16 @@
         }
         self.counters.watches.startup_timeouts += 1;
         tracing::warn!(
-            target: log_targets::BATCHES, index = self.replicas.version(),
+            target: log_targets::BATCHES, version = self.replicas.version(),
             "no endpoint update in time at startup, cached endpoint list used"
         );
-        self.on_discovery_settled(now);
+        self.stop_awaiting_discovery(now);
     }
 
     /// The first endpoint update has arrived, or is not waited for any longer: what was received until now is decided.
-    fn on_discovery_settled(&mut self, now: Nanos) {
+    fn stop_awaiting_discovery(&mut self, now: Nanos) {
         if self.lifecycle.is_awaiting_discovery() {
-            self.lifecycle.on_discovery_settled();
+            self.lifecycle.stop_awaiting_discovery();
             self.deduct_waiting_time(now);
         }
     }
@@ -149,12 +149,12 @@
             else {
                 continue;
             };
-            let time_left = match self.queries.get(*id) {
+            let remaining_time = match self.queries.get(*id) {
                 Some(query) => query.deadline.saturating_sub(now),
                 None => 0,
             };
-            *network_delay += client_timeout.saturating_sub(time_left);
-            *client_timeout = time_left;
+            *network_delay += client_timeout.saturating_sub(remaining_time);
+            *client_timeout = remaining_time;
         }
     }
 
@@ -164,9 +164,9 @@
         match event {
             WatchEvent::Requested => watches.requested += 1,
             WatchEvent::Heartbeat => self.discovery.last_received_at = now,
-            WatchEvent::Ended { silent } => {
+            WatchEvent::Ended { timed_out } => {
                 watches.ended += 1;
-                watches.silent += u64::from(silent);
+                watches.timed_out += u64::from(timed_out);
             }
             WatchEvent::UpdateRejected(UpdateFault::TooLarge) => update_faults.too_large += 1,
             WatchEvent::UpdateRejected(UpdateFault::Malformed) => update_faults.malformed += 1,
@@ -189,10 +189,10 @@
         if self.discovery.watch_policy.versions_differ_by_address() {
             // Versions of another address don't compare with the current one.
             from_version = None;
-            let settled_at = self.replicas.on_discovery_switched(now);
-            self.timers.cancel_discovery_switch_settled();
+            let caught_up_at = self.replicas.on_discovery_switched(now);
+            self.timers.cancel_discovery_caught_up();
             self.timers
-                .set(settled_at, Timer::DiscoverySwitchSettled(address));
+                .set(caught_up_at, Timer::DiscoveryCaughtUp(address));
         }
         self.effects.push(Effect::WatchEndpoints {
             address,
--- a/crates/mixer/src/reducer/dispatch.rs
+++ b/crates/mixer/src/reducer/dispatch.rs
@@ -38,11 +38,11 @@
         self.counters.sent.extra_attempts += u64::from(id.number > 0);
         let is_allowed = usize::from(id.number) < self.settings.max_attempts && expires_at > now;
         if !self.is_ready(replica) || !is_allowed {
-            return self.end_unplaced_attempt(id, replica, Outcome::NotSent);
+            return self.end_unqueued_attempt(id, replica, Outcome::NotSent);
         }
         // No descriptor is free for a connection: as if the connect had failed, since the attempt did not run.
         let Some(connection) = self.connection_for(now, replica, &wire_id) else {
-            return self.end_unplaced_attempt(id, replica, Outcome::ConnectFailed);
+            return self.end_unqueued_attempt(id, replica, Outcome::ConnectFailed);
         };
         let attempt = Attempt {
             replica,
@@ -233,19 +233,19 @@
             let Some(attempt) = self.attempts.get(attempt) else {
                 continue;
             };
-            let time_left = attempt.expires_at.saturating_sub(now);
+            let remaining_time = attempt.expires_at.saturating_sub(now);
             parts.push(CallPart {
                 id: wire_id,
                 shard: attempt.shard,
-                timeout_ms: time_left.div_ceil(NANOS_PER_MS),
+                timeout_ms: remaining_time.div_ceil(NANOS_PER_MS),
                 text: attempt.text.clone(),
             });
         }
         tracing::debug!(
             target: log_targets::ATTEMPTS, replica = replica.0,
             parts = parts.len(),
-            index = self.replicas.version(),
-            since_heard_ms = self.discovery.ms_since_last_message(now),
+            version = self.replicas.version(),
+            ms_since_last_message = self.discovery.ms_since_last_message(now),
             "call written"
         );
         if parts.is_empty() {
--- a/crates/mixer/src/reducer/entry_resolver.rs
+++ b/crates/mixer/src/reducer/entry_resolver.rs
@@ -19,7 +19,7 @@
     /// Its zone's index in the settings, or [`UNKNOWN_ZONE`].
     pub(super) zone: u16,
     /// When it was started, in Unix nanoseconds.
-    pub(super) started: Nanos,
+    pub(super) started_at: Nanos,
     /// What may be sent to it.
     pub(super) status: EndpointStatus,
 }
@@ -54,11 +54,11 @@
         entry: EndpointEntry,
         replica: Option<&Replica>,
     ) -> Option<ResolvedEntry> {
-        let started = entry.started_ms.saturating_mul(NANOS_PER_MS);
+        let started_at = entry.started_ms.saturating_mul(NANOS_PER_MS);
         let status = match entry.status {
             // A server that is up can't be reached without an address: its known address may be a former one.
             Status::Up if entry.address.is_some() => self
-                .status_before_lagging_update(now, replica, started)
+                .retained_status(now, replica, started_at)
                 .unwrap_or(EndpointStatus::Ready),
             Status::Up | Status::Draining => EndpointStatus::Draining,
             Status::Removed => EndpointStatus::Gone,
@@ -71,24 +71,24 @@
             address,
             cell: entry.cell,
             zone: self.zone_index(&entry.zone),
-            started,
+            started_at,
             status,
         })
     }
 
     /// The status that a replica keeps although an update lists it as up, since the update may lag behind: draining or
     /// gone, unless the server has been restarted.
-    fn status_before_lagging_update(
+    fn retained_status(
         &self,
         now: Nanos,
         replica: Option<&Replica>,
-        started: Nanos,
+        started_at: Nanos,
     ) -> Option<EndpointStatus> {
         let replica = replica?;
         let is_lagging = now < self.lagging_until;
-        let was_restarted = started > replica.started;
-        let is_leaving = replica.status != EndpointStatus::Ready;
-        (is_lagging && is_leaving && !was_restarted).then_some(replica.status)
+        let was_restarted = started_at > replica.started_at;
+        let is_not_ready = replica.status != EndpointStatus::Ready;
+        (is_lagging && is_not_ready && !was_restarted).then_some(replica.status)
     }
 
     /// The zone's index in the settings.
--- a/crates/mixer/src/reducer/input.rs
+++ b/crates/mixer/src/reducer/input.rs
@@ -23,7 +23,7 @@
     /// The watch ended.
     Ended {
         /// It timed out: no connection, update or heartbeat in time.
-        silent: bool,
+        timed_out: bool,
     },
     /// An update was rejected; the endpoint list stays as it is and a snapshot is requested.
     UpdateRejected(UpdateFault),
--- a/crates/mixer/src/reducer/leaf_connection/mod.rs
+++ b/crates/mixer/src/reducer/leaf_connection/mod.rs
@@ -92,7 +92,7 @@
     last_received_at: Nanos,
     /// An attempt was cancelled after it had been unanswered for too long: no new attempt or probe is queued until a
     /// frame is received.
-    silent: bool,
+    unresponsive: bool,
     /// Since when nothing is open or waiting.
     pub idle_since: Nanos,
     /// When the timer fires that checks for idleness: one at a time, however often the connection becomes idle.
@@ -108,7 +108,7 @@
             attempts: OpenAttempts::default(),
             probes: VecDeque::new(),
             last_received_at: now,
-            silent: false,
+            unresponsive: false,
             idle_since: now,
             idle_timer: None,
         }
@@ -122,7 +122,7 @@
     /// Whether one more attempt with this wire id may be sent on it: fewer than `max_streams` attempts and probes are
     /// open, and none with this id, as their answers could not be distinguished.
     pub fn has_capacity(&self, max_streams: usize, wire_id: &str) -> bool {
-        !self.silent && self.open_streams() < max_streams && !self.attempts.contains(wire_id)
+        !self.unresponsive && self.open_streams() < max_streams && !self.attempts.contains(wire_id)
     }
 
     /// Attempts and probes that are open.
@@ -137,14 +137,14 @@
 
     /// Whether an attempt was unanswered for too long and nothing was received since; see
     /// [`LeafConnection::cancel_attempt`].
-    pub fn is_silent(&self) -> bool {
-        self.silent
+    pub fn is_unresponsive(&self) -> bool {
+        self.unresponsive
     }
 
     /// Silent, and no attempt is open that might still be answered. What waits are cancellations, which closing the
     /// connection implies; a frame that the socket can't write would wait for ever.
     pub fn is_unusable(&self) -> bool {
-        self.silent && self.attempts.is_empty()
+        self.unresponsive && self.attempts.is_empty()
     }
 
     /// Queues an attempt. With `join_last_call` it is added to the last waiting call, if that has fewer than
@@ -198,7 +198,7 @@
     /// A frame was received, so the connection is not silent.
     pub fn on_frame_received(&mut self, now: Nanos) {
         self.last_received_at = now;
-        self.silent = false;
+        self.unresponsive = false;
     }
 
     /// Ends the attempt that an answer is for. An attempt that has not been written yet can't have been answered: such
@@ -209,8 +209,8 @@
 
     /// The attempt that a malformed answer is attributed to: the one that it names, else the one that has been in
     /// flight for longest.
-    pub fn attempt_of_malformed_answer(&self, wire_id: Option<&str>) -> Option<AttemptId> {
-        self.attempts.attempt_of_malformed_answer(wire_id)
+    pub fn attempt_for_malformed_answer(&self, wire_id: Option<&str>) -> Option<AttemptId> {
+        self.attempts.attempt_for_malformed_answer(wire_id)
     }
 
     /// The open attempts whose last byte the socket has taken, in the order of their wire ids.
@@ -234,13 +234,13 @@
     }
 
     /// Cancels an attempt; true if it may have run. One that waits is dropped and never sent; one whose frame was
-    /// handed to the socket is followed by a frame that cancels it. If nothing was received for `silence_timeout`
+    /// handed to the socket is followed by a frame that cancels it. If nothing was received for `response_timeout`
     /// nanoseconds since it was handed to the socket, the connection is silent.
     pub fn cancel_attempt(
         &mut self,
         attempt: AttemptId,
         now: Nanos,
-        silence_timeout: Nanos,
+        response_timeout: Nanos,
     ) -> bool {
         let Some(removed) = self.attempts.remove(attempt) else {
             return false;
@@ -252,8 +252,8 @@
         self.queue.push(QueuedFrame::Cancel(removed.wire_id));
         if let Some(write_started_at) = removed.write_started_at {
             let nothing_received = self.last_received_at <= write_started_at;
-            self.silent |=
-                nothing_received && now.saturating_sub(write_started_at) >= silence_timeout;
+            self.unresponsive |=
+                nothing_received && now.saturating_sub(write_started_at) >= response_timeout;
         }
         true
     }
--- a/crates/mixer/src/reducer/leaf_connection/open_attempts.rs
+++ b/crates/mixer/src/reducer/leaf_connection/open_attempts.rs
@@ -126,7 +126,7 @@
 
     /// The attempt that a malformed answer is attributed to: the one that it names, else the one that has been in
     /// flight for longest.
-    pub(super) fn attempt_of_malformed_answer(&self, wire_id: Option<&str>) -> Option<AttemptId> {
+    pub(super) fn attempt_for_malformed_answer(&self, wire_id: Option<&str>) -> Option<AttemptId> {
         let named = wire_id
             .and_then(|wire_id| self.attempts.get(wire_id))
             .filter(|open| open.written);
--- a/crates/mixer/src/reducer/leaf_connections.rs
+++ b/crates/mixer/src/reducer/leaf_connections.rs
@@ -13,7 +13,7 @@
     /// Connections that may have a frame to write.
     to_flush: BTreeSet<ConnectionId>,
     /// Connections whose last queued call can still be joined by attempts: it was queued in this batch.
-    with_open_call: BTreeSet<ConnectionId>,
+    with_joinable_call: BTreeSet<ConnectionId>,
 }
 
 impl LeafConnections {
@@ -73,13 +73,13 @@
         let Some((_, connection)) = self.connections.get_mut(&id) else {
             return;
         };
-        let join_last_call = !self.with_open_call.insert(id);
+        let join_last_call = !self.with_joinable_call.insert(id);
         connection.queue_attempt(attempt, wire_id, join_last_call, max_parts_per_call);
     }
 
     /// The batch is over: attempts queued later start a new call.
     pub(super) fn end_batch(&mut self) {
-        self.with_open_call.clear();
+        self.with_joinable_call.clear();
     }
 
     /// Notes that a connection may have a frame to write.
@@ -105,7 +105,7 @@
 
     /// The connections that are writing a call with one of these parts, each with when the call was handed to its
     /// socket.
-    pub(super) fn writing_any_of(&self, parts: &[RequestId]) -> Vec<(ConnectionId, Nanos)> {
+    pub(super) fn writing_any_part(&self, parts: &[RequestId]) -> Vec<(ConnectionId, Nanos)> {
         let writing_since = |connection: &LeafConnection| {
             let since = connection.writing_call_since()?;
             let writes_any = parts.iter().any(|part| connection.is_writing(*part));
--- a/crates/mixer/src/reducer/lifecycle.rs
+++ b/crates/mixer/src/reducer/lifecycle.rs
@@ -78,7 +78,7 @@
     }
 
     /// Discovery has confirmed or replaced the cached endpoint list, or is not waited for any longer.
-    pub(super) fn on_discovery_settled(&mut self) {
+    pub(super) fn stop_awaiting_discovery(&mut self) {
         if let StartupPhase::AwaitingDiscovery { has_ready_endpoint } = self.startup {
             self.startup = if has_ready_endpoint {
                 StartupPhase::Started
--- a/crates/mixer/src/reducer/mod.rs
+++ b/crates/mixer/src/reducer/mod.rs
@@ -20,7 +20,6 @@
 mod dispatch;
 pub mod effect;
 mod entry_resolver;
-mod gone_replicas;
 pub mod input;
 pub mod leaf_connection;
 mod leaf_connections;
@@ -28,6 +27,7 @@
 mod probes;
 mod queries;
 mod query_completion;
+mod removed_replicas;
 pub mod replica_table;
 pub mod replicas;
 mod shutdown;
@@ -142,7 +142,7 @@
 
     /// The most clients that may be connected, those included that are being closed.
     pub fn max_clients(&self) -> usize {
-        self.descriptor_budget.clients_with_closing()
+        self.descriptor_budget.max_clients_with_closing()
     }
 
     /// When [`Input::ProcessBatch`] is due even if no other input comes before.
--- a/crates/mixer/src/reducer/queries.rs
+++ b/crates/mixer/src/reducer/queries.rs
@@ -87,7 +87,7 @@
     }
 
     /// Forgets an attempt that is now known not to have run.
-    pub(super) fn forget_sent_attempt(&mut self, attempt: u8) {
+    pub(super) fn remove_sent_attempt(&mut self, attempt: u8) {
         self.sent_attempts.retain(|(number, _)| *number != attempt);
     }
 
@@ -227,7 +227,7 @@
     pub(super) fn attempt_start_deadline(&self, part: RequestId) -> Option<Nanos> {
         let part = self.parts.get(&part)?;
         let first_sent_at = part.first_sent_at()?;
-        Some(first_sent_at.saturating_add(self.idempotency_window_of(part)?))
+        Some(first_sent_at.saturating_add(self.part_idempotency_window(part)?))
     }
 
     /// Notes that an attempt at a part is handed to a socket, where its class has an idempotency window.
@@ -235,7 +235,7 @@
         let has_window = self
             .parts
             .get(&part)
-            .is_some_and(|part| self.idempotency_window_of(part).is_some());
+            .is_some_and(|part| self.part_idempotency_window(part).is_some());
         if !has_window {
             return;
         }
@@ -244,7 +244,7 @@
         }
     }
 
-    fn idempotency_window_of(&self, part: &Part) -> Option<Nanos> {
+    fn part_idempotency_window(&self, part: &Part) -> Option<Nanos> {
         let class = self.queries.get(&part.query)?.class;
         self.idempotency_windows.get(class).copied().flatten()
     }
--- a/crates/mixer/src/reducer/query_completion.rs
+++ b/crates/mixer/src/reducer/query_completion.rs
@@ -51,7 +51,7 @@
 
     fn cancel_unsent_attempts(&mut self, now: Nanos, part: RequestId) {
         let mut unsent = Vec::new();
-        for (id, attempt) in self.attempts.of_part(part) {
+        for (id, attempt) in self.attempts.for_part(part) {
             let waiting = self.connections.unsent_attempts(attempt.connection);
             if waiting.contains(&id) {
                 unsent.push(id);
@@ -78,8 +78,8 @@
             self.counters.faults.overstated_answers += 1;
             self.counters.replies.failed += 1;
             tracing::error!(
-                target: log_targets::BATCHES, landed = ended.answered_weight(),
-                whole = complete,
+                target: log_targets::BATCHES, answered_weight = ended.answered_weight(),
+                complete,
                 class = ended.query.class,
                 "query failed: decided answer overstates its parts"
             );
@@ -143,7 +143,7 @@
     tracing::debug!(
         target: log_targets::BATCHES, id,
         class = ended.query.class,
-        left_ms = ended.query.deadline.saturating_sub(now) / NANOS_PER_MS,
+        remaining_ms = ended.query.deadline.saturating_sub(now) / NANOS_PER_MS,
         attempts = attempts_by_shard(ended),
         "query ended: {outcome}"
     );
--- a/crates/mixer/src/reducer/replica_table.rs
+++ b/crates/mixer/src/reducer/replica_table.rs
@@ -16,14 +16,14 @@
     pub name: Box<str>,
     pub(super) address: Address,
     /// The latest start that was announced, in Unix nanoseconds.
-    pub(super) started: Nanos,
+    pub(super) started_at: Nanos,
     /// The cell that it holds.
     pub cell: u16,
     /// Its zone's index in the settings.
     pub zone: u16,
     /// What may be sent to it.
     pub status: EndpointStatus,
-    /// Its last entry stated an earlier start than `started`.
+    /// Its last entry stated an earlier start than `started_at`.
     pub(super) started_earlier: bool,
 }
 
@@ -69,14 +69,14 @@
     }
 
     /// The slot of the replica with this id.
-    pub fn slot_of_id(&self, id: ReplicaId) -> Option<Slot> {
+    pub fn slot_by_id(&self, id: ReplicaId) -> Option<Slot> {
         let has_id = |slot: &Slot| self.record(*slot).is_some_and(|replica| replica.id == id);
         let hash = self.hasher.hash_one(id);
         self.slots_by_id.find(hash, has_id).copied()
     }
 
     /// The slot of the replica with this name.
-    pub fn slot_of_name(&self, name: &str) -> Option<Slot> {
+    pub fn slot_by_name(&self, name: &str) -> Option<Slot> {
         let has_name = |slot: &Slot| {
             self.record(*slot)
                 .is_some_and(|replica| *replica.name == *name)
@@ -87,7 +87,7 @@
 
     /// The replica with this id.
     pub fn get(&self, id: ReplicaId) -> Option<&Replica> {
-        self.record(self.slot_of_id(id)?)
+        self.record(self.slot_by_id(id)?)
     }
 
     /// The replica in a slot.
@@ -115,7 +115,7 @@
 
     /// Removes a replica; its slot may be used by another from then on.
     pub fn remove(&mut self, id: ReplicaId) -> Option<Replica> {
-        let slot = self.slot_of_id(id)?;
+        let slot = self.slot_by_id(id)?;
         let replica = self.records.try_remove(slot as usize)?;
         remove_slot(&mut self.slots_by_id, self.hasher.hash_one(id), slot);
         let name_hash = self.hasher.hash_one(&*replica.name);
--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -2,8 +2,8 @@
 //! proportional to their entries, whatever the size of the fleet.
 
 use super::entry_resolver::{is_removal, EntryResolver, ResolvedEntry, UNKNOWN_ZONE};
-use super::gone_replicas::GoneReplicas;
 use super::input::ConnectionId;
+use super::removed_replicas::RemovedReplicas;
 use super::replica_table::{Replica, ReplicaTable, Slot};
 use super::watch_policy::STALENESS_BOUND;
 use crate::log_targets;
@@ -15,7 +15,7 @@
 /// How long, in nanoseconds, an update may lag behind the changes that were announced before: the staleness bound of
 /// discovery. After a switch to another address its updates count as current from then on, and a replica that is gone
 /// is remembered for as long.
-pub const LATE_UPDATE_WINDOW: Nanos = STALENESS_BOUND.as_nanos() as Nanos;
+pub const MAX_UPDATE_LAG: Nanos = STALENESS_BOUND.as_nanos() as Nanos;
 
 /// How many duplicate entries and how many unknown removals are logged for one update; the counters have all.
 const MAX_LOGGED_ENTRIES: u64 = 16;
@@ -27,13 +27,13 @@
     /// replicas that it does not list.
     pub endpoints: Vec<Endpoint>,
     /// The replicas that must not get new attempts from now on.
-    pub leaving: Vec<ReplicaId>,
+    pub not_ready: Vec<ReplicaId>,
     /// Connections to former addresses of their replicas.
     pub stale_connections: Vec<ConnectionId>,
     /// Number of entries for a name that occurred earlier in the same update; the last one is used.
     pub duplicate_entries: u64,
     /// Number of entries that remove a server that was not listed.
-    pub unknown_removals: u64,
+    pub unlisted_removals: u64,
 }
 
 /// The replicas that are listed, and those gone that still have connections or that a late update may mention. A name
@@ -43,7 +43,7 @@
     table: ReplicaTable,
     /// Connections of each replica that has any, oldest first, without those to a former address.
     connections: HashMap<ReplicaId, Vec<ConnectionId>>,
-    gone: GoneReplicas,
+    removed: RemovedReplicas,
     resolver: EntryResolver,
     /// Number of replicas that are ready.
     ready: usize,
@@ -80,8 +80,8 @@
     }
 
     /// The id of the replica with this name.
-    pub fn id_of_name(&self, name: &str) -> Option<ReplicaId> {
-        let slot = self.table.slot_of_name(name)?;
+    pub fn id_by_name(&self, name: &str) -> Option<ReplicaId> {
+        let slot = self.table.slot_by_name(name)?;
         self.table.record(slot).map(|replica| replica.id)
     }
 
@@ -133,16 +133,16 @@
     }
 
     fn remove_all_connections(&mut self, id: ReplicaId) -> Vec<ConnectionId> {
-        self.gone.schedule_expiry(id);
+        self.removed.schedule_expiry(id);
         self.connections.remove(&id).unwrap_or_default()
     }
 
     /// Updates come from another address from now on. Discovery there may not know yet what was announced before:
     /// until it must have, it can't make a replica ready that is draining or gone. Returns when that is.
     pub fn on_discovery_switched(&mut self, now: Nanos) -> Nanos {
-        let settled_at = now + LATE_UPDATE_WINDOW;
-        self.resolver.set_lagging_until(settled_at);
-        settled_at
+        let caught_up_at = now + MAX_UPDATE_LAG;
+        self.resolver.set_lagging_until(caught_up_at);
+        caught_up_at
     }
 
     /// Applies an update.
@@ -164,7 +164,7 @@
         snapshot: bool,
         entries: impl ExactSizeIterator<Item = EndpointEntry>,
     ) -> EndpointChanges {
-        self.forget_expired(now);
+        self.remove_expired(now);
         if self.table.is_empty() {
             self.table.reserve(entries.len());
         }
@@ -181,20 +181,20 @@
             }
         }
         if snapshot {
-            self.remove_unlisted(now, &listed, &mut changes.endpoints);
+            self.mark_unlisted_as_removed(now, &listed, &mut changes.endpoints);
         }
         self.version = version;
-        changes.leaving = self.leaving_among(&changes.endpoints);
+        changes.not_ready = self.not_ready_among(&changes.endpoints);
         changes
     }
 
-    /// Forgets the replicas that have been gone for [`LATE_UPDATE_WINDOW`] and have no connections: no late update can
+    /// Forgets the replicas that have been gone for [`MAX_UPDATE_LAG`] and have no connections: no late update can
     /// mention them.
-    fn forget_expired(&mut self, now: Nanos) {
-        while let Some(id) = self.gone.pop_expired(now) {
+    fn remove_expired(&mut self, now: Nanos) {
+        while let Some(id) = self.removed.pop_expired(now) {
             self.visited_records += 1;
             if !self.connections.contains_key(&id) {
-                self.gone.remove(id);
+                self.removed.remove(id);
                 self.table.remove(id);
             }
         }
@@ -210,31 +210,31 @@
         changes: &mut EndpointChanges,
     ) -> Option<AppliedEntry> {
         self.visited_records += 1;
-        let known = self.table.slot_of_name(&entry.name);
+        let known = self.table.slot_by_name(&entry.name);
         if known.is_none() && is_removal(&entry, snapshot) {
-            self.on_unknown_removal(version, &entry, changes);
+            self.on_unlisted_removal(version, &entry, changes);
         }
         let replica = known.and_then(|slot| self.table.record(slot));
         let resolved = self.resolver.resolve(now, entry, replica)?;
         self.update_replica(now, resolved, known, &mut changes.stale_connections)
     }
 
-    fn on_unknown_removal(
+    fn on_unlisted_removal(
         &self,
         version: u64,
         entry: &EndpointEntry,
         changes: &mut EndpointChanges,
     ) {
-        changes.unknown_removals += 1;
-        if changes.unknown_removals > MAX_LOGGED_ENTRIES {
+        changes.unlisted_removals += 1;
+        if changes.unlisted_removals > MAX_LOGGED_ENTRIES {
             return;
         }
         tracing::info!(
-            target: log_targets::REPLICAS, index = version,
+            target: log_targets::REPLICAS, version,
             name = entry.name,
             status = ?entry.status,
-            in_force = self.version,
-            known = self.table.len(),
+            current_version = self.version,
+            known_replicas = self.table.len(),
             "endpoint update removes an unlisted server"
         );
     }
@@ -251,23 +251,23 @@
         }
         let replica = self.table.record(applied.slot);
         tracing::warn!(
-            target: log_targets::REPLICAS, index = version,
+            target: log_targets::REPLICAS, version,
             name = replica.map(|replica| &*replica.name),
-            standing = ?applied.endpoint.status,
+            status = ?applied.endpoint.status,
             "duplicate endpoint in update, last entry used"
         );
     }
 
     /// Those of the endpoints that must not get new attempts.
-    fn leaving_among(&self, endpoints: &[Endpoint]) -> Vec<ReplicaId> {
-        let is_leaving = |id: &ReplicaId| {
+    fn not_ready_among(&self, endpoints: &[Endpoint]) -> Vec<ReplicaId> {
+        let is_not_ready = |id: &ReplicaId| {
             self.get(*id)
                 .is_some_and(|replica| replica.status != EndpointStatus::Ready)
         };
         endpoints
             .iter()
             .map(|endpoint| endpoint.replica)
-            .filter(is_leaving)
+            .filter(is_not_ready)
             .collect()
     }
 
@@ -285,18 +285,18 @@
             address,
             cell,
             zone,
-            started,
+            started_at,
             status,
         } = entry;
-        let slot = known.unwrap_or_else(|| self.add_replica(name, address.clone(), started));
+        let slot = known.unwrap_or_else(|| self.add_replica(name, address.clone(), started_at));
         let replica = self.table.record_mut(slot)?;
         let id = replica.id;
         let unchanged = (replica.cell, replica.zone, replica.status) == (cell, zone, status)
-            && replica.started == started
+            && replica.started_at == started_at
             && !replica.started_earlier;
         let address_changed = replica.address != address;
-        replica.started_earlier = started < replica.started;
-        replica.started = started.max(replica.started);
+        replica.started_earlier = started_at < replica.started_at;
+        replica.started_at = started_at.max(replica.started_at);
         replica.address = address;
         replica.cell = cell;
         replica.zone = zone;
@@ -310,7 +310,7 @@
                 replica: id,
                 cell,
                 zone,
-                started,
+                started: started_at,
                 status,
             },
             changed: known.is_none() || !unchanged,
@@ -318,7 +318,7 @@
     }
 
     /// Adds a record with the next id; the rest of it is filled in by the caller.
-    fn add_replica(&mut self, name: Box<str>, address: Address, started: Nanos) -> Slot {
+    fn add_replica(&mut self, name: Box<str>, address: Address, started_at: Nanos) -> Slot {
         self.last_id += 1;
         let id = ReplicaId(self.last_id);
         // Each process has ids of its own: logs of several mixers can be joined only by name.
@@ -327,7 +327,7 @@
             id,
             name,
             address,
-            started,
+            started_at,
             cell: 0,
             zone: UNKNOWN_ZONE,
             status: EndpointStatus::Draining,
@@ -345,14 +345,14 @@
         self.ready -= usize::from(before == EndpointStatus::Ready);
         self.ready += usize::from(status == EndpointStatus::Ready);
         if status == EndpointStatus::Gone {
-            self.gone.insert(id, now);
+            self.removed.insert(id, now);
         } else {
-            self.gone.remove(id);
+            self.removed.remove(id);
         }
     }
 
     /// Marks as gone the replicas that a snapshot does not list.
-    fn remove_unlisted(
+    fn mark_unlisted_as_removed(
         &mut self,
         now: Nanos,
         listed: &HashSet<Slot>,
@@ -373,7 +373,7 @@
                     replica: replica.id,
                     cell: replica.cell,
                     zone: replica.zone,
-                    started: replica.started,
+                    started: replica.started_at,
                     status: replica.status,
                 });
             }
--- a/crates/mixer/src/reducer/timers.rs
+++ b/crates/mixer/src/reducer/timers.rs
@@ -31,7 +31,7 @@
     /// Discovery must have confirmed the cached endpoint list.
     DiscoveryTimeout,
     /// Discovery at this new address has received every change announced before the switch.
-    DiscoverySwitchSettled(SocketAddr),
+    DiscoveryCaughtUp(SocketAddr),
     /// The socket must have taken the call that it was handed at this time.
     WriteStalled(ConnectionId, Nanos),
 }
@@ -51,10 +51,10 @@
         self.0.remove(&(due, timer));
     }
 
-    /// Cancels [`Timer::DiscoverySwitchSettled`], whatever its address.
-    pub(super) fn cancel_discovery_switch_settled(&mut self) {
+    /// Cancels [`Timer::DiscoveryCaughtUp`], whatever its address.
+    pub(super) fn cancel_discovery_caught_up(&mut self) {
         self.0
-            .retain(|(_, timer)| !matches!(timer, Timer::DiscoverySwitchSettled(_)));
+            .retain(|(_, timer)| !matches!(timer, Timer::DiscoveryCaughtUp(_)));
     }
 
     /// When the next timer is due.
--- a/crates/mixer/src/reducer/usage.rs
+++ b/crates/mixer/src/reducer/usage.rs
@@ -8,14 +8,14 @@
 pub type DeduplicationKey = u64;
 
 /// The key of a query that has an idempotency key of its client's.
-pub fn key_of_client(class: &str, key: &str) -> DeduplicationKey {
+pub fn key_from_idempotency_key(class: &str, key: &str) -> DeduplicationKey {
     let mut hash = hash_class(class);
     hash.update(key.as_bytes());
     hash.digest() | 1
 }
 
 /// The key of a query by its content: the class, the parts (shard and weight) in any order, and the text.
-pub fn key_of_query(
+pub fn key_from_content(
     class: &str,
     parts: impl Iterator<Item = (u32, f64)>,
     text: &[u8],
@@ -71,7 +71,7 @@
     /// The class's index in the settings.
     pub class: u16,
     /// When the request arrived, in Unix nanoseconds by this mixer's clock; not before any watermark recorded earlier.
-    pub arrived: Nanos,
+    pub arrived_at: Nanos,
     /// How it ended for its client.
     pub outcome: QueryOutcome,
     /// Number of parts requested.
--- a/crates/mixer/src/reducer/usage_recorder.rs
+++ b/crates/mixer/src/reducer/usage_recorder.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// When a request counts as arrived: not before the last watermark, even if it was received before.
+    /// When a request counts as arrived_at: not before the last watermark, even if it was received before.
     fn arrival_time(&self, received_at: Nanos) -> Nanos {
         received_at.max(self.complete_until)
     }
@@ -76,10 +76,10 @@
         }
         let class = self.class_name(request.class);
         if let Some(key) = &request.idempotency_key {
-            return usage::key_of_client(class, key);
+            return usage::key_from_idempotency_key(class, key);
         }
         let parts = request.parts.iter().map(|part| (part.shard, part.weight));
-        usage::key_of_query(class, parts, &request.text)
+        usage::key_from_content(class, parts, &request.text)
     }
 
     fn class_name(&self, class: u16) -> &str {
@@ -118,7 +118,7 @@
             sequence: 0,
             tenant: query.tenant,
             class: query.class as u16,
-            arrived: query.arrived_at,
+            arrived_at: query.arrived_at,
             outcome,
             parts: parts.len() as u32,
             attempts: attempts.sum(),
@@ -134,13 +134,13 @@
         let Some(recorder) = &self.usage else {
             return;
         };
-        let arrived = recorder.arrival_time(received_at);
+        let arrived_at = recorder.arrival_time(received_at);
         let key = self.deduplication_key(request);
         self.push_usage_record(UsageRecord {
             sequence: 0,
             tenant: request.tenant,
             class: request.class,
-            arrived,
+            arrived_at,
             outcome: QueryOutcome::Rejected,
             parts: request.parts.len() as u32,
             attempts: 0,
--- a/crates/mixer/src/reducer/watch_policy.rs
+++ b/crates/mixer/src/reducer/watch_policy.rs
@@ -41,20 +41,20 @@
     /// An update or a heartbeat was received on it.
     pub received: bool,
     /// It timed out: no connection, update or heartbeat in time.
-    pub silent: bool,
+    pub timed_out: bool,
     /// The service's `Retry-After`.
     pub retry_after: Option<Duration>,
 }
 
 /// How long after discovery has a change it counts as announced here, if discovery can be reached, whichever requests
-/// have failed meanwhile. What a silent watch misses counts as announced this long after it
-/// fell silent.
+/// have failed meanwhile. What a timed_out watch misses counts as announced this long after it
+/// fell timed_out.
 pub const STALENESS_BOUND: Duration = Duration::from_secs(6);
 /// The part of [`STALENESS_BOUND`] that is reserved for the request that succeeds, to connect and to be answered.
-const LAST_REQUEST_TIME: Duration = Duration::from_millis(1_500);
-/// Heartbeats are due every 2 s; one is late by half of that. Mistaking a live watch for a silent one costs one
+const RESERVED_REQUEST_TIME: Duration = Duration::from_millis(1_500);
+/// Heartbeats are due every 2 s; one is late by half of that. Mistaking a live watch for a timed_out one costs one
 /// request.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
 /// A request may wait at the service while it serves others; the mixer gives up later than the service does.
 const POLL_ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 const POLL_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -64,7 +64,7 @@
 /// The bounds of the interval between requests to an agent, whatever the drain grace.
 const MIN_PUSH_RETRY_INTERVAL: Duration = Duration::from_millis(25);
 const MAX_PUSH_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// An agent that is silent now answers as soon as it can again; a connection that it has lost is found out by then.
+/// An agent that is timed_out now answers as soon as it can again; a connection that it has lost is found out by then.
 const PUSH_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// The longest that a new process waits for its first endpoint update.
 const MAX_INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
@@ -130,8 +130,8 @@
     }
 
     /// How long nothing may be received on a watch that has received something.
-    pub fn silence_timeout(&self) -> Duration {
-        SILENCE_TIMEOUT
+    pub fn heartbeat_timeout(&self) -> Duration {
+        HEARTBEAT_TIMEOUT
     }
 
     /// How long to wait after a watch that has ended, until the next one is started.
@@ -151,9 +151,9 @@
 
 /// The longest delay after which the next request is still in time.
 fn max_poll_delay(retry_interval: Duration, ended: WatchEnd) -> Duration {
-    match (ended.received, ended.silent) {
-        // The staleness counts from when the watch fell silent.
-        (true, true) => STALENESS_BOUND - SILENCE_TIMEOUT - LAST_REQUEST_TIME,
+    match (ended.received, ended.timed_out) {
+        // The staleness counts from when the watch fell timed_out.
+        (true, true) => STALENESS_BOUND - HEARTBEAT_TIMEOUT - RESERVED_REQUEST_TIME,
         (true, false) => retry_interval,
         // Discovery may have recovered right after this request was started.
         (false, _) => retry_interval.saturating_sub(ended.duration),
@@ -166,7 +166,7 @@
         WatchMode::Push { drain_grace } => (drain_grace / REQUESTS_PER_DRAIN_GRACE)
             .clamp(MIN_PUSH_RETRY_INTERVAL, MAX_PUSH_RETRY_INTERVAL),
         WatchMode::Poll { max_staleness } => {
-            (STALENESS_BOUND - LAST_REQUEST_TIME).min(max_staleness.unwrap_or(Duration::MAX))
+            (STALENESS_BOUND - RESERVED_REQUEST_TIME).min(max_staleness.unwrap_or(Duration::MAX))
         }
     }
 }
--- a/crates/mixer/src/transport/discovery_watch.rs
+++ b/crates/mixer/src/transport/discovery_watch.rs
@@ -84,12 +84,12 @@
     /// Reports and logs the end of a connection. Returns the delay before the next one.
     async fn connection_ended(&mut self, started_at: Instant, error: io::Error) -> Duration {
         self.failure_logged &= !self.received_any;
-        let silent = error.kind() == ErrorKind::TimedOut;
-        self.send_event(WatchEvent::Ended { silent }).await;
+        let timed_out = error.kind() == ErrorKind::TimedOut;
+        self.send_event(WatchEvent::Ended { timed_out }).await;
         let delay = self.policy.next_delay(WatchEnd {
             duration: started_at.elapsed(),
             received: self.received_any,
-            silent,
+            timed_out,
             retry_after: retry_after(&error),
         });
         self.log_end(delay, &error);
@@ -152,7 +152,7 @@
         connection: &mut WatchConnection,
     ) -> io::Result<io::Result<Bytes>> {
         let silence_limit = if self.received_any {
-            self.policy.silence_timeout()
+            self.policy.heartbeat_timeout()
         } else {
             self.policy.answer_timeout()
         };
--- a/crates/mixer/tests/endpoint_updates.rs
+++ b/crates/mixer/tests/endpoint_updates.rs
@@ -12,7 +12,7 @@
 };
 use cottonhill_mixer::protocol::http::WatchCodec;
 use cottonhill_mixer::protocol::query_json::Reply;
-use cottonhill_mixer::reducer::replicas::{Replicas, LATE_UPDATE_WINDOW};
+use cottonhill_mixer::reducer::replicas::{Replicas, MAX_UPDATE_LAG};
 use cottonhill_mixer::reducer::Input;
 use harness::{address, listed, Harness, ListedEndpoint, MS};
 use loopback::{
@@ -240,7 +240,10 @@
                 harness.reducer.counters().update_faults.duplicate_entries,
                 1
             );
-            logs.assert_one_line("WARN", &["index=2", "s-1", "duplicate endpoint in update"]);
+            logs.assert_one_line(
+                "WARN",
+                &[" version=2", "s-1", "duplicate endpoint in update"],
+            );
             let client = harness.send_query(1, &[1.0]);
             harness.serve_all();
             assert_eq!(
@@ -260,7 +263,7 @@
     let update: Vec<ListedEndpoint> = status.iter().map(|status| listed(9, status)).collect();
     harness.send_delta(&update);
     assert_eq!(
-        harness.reducer.counters().update_faults.unknown_removals,
+        harness.reducer.counters().update_faults.unlisted_removals,
         unknown
     );
     let client = harness.send_query(1, &[1.0]);
@@ -273,11 +276,11 @@
     );
     let removal: Vec<ListedEndpoint> = status.iter().map(|_| listed(9, "removed")).collect();
     harness.send_delta(&removal);
-    harness.advance_ms(LATE_UPDATE_WINDOW / MS + 1);
+    harness.advance_ms(MAX_UPDATE_LAG / MS + 1);
     harness.send_delta(&[]);
     harness.advance_ms(60_000);
     assert_eq!(
-        harness.reducer.counters().update_faults.unknown_removals,
+        harness.reducer.counters().update_faults.unlisted_removals,
         unknown,
         "known by the second update"
     );
@@ -293,13 +296,18 @@
         assert_eq!(after_update, without_update);
         logs.assert_one_line(
             "INFO",
-            &["index=2", "s-9", "in_force=1", "removes an unlisted server"],
+            &[
+                " version=2",
+                "s-9",
+                "current_version=1",
+                "removes an unlisted server",
+            ],
         );
     }
     let mut harness = Harness::new(1);
     harness.send_snapshot(&[listed(1, "up"), listed(2, "draining")]);
     assert_eq!(
-        harness.reducer.counters().update_faults.unknown_removals,
+        harness.reducer.counters().update_faults.unlisted_removals,
         0,
         "a snapshot names the endpoints that drain"
     );
--- a/crates/mixer/tests/leaf_connection.rs
+++ b/crates/mixer/tests/leaf_connection.rs
@@ -245,11 +245,11 @@
         let waiting = self.model.attempts_in(AttemptState::Waiting);
         let written = self.model.attempts_in(AttemptState::Written);
         prop_assert_eq!(
-            connection.attempt_of_malformed_answer(None).is_some(),
+            connection.attempt_for_malformed_answer(None).is_some(),
             !written.is_empty()
         );
         for attempt in &written {
-            let failed = connection.attempt_of_malformed_answer(Some(&wire_id(*attempt)));
+            let failed = connection.attempt_for_malformed_answer(Some(&wire_id(*attempt)));
             prop_assert_eq!(failed, Some(*attempt));
         }
         prop_assert_eq!(connection.written_attempts().len(), written.len());
--- a/crates/mixer/tests/pending_replies.rs
+++ b/crates/mixer/tests/pending_replies.rs
@@ -43,7 +43,7 @@
         sequence,
         tenant: 0,
         class: 0,
-        arrived: 0,
+        arrived_at: 0,
         outcome: QueryOutcome::Complete,
         parts: 1,
         attempts: 1,
--- a/crates/mixer/tests/replicas.rs
+++ b/crates/mixer/tests/replicas.rs
@@ -8,7 +8,7 @@
 };
 use cottonhill_mixer::protocol::endpoint_updates::{self, EndpointEntry, EndpointUpdate, Status};
 use cottonhill_mixer::reducer::replica_table::Replica;
-use cottonhill_mixer::reducer::replicas::{EndpointChanges, Replicas, LATE_UPDATE_WINDOW};
+use cottonhill_mixer::reducer::replicas::{EndpointChanges, Replicas, MAX_UPDATE_LAG};
 use cottonhill_mixer::reducer::ConnectionId;
 use cottonhill_mixer::{settings, Coordinator};
 use harness::MS;
@@ -43,7 +43,7 @@
 
     /// Whether it is still remembered.
     fn is_retained(&self, now: Nanos) -> bool {
-        let is_recent = |gone_since: Nanos| now < gone_since + LATE_UPDATE_WINDOW;
+        let is_recent = |gone_since: Nanos| now < gone_since + MAX_UPDATE_LAG;
         self.gone_since.is_none_or(is_recent) || !self.connections.is_empty()
     }
 }
@@ -381,10 +381,10 @@
     fn compare_change(&self, change: &EndpointChanges, expected: &ExpectedChange) {
         assert_eq!(change.stale_connections, expected.stale_connections);
         assert_eq!(
-            (change.duplicate_entries, change.unknown_removals),
+            (change.duplicate_entries, change.unlisted_removals),
             (expected.duplicate_entries, expected.unknown_entries)
         );
-        let leaving: BTreeSet<ReplicaId> = change.leaving.iter().copied().collect();
+        let leaving: BTreeSet<ReplicaId> = change.not_ready.iter().copied().collect();
         assert!(
             leaving.is_subset(&expected.leaving),
             "{leaving:?}, {:?}",
@@ -408,7 +408,7 @@
         assert_eq!(self.replicas.has_ready(), any_ready);
         for name in (0..4).map(|name| format!("s-{name}")) {
             assert_eq!(
-                self.replicas.id_of_name(&name),
+                self.replicas.id_by_name(&name),
                 self.oracle.ids.get(&name).copied(),
                 "{name}"
             );
@@ -498,7 +498,7 @@
     }
 
     fn connect(&mut self, name: u8) {
-        let Some(replica) = self.replicas.id_of_name(&format!("s-{name}")) else {
+        let Some(replica) = self.replicas.id_by_name(&format!("s-{name}")) else {
             return;
         };
         self.last_id += IDS_PER_QUERY;
@@ -529,10 +529,10 @@
     }
 
     fn switch_discovery(&mut self) {
-        self.oracle.stale_until = self.now + LATE_UPDATE_WINDOW;
+        self.oracle.stale_until = self.now + MAX_UPDATE_LAG;
         assert_eq!(
             self.replicas.on_discovery_switched(self.now),
-            self.now + LATE_UPDATE_WINDOW
+            self.now + MAX_UPDATE_LAG
         );
     }
 }
@@ -569,7 +569,7 @@
         3 => (0u8..4).prop_map(Step::Connect),
         3 => any::<u8>().prop_map(Step::Disconnect),
         1 => Just(Step::SwitchDiscovery),
-        3 => prop_oneof![0u64..400, 1000u64..7000, Just(LATE_UPDATE_WINDOW / MS)].prop_map(Step::AdvanceMs),
+        3 => prop_oneof![0u64..400, 1000u64..7000, Just(MAX_UPDATE_LAG / MS)].prop_map(Step::AdvanceMs),
     ];
     prop::collection::vec(step, 1..60)
 }
@@ -638,22 +638,22 @@
     let by_delta = entries_visited(&mut replicas, |replicas| {
         let drain = endpoint_update(2, false, &[entry_text(1, "draining")]);
         let change = replicas.apply_update(MS, drain);
-        assert_eq!((change.endpoints.len(), change.leaving.len()), (1, 1));
+        assert_eq!((change.endpoints.len(), change.not_ready.len()), (1, 1));
     });
     let by_removal = entries_visited(&mut replicas, |replicas| {
         let removal = endpoint_update(3, false, &[entry_text(1, "removed")]);
         replicas.apply_update(2 * MS, removal);
-        replicas.apply_update(LATE_UPDATE_WINDOW + 2 * MS, endpoint_update(4, false, &[]));
+        replicas.apply_update(MAX_UPDATE_LAG + 2 * MS, endpoint_update(4, false, &[]));
         assert_eq!(replicas.len() as u64, servers - 1);
     });
     let by_snapshot = entries_visited(&mut replicas, |replicas| {
         let remaining = up_entries((0..servers).filter(|server| *server != 1));
         let change = replicas.apply_update(
-            LATE_UPDATE_WINDOW + 3 * MS,
+            MAX_UPDATE_LAG + 3 * MS,
             endpoint_update(5, true, &remaining),
         );
         assert!(
-            change.endpoints.is_empty() && change.leaving.is_empty(),
+            change.endpoints.is_empty() && change.not_ready.is_empty(),
             "nothing has changed"
         );
     });
@@ -722,5 +722,5 @@
             (100, EndpointStatus::Gone)
         ]
     );
-    assert_eq!(change.leaving, [ReplicaId(6), ReplicaId(100)]);
+    assert_eq!(change.not_ready, [ReplicaId(6), ReplicaId(100)]);
 }
--- a/crates/mixer/tests/simulation/mod.rs
+++ b/crates/mixer/tests/simulation/mod.rs
@@ -356,7 +356,7 @@
                     self.close_client(client);
                 }
             }
-            85 => self.apply(Input::Watch(WatchEvent::Ended { silent: true })),
+            85 => self.apply(Input::Watch(WatchEvent::Ended { timed_out: true })),
             86 => self.apply(Input::Watch(WatchEvent::Heartbeat)),
             87 if self.random.u32(..6) == 0 => {
                 let discovery = "127.0.0.1:8501".parse().ok();
--- a/crates/mixer/tests/usage_records.rs
+++ b/crates/mixer/tests/usage_records.rs
@@ -5,7 +5,7 @@
 use cottonhill_mixer::protocol::leaf_frames::PartStatus;
 use cottonhill_mixer::protocol::query_json::{ClientRequest, PartRequest, QueryRequest};
 use cottonhill_mixer::reducer::usage::{
-    is_client_key, key_of_client, key_of_query, QueryOutcome, Watermark,
+    is_client_key, key_from_content, key_from_idempotency_key, QueryOutcome, Watermark,
 };
 use cottonhill_mixer::reducer::{ClientId, Input};
 use harness::{query_request, Harness, MS, START};
@@ -76,7 +76,7 @@
     assert_eq!(harness.usage_records.len(), 3 + many.len());
     let first = &harness.usage_records[0];
     assert_eq!(
-        (first.outcome, first.parts, first.attempts, first.arrived),
+        (first.outcome, first.parts, first.attempts, first.arrived_at),
         (QueryOutcome::Complete, 2, 2, START)
     );
     assert_eq!(
@@ -148,7 +148,7 @@
     assert!(complete_until > received_at && last_watermark(&harness).sequence == 1);
     send_query_received_before_watermark(&mut harness);
     harness.serve_all();
-    assert_eq!(harness.usage_records[1].arrived, complete_until);
+    assert_eq!(harness.usage_records[1].arrived_at, complete_until);
     harness.apply(Input::ShutdownRequested);
     harness.advance_ms(7000);
     assert!(
@@ -196,20 +196,23 @@
     let parts = [(1, 0.5), (0, 0.5)];
     assert_eq!(
         keys[0],
-        key_of_query("lookup", parts.into_iter(), QUERY_TEXT),
+        key_from_content("lookup", parts.into_iter(), QUERY_TEXT),
         "parts in any order"
     );
-    assert_eq!((keys[0], keys[2]), (keys[1], key_of_client("lookup", "k")));
+    assert_eq!(
+        (keys[0], keys[2]),
+        (keys[1], key_from_idempotency_key("lookup", "k"))
+    );
     assert!(
         is_client_key(keys[2])
             && !is_client_key(keys[0])
             && harness.usage_records[2].key_from_client
     );
     let others = [
-        key_of_query("report", parts.into_iter(), QUERY_TEXT),
-        key_of_query("lookup", parts.into_iter(), b"test"),
-        key_of_query("lookup", [(1, 0.5), (2, 0.5)].into_iter(), QUERY_TEXT),
-        key_of_client("lookup", "K"),
+        key_from_content("report", parts.into_iter(), QUERY_TEXT),
+        key_from_content("lookup", parts.into_iter(), b"test"),
+        key_from_content("lookup", [(1, 0.5), (2, 0.5)].into_iter(), QUERY_TEXT),
+        key_from_idempotency_key("lookup", "K"),
     ];
     assert!(others.iter().all(|other| !keys.contains(other)));
 }
--- a/crates/mixer/tests/watch_policy.rs
+++ b/crates/mixer/tests/watch_policy.rs
@@ -9,19 +9,19 @@
 const REFUSED: WatchEnd = WatchEnd {
     duration: Duration::ZERO,
     received: false,
-    silent: false,
+    timed_out: false,
     retry_after: None,
 };
 /// A watch that has served for a minute is reset.
 const RESET: WatchEnd = WatchEnd {
     duration: Duration::from_secs(60),
     received: true,
-    silent: false,
+    timed_out: false,
     retry_after: None,
 };
 /// A watch that has served for a minute falls silent.
 const SILENT: WatchEnd = WatchEnd {
-    silent: true,
+    timed_out: true,
     ..RESET
 };
 /// To connect and to be answered, where nothing is wrong any more.
@@ -68,12 +68,12 @@
         },
         Failure::NoConnection => WatchEnd {
             duration: policy.connect_timeout(),
-            silent: true,
+            timed_out: true,
             ..REFUSED
         },
         Failure::Unanswered => WatchEnd {
             duration: policy.connect_timeout() + policy.answer_timeout(),
-            silent: true,
+            timed_out: true,
             ..REFUSED
         },
     }
@@ -292,14 +292,14 @@
 }
 
 #[test]
-fn silence_timeout_leaves_time_for_next_watch() {
+fn heartbeat_timeout_leaves_time_for_next_watch() {
     for mode in [push(ms(250)), poll(None)] {
         for mixers in FLEET_SIZES {
             for seed in 0..20 {
                 let mut policy = WatchPolicy::new(mode, seed, mixers);
                 for _ in 0..3 {
                     let wait = policy.next_delay(SILENT);
-                    let answered_after = policy.silence_timeout() + wait + RECOVERY_TIME;
+                    let answered_after = policy.heartbeat_timeout() + wait + RECOVERY_TIME;
                     assert!(
                         answered_after <= STALENESS_BOUND,
                         "{mode:?}, {mixers} mixers: answered after {answered_after:?}"
--- a/crates/standins/src/bin/cottonhill-prove-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-prove-ledger.rs
@@ -8,7 +8,7 @@
 //! the ledger's.
 
 use clap::Parser;
-use cottonhill_mixer::reducer::usage::{key_of_client, key_of_query};
+use cottonhill_mixer::reducer::usage::{key_from_content, key_from_idempotency_key};
 use cottonhill_standins::client::{spread, Attempt, Connection, Got, Question};
 use cottonhill_standins::installation::{
     free_port, get, now_ms, own_ip, Installation, Plan, CLASSES, SHARDS, TENANTS,
@@ -159,8 +159,8 @@
     class: Class,
 ) -> Used {
     let key = match &question.key {
-        Some(key) => key_of_client(&question.class, key),
-        None => key_of_query(
+        Some(key) => key_from_idempotency_key(&question.class, key),
+        None => key_from_content(
             &question.class,
             question.parts.iter().copied(),
             question.text.as_bytes(),
