--- a/crates/mixer/src/lib.rs
+++ b/crates/mixer/src/lib.rs
@@ -1,4 +1,5 @@
-//! The mixer around the decisions: configuration, protocols, the reducer that holds all state, and the transport.
+//! The mixer apart from its decision logic, which is the crate `cottonhill_decisions`: configuration, protocols, the
+//! reducer that owns all state, and the transport.
 
 #![warn(missing_docs)]
 
--- a/crates/mixer/src/log_targets.rs
+++ b/crates/mixer/src/log_targets.rs
@@ -1,5 +1,5 @@
-//! The targets of the crate's log lines. Settings files name them (key `targets` of section `log`), so they stay as they
-//! are when modules are renamed or split.
+//! The targets of the crate's log lines. Settings files name them (key `targets` of section `log`), so they do not
+//! change when modules are renamed or split.
 
 /// Attempts of parts at leaf servers.
 pub const ATTEMPTS: &str = "cottonhill_mixer::routing::state::attempts";
@@ -21,5 +21,5 @@
 pub const CLIENT_CONNECTIONS: &str = "cottonhill_mixer::transport::clients";
 /// Datagrams to other mixers.
 pub const PEERS: &str = "cottonhill_mixer::transport::peers";
-/// The driver: start, effects and exit.
+/// The driver: start-up, effects and exit.
 pub const TRANSPORT: &str = "cottonhill_mixer::transport";
--- a/crates/mixer/src/reducer/attempt_results.rs
+++ b/crates/mixer/src/reducer/attempt_results.rs
@@ -1,4 +1,4 @@
-//! Frames from leaf servers, and how attempts and probes end.
+//! Frames from leaf servers, and the end of attempts and probes.
 
 use super::leaf_connection::{AnswerTarget, AttemptId};
 use super::probes::ProbeId;
@@ -73,8 +73,9 @@
         }
     }
 
-    /// A leaf server sent an answer that can't be parsed. The server is alive and ran what it answered: that attempt
-    /// has failed. Answers to the others can't be read either, so they are cancelled and the connection is closed.
+    /// Handles an answer that can't be parsed or matches no attempt. The server is alive and has run the attempt that
+    /// it answered, so that attempt fails. The answers to the other attempts can't be read either: these attempts are
+    /// cancelled, and the connection is closed.
     fn on_malformed_answer(&mut self, now: Nanos, id: ConnectionId, wire_id: Option<&str>) {
         let (Some(connection), Some(replica)) =
             (self.connections.get(id), self.connections.replica(id))
@@ -106,7 +107,8 @@
         self.cancel_attempt(now, AttemptId { part, number }, Outcome::Cancelled);
     }
 
-    /// Ends an attempt from this side. One that was never sent is known not to have run, so it doesn't time out.
+    /// Ends an attempt before it is answered. An attempt that was not sent has not run, so its outcome is `NotSent`
+    /// instead of `TimedOut`.
     pub(super) fn cancel_attempt(&mut self, now: Nanos, id: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
@@ -127,7 +129,7 @@
         self.end_attempt(id, outcome, LoadReport::new());
     }
 
-    /// Ends an attempt that was placed on a connection, once.
+    /// Ends an attempt that was queued on a connection. Does nothing if it has ended already.
     pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, report: LoadReport) {
         let Some(attempt) = self.attempts.remove(id) else {
             return;
@@ -150,8 +152,8 @@
         self.report_attempt_ended(id, replica, outcome, report);
     }
 
-    /// Ends an attempt that was not placed on a connection: `NotSent` if it is not allowed, `ConnectFailed` if no
-    /// connection could be opened.
+    /// Ends an attempt that was not queued on a connection: with `NotSent` if it is not allowed, with `ConnectFailed`
+    /// if no connection could be opened.
     pub(super) fn end_unqueued_attempt(
         &mut self,
         id: AttemptId,
@@ -161,7 +163,7 @@
         self.report_attempt_ended(id, replica, outcome, LoadReport::new());
     }
 
-    /// Counts the outcome and reports it to the coordinator, which waits for every attempt's end.
+    /// Counts the outcome and reports it to the coordinator, which expects an end event for every attempt.
     fn report_attempt_ended(
         &mut self,
         id: AttemptId,
@@ -179,7 +181,7 @@
         });
     }
 
-    /// Ends a probe, once.
+    /// Ends a probe. Does nothing if it has ended already.
     pub(super) fn end_probe(&mut self, now: Nanos, id: ProbeId, outcome: Outcome, report: &str) {
         let Some(probe) = self.probes.remove(&id) else {
             return;
@@ -200,7 +202,7 @@
     }
 }
 
-/// The values of these fields, in their order, from a load report such as `cpu=0.5,queue=3`. Empty if any of them is
+/// Parses the values of these fields, in this order, from a load report such as `cpu=0.5,queue=3`. Empty if a value is
 /// missing or not a finite number.
 fn parse_load_report(text: &str, fields: &[String]) -> LoadReport {
     let mut report = LoadReport::new();
--- a/crates/mixer/src/reducer/attempts.rs
+++ b/crates/mixer/src/reducer/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts that have not ended.
+//! The open attempts: those that have not ended.
 
 use super::input::ConnectionId;
 use super::leaf_connection::AttemptId;
@@ -6,10 +6,10 @@
 use cottonhill_decisions::{Nanos, ReplicaId, RequestId};
 use std::collections::BTreeMap;
 
-/// An attempt that has not ended. It outlives its query where cancelling is not allowed.
+/// An open attempt. It outlives its query if cancellation is not allowed.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    /// The replica that it is for.
+    /// The replica that it is sent to.
     pub(super) replica: ReplicaId,
     /// The connection that it is sent on.
     pub(super) connection: ConnectionId,
@@ -21,7 +21,7 @@
     pub(super) text: Bytes,
 }
 
-/// The attempts that have not ended, by id.
+/// The open attempts by id.
 #[derive(Debug, Default)]
 pub(super) struct Attempts(BTreeMap<AttemptId, Attempt>);
 
@@ -36,17 +36,17 @@
         self.0.insert(id, attempt);
     }
 
-    /// An attempt that has not ended.
+    /// The open attempt with this id.
     pub(super) fn get(&self, id: AttemptId) -> Option<&Attempt> {
         self.0.get(&id)
     }
 
-    /// Removes an attempt that ends.
+    /// Removes an attempt.
     pub(super) fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
         self.0.remove(&id)
     }
 
-    /// The attempts at a part, in the order in which they were made.
+    /// The open attempts at a part, in the order in which they were started.
     pub(super) fn for_part(&self, part: RequestId) -> impl Iterator<Item = (AttemptId, &Attempt)> {
         let first = AttemptId { part, number: 0 };
         let last = AttemptId {
--- a/crates/mixer/src/reducer/backoff.rs
+++ b/crates/mixer/src/reducer/backoff.rs
@@ -1,12 +1,12 @@
 //! Delays between retries: exponential backoff with jitter, and a first delay that grows with the number of mixers.
-//! Hundreds of mixers that lost discovery at the same instant and retried in lockstep would overload the one service
-//! that could help them.
+//! Hundreds of mixers that lose discovery at the same instant and retry in lockstep would overload the service that
+//! they all depend on.
 
 use fastrand::Rng;
 use std::time::Duration;
 
-/// The time that the service has for each mixer if all fail at once: the first delay is spread over as many of these
-/// as there are mixers, as far as the longest delay allows.
+/// The range of the first delay, for each mixer of the fleet: if all fail at once, the service gets one request per
+/// this duration on average. The longest delay caps the range.
 const FIRST_DELAY_PER_MIXER: Duration = Duration::from_millis(50);
 
 /// The delays between the retries of one operation.
@@ -16,16 +16,16 @@
     first_bound: Duration,
     /// The upper bound of the next delay.
     next_bound: Duration,
-    /// No delay exceeds it, however often the operation fails.
+    /// The upper bound of every delay, regardless of the number of failures.
     max_delay: Duration,
-    /// The operation before has failed, too.
+    /// The previous operation failed.
     previous_failed: bool,
     random: Rng,
 }
 
 impl Backoff {
-    /// For one of `mixers` mixers, with delays of `max_delay` at most. The mixers must have different seeds, or they
-    /// would retry in lockstep.
+    /// Creates the backoff for one of `mixers` mixers, with delays of at most `max_delay`. Each mixer must have a
+    /// different seed, or they retry in lockstep.
     pub fn new(seed: u64, mixers: u32, max_delay: Duration) -> Backoff {
         let first_bound = FIRST_DELAY_PER_MIXER
             .saturating_mul(mixers.max(1))
@@ -39,13 +39,14 @@
         }
     }
 
-    /// How long to wait after the operation has ended, `limit` at most. `succeeded` says that it had succeeded
-    /// before it ended, so that its end counts as a first failure; `retry_after` is the least delay that the service
+    /// The delay between the end of the operation and its retry, at most `limit`. `succeeded`: the operation succeeded
+    /// before it ended, so its end counts as a first failure. `retry_after`: the minimum delay that the service
     /// requested.
     ///
-    /// The first delay may be zero, so that mixers which failed at once don't all retry at once; later ones are at
-    /// least half of their upper bound, so that retries become fewer. Mixers that were rejected together got the same
-    /// `retry_after`: half of `limit` is reserved to spread their retries, however long that is.
+    /// The first delay is drawn from the full range down to zero, which spreads the retries of mixers that failed at
+    /// the same time. Later delays are at least half of their upper bound, so that the retry rate decreases. Mixers
+    /// that were rejected together have the same `retry_after`: it is capped at half of `limit`, so that the other
+    /// half spreads their retries.
     pub fn next_delay(
         &mut self,
         succeeded: bool,
--- a/crates/mixer/src/reducer/batch.rs
+++ b/crates/mixer/src/reducer/batch.rs
@@ -1,15 +1,15 @@
-//! Batches: the timers that are due, the coordinator's decisions and its actions.
+//! Batch processing: fires due timers, passes events to the coordinator and performs its actions.
 
 use super::timers::Timer;
 use super::{Effect, Reducer};
 use crate::log_targets;
 use cottonhill_decisions::{Action, Event, Nanos, Outcome, ReplicaId, RequestId};
 
-/// Bytes of the longest datagram to other mixers.
+/// Maximum size of a datagram to other mixers, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
 impl Reducer {
-    /// Fires the timers that are due, then decides on the events since the previous batch.
+    /// Fires the timers that are due, then lets the coordinator decide on the events since the previous batch.
     pub(super) fn process_batch(&mut self, now: Nanos) {
         while let Some(timer) = self.timers.pop_due(now) {
             self.fire_timer(now, timer);
@@ -52,7 +52,8 @@
         }
     }
 
-    /// Guards the rule that every accepted query is answered in time, should the coordinator miss one.
+    /// Fails a query that the coordinator has not ended by its deadline, so that every accepted query gets a reply in
+    /// time.
     fn on_query_deadline(&mut self, now: Nanos, id: RequestId) {
         self.counters.faults.deadline_reached += 1;
         tracing::error!(target: log_targets::BATCHES, id, "query failed: still open at its deadline");
@@ -74,7 +75,7 @@
             Action::SetTimer { token, delay } => {
                 self.timers.set(now + delay, Timer::Coordinator(token));
             }
-            // The watch on discovery keeps the list fresh by itself.
+            // Not needed: the watch on discovery keeps the list current.
             Action::SubscribeEndpoints { .. } | Action::FetchEndpoints => {}
             Action::Probe { replica } => self.send_probe(now, replica),
             Action::CloseIdleConnections { replica } => self.close_idle_connections(now, replica),
--- a/crates/mixer/src/reducer/client_requests.rs
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -1,4 +1,4 @@
-//! Clients: their connections, their requests and the replies.
+//! Client connections, requests and replies.
 
 use super::counters::Stats;
 use super::queries::{Part, Query};
@@ -11,9 +11,9 @@
 use cottonhill_decisions::{Event, Nanos, RequestId};
 use std::rc::Rc;
 
-/// Subtracted from the client's timeout: the network's round trip, and the delay of a late batch.
+/// Subtracted from the client's timeout to cover the network round trip and a delayed batch.
 const CLIENT_TIMEOUT_MARGIN: Nanos = 8 * NANOS_PER_MS;
-/// How long after its client has disconnected an attempt may still start.
+/// How long an attempt may still start after its client has disconnected.
 const MAX_START_AFTER_DISCONNECT: Nanos = 100 * NANOS_PER_MS;
 
 impl Reducer {
@@ -21,7 +21,7 @@
         self.counters.connections.clients += 1;
         self.clients.insert(client, now);
         if self.lifecycle.is_draining() {
-            // Accepted while the listener was being closed: without a request it would hold up the exit.
+            // Accepted while the listener was being closed: a client without a request would delay the exit.
             self.effects.push(Effect::CloseClient {
                 client,
                 immediate: false,
@@ -56,9 +56,9 @@
         }
     }
 
-    /// A call for a client that has disconnected may still wait in its socket for its first byte, even one that was
-    /// cancelled. The socket has half of the time in which the call may start to report that it was written; the other
-    /// half is for closing the connection.
+    /// Limits how long a call for a disconnected client may remain in its socket. Even a cancelled call may not have
+    /// been written yet. Half of [`MAX_START_AFTER_DISCONNECT`] is for the socket to report the call as written, half
+    /// for closing the connection.
     fn limit_write_after_disconnect(&mut self, now: Nanos, parts: &[RequestId]) {
         let due = now + MAX_START_AFTER_DISCONNECT / 2;
         for (connection, write_started_at) in self.connections.writing_any_part(parts) {
@@ -99,7 +99,7 @@
 
     fn reject_invalid_request(&mut self, now: Nanos, client: ClientId, error: RequestError) {
         self.counters.requests.invalid += 1;
-        // Not above debug: a client that sends nothing else could fill the log.
+        // At debug level, since a client that sends only invalid requests could fill the log.
         tracing::debug!(
             target: log_targets::CLIENTS, client,
             status = error.status,
@@ -119,7 +119,7 @@
         if !self.clients.contains(client) {
             return;
         }
-        // Leaf servers could not distinguish its parts from those of the open query.
+        // Leaf servers could not distinguish the parts of two queries with the same id.
         if self.queries.contains_request_id(&request.request_id) {
             let error = RequestError {
                 status: 409,
@@ -142,15 +142,15 @@
             self.counters.requests.deadline_exceeded += 1;
             tracing::info!(
                 target: log_targets::CLIENTS, timeout_ms = request.timeout / NANOS_PER_MS,
-                "query rejected: no time left"
+                "query rejected: no time remains before its deadline"
             );
             return self.reject_before_decision(now, client, received_at, &request);
         }
         self.accept_query(now, client, received_at, request, remaining_time);
     }
 
-    /// How long the client still waits, less what is needed to reply; less than that during a shutdown, since the
-    /// process may be killed before.
+    /// The time in which the query must be answered: the rest of the client's timeout, less the time to deliver the
+    /// reply. During a shutdown the shutdown deadline limits it, since the process may be killed after that.
     fn remaining_time(&self, now: Nanos, received_at: Nanos, request: &QueryRequest) -> Nanos {
         let remaining_time = request
             .timeout
@@ -228,7 +228,7 @@
         requests.client_retries += u64::from(request.client_retry);
     }
 
-    /// Opens the parts of a query; returns their ids.
+    /// Adds the parts of a query; returns their ids.
     fn accept_parts(
         &mut self,
         query: RequestId,
@@ -266,7 +266,7 @@
     }
 }
 
-/// How much of the client's time goes to the network and to waiting for this batch.
+/// The part of the client's timeout that is spent on the network and on waiting for this batch.
 fn network_delay(now: Nanos, received_at: Nanos) -> Nanos {
     now.saturating_sub(received_at) + CLIENT_TIMEOUT_MARGIN
 }
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -1,29 +1,30 @@
-//! The clients that are connected.
+//! The connected clients.
 
 use super::input::ClientId;
 use super::NANOS_PER_MS;
 use cottonhill_decisions::{Nanos, RequestId};
 use std::collections::BTreeMap;
 
-/// How long a client must have been idle before its connection is closed although there is room for it.
+/// The minimum idle time before a client's connection is closed while the number of clients is below its limit.
 const MIN_IDLE_TIME: Nanos = 2_000 * NANOS_PER_MS;
-/// The most clients that are closed for each that connects. More than one, so that a backlog shrinks.
+/// The maximum number of clients to close for each one that connects. More than one, so that an excess of clients
+/// decreases.
 const MAX_CLOSED_PER_CONNECT: usize = 2;
 
 /// A client's connection.
 #[derive(Debug)]
 pub(super) struct Client {
-    /// The query that waits for its reply.
+    /// The query that has not been replied to.
     pub(super) open_query: Option<RequestId>,
     /// When the last reply was sent; before that, when the client connected.
     last_active_at: Nanos,
     /// It has sent a query that was accepted.
     sent_accepted_query: bool,
-    /// The transport was requested to close it.
+    /// The transport has been requested to close it.
     close_requested: bool,
 }
 
-/// The clients that are connected, by id.
+/// The connected clients by id.
 #[derive(Debug, Default)]
 pub(super) struct Clients(BTreeMap<ClientId, Client>);
 
@@ -64,7 +65,7 @@
         self.0.clear();
     }
 
-    /// The client's query was accepted.
+    /// Notes that a query of the client was accepted.
     pub(super) fn on_query_accepted(&mut self, id: ClientId, query: RequestId) {
         if let Some(client) = self.0.get_mut(&id) {
             client.open_query = Some(query);
@@ -72,7 +73,8 @@
         }
     }
 
-    /// The client gets a reply. Returns whether its connection is to be closed after it; `None` if it has disconnected.
+    /// Notes that the client is sent a reply. Returns whether to close its connection after the reply; `None` if it has
+    /// disconnected.
     pub(super) fn on_reply(&mut self, id: ClientId, now: Nanos) -> Option<bool> {
         let client = self.0.get_mut(&id)?;
         client.open_query = None;
@@ -80,7 +82,7 @@
         Some(client.close_requested)
     }
 
-    /// The clients that wait for no reply, in ascending order.
+    /// The clients without an open query, in ascending order of their ids.
     pub(super) fn without_open_query(&self) -> impl Iterator<Item = ClientId> + '_ {
         self.0
             .iter()
@@ -88,9 +90,10 @@
             .map(|(id, _)| *id)
     }
 
-    /// Chooses clients to close since `newest` has connected, and marks them as closing: first those that never sent
-    /// an accepted query, then those that have been idle for longest. Up to `limit` clients only idle ones that have
-    /// sent one are closed. Each client is chosen once, since many may connect before the first one has gone.
+    /// Selects the clients to close after `newest` has connected, and marks them as closing: first those that have
+    /// never sent an accepted query, then those that have been idle for longest. While there are no more than `limit`
+    /// clients, only those are selected that have sent an accepted query and were idle for [`MIN_IDLE_TIME`]. A client
+    /// is selected only once, since many may connect before it has disconnected.
     pub(super) fn select_for_closing(
         &mut self,
         now: Nanos,
--- a/crates/mixer/src/reducer/connection_handling.rs
+++ b/crates/mixer/src/reducer/connection_handling.rs
@@ -1,4 +1,4 @@
-//! Connections to leaf servers: when they are opened, chosen, withdrawn and closed.
+//! Connections to leaf servers: opening, selection, withdrawal of attempts, and closing.
 
 use super::leaf_connection::ConnectionPhase;
 use super::timers::Timer;
@@ -6,11 +6,11 @@
 use crate::log_targets;
 use cottonhill_decisions::{EndpointStatus, LoadReport, Nanos, Outcome, ReplicaId};
 
-/// The share of the idle timeout, in tenths, after which a connection is closed. The leaf server closes it at the end
-/// of the timeout, and what is written from then on is lost.
+/// The fraction of the idle timeout, in tenths, after which the mixer closes a connection. The leaf server closes it at
+/// the end of the timeout, and frames written after that are lost.
 const IDLE_TIMEOUT_TENTHS: Nanos = 9;
-/// The least time that a socket has to write a call to a replica that is draining or gone, if the settings state no
-/// grace.
+/// The minimum time for a socket to write a call to a draining or removed replica, for settings with a short drain
+/// grace or none.
 const MIN_WRITE_TIMEOUT: Nanos = 25 * NANOS_PER_MS;
 
 impl Reducer {
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Closes an idle connection if it will get no new attempts: its replica is not ready, or has moved to another
-    /// address. Else its idle timer is set.
+    /// Closes an idle connection that will receive no new attempts, because its replica is not ready or has another
+    /// address. Sets the idle timer of any other.
     pub(super) fn on_connection_idle(&mut self, now: Nanos, id: ConnectionId) {
         if !self.gets_new_attempts(id) {
             return self.close_connection(now, id);
@@ -79,7 +79,7 @@
         is_ready && self.replicas.connections(replica).contains(&id)
     }
 
-    /// How long a connection may be idle.
+    /// How long a connection may be idle before it is closed.
     fn idle_close_delay(&self) -> Nanos {
         self.settings.connection_idle_timeout / 10 * IDLE_TIMEOUT_TENTHS
     }
@@ -101,14 +101,14 @@
         }
     }
 
-    /// Withdraws the attempts that have not been handed to the socket. A call that was may still wait there for its
-    /// first byte to be written.
+    /// Withdraws the attempts that have not been passed to the socket. A call that has been passed to it is given a
+    /// time limit, since the socket may not have written its first byte yet.
     pub(super) fn withdraw_unsent_attempts(&mut self, now: Nanos, id: ConnectionId) {
         let Some(connection) = self.connections.get(id) else {
             return;
         };
         if let Some(write_started_at) = connection.writing_call_since() {
-            // Half of the grace is for the socket to report the call as written, half for closing the connection.
+            // Half of the drain grace is for the socket to report the call as written, half for closing the connection.
             let due = now + (self.settings.drain_grace / 2).max(MIN_WRITE_TIMEOUT);
             self.timers
                 .set(due, Timer::WriteStalled(id, write_started_at));
@@ -121,9 +121,9 @@
         self.connections.schedule_flush(id);
     }
 
-    /// Closes a connection that is still writing the call handed to its socket at `write_started_at`: the call must not
-    /// start any more, since its replica is draining or gone, its client has disconnected, or the leaf server may not
-    /// recognise a repeated attempt.
+    /// Closes a connection that is still writing the call passed to its socket at `write_started_at`. The call must no
+    /// longer start, because its replica is draining or removed, its client has disconnected, or the leaf server may no
+    /// longer recognise a repeated attempt.
     pub(super) fn on_write_stalled(
         &mut self,
         now: Nanos,
@@ -145,8 +145,8 @@
         self.close_connection(now, id);
     }
 
-    /// The oldest connection to a replica that has capacity, so that few stay in use; a new one if none has. `None` if
-    /// none can be opened.
+    /// The oldest connection to the replica that has capacity, which keeps the number of used connections low; else a
+    /// new one. `None` if none can be opened.
     pub(super) fn connection_for(
         &mut self,
         now: Nanos,
@@ -185,8 +185,8 @@
         Some(id)
     }
 
-    /// Closes the connection that has been idle for longest, as there may be more leaf servers than descriptors. False
-    /// if none is idle.
+    /// Closes the connection that has been idle for longest, since there may be more leaf servers than descriptors.
+    /// Returns false if none is idle.
     fn evict_idle_connection(&mut self, now: Nanos) -> bool {
         let Some(id) = self.connections.longest_idle() else {
             return false;
@@ -196,8 +196,8 @@
         true
     }
 
-    /// Closes a connection; what is open on it ends as if the connection had been lost. The socket may have taken the
-    /// last byte of a call a moment ago without having reported it, so that call may run.
+    /// Closes a connection; its open attempts and probes end as if the connection had been lost. The socket may have
+    /// accepted the last byte of a call without having reported it yet, so a call that is being written may run.
     pub(super) fn close_connection(&mut self, now: Nanos, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(id) {
             if connection.writing_call_since().is_some() {
@@ -209,8 +209,8 @@
         self.remove_connection(now, id);
     }
 
-    /// Removes a connection that has ended, and ends what was open on it. An attempt whose frame was not written
-    /// completely ends as `ConnectFailed`, even if the connection was established; so does every probe.
+    /// Removes a connection that has ended, and ends its open attempts and probes. An attempt whose frame was not
+    /// written completely ends with `ConnectFailed`, even if the connection was established; so does every probe.
     fn remove_connection(&mut self, now: Nanos, id: ConnectionId) {
         let Some((replica, connection)) = self.connections.remove(id) else {
             return;
--- a/crates/mixer/src/reducer/counters.rs
+++ b/crates/mixer/src/reducer/counters.rs
@@ -1,11 +1,11 @@
-//! Counters of what has happened since the start. `/-/stats` and the log line at the exit have them as JSON; a field
-//! whose key there differs states it.
+//! Event counters since the start of the process. `/-/stats` and the log line at exit show them as JSON;
+//! `serde(rename)` states a JSON key that differs from the field's name.
 
 use cottonhill_decisions::Outcome;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// What `/-/stats` shows: the counters, and how fresh the endpoint list is.
+/// The body of `/-/stats`: the counters and the age of the endpoint list.
 #[derive(Serialize)]
 pub struct Stats<'a> {
     /// The counters.
@@ -14,7 +14,8 @@
     /// The version of the current endpoint list.
     #[serde(rename = "list")]
     pub endpoint_list_version: u64,
-    /// Milliseconds since the last update or heartbeat of discovery was received; before that, since the start.
+    /// Milliseconds since an update or heartbeat was last received from discovery; before the first one, since the
+    /// start.
     #[serde(rename = "heard_ms_ago")]
     pub ms_since_discovery_message: u64,
 }
@@ -22,69 +23,68 @@
 /// All counters.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Counters {
-    /// Requests of clients.
+    /// Requests from clients.
     #[serde(rename = "taken")]
     pub requests: RequestCounters,
-    /// What was sent to leaf servers and other mixers.
+    /// Messages to leaf servers and other mixers.
     pub sent: SentCounters,
-    /// How attempts ended.
+    /// Ended attempts by outcome.
     #[serde(rename = "ended")]
     pub attempt_outcomes: OutcomeCounters,
-    /// How accepted queries ended.
+    /// Replies to accepted queries by outcome.
     #[serde(rename = "answered")]
     pub replies: ReplyCounters,
-    /// Connections of clients and to leaf servers.
+    /// Connections to clients and leaf servers.
     pub connections: ConnectionCounters,
-    /// Endpoint updates applied, snapshots and deltas.
+    /// Applied endpoint updates, snapshots and deltas.
     #[serde(rename = "lists")]
     pub endpoint_updates: u64,
-    /// What was wrong with endpoint updates.
+    /// Faults in endpoint updates.
     #[serde(rename = "bad_lists")]
     pub update_faults: UpdateFaultCounters,
     /// The watch on discovery.
     pub watches: WatchCounters,
-    /// Usage records passed to the transport; 0 if no usage is recorded.
+    /// Usage records passed to the transport; 0 if usage recording is off.
     #[serde(rename = "recorded")]
     pub usage_records: u64,
-    /// The usage records by `TENANT CLASS`, as the settings name them.
+    /// Usage records by `TENANT CLASS`, with the names from the settings.
     #[serde(rename = "recorded_of", skip_serializing_if = "BTreeMap::is_empty")]
     pub usage_records_by_class: BTreeMap<String, u64>,
-    /// Times that the configuration was read again.
+    /// Configuration reloads.
     pub reloads: ReloadCounters,
-    /// What must never happen; each is logged with its cause.
+    /// Violated invariants; each is logged with its cause.
     pub faults: FaultCounters,
 }
 
-/// Requests of clients.
+/// Requests from clients.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct RequestCounters {
-    /// Queries accepted.
+    /// Accepted queries.
     pub queries: u64,
-    /// Parts of the queries accepted.
+    /// Parts of accepted queries.
     pub parts: u64,
-    /// Of the queries accepted, those that their clients marked as retries.
+    /// Accepted queries that their clients marked as retries.
     #[serde(rename = "repeats")]
     pub client_retries: u64,
-    /// Requests that can't be served: malformed, for an unknown path, class, tenant or shard, or with the id of an open
-    /// query.
+    /// Invalid requests: malformed, for an unknown path, class, tenant or shard, or with the id of an open query.
     #[serde(rename = "rejected")]
     pub invalid: u64,
-    /// Queries rejected since open queries and unanswered parts together had reached their limit.
+    /// Queries rejected because the total of open queries and unanswered parts had reached its limit.
     #[serde(rename = "over_cap")]
     pub over_limit: u64,
-    /// Queries rejected since no time remained: of their clients' timeouts, or before the exit.
+    /// Queries rejected because the client's timeout or the shutdown deadline left no time for an answer.
     #[serde(rename = "too_late")]
     pub deadline_exceeded: u64,
 }
 
-/// What was sent to leaf servers and other mixers.
+/// Messages to leaf servers and other mixers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct SentCounters {
-    /// Calls handed to sockets; one carries one or more attempts.
+    /// Calls passed to sockets; each carries one or more attempts.
     pub calls: u64,
-    /// Attempts that the coordinator decided on, those included that were not sent after all.
+    /// Attempts that the coordinator started, including those that were not sent.
     pub attempts: u64,
-    /// Of the attempts, those beside the first at a part: retries and hedged requests.
+    /// Attempts after the first one at a part: retries and hedged requests.
     #[serde(rename = "further_attempts")]
     pub extra_attempts: u64,
     /// Cancellations of attempts.
@@ -96,7 +96,7 @@
     pub datagrams: u64,
 }
 
-/// How attempts ended, by [`Outcome`].
+/// Ended attempts by [`Outcome`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct OutcomeCounters {
     /// [`Outcome::Ok`].
@@ -121,7 +121,7 @@
 }
 
 impl OutcomeCounters {
-    /// Counts an attempt that ended so.
+    /// Counts an attempt with this outcome.
     pub(super) fn count(&mut self, outcome: Outcome) {
         let counter = match outcome {
             Outcome::Ok => &mut self.ok,
@@ -137,7 +137,7 @@
     }
 }
 
-/// How accepted queries ended.
+/// Replies to accepted queries by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReplyCounters {
     /// Answered from parts whose weight reaches the class's completeness threshold.
@@ -150,109 +150,111 @@
     pub rejected: u64,
     /// Failed.
     pub failed: u64,
-    /// Not replied to, since the client had disconnected.
+    /// Not replied to, because the client had disconnected.
     #[serde(rename = "client_gone")]
     pub client_disconnected: u64,
 }
 
-/// Connections of clients and to leaf servers.
+/// Connections to clients and leaf servers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ConnectionCounters {
-    /// Connections of clients accepted.
+    /// Accepted client connections.
     pub clients: u64,
-    /// Connects to leaf servers started.
+    /// Connects started to leaf servers.
     pub opened: u64,
-    /// Connects to leaf servers that failed or timed out.
+    /// Failed or timed-out connects to leaf servers.
     #[serde(rename = "failed")]
     pub connect_failed: u64,
-    /// Established connections to leaf servers that ended without being closed by the reducer: reset, closed by the
-    /// server, or failed.
+    /// Established connections to leaf servers that were not closed by the reducer: reset, closed by the server, or
+    /// failed.
     #[serde(rename = "broken")]
     pub lost: u64,
-    /// Times that a connection fell silent: an attempt was left unanswered and nothing was received since.
+    /// Times that a connection became unresponsive: an attempt was cancelled unanswered after the response timeout, and
+    /// nothing had been received since it was sent.
     #[serde(rename = "silent")]
     pub unresponsive: u64,
-    /// Connections closed since a malformed answer was received, or one to an attempt that was never sent.
+    /// Connections closed because of a malformed answer, or an answer to an attempt that was never sent.
     #[serde(rename = "spoilt")]
     pub malformed: u64,
-    /// Connections closed since they were idle for too long.
+    /// Connections closed at their idle timeout.
     #[serde(rename = "idle")]
     pub idle_timeouts: u64,
-    /// Connections closed since their socket had not taken a call by the time until which it could start.
+    /// Connections closed because their socket had not accepted a complete call within the time in which the call was
+    /// allowed to start.
     #[serde(rename = "stuck")]
     pub write_stalled: u64,
-    /// Idle connections closed to make room for one to another leaf server.
+    /// Idle connections closed to free a descriptor for a connection to another leaf server.
     pub evicted: u64,
 }
 
 /// The watch on discovery.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct WatchCounters {
-    /// Watches and snapshots requested.
+    /// Requests for watches and snapshots.
     #[serde(rename = "asked")]
     pub requested: u64,
-    /// Watches that ended, and requests for a snapshot that failed.
+    /// Ended watches, and failed requests for a snapshot.
     pub ended: u64,
-    /// Of those ended, the ones that timed out: no connection, update or heartbeat in time.
+    /// Ended watches that timed out: no connection was established, or no update or heartbeat was received, in time.
     #[serde(rename = "silent")]
     pub timed_out: u64,
-    /// Attempts withdrawn before they were handed to a socket, since an update announced that their replica is draining
-    /// or gone, or has another address.
+    /// Attempts withdrawn before they were passed to a socket, because an update announced their replica as draining or
+    /// removed, or with another address.
     #[serde(rename = "withdrawn")]
     pub withdrawn_attempts: u64,
-    /// Starts that went on from the cached endpoint list, as discovery sent none in time.
+    /// Starts with the cached endpoint list, because discovery sent no update in time.
     #[serde(rename = "unheard")]
     pub startup_timeouts: u64,
 }
 
-/// What was wrong with endpoint updates; each is logged with where it was found. A rejected update leaves the endpoint
-/// list as it is, and a snapshot is requested.
+/// Faults in endpoint updates; each is logged with its place in the update. A rejected update does not change the
+/// endpoint list; a snapshot is requested instead.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct UpdateFaultCounters {
-    /// Updates rejected since they are larger than any that is accepted.
+    /// Updates rejected because they exceed the size limit.
     #[serde(rename = "over_bound")]
     pub too_large: u64,
-    /// Updates rejected since they can't be parsed, or change an endpoint without naming it.
+    /// Updates rejected because they can't be parsed, or an entry has no endpoint name.
     #[serde(rename = "unreadable")]
     pub malformed: u64,
-    /// Deltas rejected since their version is lower than the current one.
+    /// Deltas rejected because their version is lower than that of the current list.
     #[serde(rename = "went_back")]
     pub version_regressed: u64,
-    /// Snapshots applied although their version is lower than the current one: discovery has started anew.
+    /// Snapshots applied with a version lower than that of the current list: discovery has restarted its numbering.
     #[serde(rename = "whole_went_back")]
     pub snapshot_version_regressed: u64,
-    /// Entries that can't be used; the endpoint that they name gets no new attempts.
+    /// Invalid entries; the endpoints that they name receive no new attempts.
     #[serde(rename = "unusable")]
     pub invalid_entries: u64,
-    /// Entries for a name that occurred earlier in the same update; the last one is used.
+    /// Entries for a name that occurs earlier in the same update; the last entry applies.
     #[serde(rename = "repeated")]
     pub duplicate_entries: u64,
-    /// Entries that remove a server that was not listed.
+    /// Entries that remove a server that is not listed.
     #[serde(rename = "unknown")]
     pub unlisted_removals: u64,
 }
 
-/// Times that the configuration was read again.
+/// Configuration reloads.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct ReloadCounters {
     /// Applied.
     #[serde(rename = "taken")]
     pub applied: u64,
-    /// Not applied, since the configuration is invalid.
+    /// Not applied, because the configuration is invalid.
     #[serde(rename = "bad")]
     pub invalid: u64,
 }
 
-/// What must never happen.
+/// Violated invariants.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct FaultCounters {
-    /// Queries that failed since they were still open at their deadline.
+    /// Queries that failed because they were still open at their deadline.
     #[serde(rename = "last_moment")]
     pub deadline_reached: u64,
-    /// Answers that claimed more than their parts bear out; they were replaced by failures.
+    /// Answers that claimed a higher coverage than that of their parts; they were replaced by failures.
     #[serde(rename = "dishonest")]
     pub overstated_answers: u64,
-    /// Actions on what does not exist or is not allowed.
+    /// Actions of the coordinator on unknown ids, or actions that are not allowed.
     #[serde(rename = "stray")]
     pub invalid_actions: u64,
 }
--- a/crates/mixer/src/reducer/descriptor_budget.rs
+++ b/crates/mixer/src/reducer/descriptor_budget.rs
@@ -1,21 +1,22 @@
-//! How the file descriptors of the process are divided between clients and leaf servers, so that neither can exhaust
-//! those that the other needs.
+//! Divides the file descriptors of the process between client connections and leaf connections, so that neither kind
+//! can exhaust the descriptors of the other.
 
 use std::ops::RangeInclusive;
 
-/// The percentage of the descriptors that connections to leaf servers may take.
+/// The maximum percentage of descriptors for connections to leaf servers.
 const LEAF_CONNECTIONS_PERCENT: usize = 40;
-/// The percentage that clients may take.
+/// The maximum percentage of descriptors for clients.
 const CLIENTS_PERCENT: usize = 45;
-/// Descriptors that neither may take, however few there are: standard streams, the runtime and its signals, the
-/// listeners, the usage log, a file that is read again, and two watches on discovery where one replaces another.
+/// Descriptors reserved for other uses, regardless of the total: standard streams, the runtime and its signals, the
+/// listeners, the usage log, a file that is being reloaded, and two watches on discovery while one replaces the other.
 const RESERVED_DESCRIPTORS: usize = 20;
-/// The share of the descriptors that clients which are being closed may take beside those that are served: one in so
-/// many, within [`CLOSING_CLIENTS_RANGE`]. Unbounded, a flood of clients would exhaust the descriptors.
+/// The descriptors divided by this number, within [`CLOSING_CLIENTS_RANGE`], are reserved for clients that are being
+/// closed, in addition to those of the served clients. Without a bound a flood of clients would exhaust the
+/// descriptors.
 const CLOSING_CLIENTS_DIVISOR: usize = 32;
 const CLOSING_CLIENTS_RANGE: RangeInclusive<usize> = 2..=16;
 
-/// The most descriptors that each kind of connection may take.
+/// The maximum number of connections of each kind.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct DescriptorBudget {
     max_leaf_connections: usize,
@@ -24,7 +25,7 @@
 }
 
 impl DescriptorBudget {
-    /// Divides this number of descriptors. Each kind gets one at least.
+    /// Divides this number of descriptors. Each kind gets at least one.
     pub(super) fn new(descriptors: usize) -> DescriptorBudget {
         let max_closing_clients = (descriptors / CLOSING_CLIENTS_DIVISOR)
             .clamp(*CLOSING_CLIENTS_RANGE.start(), *CLOSING_CLIENTS_RANGE.end());
@@ -41,17 +42,17 @@
         }
     }
 
-    /// The most connections to leaf servers.
+    /// The maximum number of connections to leaf servers.
     pub(super) fn max_leaf_connections(&self) -> usize {
         self.max_leaf_connections
     }
 
-    /// The most clients that are served.
+    /// The maximum number of served clients.
     pub(super) fn max_clients(&self) -> usize {
         self.max_clients
     }
 
-    /// The most clients, those included that are being closed to make room.
+    /// The maximum number of clients, including those that are being closed to free descriptors.
     pub(super) fn max_clients_with_closing(&self) -> usize {
         self.max_clients + self.max_closing_clients
     }
--- a/crates/mixer/src/reducer/discovery.rs
+++ b/crates/mixer/src/reducer/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint updates that it sends, the watch on it, and a switch to another address.
+//! Discovery: endpoint updates, the watch, and a switch to another address.
 
 use super::replicas::EndpointChanges;
 use super::timers::Timer;
@@ -11,11 +11,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How the endpoint list is requested from discovery, and when discovery last sent anything.
+/// The policy for requests to discovery, and the time of its last message.
 #[derive(Debug)]
 pub(super) struct Discovery {
     watch_policy: WatchPolicy,
-    /// When an update or a heartbeat last arrived; before that, when the process started.
+    /// When an update or a heartbeat was last received; initially the start of the process.
     last_received_at: Nanos,
 }
 
@@ -33,28 +33,28 @@
         }
     }
 
-    /// When the endpoint list is requested from discovery, and the timeouts of these requests.
+    /// The schedule and the timeouts of requests for the endpoint list.
     pub(super) fn watch_policy(&self) -> &WatchPolicy {
         &self.watch_policy
     }
 
-    /// Bounds the updates that are accepted by the memory that the process may use, in bytes.
+    /// Sets the memory limit of the process, in bytes. It bounds the size of accepted endpoint updates.
     pub(super) fn limit_memory(&mut self, memory: usize) {
         self.watch_policy.limit_memory(memory);
     }
 
-    /// How long a new process waits for its first endpoint update.
+    /// How long a new process waits for its first endpoint update before it uses the cached list.
     pub(super) fn initial_list_timeout(&self) -> Nanos {
         self.watch_policy.initial_list_timeout().as_nanos() as Nanos
     }
 
-    /// Milliseconds since an update or a heartbeat last arrived.
+    /// Milliseconds since an update or a heartbeat was last received.
     pub(super) fn ms_since_last_message(&self, now: Nanos) -> u64 {
         now.saturating_sub(self.last_received_at) / NANOS_PER_MS
     }
 }
 
-/// The watch mode that the settings state.
+/// The watch mode according to the settings.
 fn watch_mode(mixer_settings: &MixerSettings, settings: &Settings) -> WatchMode {
     match settings.discovery_mode {
         DiscoveryMode::Poll => {
@@ -89,15 +89,14 @@
         if self.replicas.has_ready() {
             self.lifecycle.on_ready_endpoint();
         }
-        // A snapshot was reduced to its changes, too: endpoints that it does not list are among them as gone.
+        // A snapshot has been reduced to its changes, which include unlisted endpoints as removed.
         self.events.push(Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Delta,
             endpoints: changes.endpoints,
         });
-        // Attempts that wait for a replica that is draining or gone are never sent, nor those that wait for the former
-        // address of a replica.
+        // Attempts that wait for a draining or removed replica, or for the former address of a replica, are never sent.
         for replica in changes.not_ready {
-            tracing::debug!(target: log_targets::CONNECTIONS, replica = replica.0, version, "replica announced as draining or gone");
+            tracing::debug!(target: log_targets::CONNECTIONS, replica = replica.0, version, "replica announced as draining or removed");
             for connection in self.replicas.connections(replica).to_vec() {
                 self.withdraw_unsent_attempts(now, connection);
             }
@@ -128,7 +127,8 @@
         self.stop_awaiting_discovery(now);
     }
 
-    /// The first endpoint update has arrived, or is not waited for any longer: what was received until now is decided.
+    /// Ends the wait for the first endpoint update, which was received or has timed out. From now on batches are
+    /// decided, including the queries received so far.
     fn stop_awaiting_discovery(&mut self, now: Nanos) {
         if self.lifecycle.is_awaiting_discovery() {
             self.lifecycle.stop_awaiting_discovery();
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Moves the time that queries have waited for their first decision from their clients' timeouts to their network
+    /// Deducts the time that queries have waited for discovery from their client timeouts and adds it to their network
     /// delays.
     fn deduct_waiting_time(&mut self, now: Nanos) {
         for event in &mut self.events {
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Watches discovery at its configured address, even if that is unchanged: a reload may be meant to renew the
-    /// watch. The endpoint list, connections and queries stay.
+    /// Starts a new watch at the configured address, even if the address is unchanged, since an operator may reload to
+    /// renew the watch. The endpoint list, connections and queries are kept.
     pub(super) fn on_config_reloaded(&mut self, now: Nanos, discovery: Option<SocketAddr>) {
         let Some(address) = discovery else {
             self.counters.reloads.invalid += 1;
@@ -187,7 +187,7 @@
         self.counters.reloads.applied += 1;
         let mut from_version = Some(self.replicas.version());
         if self.discovery.watch_policy.versions_differ_by_address() {
-            // Versions of another address don't compare with the current one.
+            // Versions of different addresses are not comparable.
             from_version = None;
             let caught_up_at = self.replicas.on_discovery_switched(now);
             self.timers.cancel_discovery_caught_up();
--- a/crates/mixer/src/reducer/dispatch.rs
+++ b/crates/mixer/src/reducer/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending to leaf servers: attempts, probes, and the frames that carry them.
+//! Sends attempts and probes to leaf servers, in frames.
 
 use super::attempts::Attempt;
 use super::leaf_connection::{AttemptId, CallAttempt, QueuedFrame};
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 
 impl Reducer {
-    /// Makes an attempt at a part. `expires_at` of 0 stands for the deadline of its query.
+    /// Starts an attempt at a part. An `expires_at` of 0 means the deadline of the query.
     pub(super) fn send_attempt(
         &mut self,
         now: Nanos,
@@ -24,7 +24,7 @@
         let cross_zone = self.is_in_other_zone(replica);
         let Some(part) = self.queries.part_mut(part_id) else {
             self.counters.faults.invalid_actions += 1;
-            tracing::error!(target: log_targets::ATTEMPTS, id = part_id, "send for an unknown part");
+            tracing::error!(target: log_targets::ATTEMPTS, id = part_id, "attempt at an unknown part, not sent");
             return;
         };
         let id = AttemptId {
@@ -40,7 +40,7 @@
         if !self.is_ready(replica) || !is_allowed {
             return self.end_unqueued_attempt(id, replica, Outcome::NotSent);
         }
-        // No descriptor is free for a connection: as if the connect had failed, since the attempt did not run.
+        // No descriptor is free for a connection. Ends as a failed connect, since the attempt did not run.
         let Some(connection) = self.connection_for(now, replica, &wire_id) else {
             return self.end_unqueued_attempt(id, replica, Outcome::ConnectFailed);
         };
@@ -77,7 +77,7 @@
             .is_some_and(|replica| replica.status == EndpointStatus::Ready)
     }
 
-    /// When an attempt times out: at `expires_at` if that is set, at the query's deadline at the latest.
+    /// When an attempt times out: at `expires_at` if that is set, but not after the query's deadline.
     fn attempt_expiry(&self, now: Nanos, query: RequestId, expires_at: Nanos) -> Nanos {
         let deadline = self.queries.get(query).map_or(now, |query| query.deadline);
         if expires_at == 0 {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Probes a replica, draining ones included.
+    /// Probes a replica that is ready or draining.
     pub(super) fn send_probe(&mut self, now: Nanos, replica: ReplicaId) {
         let is_listed = self
             .replicas
@@ -121,8 +121,8 @@
         self.probes.insert(id, probe);
     }
 
-    /// Hands each connection that may have a frame to write its next one, and closes the idle ones that will get no new
-    /// attempts.
+    /// Writes the next frame of each connection that is scheduled for a flush, and closes unresponsive connections and
+    /// idle ones that will receive no new attempts.
     pub(super) fn flush_connections(&mut self, now: Nanos) {
         while let Some(connection) = self.connections.pop_to_flush() {
             self.end_expired_attempts(now, connection);
@@ -144,8 +144,9 @@
         }
     }
 
-    /// Ends the attempts that must not be sent any more, although their timers have yet to fire: those that have
-    /// expired, and those whose part was first sent so long ago that the leaf server may not recognise the repetition.
+    /// Ends the unsent attempts of a connection that must not be sent, whose timers may not have fired yet: those that
+    /// have expired, and those whose part was first sent so long ago that the leaf server may not recognise the
+    /// repetition.
     fn end_expired_attempts(&mut self, now: Nanos, connection: ConnectionId) {
         for id in self.connections.unsent_attempts(connection) {
             let start_deadline = self.queries.attempt_start_deadline(id.part);
@@ -177,15 +178,15 @@
             });
             return;
         }
-        // All attempts of the call have ended: it counts as written, and the next frame follows.
+        // All attempts of the call have ended. It counts as written, so that the next frame is written.
         if let Some(connection) = self.connections.get_mut(id) {
             connection.on_frame_written();
         }
         self.connections.schedule_flush(id);
     }
 
-    /// Notes that a call is handed to its socket. If its attempts may start only until some time, the socket must have
-    /// taken it by then.
+    /// Notes that a call is passed to its socket. If its attempts have a start deadline, the socket must have accepted
+    /// the complete call by then.
     fn record_call_sent(&mut self, now: Nanos, connection: ConnectionId, call: &[CallAttempt]) {
         for CallAttempt { attempt, .. } in call {
             if let Some(deadline) = self.queries.attempt_start_deadline(attempt.part) {
@@ -197,7 +198,7 @@
         }
     }
 
-    /// The frame as it is written; `None` for a call whose attempts have all ended.
+    /// Encodes a frame; `None` for a call whose attempts have all ended.
     fn encode_frame(
         &mut self,
         now: Nanos,
@@ -246,7 +247,7 @@
             parts = parts.len(),
             version = self.replicas.version(),
             ms_since_last_message = self.discovery.ms_since_last_message(now),
-            "call written"
+            "call passed to socket"
         );
         if parts.is_empty() {
             return None;
--- a/crates/mixer/src/reducer/effect.rs
+++ b/crates/mixer/src/reducer/effect.rs
@@ -1,4 +1,4 @@
-//! The effects that the reducer asks the transport to perform.
+//! The effects of the reducer, which the transport performs.
 
 use super::counters::Counters;
 use super::input::{ClientId, ConnectionId};
@@ -7,7 +7,7 @@
 use crate::protocol::query_json::Reply;
 use std::net::SocketAddr;
 
-/// One effect.
+/// An effect that the transport performs.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Sends the reply to a client's request.
@@ -16,19 +16,19 @@
         client: ClientId,
         /// The reply.
         reply: Reply,
-        /// Closes the connection after it.
+        /// Closes the connection after the reply.
         close: bool,
     },
-    /// Closes a client's connection unless a request has arrived on it.
+    /// Closes a client's connection, unless a request was received on it.
     CloseClient {
         /// The connection.
         client: ClientId,
-        /// Skips the lingering close, since others need the descriptor.
+        /// Skips the lingering close, to free the descriptor for another connection.
         immediate: bool,
     },
     /// Opens a connection to a leaf server.
     Connect {
-        /// The id that the connection gets.
+        /// The id of the new connection.
         connection: ConnectionId,
         /// The leaf server.
         address: SocketAddr,
@@ -47,23 +47,23 @@
     },
     /// Sends a datagram to other mixers.
     SendDatagram {
-        /// The receiver's number; all others if `None`.
+        /// The number of the receiving mixer; `None` for all other mixers.
         to: Option<u32>,
         /// The payload.
         bytes: Vec<u8>,
     },
-    /// Watches the endpoint list at this address, in place of the watch before.
+    /// Watches the endpoint list at this address. Replaces the current watch.
     WatchEndpoints {
         /// Discovery's address.
         address: SocketAddr,
-        /// The version from which deltas are wanted; a snapshot first if `None`.
+        /// The version from which the watch requests deltas; `None` requests a snapshot first.
         from_version: Option<u64>,
     },
-    /// Accepts the connections that wait at the listener, then closes it.
+    /// Accepts the connections in the listener's backlog, then closes the listener.
     CloseListener,
-    /// Records the usage of a query that ended; comes before its reply, which waits for the record.
+    /// Records the usage of an ended query. Precedes the query's reply, which is sent after the record is written.
     RecordUsage(UsageRecord),
-    /// Records up to when the usage log is complete.
+    /// Records the time up to which the usage log is complete.
     RecordWatermark(Watermark),
     /// Ends the process.
     Exit(Box<Counters>),
--- a/crates/mixer/src/reducer/entry_resolver.rs
+++ b/crates/mixer/src/reducer/entry_resolver.rs
@@ -1,40 +1,40 @@
-//! What an entry of an endpoint update states of a replica, given what is known of the replica.
+//! Completes the entries of endpoint updates from the known records of their replicas.
 
 use super::replica_table::Replica;
 use super::NANOS_PER_MS;
 use crate::protocol::endpoint_updates::{Address, EndpointEntry, Status};
 use cottonhill_decisions::{EndpointStatus, Nanos};
 
-/// Stands for a zone that the settings do not name.
+/// The index of a zone that is not in the settings.
 pub(super) const UNKNOWN_ZONE: u16 = u16::MAX;
 
-/// An entry, with the values that it does not state taken from the replica's record.
+/// An entry of an endpoint update, with missing values filled in from the replica's record.
 pub(super) struct ResolvedEntry {
     /// The replica's name.
     pub(super) name: Box<str>,
-    /// Where it listens.
+    /// The address on which it listens.
     pub(super) address: Address,
-    /// The cell that it holds.
+    /// The cell that it serves.
     pub(super) cell: u16,
     /// Its zone's index in the settings, or [`UNKNOWN_ZONE`].
     pub(super) zone: u16,
     /// When it was started, in Unix nanoseconds.
     pub(super) started_at: Nanos,
-    /// What may be sent to it.
+    /// Its status, which determines what may be sent to it.
     pub(super) status: EndpointStatus,
 }
 
-/// Completes entries by the settings and by the records of their replicas.
+/// Completes entries from the settings and from the records of their replicas.
 #[derive(Debug, Default)]
 pub(super) struct EntryResolver {
     /// The names of the zones, in the order of the settings.
     zones: Vec<String>,
-    /// Until then, updates may come from a discovery that lags behind the one before.
+    /// Until this time, updates may come from a discovery that lags behind the previous one.
     lagging_until: Nanos,
 }
 
 impl EntryResolver {
-    /// `zones` are the names of the zones, in the order of the settings.
+    /// Creates a resolver. `zones` are the names of the zones, in the order of the settings.
     pub(super) fn new(zones: Vec<String>) -> EntryResolver {
         EntryResolver {
             zones,
@@ -42,12 +42,12 @@
         }
     }
 
-    /// Until `time`, updates may lag behind what was announced before.
+    /// Sets the time until which updates may lag behind changes that were announced earlier.
     pub(super) fn set_lagging_until(&mut self, time: Nanos) {
         self.lagging_until = time;
     }
 
-    /// Completes an entry from the record of its name, if there is one. `None` if the address is not known.
+    /// Completes an entry from the record of its replica, if there is one. `None` if the address is not known.
     pub(super) fn resolve(
         &self,
         now: Nanos,
@@ -56,7 +56,7 @@
     ) -> Option<ResolvedEntry> {
         let started_at = entry.started_ms.saturating_mul(NANOS_PER_MS);
         let status = match entry.status {
-            // A server that is up can't be reached without an address: its known address may be a former one.
+            // Without an address the server counts as draining, since its known address may be out of date.
             Status::Up if entry.address.is_some() => self
                 .retained_status(now, replica, started_at)
                 .unwrap_or(EndpointStatus::Ready),
@@ -76,8 +76,8 @@
         })
     }
 
-    /// The status that a replica keeps although an update lists it as up, since the update may lag behind: draining or
-    /// gone, unless the server has been restarted.
+    /// The status of a draining or removed replica that an update lists as up while updates may lag behind: it is
+    /// retained, unless the server has been restarted. `None` if the update applies.
     fn retained_status(
         &self,
         now: Nanos,
@@ -91,14 +91,15 @@
         (is_lagging && is_not_ready && !was_restarted).then_some(replica.status)
     }
 
-    /// The zone's index in the settings.
+    /// The zone's index in the settings, or [`UNKNOWN_ZONE`].
     fn zone_index(&self, name: &str) -> u16 {
         let index = self.zones.iter().position(|zone| zone == name);
         index.map_or(UNKNOWN_ZONE, |index| index as u16)
     }
 }
 
-/// Whether an entry only removes: of a name that is not known it changes nothing.
+/// Whether an entry only announces that a server is draining or removed, which has no effect if the server is unlisted.
+/// A draining entry of a snapshot lists its server.
 pub(super) fn is_removal(entry: &EndpointEntry, snapshot: bool) -> bool {
     match entry.status {
         Status::Up => false,
--- a/crates/mixer/src/reducer/input.rs
+++ b/crates/mixer/src/reducer/input.rs
@@ -1,4 +1,4 @@
-//! The inputs of the reducer: everything that happens to the mixer.
+//! The inputs of the reducer: every external event that it reacts to.
 
 use crate::protocol::endpoint_updates::EndpointUpdate;
 use crate::protocol::http::RequestError;
@@ -7,13 +7,13 @@
 use cottonhill_decisions::Nanos;
 use std::net::SocketAddr;
 
-/// Identifies a client's connection. No id is ever used twice.
+/// Identifies a client's connection. Ids are not reused.
 pub type ClientId = u64;
 
-/// Identifies a connection to a leaf server. No id is ever used twice.
+/// Identifies a connection to a leaf server. Ids are not reused.
 pub type ConnectionId = u64;
 
-/// What happens to the watch on discovery, beside the updates that it delivers.
+/// An event of the watch on discovery, other than an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
     /// A watch or a snapshot was requested.
@@ -22,27 +22,27 @@
     Heartbeat,
     /// The watch ended.
     Ended {
-        /// It timed out: no connection, update or heartbeat in time.
+        /// It timed out: no connection was established, or no update or heartbeat was received, in time.
         timed_out: bool,
     },
-    /// An update was rejected; the endpoint list stays as it is and a snapshot is requested.
+    /// An update was rejected: the endpoint list is unchanged and a snapshot is requested.
     UpdateRejected(UpdateFault),
-    /// A snapshot with a lower version than the one before was applied.
+    /// A snapshot with a lower version than the current list was applied.
     VersionRegressed,
 }
 
 /// Why an endpoint update was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateFault {
-    /// Larger than any update that is accepted.
+    /// It exceeds the size limit.
     TooLarge,
-    /// It can't be parsed, or it changes an endpoint without naming it.
+    /// It can't be parsed, or an entry has no endpoint name.
     Malformed,
-    /// A delta whose version is lower than the current one.
+    /// It is a delta with a lower version than the current list.
     VersionRegressed,
 }
 
-/// One input. [`super::Reducer::apply`] is the only way to change the reducer's state.
+/// An input of [`super::Reducer::apply`].
 #[derive(Debug)]
 pub enum Input {
     /// A client connected.
@@ -50,16 +50,16 @@
         /// The connection.
         client: ClientId,
     },
-    /// A request arrived, well-formed or not.
+    /// A request was received, valid or not.
     RequestReceived {
         /// The connection.
         client: ClientId,
-        /// When its last byte arrived.
+        /// When its last byte was received.
         received_at: Nanos,
-        /// The request, or why it can't be served.
+        /// The request, or the reason why it is invalid.
         request: Result<ClientRequest, RequestError>,
     },
-    /// A client's connection ended.
+    /// A client disconnected.
     ClientClosed {
         /// The connection.
         client: ClientId,
@@ -69,7 +69,7 @@
         /// The connection.
         connection: ConnectionId,
     },
-    /// The socket took the last byte of the frame that it was given.
+    /// The socket has accepted the last byte of the frame of [`super::Effect::WriteFrame`].
     FrameWritten {
         /// The connection.
         connection: ConnectionId,
@@ -81,31 +81,31 @@
         /// The frame.
         frame: LeafResponse,
     },
-    /// A connection to a leaf server was refused, reset or closed.
+    /// A connection to a leaf server could not be established, was reset or was closed.
     ConnectionClosed {
         /// The connection.
         connection: ConnectionId,
     },
     /// Discovery sent an update of the endpoint list.
     EndpointsUpdated(EndpointUpdate),
-    /// Something else happened to the watch on discovery.
+    /// The watch on discovery had an event other than an update.
     Watch(WatchEvent),
     /// Another mixer sent a datagram.
     DatagramReceived {
-        /// The sender's number.
+        /// The number of the sending mixer.
         from: u32,
         /// The payload.
         bytes: Vec<u8>,
     },
-    /// The configuration was read again.
+    /// The configuration was reloaded.
     ConfigReloaded {
         /// Discovery's address; `None` if the configuration is invalid.
         discovery: Option<SocketAddr>,
     },
     /// The operator requested a graceful shutdown.
     ShutdownRequested,
-    /// The listener is closed, and all connections that it had were accepted.
+    /// The listener is closed, and the connections in its backlog were accepted.
     ListenerClosed,
-    /// All inputs that were ready have been applied: fire the timers that are due and decide.
+    /// All pending inputs have been applied: the timers that are due fire, and the coordinator decides.
     ProcessBatch,
 }
--- a/crates/mixer/src/reducer/leaf_connection/frame_queue.rs
+++ b/crates/mixer/src/reducer/leaf_connection/frame_queue.rs
@@ -1,22 +1,22 @@
-//! The frames of one connection that wait to be written, and the one that is being written.
+//! The queued frames of one connection, and the one that is being written.
 
 use super::{AttemptId, CallAttempt, ProbeId, QueuedFrame};
 use cottonhill_decisions::{Nanos, RequestId};
 use std::collections::VecDeque;
 
-/// The frames of one connection, in the order in which they are written. One frame at a time is handed to the socket,
-/// since a frame that waits here can still be dropped.
+/// The frames of one connection, in the order in which they are written. One frame at a time is passed to the socket:
+/// only a frame that is still queued can be dropped.
 #[derive(Debug)]
 pub(super) struct FrameQueue {
     waiting: VecDeque<QueuedFrame>,
     /// The frame that is being written to the socket.
     writing: Option<QueuedFrame>,
-    /// When the last frame was handed to the socket.
+    /// When the last frame was passed to the socket.
     write_started_at: Nanos,
 }
 
 impl FrameQueue {
-    /// No frame is queued.
+    /// Creates an empty queue.
     pub(super) fn new(now: Nanos) -> FrameQueue {
         FrameQueue {
             waiting: VecDeque::new(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Whether no frame waits or is being written.
+    /// Whether no frame is queued or being written.
     pub(super) fn is_empty(&self) -> bool {
         self.waiting.is_empty() && self.writing.is_none()
     }
@@ -35,8 +35,8 @@
         self.waiting.push_back(frame);
     }
 
-    /// Queues an attempt: in the last waiting call, if `join_last_call` is set and that call has fewer than
-    /// `max_parts_per_call` parts, else in a new one.
+    /// Queues an attempt: in the last frame of the queue, if `join_last_call` is set and that is a call with fewer than
+    /// `max_parts_per_call` parts, else in a new call.
     pub(super) fn push_attempt(
         &mut self,
         entry: CallAttempt,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Starts to write the next frame and returns it; `None` if none waits or one is being written.
+    /// Starts to write the next frame and returns it; `None` if none is queued or one is being written.
     pub(super) fn start_write(&mut self, now: Nanos) -> Option<QueuedFrame> {
         if self.writing.is_some() {
             return None;
@@ -61,12 +61,12 @@
         self.writing.clone()
     }
 
-    /// The frame that was being written is written completely.
+    /// Returns the frame that was being written, which the socket has accepted completely.
     pub(super) fn finish_write(&mut self) -> Option<QueuedFrame> {
         self.writing.take()
     }
 
-    /// The probes that wait or are being written.
+    /// The probes that are queued or being written.
     pub(super) fn probes(&self) -> impl Iterator<Item = ProbeId> + '_ {
         self.waiting
             .iter()
@@ -77,13 +77,13 @@
             })
     }
 
-    /// Removes a probe that waits.
+    /// Removes a queued probe.
     pub(super) fn remove_waiting_probe(&mut self, probe: ProbeId) {
         self.waiting
             .retain(|frame| *frame != QueuedFrame::Probe(probe));
     }
 
-    /// Removes an attempt from the calls that wait; true if it was in one.
+    /// Removes an attempt from the queued calls; returns whether it was in one.
     pub(super) fn remove_waiting_attempt(&mut self, attempt: AttemptId) -> bool {
         let mut was_waiting = false;
         for frame in &mut self.waiting {
@@ -98,7 +98,7 @@
         was_waiting
     }
 
-    /// The attempts that wait, in the order in which they would be written.
+    /// The queued attempts, in the order in which they would be written.
     pub(super) fn waiting_attempts(&self) -> Vec<AttemptId> {
         let mut attempts = Vec::new();
         for frame in &self.waiting {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// When the call that is being written was handed to the socket, if one is.
+    /// When the call that is being written was passed to the socket; `None` if no call is being written.
     pub(super) fn writing_call_since(&self) -> Option<Nanos> {
         matches!(self.writing, Some(QueuedFrame::Call(_))).then_some(self.write_started_at)
     }
--- a/crates/mixer/src/reducer/leaf_connection/mod.rs
+++ b/crates/mixer/src/reducer/leaf_connection/mod.rs
@@ -1,5 +1,5 @@
 //! The state of one connection to a leaf server: the queue of frames to write, the open attempts and probes, and
-//! whether the connection is usable. It never touches a socket. Whatever happens, each attempt ends exactly once.
+//! whether the connection is usable. It uses no socket. Each attempt ends exactly once in every case.
 //!
 //! Times are Unix nanoseconds by the mixer's clock ([`Nanos`]).
 
@@ -18,7 +18,7 @@
 pub struct AttemptId {
     /// The part.
     pub part: RequestId,
-    /// The attempts at a part are numbered from 0.
+    /// The number of the attempt at its part, from 0.
     pub number: u8,
 }
 
@@ -36,7 +36,7 @@
 pub enum QueuedFrame {
     /// Attempts that are sent together.
     Call(Vec<CallAttempt>),
-    /// Cancels the attempt with this wire id, which was handed to the socket before.
+    /// Cancels the attempt with this wire id, which was passed to the socket earlier.
     Cancel(Rc<str>),
     /// A probe.
     Probe(ProbeId),
@@ -45,7 +45,7 @@
 /// The phase of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionPhase {
-    /// The connect is under way; nothing can be written.
+    /// The connection is being established; no frames can be written.
     Connecting,
     /// Frames can be written.
     Open,
@@ -54,15 +54,16 @@
 /// What the id in an answer refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerTarget {
-    /// An attempt in flight, which the answer ends.
+    /// An attempt in flight, which ends with the answer.
     InFlight(AttemptId),
-    /// An attempt that was answered or cancelled before: the answer is a duplicate, or crossed the cancellation.
+    /// An attempt that was answered or cancelled before: the answer is a duplicate, or was sent before the cancellation
+    /// was received.
     Finished,
-    /// Nothing that was ever written here: the answer is corrupt.
+    /// No attempt that was written on this connection: the answer is corrupt.
     Unknown,
 }
 
-/// What was under way on a connection that has ended.
+/// The open attempts and probes of a connection that has ended.
 #[derive(Debug, Default)]
 pub struct Interrupted {
     /// Its open attempts.
@@ -76,7 +77,7 @@
 pub struct InterruptedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Its frame was written, so it may have run.
+    /// Its frame was written completely, so it may have run.
     pub may_have_run: bool,
 }
 
@@ -86,21 +87,22 @@
     phase: ConnectionPhase,
     queue: FrameQueue,
     attempts: OpenAttempts,
-    /// Probes written, in order. Answers carry no id, so a cancelled probe keeps its place as `None`.
+    /// The written probes in order. Answers to probes carry no id, so a cancelled probe is kept as `None`.
     probes: VecDeque<Option<ProbeId>>,
-    /// When the last frame was received; before that, when the connection was opened.
+    /// When the last frame was received; before the first one, when the connection was opened.
     last_received_at: Nanos,
-    /// An attempt was cancelled after it had been unanswered for too long: no new attempt or probe is queued until a
-    /// frame is received.
+    /// An attempt was cancelled after the response timeout, and nothing was received since it was sent: no new attempt
+    /// or probe is queued until a frame is received.
     unresponsive: bool,
-    /// Since when nothing is open or waiting.
+    /// When the connection last became idle.
     pub idle_since: Nanos,
-    /// When the timer fires that checks for idleness: one at a time, however often the connection becomes idle.
+    /// The due time of the timer that checks for idleness. At most one is set at a time, regardless of how often the
+    /// connection becomes idle.
     pub idle_timer: Option<Nanos>,
 }
 
 impl LeafConnection {
-    /// A connection whose connect begins now.
+    /// A connection that starts to connect now.
     pub fn new(now: Nanos) -> LeafConnection {
         LeafConnection {
             phase: ConnectionPhase::Connecting,
@@ -119,36 +121,36 @@
         self.phase
     }
 
-    /// Whether one more attempt with this wire id may be sent on it: fewer than `max_streams` attempts and probes are
-    /// open, and none with this id, as their answers could not be distinguished.
+    /// Whether another attempt with this wire id may be sent on it: fewer than `max_streams` attempts and probes are
+    /// open, and no attempt with this id, since their answers could not be distinguished.
     pub fn has_capacity(&self, max_streams: usize, wire_id: &str) -> bool {
         !self.unresponsive && self.open_streams() < max_streams && !self.attempts.contains(wire_id)
     }
 
-    /// Attempts and probes that are open.
+    /// Number of open attempts and probes.
     fn open_streams(&self) -> usize {
         self.attempts.len() + self.probes.len() + self.queue.probes().count()
     }
 
-    /// Nothing is open, waiting or being written.
+    /// Whether no attempt or probe is open, and no frame is queued or being written.
     pub fn is_idle(&self) -> bool {
         self.open_streams() == 0 && self.queue.is_empty()
     }
 
-    /// Whether an attempt was unanswered for too long and nothing was received since; see
+    /// Whether an attempt was not answered within the response timeout and nothing was received since; see
     /// [`LeafConnection::cancel_attempt`].
     pub fn is_unresponsive(&self) -> bool {
         self.unresponsive
     }
 
-    /// Silent, and no attempt is open that might still be answered. What waits are cancellations, which closing the
-    /// connection implies; a frame that the socket can't write would wait for ever.
+    /// Whether the connection is unresponsive and has no open attempt that might still be answered. Queued
+    /// cancellations are implied by closing the connection, and a frame that the socket can't write would wait forever.
     pub fn is_unusable(&self) -> bool {
         self.unresponsive && self.attempts.is_empty()
     }
 
-    /// Queues an attempt. With `join_last_call` it is added to the last waiting call, if that has fewer than
-    /// `max_parts_per_call` parts.
+    /// Queues an attempt: in the last frame of the queue, if `join_last_call` is set and that is a call with fewer than
+    /// `max_parts_per_call` parts, else in a new call.
     pub fn queue_attempt(
         &mut self,
         attempt: AttemptId,
@@ -167,14 +169,14 @@
         self.queue.push(QueuedFrame::Probe(probe));
     }
 
-    /// The connect has succeeded.
+    /// Notes that the connection is established.
     pub fn on_connected(&mut self, now: Nanos) {
         self.phase = ConnectionPhase::Open;
         self.last_received_at = now;
     }
 
-    /// The next frame for the socket; `None` until [`LeafConnection::on_frame_written`] reports the one before, since
-    /// a frame that waits here can still be dropped.
+    /// Starts to write the next frame and returns it. `None` until [`LeafConnection::on_frame_written`] reports the
+    /// previous one: only a frame that is still queued can be dropped.
     pub fn next_frame(&mut self, now: Nanos) -> Option<QueuedFrame> {
         if self.phase != ConnectionPhase::Open {
             return None;
@@ -186,7 +188,7 @@
         Some(frame)
     }
 
-    /// The socket has taken the last byte of the frame: from now on its parts may run.
+    /// Notes that the socket has accepted the last byte of the frame: from now on its parts may run.
     pub fn on_frame_written(&mut self) {
         match self.queue.finish_write() {
             Some(QueuedFrame::Call(call)) => self.attempts.on_written(&call),
@@ -195,14 +197,14 @@
         }
     }
 
-    /// A frame was received, so the connection is not silent.
+    /// Notes that a frame was received, so the connection is responsive.
     pub fn on_frame_received(&mut self, now: Nanos) {
         self.last_received_at = now;
         self.unresponsive = false;
     }
 
-    /// Ends the attempt that an answer is for. An attempt that has not been written yet can't have been answered: such
-    /// an answer is for an earlier attempt of the same id.
+    /// Ends the attempt that an answer refers to. An attempt that has not been written yet can't have been answered:
+    /// such an answer refers to an earlier attempt with the same id.
     pub fn on_answer(&mut self, wire_id: &str) -> AnswerTarget {
         self.attempts.on_answer(wire_id)
     }
@@ -213,17 +215,17 @@
         self.attempts.attempt_for_malformed_answer(wire_id)
     }
 
-    /// The open attempts whose last byte the socket has taken, in the order of their wire ids.
+    /// The open attempts whose last byte the socket has accepted, in the order of their wire ids.
     pub fn written_attempts(&self) -> Vec<AttemptId> {
         self.attempts.written()
     }
 
-    /// The probe that an answer is for; `None` if it was cancelled, or none was sent.
+    /// The probe that an answer refers to; `None` if it was cancelled, or none was sent.
     pub fn on_probe_answer(&mut self) -> Option<ProbeId> {
         self.probes.pop_front().flatten()
     }
 
-    /// Cancels a probe. Its answer, should it come, is not mistaken for the next one's.
+    /// Cancels a probe. If its answer is still received, it is not attributed to the next probe.
     pub fn cancel_probe(&mut self, probe: ProbeId) {
         self.queue.remove_waiting_probe(probe);
         for written in &mut self.probes {
@@ -233,9 +235,9 @@
         }
     }
 
-    /// Cancels an attempt; true if it may have run. One that waits is dropped and never sent; one whose frame was
-    /// handed to the socket is followed by a frame that cancels it. If nothing was received for `response_timeout`
-    /// nanoseconds since it was handed to the socket, the connection is silent.
+    /// Cancels an attempt; returns whether it may have run. A queued attempt is dropped and never sent; one whose frame
+    /// was passed to the socket is followed by a cancellation frame. If at least `response_timeout` nanoseconds have
+    /// passed since then and nothing was received, the connection becomes unresponsive.
     pub fn cancel_attempt(
         &mut self,
         attempt: AttemptId,
@@ -258,7 +260,7 @@
         true
     }
 
-    /// The attempts that have not been handed to the socket, in the order in which they would be.
+    /// The attempts that have not been passed to the socket, in queue order.
     pub fn unsent_attempts(&self) -> Vec<AttemptId> {
         self.queue.waiting_attempts()
     }
@@ -268,13 +270,13 @@
         self.queue.is_writing(part)
     }
 
-    /// When the call that is being written was handed to the socket, if one is. Attempts of it that were cancelled
-    /// meanwhile are still sent with it.
+    /// When the call that is being written was passed to the socket; `None` if no call is being written. Attempts of
+    /// the call that were cancelled since then are still sent with it.
     pub fn writing_call_since(&self) -> Option<Nanos> {
         self.queue.writing_call_since()
     }
 
-    /// The connection has ended: what was under way on it.
+    /// Consumes the connection, which has ended, and returns its open attempts and probes.
     pub fn into_interrupted(self) -> Interrupted {
         let written_probes = self.probes.iter().flatten().copied();
         Interrupted {
--- a/crates/mixer/src/reducer/leaf_connection/open_attempts.rs
+++ b/crates/mixer/src/reducer/leaf_connection/open_attempts.rs
@@ -1,38 +1,38 @@
-//! The attempts of one connection that have neither ended nor been cancelled, and which of them an answer is for.
+//! The open attempts of one connection, and the attribution of answers to them.
 
 use super::{AnswerTarget, AttemptId, CallAttempt, InterruptedAttempt};
 use cottonhill_decisions::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// How many ids of finished attempts are remembered, since a late answer may still name them: more than a leaf server
-/// has answers under way.
+/// The number of ids of finished attempts that are retained, since a delayed answer may still name them: more than a
+/// leaf server has answers in flight.
 const MAX_FINISHED_IDS: usize = 64;
 
-/// An attempt that has neither ended nor been cancelled: waiting, or in flight.
+/// An attempt that has neither ended nor been cancelled: queued or in flight.
 #[derive(Clone, Debug)]
 struct OpenAttempt {
     attempt: AttemptId,
-    /// When its frame was handed to the socket; `None` while it waits.
+    /// When its frame was passed to the socket; `None` while it is queued.
     write_started_at: Option<Nanos>,
-    /// The socket has taken the last byte of its frame.
+    /// The socket has accepted the last byte of its frame.
     written: bool,
 }
 
-/// An attempt that was removed, with what is known of its frame.
+/// An attempt that was removed.
 pub(super) struct RemovedAttempt {
     /// Its wire id.
     pub(super) wire_id: Rc<str>,
-    /// When its frame was handed to the socket; `None` if it waits.
+    /// When its frame was passed to the socket; `None` if it is still queued.
     pub(super) write_started_at: Option<Nanos>,
 }
 
-/// The open attempts of one connection, and the ids of those that have finished of late.
+/// The open attempts of one connection, and the ids of recently finished ones.
 #[derive(Debug, Default)]
 pub(super) struct OpenAttempts {
     /// The open attempts by their wire ids.
     attempts: BTreeMap<Rc<str>, OpenAttempt>,
-    /// Wire ids of finished attempts that were written here, latest last.
+    /// Wire ids of finished attempts that were passed to the socket, latest last.
     finished: VecDeque<Rc<str>>,
 }
 
@@ -52,7 +52,7 @@
         self.attempts.contains_key(wire_id)
     }
 
-    /// Adds an attempt whose frame waits.
+    /// Adds an attempt whose frame is queued.
     pub(super) fn insert(&mut self, wire_id: Rc<str>, attempt: AttemptId) {
         let open = OpenAttempt {
             attempt,
@@ -62,12 +62,12 @@
         self.attempts.insert(wire_id, open);
     }
 
-    /// The call is handed to the socket.
+    /// Notes that the call is passed to the socket.
     pub(super) fn on_write_started(&mut self, call: &[CallAttempt], now: Nanos) {
         self.update_call(call, |open| open.write_started_at = Some(now));
     }
 
-    /// The socket has taken the last byte of the call.
+    /// Notes that the socket has accepted the last byte of the call.
     pub(super) fn on_written(&mut self, call: &[CallAttempt]) {
         self.update_call(call, |open| open.written = true);
     }
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Ends the attempt that an answer is for. An attempt that has not been written yet can't have been answered: such
-    /// an answer is for an earlier attempt of the same id.
+    /// Ends the attempt that an answer refers to. An attempt that has not been written yet can't have been answered:
+    /// such an answer refers to an earlier attempt with the same id.
     pub(super) fn on_answer(&mut self, wire_id: &str) -> AnswerTarget {
         match self.attempts.get_key_value(wire_id) {
             Some((wire_id, open)) if open.written => {
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Remembers the id of an attempt that has finished here, as a late answer may still name it.
+    /// Retains the id of a finished attempt, since a delayed answer may still name it.
     pub(super) fn remember_finished(&mut self, wire_id: Rc<str>) {
         if self.finished.len() == MAX_FINISHED_IDS {
             self.finished.pop_front();
@@ -137,7 +137,7 @@
         named.or_else(longest_in_flight).map(|open| open.attempt)
     }
 
-    /// The open attempts whose last byte the socket has taken, in the order of their wire ids.
+    /// The open attempts whose last byte the socket has accepted, in the order of their wire ids.
     pub(super) fn written(&self) -> Vec<AttemptId> {
         self.written_open_attempts()
             .map(|open| open.attempt)
@@ -148,7 +148,7 @@
         self.attempts.values().filter(|open| open.written)
     }
 
-    /// The open attempts, as interrupted by the end of the connection, in the order of their wire ids.
+    /// The open attempts as interrupted attempts, in the order of their wire ids.
     pub(super) fn interrupted(&self) -> Vec<InterruptedAttempt> {
         self.attempts
             .values()
--- a/crates/mixer/src/reducer/leaf_connections.rs
+++ b/crates/mixer/src/reducer/leaf_connections.rs
@@ -6,13 +6,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// The connections to leaf servers by id, each with the replica that it leads to.
+/// The connections to leaf servers by id, each with its replica.
 #[derive(Debug, Default)]
 pub(super) struct LeafConnections {
     connections: BTreeMap<ConnectionId, (ReplicaId, LeafConnection)>,
     /// Connections that may have a frame to write.
     to_flush: BTreeSet<ConnectionId>,
-    /// Connections whose last queued call can still be joined by attempts: it was queued in this batch.
+    /// Connections whose last queued call was queued in this batch, so that attempts can still join it.
     with_joinable_call: BTreeSet<ConnectionId>,
 }
 
@@ -22,7 +22,7 @@
         self.connections.len()
     }
 
-    /// Adds a connection whose connect starts now.
+    /// Adds a connection that starts to connect now.
     pub(super) fn insert(&mut self, id: ConnectionId, replica: ReplicaId, now: Nanos) {
         self.connections
             .insert(id, (replica, LeafConnection::new(now)));
@@ -33,19 +33,19 @@
         self.connections.remove(&id)
     }
 
-    /// The connection with this id, if it is still open.
+    /// The connection with this id, if it has not ended.
     pub(super) fn get(&self, id: ConnectionId) -> Option<&LeafConnection> {
         self.connections.get(&id).map(|(_, connection)| connection)
     }
 
-    /// The connection with this id, if it is still open, to change it.
+    /// The connection with this id, if it has not ended, for changes.
     pub(super) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut LeafConnection> {
         self.connections
             .get_mut(&id)
             .map(|(_, connection)| connection)
     }
 
-    /// The replica that a connection leads to.
+    /// The replica of a connection.
     pub(super) fn replica(&self, id: ConnectionId) -> Option<ReplicaId> {
         self.connections.get(&id).map(|(replica, _)| *replica)
     }
@@ -55,14 +55,14 @@
         self.get(id).is_some_and(LeafConnection::is_idle)
     }
 
-    /// The attempts of a connection that have not been handed to its socket.
+    /// The attempts of a connection that have not been passed to its socket.
     pub(super) fn unsent_attempts(&self, id: ConnectionId) -> Vec<AttemptId> {
         self.get(id)
             .map(LeafConnection::unsent_attempts)
             .unwrap_or_default()
     }
 
-    /// Queues an attempt. Attempts that are queued in one batch share calls of up to `max_parts_per_call` parts.
+    /// Queues an attempt. Attempts queued in one batch are combined into calls of up to `max_parts_per_call` parts.
     pub(super) fn queue_attempt(
         &mut self,
         id: ConnectionId,
@@ -77,17 +77,17 @@
         connection.queue_attempt(attempt, wire_id, join_last_call, max_parts_per_call);
     }
 
-    /// The batch is over: attempts queued later start a new call.
+    /// Ends the batch: attempts queued later start a new call.
     pub(super) fn end_batch(&mut self) {
         self.with_joinable_call.clear();
     }
 
-    /// Notes that a connection may have a frame to write.
+    /// Schedules a flush of a connection, which may have a frame to write.
     pub(super) fn schedule_flush(&mut self, id: ConnectionId) {
         self.to_flush.insert(id);
     }
 
-    /// Removes and returns the next connection that may have a frame to write.
+    /// Removes and returns the next connection that is scheduled for a flush.
     pub(super) fn pop_to_flush(&mut self) -> Option<ConnectionId> {
         self.to_flush.pop_first()
     }
@@ -103,8 +103,8 @@
             .map(|(id, _)| *id)
     }
 
-    /// The connections that are writing a call with one of these parts, each with when the call was handed to its
-    /// socket.
+    /// The connections that are writing a call with any of these parts, each with the time at which the call was passed
+    /// to its socket.
     pub(super) fn writing_any_part(&self, parts: &[RequestId]) -> Vec<(ConnectionId, Nanos)> {
         let writing_since = |connection: &LeafConnection| {
             let since = connection.writing_call_since()?;
--- a/crates/mixer/src/reducer/lifecycle.rs
+++ b/crates/mixer/src/reducer/lifecycle.rs
@@ -1,46 +1,46 @@
-//! The phases of the process, from its start to its exit.
+//! The phases of the process, from start-up to exit.
 
 use super::NANOS_PER_MS;
 use cottonhill_decisions::Nanos;
 
-/// How long the mixer serves on unchanged after a shutdown request: new connections still arrive, and clients go on
-/// using theirs for 0.7 s.
+/// How long the mixer continues to serve normally after a shutdown request: clients still open connections, and use the
+/// existing ones for another 0.7 s.
 const GRACE_PERIOD: Nanos = 750 * NANOS_PER_MS;
-/// The process is killed no earlier than this after the shutdown request and the longest deadline of a query, which
-/// counts as [`MAX_COUNTED_DEADLINE`] at most.
+/// The process is not killed before this delay plus the longest query deadline has passed since the shutdown request.
+/// The deadline counts as at most [`MAX_COUNTED_DEADLINE`].
 const KILL_DELAY: Nanos = 700 * NANOS_PER_MS;
 const MAX_COUNTED_DEADLINE: Nanos = 3_000 * NANOS_PER_MS;
-/// How long before the kill the last replies are sent.
+/// How long before the earliest kill the last replies are sent.
 const LAST_REPLIES_MARGIN: Nanos = 100 * NANOS_PER_MS;
 
-/// The phase of the start-up.
+/// A phase of the start-up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StartupPhase {
-    /// Discovery has yet to confirm the cached endpoint list. Queries are accepted, but nothing is decided.
+    /// Discovery has not confirmed the cached endpoint list yet. Queries are accepted, but no batch is decided.
     AwaitingDiscovery {
-        /// The cached list has an endpoint that is ready.
+        /// The endpoint list has a ready endpoint.
         has_ready_endpoint: bool,
     },
-    /// No endpoint has been ready so far.
+    /// No endpoint has been ready yet.
     AwaitingReadyEndpoint,
-    /// An endpoint is ready, or was.
+    /// At least one endpoint has been ready.
     Started,
 }
 
-/// The phase of the shutdown.
+/// A phase of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ShutdownPhase {
     /// No shutdown was requested.
     Running,
-    /// A shutdown was requested; clients are still accepted and served.
+    /// A shutdown was requested; clients are still accepted and served normally.
     GracePeriod { requested_at: Nanos },
     /// Accepted queries are answered; idle clients are closed.
     Draining {
         requested_at: Nanos,
-        /// The listener may still hand over connections.
+        /// The listener may still accept connections.
         listening: bool,
     },
-    /// The exit was requested from the transport.
+    /// The exit effect was emitted.
     Exited { requested_at: Nanos },
 }
 
@@ -53,7 +53,8 @@
 }
 
 impl Lifecycle {
-    /// A process that has loaded its cached endpoint list. `deadlines` are the longest that queries may take.
+    /// The lifecycle of a process that has loaded its cached endpoint list. `deadlines` are the maximum durations of
+    /// queries.
     pub(super) fn new(has_ready_endpoint: bool, deadlines: &[Nanos]) -> Lifecycle {
         Lifecycle {
             startup: StartupPhase::AwaitingDiscovery { has_ready_endpoint },
@@ -62,12 +63,12 @@
         }
     }
 
-    /// Whether discovery has yet to confirm the cached endpoint list, so that nothing is decided.
+    /// Whether discovery has not confirmed the cached endpoint list yet, so that no batch is decided.
     pub(super) fn is_awaiting_discovery(&self) -> bool {
         matches!(self.startup, StartupPhase::AwaitingDiscovery { .. })
     }
 
-    /// An endpoint is ready, now or earlier.
+    /// Notes that an endpoint is ready.
     pub(super) fn on_ready_endpoint(&mut self) {
         self.startup = match self.startup {
             StartupPhase::AwaitingDiscovery { .. } => StartupPhase::AwaitingDiscovery {
@@ -77,7 +78,7 @@
         };
     }
 
-    /// Discovery has confirmed or replaced the cached endpoint list, or is not waited for any longer.
+    /// Ends the wait for discovery, which has confirmed or replaced the cached endpoint list, or has timed out.
     pub(super) fn stop_awaiting_discovery(&mut self) {
         if let StartupPhase::AwaitingDiscovery { has_ready_endpoint } = self.startup {
             self.startup = if has_ready_endpoint {
@@ -88,12 +89,12 @@
         }
     }
 
-    /// Whether a load balancer may send clients here.
+    /// Whether a load balancer may route clients to this mixer.
     pub(super) fn is_ready(&self) -> bool {
         self.startup == StartupPhase::Started && self.shutdown == ShutdownPhase::Running
     }
 
-    /// Starts the grace period; returns when it ends, or `None` if a shutdown was requested before.
+    /// Starts the grace period; returns its end, or `None` if a shutdown was requested before.
     pub(super) fn request_shutdown(&mut self, now: Nanos) -> Option<Nanos> {
         if self.shutdown != ShutdownPhase::Running {
             return None;
@@ -102,12 +103,12 @@
         Some(now + GRACE_PERIOD)
     }
 
-    /// When the process must exit; `None` while no shutdown is requested.
+    /// When the shutdown must be complete; `None` if no shutdown was requested.
     pub(super) fn shutdown_deadline(&self) -> Option<Nanos> {
         Some(self.shutdown_requested_at()? + self.shutdown_duration)
     }
 
-    /// The grace period is over.
+    /// Ends the grace period and starts draining.
     pub(super) fn start_draining(&mut self) {
         if let ShutdownPhase::GracePeriod { requested_at } = self.shutdown {
             self.shutdown = ShutdownPhase::Draining {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Whether clients are closed after their replies: from the end of the grace period on.
+    /// Whether clients are closed after their replies, which is the case after the grace period.
     pub(super) fn is_draining(&self) -> bool {
         matches!(
             self.shutdown,
@@ -125,20 +126,20 @@
         )
     }
 
-    /// The listener hands over no more connections. It is closed only while draining.
+    /// Notes that the listener accepts no more connections. It is closed only while draining.
     pub(super) fn on_listener_closed(&mut self) {
         if let ShutdownPhase::Draining { listening, .. } = &mut self.shutdown {
             *listening = false;
         }
     }
 
-    /// The shutdown's time is over: the listener is waited for no longer.
+    /// Continues the shutdown at its deadline without waiting for the listener.
     pub(super) fn on_shutdown_deadline(&mut self) {
         self.start_draining();
         self.on_listener_closed();
     }
 
-    /// Marks the process as exited once it drains and its listener is closed; true if it does so now.
+    /// Marks the process as exited if it is draining and its listener is closed; returns whether it did so.
     pub(super) fn exit_if_listener_closed(&mut self) -> bool {
         let ShutdownPhase::Draining {
             requested_at,
@@ -151,7 +152,7 @@
         true
     }
 
-    /// Whether the exit was requested from the transport.
+    /// Whether the exit effect was emitted.
     pub(super) fn has_exited(&self) -> bool {
         matches!(self.shutdown, ShutdownPhase::Exited { .. })
     }
@@ -166,7 +167,7 @@
     }
 }
 
-/// How long a shutdown may take before the process can be killed, which would lose open queries.
+/// How long a shutdown may take: it must be complete before the process can be killed, which would lose open queries.
 fn shutdown_duration(deadlines: &[Nanos]) -> Nanos {
     let longest_deadline = deadlines.iter().max().copied().unwrap_or_default();
     let until_kill = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
--- a/crates/mixer/src/reducer/mod.rs
+++ b/crates/mixer/src/reducer/mod.rs
@@ -1,11 +1,11 @@
-//! The reducer: all state of the mixer and every change to it. Inputs go in one by one, effects come out; no socket
-//! and no clock is touched here.
+//! The reducer: all state of the mixer and every change to it. It applies one input at a time and returns effects; it
+//! uses no sockets and reads no clock.
 //!
 //! [`Reducer`] owns one table for each concern (`queries`, `attempts`, `probes`, `leaf_connections`, `clients`,
-//! `replicas`, `timers`, `lifecycle`, ...). A table knows nothing of the others. What concerns several of them is done
-//! by the reducer, in a module for each kind of input: `client_requests`, `query_completion`, `dispatch`,
-//! `attempt_results`, `connection_handling`, `discovery`, `batch` and `shutdown`. The decisions about queries are those
-//! of the [`Coordinator`], which gets the events of a batch at once.
+//! `replicas`, `timers`, `lifecycle`, ...). Tables do not depend on each other. Changes that involve several tables are
+//! methods of the reducer, in a module for each kind of input: `client_requests`, `query_completion`, `dispatch`,
+//! `attempt_results`, `connection_handling`, `discovery`, `batch` and `shutdown`. The [`Coordinator`] makes the
+//! decisions about queries; it receives all events of a batch in one call.
 
 mod attempt_results;
 mod attempts;
@@ -60,13 +60,13 @@
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// The state of the mixer. [`Reducer::apply`] is the only way to change it once it runs.
+/// The state of the mixer. After the start, only [`Reducer::apply`] changes it.
 pub struct Reducer {
     settings: MixerSettings,
     coordinator: Coordinator,
-    /// The events that the coordinator gets with the next batch.
+    /// The events to pass to the coordinator with the next batch.
     events: Vec<Event>,
-    /// The effects that the transport performs once the input is applied.
+    /// The effects of the input that is being applied.
     effects: Vec<Effect>,
     counters: Counters,
     ids: IdSequence,
@@ -80,12 +80,12 @@
     queries: Queries,
     attempts: Attempts,
     probes: Probes,
-    /// `None` if no usage is recorded.
+    /// `None` if usage recording is off.
     usage: Option<UsageRecorder>,
 }
 
 impl Reducer {
-    /// A reducer that starts with the cached endpoint list of an earlier process. `seed` must differ between the mixers
+    /// Creates a reducer with the endpoint list that an earlier process cached. `seed` must differ between the mixers
     /// of a fleet; `descriptors` is the number of file descriptors that the process may open.
     pub fn new(
         now: Nanos,
@@ -125,27 +125,27 @@
         reducer
     }
 
-    /// When the endpoint list is requested from discovery, and the timeouts of these requests.
+    /// The schedule and the timeouts of requests for the endpoint list.
     pub fn watch_policy(&self) -> WatchPolicy {
         self.discovery.watch_policy().clone()
     }
 
-    /// Sets the memory that the process may use, in bytes. It bounds the endpoint updates that are accepted.
+    /// Sets the memory limit of the process, in bytes. It bounds the size of accepted endpoint updates.
     pub fn limit_memory(&mut self, memory: usize) {
         self.discovery.limit_memory(memory);
     }
 
-    /// The version of the current endpoint list, from which a watch continues.
+    /// The version of the current endpoint list, from which a watch resumes.
     pub fn endpoint_list_version(&self) -> u64 {
         self.replicas.version()
     }
 
-    /// The most clients that may be connected, those included that are being closed.
+    /// The maximum number of client connections, including those that are being closed.
     pub fn max_clients(&self) -> usize {
         self.descriptor_budget.max_clients_with_closing()
     }
 
-    /// When [`Input::ProcessBatch`] is due even if no other input comes before.
+    /// When [`Input::ProcessBatch`] is due if there is no earlier input; 0 if it is due now.
     pub fn next_due(&self) -> Option<Nanos> {
         if !self.events.is_empty() && !self.lifecycle.is_awaiting_discovery() {
             return Some(0);
@@ -153,7 +153,7 @@
         self.timers.next_due()
     }
 
-    /// Entries of all tables together. A number that grows under constant load is a leak.
+    /// The total number of entries in all tables. Growth under constant load indicates a leak.
     pub fn retained_entries(&self) -> usize {
         self.queries.retained_entries()
             + self.attempts.len()
@@ -165,12 +165,12 @@
             + self.coordinator.retained_entries()
     }
 
-    /// What has happened since the start.
+    /// The counters since the start of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// Applies one input at `now` and returns what the transport must do about it, in order.
+    /// Applies one input at `now` and returns the effects that the transport must perform, in order.
     pub fn apply(&mut self, now: Nanos, input: Input) -> Vec<Effect> {
         match input {
             Input::ClientOpened { client } => self.on_client_opened(now, client),
@@ -200,7 +200,7 @@
     }
 }
 
-/// Hands out ids, each only once.
+/// Generates unique ids.
 #[derive(Debug, Default)]
 struct IdSequence {
     last_id: u64,
@@ -214,7 +214,7 @@
         self.last_id
     }
 
-    /// A number that joins a query with its parts.
+    /// A number that associates a query with its parts.
     fn next_query_group(&mut self) -> u32 {
         self.last_query_group = self.last_query_group.wrapping_add(1);
         self.last_query_group
--- a/crates/mixer/src/reducer/probes.rs
+++ b/crates/mixer/src/reducer/probes.rs
@@ -1,22 +1,22 @@
-//! The probes that have not ended.
+//! The open probes: those that have not ended.
 
 use super::input::ConnectionId;
 use cottonhill_decisions::{Nanos, ReplicaId};
 use std::collections::BTreeMap;
 
-/// Identifies a probe. No id is ever used twice.
+/// Identifies a probe. Ids are not reused.
 pub type ProbeId = u64;
 
-/// A probe that has not ended.
+/// An open probe.
 #[derive(Debug)]
 pub(super) struct Probe {
     /// The replica that is probed.
     pub(super) replica: ReplicaId,
     /// The connection that the probe is sent on.
     pub(super) connection: ConnectionId,
-    /// When the probe was queued; its latency and its timeout count from here.
+    /// When the probe was queued; its latency and its timeout are measured from this time.
     pub(super) queued_at: Nanos,
 }
 
-/// The probes that have not ended, by id.
+/// The open probes by id.
 pub(super) type Probes = BTreeMap<ProbeId, Probe>;
--- a/crates/mixer/src/reducer/queries.rs
+++ b/crates/mixer/src/reducer/queries.rs
@@ -7,12 +7,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// A query that waits for its reply.
+/// An open query: one that has not been replied to.
 #[derive(Debug)]
 pub(super) struct Query {
-    /// The client's id for it, which no other open query has.
+    /// The id that the client gave it, unique among the open queries.
     pub(super) request_id: Rc<str>,
-    /// The client that waits.
+    /// The client that sent it.
     pub(super) client: ClientId,
     /// The class's index in the settings.
     pub(super) class: usize,
@@ -22,35 +22,35 @@
     pub(super) parts: Vec<RequestId>,
     /// The tenant's index in the settings.
     pub(super) tenant: u32,
-    /// When it counts as received in the usage records.
+    /// Its arrival time in the usage records.
     pub(super) arrived_at: Nanos,
     /// The client marked it as a retry.
     pub(super) client_retry: bool,
-    /// Joins it with its retries; 0 if no usage is recorded.
+    /// Identifies the query and its retries in the usage records; 0 if usage recording is off.
     pub(super) deduplication_key: DeduplicationKey,
 }
 
-/// The part of a query that one shard answers.
+/// The part of a query that is sent to one shard.
 #[derive(Debug)]
 pub(super) struct Part {
     /// The query that it belongs to.
     pub(super) query: RequestId,
     /// The shard that answers it.
     pub(super) shard: u32,
-    /// Its share of the query.
+    /// Its fraction of the query's total weight.
     pub(super) weight: f64,
-    /// Its id in the frames to and from leaf servers.
+    /// Its id in frames to and from leaf servers.
     pub(super) wire_id: Rc<str>,
     /// The text of the query.
     pub(super) text: Bytes,
-    /// Attempts made so far.
+    /// Number of attempts so far.
     pub(super) attempts: u8,
-    /// Of the attempts, those at replicas in other zones.
+    /// Number of attempts at replicas in other zones.
     pub(super) cross_zone_attempts: u8,
     /// The first value received; `None` until then.
     pub(super) value: Option<String>,
-    /// Number and time of each attempt that was handed to a socket and may have run; kept only where the class has an
-    /// idempotency window.
+    /// Number and send time of each attempt that was passed to a socket and may have run; recorded only if the class
+    /// has an idempotency window.
     sent_attempts: Vec<(u8, Nanos)>,
 }
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Counts one more attempt; returns its number.
+    /// Counts an attempt; returns its number.
     pub(super) fn add_attempt(&mut self, cross_zone: bool) -> u8 {
         let number = self.attempts;
         self.attempts = self.attempts.saturating_add(1);
@@ -86,12 +86,12 @@
         number
     }
 
-    /// Forgets an attempt that is now known not to have run.
+    /// Removes the send time of an attempt that did not run.
     pub(super) fn remove_sent_attempt(&mut self, attempt: u8) {
         self.sent_attempts.retain(|(number, _)| *number != attempt);
     }
 
-    /// When the first attempt that may have run was handed to a socket.
+    /// When the first attempt that may have run was passed to a socket.
     fn first_sent_at(&self) -> Option<Nanos> {
         self.sent_attempts.iter().map(|(_, sent_at)| *sent_at).min()
     }
@@ -105,12 +105,12 @@
 }
 
 impl EndedQuery {
-    /// The weights of all parts together.
+    /// The sum of the weights of all parts.
     pub(super) fn total_weight(&self) -> f64 {
         self.parts.iter().map(|part| part.weight).sum()
     }
 
-    /// The weights of the parts that have a value together.
+    /// The sum of the weights of the parts that have a value.
     pub(super) fn answered_weight(&self) -> f64 {
         self.parts
             .iter()
@@ -120,21 +120,21 @@
     }
 }
 
-/// The open queries and their parts, by id. A part is here exactly as long as its query.
+/// The open queries and their parts, by id. A part is removed together with its query.
 #[derive(Debug)]
 pub(super) struct Queries {
     queries: BTreeMap<RequestId, Query>,
     parts: BTreeMap<RequestId, Part>,
     /// Number of parts without a value.
     unanswered_parts: usize,
-    /// The clients' ids of the open queries.
+    /// The ids that clients gave the open queries.
     request_ids: BTreeSet<Rc<str>>,
-    /// For each class, how long after the first attempt at a part another may start; `None` if there is no limit.
+    /// For each class, how long after the first attempt at a part another one may start; `None` without a limit.
     idempotency_windows: Vec<Option<Nanos>>,
 }
 
 impl Queries {
-    /// No query is open.
+    /// Creates an empty table.
     pub(super) fn new(classes: &[Class]) -> Queries {
         Queries {
             queries: BTreeMap::new(),
@@ -155,7 +155,7 @@
         self.queries.is_empty()
     }
 
-    /// Number of parts that no value was received for.
+    /// Number of parts without a value.
     pub(super) fn unanswered_parts(&self) -> usize {
         self.unanswered_parts
     }
@@ -165,12 +165,12 @@
         self.queries.keys().copied().collect()
     }
 
-    /// Entries of all tables in here together.
+    /// The total number of entries.
     pub(super) fn retained_entries(&self) -> usize {
         self.queries.len() + self.parts.len() + self.request_ids.len()
     }
 
-    /// Whether an open query has this id of its client's.
+    /// Whether the client of an open query gave it this id.
     pub(super) fn contains_request_id(&self, request_id: &str) -> bool {
         self.request_ids.contains(request_id)
     }
@@ -191,7 +191,7 @@
         self.unanswered_parts += 1;
     }
 
-    /// Adds a query whose parts have been added.
+    /// Adds a query, after its parts.
     pub(super) fn insert(&mut self, id: RequestId, query: Query) {
         self.request_ids.insert(query.request_id.clone());
         self.queries.insert(id, query);
@@ -210,7 +210,7 @@
         Some(EndedQuery { query, parts })
     }
 
-    /// Keeps the value received for a part, unless it has one or its query has ended.
+    /// Records the value received for a part, unless the part has one or its query has ended.
     pub(super) fn record_value(&mut self, part: RequestId, value: &[u8]) {
         let Some(part) = self.parts.get_mut(&part) else {
             return;
@@ -218,19 +218,20 @@
         if part.value.is_some() {
             return;
         }
-        // The codec has checked that it is text, so nothing is lost here.
+        // Lossless: the codec has validated that the value is UTF-8.
         part.value = Some(String::from_utf8_lossy(value).into_owned());
         self.unanswered_parts -= 1;
     }
 
-    /// Until when another attempt at a part may start. `None` if there is no limit, or no attempt may have run yet.
+    /// The time until which another attempt at a part may start. `None` if there is no limit, or no attempt can have
+    /// run yet.
     pub(super) fn attempt_start_deadline(&self, part: RequestId) -> Option<Nanos> {
         let part = self.parts.get(&part)?;
         let first_sent_at = part.first_sent_at()?;
         Some(first_sent_at.saturating_add(self.part_idempotency_window(part)?))
     }
 
-    /// Notes that an attempt at a part is handed to a socket, where its class has an idempotency window.
+    /// Records that an attempt at a part is passed to a socket, if its class has an idempotency window.
     pub(super) fn record_sent_attempt(&mut self, part: RequestId, number: u8, now: Nanos) {
         let has_window = self
             .parts
@@ -250,7 +251,7 @@
     }
 }
 
-/// How long the leaf servers recognise a repeated attempt of this class; `None` if they need not.
+/// How long leaf servers recognise a repeated attempt of this class; `None` if the class does not depend on that.
 fn idempotency_window(class: &Class) -> Option<Nanos> {
     (class.idempotency == Idempotency::IdempotencyKey).then_some(class.idempotency_window)
 }
--- a/crates/mixer/src/reducer/query_completion.rs
+++ b/crates/mixer/src/reducer/query_completion.rs
@@ -1,4 +1,4 @@
-//! How queries end: answered, rejected or failed.
+//! The end of queries: answers, rejections and failures.
 
 use super::queries::EndedQuery;
 use super::timers::Timer;
@@ -8,11 +8,11 @@
 use crate::protocol::query_json::{Hit, Reply};
 use cottonhill_decisions::{Nanos, Outcome, RequestId};
 
-/// By how much the sum of the weights may fall short of a threshold: they are rounded.
+/// How far the sum of the weights may be below a threshold, since the weights are rounded.
 const WEIGHT_TOLERANCE: f64 = 1e-4;
 
 impl Reducer {
-    /// Answers a query with the values received.
+    /// Answers a query with the received values.
     pub(super) fn answer_query(&mut self, now: Nanos, id: RequestId, complete: bool) {
         if let Some(ended) = self.end_query(now, id) {
             let reply = self.build_answer(&ended, complete);
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Removes a query and its parts. Attempts that were sent end on their own; those that wait for a connection are
-    /// never sent, whether or not the coordinator may cancel what was.
+    /// Removes a query and its parts, and cancels its attempts that have not been passed to a socket, even if attempts
+    /// that were sent may not be cancelled. The latter end independently.
     pub(super) fn end_query(&mut self, now: Nanos, id: RequestId) -> Option<EndedQuery> {
         let ended = self.queries.remove(id)?;
         for part in &ended.query.parts {
@@ -69,8 +69,8 @@
         self.send_reply(now, ended.query.client, reply);
     }
 
-    /// The answer from the values received. It never claims more than its parts bear out, whatever the coordinator
-    /// decided: an answer that overstates its coverage is worse than a failed query.
+    /// Builds the answer from the received values. Fails the query if the coordinator's decision claims more coverage
+    /// than the parts have: an answer that overstates its coverage is worse than a failed query.
     fn build_answer(&mut self, ended: &EndedQuery, complete: bool) -> Reply {
         let is_complete = reaches(ended, &self.settings.completeness_thresholds);
         let is_sufficient = reaches(ended, &self.settings.minimum_coverages);
@@ -81,7 +81,7 @@
                 target: log_targets::BATCHES, answered_weight = ended.answered_weight(),
                 complete,
                 class = ended.query.class,
-                "query failed: decided answer overstates its parts"
+                "query failed: answer claims more coverage than its parts have"
             );
             return Reply::Failed;
         }
@@ -95,7 +95,7 @@
     }
 }
 
-/// Whether the values received reach the threshold of the query's class.
+/// Whether the weight of the received values reaches the threshold of the query's class.
 fn reaches(ended: &EndedQuery, thresholds: &[f64]) -> bool {
     let threshold = thresholds.get(ended.query.class).copied().unwrap_or(1.0);
     ended.answered_weight() + WEIGHT_TOLERANCE >= threshold * ended.total_weight().min(1.0)
@@ -114,7 +114,7 @@
     hits
 }
 
-/// The outcome that the usage records give to a reply.
+/// The outcome of a reply in the usage records.
 fn usage_outcome(ended: &EndedQuery, reply: &Reply) -> QueryOutcome {
     match reply {
         Reply::Answer { complete: true, .. } => QueryOutcome::Complete,
@@ -124,7 +124,7 @@
     }
 }
 
-/// The share of the weight that was answered, in millionths.
+/// The answered fraction of the total weight, in millionths.
 fn coverage_millionths(ended: &EndedQuery) -> u32 {
     let coverage = ended.answered_weight() / ended.total_weight().max(f64::MIN_POSITIVE);
     (coverage * 1e6).round().clamp(0.0, 1e6) as u32
@@ -149,7 +149,7 @@
     );
 }
 
-/// `SHARD:ATTEMPTS` for each part, with `+` where it has a value and `-` where it has none.
+/// Formats each part as `SHARD:ATTEMPTS`, followed by `+` if it has a value and by `-` if it has none.
 fn attempts_by_shard(ended: &EndedQuery) -> String {
     let mut parts = Vec::with_capacity(ended.parts.len());
     for part in &ended.parts {
--- a/crates/mixer/src/reducer/replica_table.rs
+++ b/crates/mixer/src/reducer/replica_table.rs
@@ -1,4 +1,4 @@
-//! The table of replicas: compact records, found by id and by name. It decides nothing.
+//! The table of replicas: compact records with lookup by id and by name.
 
 use crate::protocol::endpoint_updates::Address;
 use cottonhill_decisions::{EndpointStatus, Nanos, ReplicaId};
@@ -7,40 +7,40 @@
 use std::hash::{BuildHasher, RandomState};
 use std::net::SocketAddr;
 
-/// A leaf server as last announced. A fleet has very many, so each byte here counts.
+/// A leaf server as last announced. Records are compact, since a fleet has very many leaf servers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Replica {
-    /// Its id for the coordinator; each process has ids of its own.
+    /// Its id for the coordinator, which is local to the process.
     pub id: ReplicaId,
     /// Its name, identical at every mixer.
     pub name: Box<str>,
     pub(super) address: Address,
-    /// The latest start that was announced, in Unix nanoseconds.
+    /// The latest start time that was announced, in Unix nanoseconds.
     pub(super) started_at: Nanos,
-    /// The cell that it holds.
+    /// The cell that it serves.
     pub cell: u16,
     /// Its zone's index in the settings.
     pub zone: u16,
-    /// What may be sent to it.
+    /// Its status, which determines what may be sent to it.
     pub status: EndpointStatus,
-    /// Its last entry stated an earlier start than `started_at`.
+    /// Its last entry had an earlier start time than `started_at`.
     pub(super) started_earlier: bool,
 }
 
 impl Replica {
-    /// Where it listens.
+    /// The address on which it listens.
     pub fn address(&self) -> SocketAddr {
         (&self.address).into()
     }
 }
 
-/// Where a record is in the table, for as long as it is there.
+/// The position of a record in the table, valid until the record is removed.
 pub type Slot = u32;
 
-/// Records by slot, with an index by id and one by name. A name is stored once, in its record.
+/// Records by slot, with indexes by id and by name. Each name is stored only in its record.
 #[derive(Debug, Default)]
 pub struct ReplicaTable {
-    /// The slot that was freed last is reused first.
+    /// Reuses the most recently freed slot first.
     records: Slab<Replica>,
     slots_by_id: HashTable<Slot>,
     slots_by_name: HashTable<Slot>,
@@ -53,12 +53,12 @@
         self.records.len()
     }
 
-    /// Whether there is no record.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Reserves memory for exactly so many more records.
+    /// Reserves memory for exactly `additional` more records.
     pub fn reserve(&mut self, additional: usize) {
         let (records, hasher) = (&mut self.records, &self.hasher);
         records.reserve_exact(additional);
@@ -95,7 +95,7 @@
         self.records.get(slot as usize)
     }
 
-    /// The replica in a slot, to change what is announced of it. Its id and its name must stay.
+    /// The replica in a slot, for changes of its announced values. Its id and its name must not change.
     pub(super) fn record_mut(&mut self, slot: Slot) -> Option<&mut Replica> {
         self.records.get_mut(slot as usize)
     }
@@ -113,7 +113,7 @@
         slot
     }
 
-    /// Removes a replica; its slot may be used by another from then on.
+    /// Removes a replica; its slot may be reused.
     pub fn remove(&mut self, id: ReplicaId) -> Option<Replica> {
         let slot = self.slot_by_id(id)?;
         let replica = self.records.try_remove(slot as usize)?;
--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -1,5 +1,5 @@
-//! The leaf servers as discovery has announced them, with their ids for the coordinator. Updates are applied in time
-//! proportional to their entries, whatever the size of the fleet.
+//! The leaf servers as announced by discovery, with their ids for the coordinator. Updates are applied in time
+//! proportional to their number of entries, regardless of the size of the fleet.
 
 use super::entry_resolver::{is_removal, EntryResolver, ResolvedEntry, UNKNOWN_ZONE};
 use super::input::ConnectionId;
@@ -12,40 +12,41 @@
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 
-/// How long, in nanoseconds, an update may lag behind the changes that were announced before: the staleness bound of
-/// discovery. After a switch to another address its updates count as current from then on, and a replica that is gone
-/// is remembered for as long.
+/// How long an update may lag behind changes that were announced earlier, in nanoseconds: the staleness bound of
+/// discovery. This long after a switch to another address, the updates from there count as current. The record of a
+/// removed replica is retained for the same time.
 pub const MAX_UPDATE_LAG: Nanos = STALENESS_BOUND.as_nanos() as Nanos;
 
-/// How many duplicate entries and how many unknown removals are logged for one update; the counters have all.
+/// The maximum numbers of duplicate entries and of unlisted removals that are logged for an update; the counters
+/// include all.
 const MAX_LOGGED_ENTRIES: u64 = 16;
 
-/// What an update changes.
+/// The changes of an endpoint update.
 #[derive(Debug, Default)]
 pub struct EndpointChanges {
-    /// For a delta, its entries. For a snapshot, those entries that differ from the list before, and as gone the
-    /// replicas that it does not list.
+    /// For a delta, its entries. For a snapshot, the entries that differ from the previous list, and the replicas that
+    /// it does not list, as removed.
     pub endpoints: Vec<Endpoint>,
-    /// The replicas that must not get new attempts from now on.
+    /// The changed replicas that are not ready: they receive no new attempts.
     pub not_ready: Vec<ReplicaId>,
     /// Connections to former addresses of their replicas.
     pub stale_connections: Vec<ConnectionId>,
-    /// Number of entries for a name that occurred earlier in the same update; the last one is used.
+    /// Number of entries for a name that occurs earlier in the same update; the last entry applies.
     pub duplicate_entries: u64,
-    /// Number of entries that remove a server that was not listed.
+    /// Number of entries that remove a server that is not listed.
     pub unlisted_removals: u64,
 }
 
-/// The replicas that are listed, and those gone that still have connections or that a late update may mention. A name
-/// has one id while it is known; no id is ever used twice.
+/// The listed replicas, and the removed ones that still have connections or that an update may mention which lags
+/// behind. A replica keeps its id as long as its record exists; ids are not reused.
 #[derive(Debug, Default)]
 pub struct Replicas {
     table: ReplicaTable,
-    /// Connections of each replica that has any, oldest first, without those to a former address.
+    /// The connections of each replica that has any, oldest first, excluding those to a former address.
     connections: HashMap<ReplicaId, Vec<ConnectionId>>,
     removed: RemovedReplicas,
     resolver: EntryResolver,
-    /// Number of replicas that are ready.
+    /// Number of ready replicas.
     ready: usize,
     last_id: u64,
     version: u64,
@@ -56,12 +57,12 @@
 struct AppliedEntry {
     slot: Slot,
     endpoint: Endpoint,
-    /// A value that the coordinator gets has changed.
+    /// A value that is passed to the coordinator has changed.
     changed: bool,
 }
 
 impl Replicas {
-    /// No replica is known. `zones` are the names of the zones, in the order of the settings.
+    /// Creates an empty table. `zones` are the names of the zones, in the order of the settings.
     pub fn new(zones: Vec<String>) -> Replicas {
         Replicas {
             resolver: EntryResolver::new(zones),
@@ -85,12 +86,12 @@
         self.table.record(slot).map(|replica| replica.id)
     }
 
-    /// Number of replicas, with those gone that are remembered.
+    /// Number of replicas, including removed ones whose records are retained.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether no replica is known.
+    /// Whether there are no replicas.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
@@ -100,12 +101,12 @@
         self.ready > 0
     }
 
-    /// Number of records that updates have visited so far, a measure of their cost.
+    /// Number of records visited by updates so far, a measure of their cost.
     pub fn visited_records(&self) -> u64 {
         self.visited_records
     }
 
-    /// The connections to the address of a replica, oldest first.
+    /// The connections to the current address of a replica, oldest first.
     pub fn connections(&self, id: ReplicaId) -> &[ConnectionId] {
         self.connections.get(&id).map_or(&[], Vec::as_slice)
     }
@@ -137,21 +138,22 @@
         self.connections.remove(&id).unwrap_or_default()
     }
 
-    /// Updates come from another address from now on. Discovery there may not know yet what was announced before:
-    /// until it must have, it can't make a replica ready that is draining or gone. Returns when that is.
+    /// Notes that updates now come from another address. Discovery there may not have received earlier changes yet:
+    /// until it has caught up, its updates can't make a draining or removed replica ready, unless the server was
+    /// restarted. Returns the time by which it has caught up.
     pub fn on_discovery_switched(&mut self, now: Nanos) -> Nanos {
         let caught_up_at = now + MAX_UPDATE_LAG;
         self.resolver.set_lagging_until(caught_up_at);
         caught_up_at
     }
 
-    /// Applies an update.
+    /// Applies an update and returns its changes.
     pub fn apply_update(&mut self, now: Nanos, update: EndpointUpdate) -> EndpointChanges {
         let (version, snapshot) = (update.version, update.snapshot);
         self.apply_entries(now, version, snapshot, update.entries.into_iter())
     }
 
-    /// Applies an update that the caller keeps.
+    /// Applies an update without consuming it.
     pub fn apply_update_ref(&mut self, now: Nanos, update: &EndpointUpdate) -> EndpointChanges {
         let entries = update.entries.iter().cloned();
         self.apply_entries(now, update.version, update.snapshot, entries)
@@ -188,8 +190,8 @@
         changes
     }
 
-    /// Forgets the replicas that have been gone for [`MAX_UPDATE_LAG`] and have no connections: no late update can
-    /// mention them.
+    /// Removes the records of replicas that were removed [`MAX_UPDATE_LAG`] ago and have no connections: no update can
+    /// mention them any more.
     fn remove_expired(&mut self, now: Nanos) {
         while let Some(id) = self.removed.pop_expired(now) {
             self.visited_records += 1;
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Applies an entry; `None` if it changes nothing, as the address is not known.
+    /// Applies an entry; `None` if it has no effect, because the address is not known.
     fn apply_entry(
         &mut self,
         now: Nanos,
@@ -258,7 +260,7 @@
         );
     }
 
-    /// Those of the endpoints that must not get new attempts.
+    /// The endpoints that are not ready.
     fn not_ready_among(&self, endpoints: &[Endpoint]) -> Vec<ReplicaId> {
         let is_not_ready = |id: &ReplicaId| {
             self.get(*id)
@@ -271,8 +273,8 @@
             .collect()
     }
 
-    /// Updates the record of a replica, which is a new one if there is none. Connections to its former address are
-    /// moved to `stale_connections`.
+    /// Updates the record of a replica, or adds one. Connections to its former address are moved to
+    /// `stale_connections`.
     fn update_replica(
         &mut self,
         now: Nanos,
@@ -317,11 +319,11 @@
         })
     }
 
-    /// Adds a record with the next id; the rest of it is filled in by the caller.
+    /// Adds a record with the next id; the caller fills in the other fields.
     fn add_replica(&mut self, name: Box<str>, address: Address, started_at: Nanos) -> Slot {
         self.last_id += 1;
         let id = ReplicaId(self.last_id);
-        // Each process has ids of its own: logs of several mixers can be joined only by name.
+        // Ids are local to the process: logs of several mixers can be joined only by name.
         tracing::debug!(target: log_targets::REPLICAS, replica = id.0, name, address = %SocketAddr::from(&address), "replica id assigned");
         self.table.insert(Replica {
             id,
@@ -335,7 +337,7 @@
         })
     }
 
-    /// Sets the status of a replica, with everything that is counted or remembered by it.
+    /// Sets the status of a replica, and updates the number of ready replicas and the removed replicas.
     fn set_status(&mut self, now: Nanos, slot: Slot, status: EndpointStatus) {
         let Some(replica) = self.table.record_mut(slot) else {
             return;
@@ -351,7 +353,7 @@
         }
     }
 
-    /// Marks as gone the replicas that a snapshot does not list.
+    /// Marks the replicas as removed that a snapshot does not list.
     fn mark_unlisted_as_removed(
         &mut self,
         now: Nanos,
--- a/crates/mixer/src/reducer/shutdown.rs
+++ b/crates/mixer/src/reducer/shutdown.rs
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Starts draining, as the grace period is over: closes the listener and the clients that wait for no reply.
+    /// Starts draining at the end of the grace period: closes the listener and the clients without an open query.
     pub(super) fn begin_draining(&mut self) {
         self.lifecycle.start_draining();
         self.effects.push(Effect::CloseListener);
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The process is about to be killed: fails the open queries and waits for nothing any longer.
+    /// Fails the open queries and stops waiting for clients and the listener, since the process may be killed soon.
     pub(super) fn on_shutdown_deadline(&mut self, now: Nanos) {
         for id in self.queries.ids() {
             self.events.push(Event::ClientDisconnected { id });
@@ -38,7 +38,7 @@
         self.clients.clear();
     }
 
-    /// Exits once every accepted query is answered, every client has gone and the listener is closed.
+    /// Exits once every accepted query is answered, every client has disconnected and the listener is closed.
     pub(super) fn exit_when_drained(&mut self) {
         let drained = self.queries.is_empty() && self.clients.is_empty();
         if drained && self.lifecycle.exit_if_listener_closed() {
--- a/crates/mixer/src/reducer/timers.rs
+++ b/crates/mixer/src/reducer/timers.rs
@@ -1,4 +1,4 @@
-//! The reducer's timers. No clock is read here: the caller says what time it is.
+//! The reducer's timers. They read no clock: the caller passes the current time.
 
 use super::input::ConnectionId;
 use super::leaf_connection::AttemptId;
@@ -7,36 +7,36 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// What happens when a timer fires. Timers due at the same nanosecond fire in the order of the variants.
+/// A timer, by its purpose. Timers that are due at the same nanosecond fire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// A timer that the coordinator set, by its token.
     Coordinator(u64),
-    /// The attempt expires.
+    /// The attempt times out.
     AttemptDeadline(AttemptId),
-    /// The connect must have succeeded.
+    /// The connect times out.
     ConnectTimeout(ConnectionId),
     /// The connection is checked for idleness.
     IdleTimeout(ConnectionId),
-    /// The probe must have been answered.
+    /// The probe times out.
     ProbeTimeout(ProbeId),
-    /// The query must have been answered.
+    /// The query fails if it is still open.
     QueryDeadline(RequestId),
     /// The next watermark of the usage records is due.
     WatermarkDue,
-    /// The grace period after the shutdown request is over: draining starts.
+    /// The grace period after the shutdown request ends and draining starts.
     GracePeriodElapsed,
-    /// The process must exit.
+    /// The shutdown must be complete.
     ShutdownDeadline,
-    /// Discovery must have confirmed the cached endpoint list.
+    /// The start-up no longer waits for discovery to confirm the cached endpoint list.
     DiscoveryTimeout,
-    /// Discovery at this new address has received every change announced before the switch.
+    /// Discovery at this new address has received every change that was announced before the switch.
     DiscoveryCaughtUp(SocketAddr),
-    /// The socket must have taken the call that it was handed at this time.
+    /// The connection is closed if its socket is still writing the call that it received at this time.
     WriteStalled(ConnectionId, Nanos),
 }
 
-/// The timers that are set, ordered by when they are due. A timer may be set for several times.
+/// The timers that are set, ordered by due time. A timer may be set for several due times.
 #[derive(Debug, Default)]
 pub(super) struct Timers(BTreeSet<(Nanos, Timer)>);
 
@@ -46,18 +46,18 @@
         self.0.insert((due, timer));
     }
 
-    /// Cancels the timer that was set for this time.
+    /// Cancels the timer that was set for this due time.
     pub(super) fn cancel(&mut self, due: Nanos, timer: Timer) {
         self.0.remove(&(due, timer));
     }
 
-    /// Cancels [`Timer::DiscoveryCaughtUp`], whatever its address.
+    /// Cancels [`Timer::DiscoveryCaughtUp`] for every address.
     pub(super) fn cancel_discovery_caught_up(&mut self) {
         self.0
             .retain(|(_, timer)| !matches!(timer, Timer::DiscoveryCaughtUp(_)));
     }
 
-    /// When the next timer is due.
+    /// The due time of the next timer.
     pub(super) fn next_due(&self) -> Option<Nanos> {
         self.0.first().map(|(due, _)| *due)
     }
--- a/crates/mixer/src/reducer/usage_recorder.rs
+++ b/crates/mixer/src/reducer/usage_recorder.rs
@@ -1,4 +1,4 @@
-//! Recording of usage: one record for each query that ends, and watermarks that say up to when the records are
+//! Usage recording: one record for each query that ends, and watermarks that state the time up to which the records are
 //! complete.
 
 use super::queries::EndedQuery;
@@ -12,15 +12,15 @@
 /// The tenant's name in the counters if the settings name no tenants.
 const UNNAMED_TENANT: &str = "all";
 
-/// What has been recorded so far, and which queries are still open.
+/// The state of usage recording, with the open queries.
 #[derive(Debug)]
 pub(super) struct UsageRecorder {
     watermark_interval: Nanos,
     /// The sequence number of the last record.
     last_sequence: u64,
-    /// Up to when watermarks have declared the records complete.
+    /// The time up to which watermarks have declared the records complete.
     complete_until: Nanos,
-    /// The open queries, the first to arrive first.
+    /// The open queries in order of arrival.
     open_queries: BTreeSet<(Nanos, RequestId)>,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// When a request counts as arrived_at: not before the last watermark, even if it was received before.
+    /// The arrival time of a request: not before the last watermark, even if it was received earlier.
     fn arrival_time(&self, received_at: Nanos) -> Nanos {
         received_at.max(self.complete_until)
     }
@@ -44,7 +44,7 @@
         self.last_sequence
     }
 
-    /// Declares the records complete up to the arrival of the oldest open query, or up to now if none is open.
+    /// Declares the records complete up to the arrival of the oldest open query, or up to `now` if none is open.
     fn advance_watermark(&mut self, now: Nanos) -> Watermark {
         let oldest_open = self.open_queries.first();
         let complete_until = oldest_open.map_or(now, |(arrived_at, _)| *arrived_at);
@@ -62,14 +62,14 @@
 }
 
 impl Reducer {
-    /// Records usage from now on, with a watermark each `watermark_interval` nanoseconds.
+    /// Enables usage recording, with a watermark every `watermark_interval` nanoseconds.
     pub fn record_usage(&mut self, watermark_interval: Nanos) {
         self.usage = Some(UsageRecorder::new(watermark_interval));
         self.timers.set(0, Timer::WatermarkDue);
     }
 
-    /// Joins the retries of one use, by the client's idempotency key or else by the content of the query. 0 if no usage
-    /// is recorded.
+    /// The deduplication key of a request, derived from the client's idempotency key or else from the content of the
+    /// query. 0 if usage recording is off.
     pub(super) fn deduplication_key(&self, request: &QueryRequest) -> DeduplicationKey {
         if self.usage.is_none() {
             return 0;
@@ -92,7 +92,7 @@
         name.map_or(UNNAMED_TENANT, String::as_str)
     }
 
-    /// Notes that a query is open. Returns when it counts as arrived.
+    /// Notes that a query is open. Returns its arrival time.
     pub(super) fn record_query_opened(&mut self, id: RequestId, received_at: Nanos) -> Nanos {
         let Some(recorder) = &mut self.usage else {
             return received_at;
@@ -151,7 +151,7 @@
         });
     }
 
-    /// Gives a record its sequence number and hands it on; does nothing if no usage is recorded.
+    /// Sets the sequence number of a record and emits the record; does nothing if usage recording is off.
     fn push_usage_record(&mut self, mut record: UsageRecord) {
         let Some(recorder) = &mut self.usage else {
             return;
@@ -183,7 +183,7 @@
         self.effects.push(Effect::RecordWatermark(watermark));
     }
 
-    /// Records the last watermark: no record follows.
+    /// Records the last watermark, after which no record follows.
     pub(super) fn record_last_watermark(&mut self) {
         if let Some(recorder) = &self.usage {
             let watermark = recorder.watermark(true);
--- a/crates/mixer/src/reducer/watch_policy.rs
+++ b/crates/mixer/src/reducer/watch_policy.rs
@@ -1,75 +1,71 @@
-//! When the endpoint list is requested from discovery again, and the timeouts of these requests, so that the list stays
-//! fresh. There is one rule for each [`WatchMode`]:
+//! The schedule and the timeouts of requests for the endpoint list, which keep the list current. There is one rule for
+//! each [`WatchMode`]:
 //!
 //! - Push: an agent on the mixer's own machine. Requests to it are cheap, and its list is in force whether or not it is
-//!   watched. During any delay a change that is in force is not known here, so delays are a small fraction of
-//!   the drain grace, whatever the size of the fleet and however often the agent has failed.
-//! - Poll: one service for all mixers, which serves one request after another. Requests are spread and become fewer as
-//!   they fail (`Backoff`), within the time after which its list counts as announced and the longest time that
-//!   the settings allow without a request.
+//!   watched. During a delay the mixer misses changes that are in force, so delays are a small fraction of the drain
+//!   grace, regardless of the size of the fleet and of the number of failures.
+//! - Poll: one service for all mixers, which serves one request at a time. Failed requests are repeated after a backoff
+//!   with jitter (`Backoff`), limited by the staleness bound and by the maximum staleness of the settings.
 
 use super::backoff::Backoff;
 use crate::protocol::endpoint_updates::{self, MAX_UPDATE_BYTES};
 use std::time::Duration;
 
-/// What serves the endpoint list. Both modes hold the same watch, which delivers each change. They differ in when a
-/// change counts as announced, in when a watch that ended is requested again, and in whether versions are valid at
-/// another address of discovery.
+/// The kind of service that serves the endpoint list. Both modes use the same watch, which delivers each change. They
+/// differ in when a change counts as announced, in the delay before an ended watch is requested again, and in whether
+/// versions are valid at another address of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMode {
-    /// An agent on the mixer's own machine, whose list is in force at once. Requests keep a short, constant least
-    /// interval, whatever the agent's `Retry-After`.
+    /// An agent on the mixer's own machine, whose list is in force at once. Requests have a short, constant minimum
+    /// interval; the agent's `Retry-After` is ignored.
     Push {
-        /// No attempt may start at a replica later than this after it was announced as draining or gone.
+        /// No attempt may start at a replica later than this after it was announced as draining or removed.
         drain_grace: Duration,
     },
-    /// One service for the whole fleet, whose list counts as announced after [`STALENESS_BOUND`]. A watch that ended is
-    /// requested again after a backoff with jitter, which includes the service's `Retry-After` as far as the bound
-    /// allows.
+    /// One service for all mixers, whose list counts as announced after [`STALENESS_BOUND`]. An ended watch is
+    /// requested again after a backoff with jitter, which respects the service's `Retry-After` within the bound.
     Poll {
-        /// After this time without a request its current list counts as announced; `None` if the settings do not
-        /// bound it.
+        /// After this time without a request, the service's current list counts as announced; `None` if the settings do
+        /// not limit it.
         max_staleness: Option<Duration>,
     },
 }
 
-/// How a watch ended.
+/// The end of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchEnd {
-    /// How long it lasted, from the start of its connect.
+    /// Its duration, from the start of the connect.
     pub duration: Duration,
     /// An update or a heartbeat was received on it.
     pub received: bool,
-    /// It timed out: no connection, update or heartbeat in time.
+    /// It timed out: no connection was established, or no update or heartbeat was received, in time.
     pub timed_out: bool,
     /// The service's `Retry-After`.
     pub retry_after: Option<Duration>,
 }
 
-/// How long after discovery has a change it counts as announced here, if discovery can be reached, whichever requests
-/// have failed meanwhile. What a timed_out watch misses counts as announced this long after it
-/// fell timed_out.
+/// A change counts as announced to this mixer this long after discovery has received it, if discovery can be reached,
+/// regardless of failed requests in between. A change that a stalled watch misses counts as announced this long after
+/// the last message of the watch.
 pub const STALENESS_BOUND: Duration = Duration::from_secs(6);
-/// The part of [`STALENESS_BOUND`] that is reserved for the request that succeeds, to connect and to be answered.
+/// The part of [`STALENESS_BOUND`] that is reserved for the successful request, to connect and to be answered.
 const RESERVED_REQUEST_TIME: Duration = Duration::from_millis(1_500);
-/// Heartbeats are due every 2 s; one is late by half of that. Mistaking a live watch for a timed_out one costs one
-/// request.
+/// Heartbeats are due every 2 s; the timeout allows for a delay of half an interval. A false timeout costs one request.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(3);
-/// A request may wait at the service while it serves others; the mixer gives up later than the service does.
+/// A request may wait while the service serves others; this timeout is longer than the service's own.
 const POLL_ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 const POLL_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Requests to an agent that rejects or resets them at once start no closer together than one in so many of the drain
-/// grace.
+/// The number of requests per drain grace to an agent that rejects or resets them at once.
 const REQUESTS_PER_DRAIN_GRACE: u32 = 5;
-/// The bounds of the interval between requests to an agent, whatever the drain grace.
+/// The bounds of the interval between requests to an agent, regardless of the drain grace.
 const MIN_PUSH_RETRY_INTERVAL: Duration = Duration::from_millis(25);
 const MAX_PUSH_RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// An agent that is timed_out now answers as soon as it can again; a connection that it has lost is found out by then.
+/// An agent that stalls answers as soon as it recovers; this timeout detects a connection that the agent has lost.
 const PUSH_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest that a new process waits for its first endpoint update.
+/// The maximum time that a new process waits for its first endpoint update.
 const MAX_INITIAL_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When the endpoint list is requested again, and the timeouts of these requests.
+/// The schedule and the timeouts of requests for the endpoint list.
 #[derive(Clone, Debug)]
 pub struct WatchPolicy {
     mode: WatchMode,
@@ -78,7 +74,8 @@
 }
 
 impl WatchPolicy {
-    /// For one of `mixers` mixers. They must have different seeds, or they would send their requests in lockstep.
+    /// Creates the policy for one of `mixers` mixers. Each must have a different seed, or they send their requests in
+    /// lockstep.
     pub fn new(mode: WatchMode, seed: u64, mixers: u32) -> WatchPolicy {
         WatchPolicy {
             mode,
@@ -87,12 +84,12 @@
         }
     }
 
-    /// Sets the memory that the process may use, in bytes, of which an update may take a fraction.
+    /// Sets the memory limit of the process, in bytes; an update may use a fraction of it.
     pub fn limit_memory(&mut self, memory: usize) {
         self.max_update_bytes = endpoint_updates::max_update_bytes(memory);
     }
 
-    /// The most bytes of one update; a larger one is rejected.
+    /// The maximum size of an update, in bytes; a larger one is rejected.
     pub fn max_update_bytes(&self) -> usize {
         self.max_update_bytes
     }
@@ -110,35 +107,36 @@
     pub fn answer_timeout(&self) -> Duration {
         match self.mode {
             WatchMode::Push { .. } => PUSH_ANSWER_TIMEOUT,
-            // The next request starts in time even if this one is never answered.
+            // Leaves time for the next request to start within the interval if this one is not answered.
             WatchMode::Poll { .. } => {
                 POLL_ANSWER_TIMEOUT.min(max_retry_interval(self.mode) - self.connect_timeout())
             }
         }
     }
 
-    /// How long a new process waits for its first endpoint update, before which no attempt is made: changes that
-    /// discovery has had for the staleness bound count as announced to a new process as well. If discovery does not
-    /// answer in this time, the cached list is used.
+    /// How long a new process waits for its first endpoint update. No attempt starts before that, since changes that
+    /// discovery received longer ago than the staleness bound count as announced to a new process, too. If discovery
+    /// does not answer in time, the cached list is used.
     pub fn initial_list_timeout(&self) -> Duration {
         MAX_INITIAL_LIST_TIMEOUT.min(self.answer_timeout())
     }
 
-    /// Whether each address of discovery has versions of its own: agents do, a service has one list for all.
+    /// Whether versions are specific to an address of discovery: each agent has its own, a service has one list for all
+    /// mixers.
     pub fn versions_differ_by_address(&self) -> bool {
         matches!(self.mode, WatchMode::Push { .. })
     }
 
-    /// How long nothing may be received on a watch that has received something.
+    /// The maximum time between two messages on a watch.
     pub fn heartbeat_timeout(&self) -> Duration {
         HEARTBEAT_TIMEOUT
     }
 
-    /// How long to wait after a watch that has ended, until the next one is started.
+    /// The delay between the end of a watch and the start of the next one.
     pub fn next_delay(&mut self, ended: WatchEnd) -> Duration {
         let retry_interval = max_retry_interval(self.mode);
         match self.mode {
-            // The agent's list is in force at once, so its Retry-After does not count.
+            // The agent's list is in force at once, so its Retry-After is ignored.
             WatchMode::Push { .. } => retry_interval.saturating_sub(ended.duration),
             WatchMode::Poll { .. } => {
                 let limit = max_poll_delay(retry_interval, ended).min(retry_interval);
@@ -149,18 +147,18 @@
     }
 }
 
-/// The longest delay after which the next request is still in time.
+/// The longest delay after which the next request still meets the staleness bound.
 fn max_poll_delay(retry_interval: Duration, ended: WatchEnd) -> Duration {
     match (ended.received, ended.timed_out) {
-        // The staleness counts from when the watch fell timed_out.
+        // The staleness is measured from the last message of the watch.
         (true, true) => STALENESS_BOUND - HEARTBEAT_TIMEOUT - RESERVED_REQUEST_TIME,
         (true, false) => retry_interval,
-        // Discovery may have recovered right after this request was started.
+        // Discovery may have recovered right after this request was started, so its duration counts.
         (false, _) => retry_interval.saturating_sub(ended.duration),
     }
 }
 
-/// The longest time between the starts of two requests that fail.
+/// The longest time between the starts of two failed requests.
 fn max_retry_interval(mode: WatchMode) -> Duration {
     match mode {
         WatchMode::Push { drain_grace } => (drain_grace / REQUESTS_PER_DRAIN_GRACE)
