--- a/crates/cottonhill/src/commands/check.rs
+++ b/crates/cottonhill/src/commands/check.rs
@@ -6,7 +6,7 @@
 use crate::schema::SCHEMA;
 use comfy_table::Table;
 use cottonhill_ini::{Origin, Settings};
-use cottonhill_ledger::settings::{Ledger, UsageLog};
+use cottonhill_ledger::settings::{LedgerSettings, UsageLogSettings};
 use cottonhill_mixer::config::Config;
 use cottonhill_opensearch::index::Front;
 use std::path::Path;
@@ -51,8 +51,8 @@
 
 /// Checks what only the use of the settings shows to be wrong.
 fn validate(settings: &Settings) -> Result<(), CommandError> {
-    UsageLog::read(settings, &SCHEMA)?;
-    Ledger::read(settings, &SCHEMA)?;
+    UsageLogSettings::read(settings, &SCHEMA)?;
+    LedgerSettings::read(settings, &SCHEMA)?;
     Front::read(settings, &SCHEMA)?;
     Ok(())
 }
--- a/crates/cottonhill/src/commands/ledger/context.rs
+++ b/crates/cottonhill/src/commands/ledger/context.rs
@@ -4,7 +4,7 @@
 use crate::files::InputFiles;
 use crate::schema::SCHEMA;
 use cottonhill_ledger::period::Period;
-use cottonhill_ledger::settings::Ledger as LedgerSettings;
+use cottonhill_ledger::settings::LedgerSettings;
 use cottonhill_ledger::settle::Bounds;
 use cottonhill_ledger::store::Store;
 use std::path::PathBuf;
@@ -49,8 +49,8 @@
     /// How late a retry may arrive, and how far clocks may be apart.
     pub fn bounds(&self) -> Bounds {
         Bounds {
-            horizon: self.settings.horizon,
-            skew: self.settings.skew,
+            horizon_ms: self.settings.horizon_ms,
+            skew_ms: self.settings.skew_ms,
         }
     }
 
@@ -68,7 +68,7 @@
             .into_iter()
             .map(|(period, _)| period)
             .find(|period| period.start == start_ms)
-            .unwrap_or_else(|| self.settings.calendar.at(start_ms));
+            .unwrap_or_else(|| self.settings.calendar.period_at(start_ms));
         if period.start != start_ms {
             return Err(UsageError::NoSuchPeriod {
                 requested: start.to_string(),
--- a/crates/cottonhill/src/commands/ledger/correct.rs
+++ b/crates/cottonhill/src/commands/ledger/correct.rs
@@ -37,7 +37,7 @@
 pub fn run(context: &LedgerContext, arguments: Arguments) -> CommandResult {
     let mut store = context.open_existing_store()?;
     let period = context.find_period(&store, &arguments.period)?;
-    let now = settlement::now();
+    let now = settlement::unix_ms_now();
     let correction = correction_line(arguments, period, now);
     let document = store.correct(&correction, period, now)?;
     let CorrectionLine { id, amount, .. } = &correction;
--- a/crates/cottonhill/src/commands/ledger/dump.rs
+++ b/crates/cottonhill/src/commands/ledger/dump.rs
@@ -4,7 +4,7 @@
 use crate::error::{CommandResult, RuntimeError};
 use crate::output::{Format, ResultTable};
 use cottonhill_ledger::log::{Follower, Position};
-use cottonhill_ledger::period::stamp;
+use cottonhill_ledger::period::format_timestamp;
 use cottonhill_ledger::wire::entry::What;
 use cottonhill_ledger::wire::{Batch, Header, Record};
 use serde_json::{json, Value};
@@ -53,7 +53,7 @@
     /// The values in the order of [`COLUMNS`].
     fn into_values(self) -> Vec<Value> {
         vec![
-            json!(stamp(self.arrived)),
+            json!(format_timestamp(self.arrived)),
             json!(self.mixer),
             json!(self.incarnation),
             json!(self.sequence),
@@ -80,21 +80,21 @@
     let names = store.names()?;
     let name = |id: u32| names.get(&id).cloned();
     let mut table = ResultTable::new(&COLUMNS);
-    for record in store.tries(i64::MIN, i64::MAX)? {
+    for record in store.client_attempts(i64::MIN, i64::MAX)? {
         let row = RecordRow {
-            arrived: record.at,
+            arrived: record.arrived_ms,
             mixer: name(record.member),
             incarnation: record.incarnation,
             sequence: record.sequence,
             tenant: name(record.tenant),
             class: name(record.class),
             outcome: record.outcome.name().to_string(),
-            share: record.outcome.partial_share(),
+            share: record.outcome.coverage_millionths(),
             parts: record.parts,
-            attempts: record.attempts,
-            cross_zone_attempts: record.crossed,
-            client_retry: record.repeat,
-            key_from_client: record.keyed,
+            attempts: record.part_attempts,
+            cross_zone_attempts: record.cross_zone_attempts,
+            client_retry: record.client_retry,
+            key_from_client: record.key_from_client,
             key: record.key,
         };
         table.push(row.into_values());
@@ -113,7 +113,7 @@
     };
     let mut follower = Follower::new(directory, Position::default());
     let mut table = ResultTable::new(&COLUMNS);
-    while let Some(batch) = follower.next(BATCH_ENTRIES).map_err(read_error)? {
+    while let Some(batch) = follower.next_batch(BATCH_ENTRIES).map_err(read_error)? {
         report_damage(&batch);
         let header = batch.header.unwrap_or_default();
         for entry in batch.entries {
--- a/crates/cottonhill/src/commands/ledger/export.rs
+++ b/crates/cottonhill/src/commands/ledger/export.rs
@@ -4,8 +4,8 @@
 use super::progress;
 use crate::error::{CommandError, CommandResult, ConfigurationError, RuntimeError, UsageError};
 use crate::output::{Format, FormatOption, ResultTable};
-use cottonhill_ledger::settings::ExportTo;
-use cottonhill_ledger::store::{Outgoing, Store};
+use cottonhill_ledger::settings::ExportSettings;
+use cottonhill_ledger::store::{OutboxDocument, Store};
 use cottonhill_ledger::{export, settlement};
 use serde_json::json;
 use std::time::{Duration, Instant};
@@ -62,14 +62,14 @@
 /// Sends one document until it is acknowledged, and keeps account of each attempt in the store.
 fn send_document(
     store: &Store,
-    target: &ExportTo,
-    mut document: Outgoing,
+    target: &ExportSettings,
+    mut document: OutboxDocument,
     deadline: Instant,
 ) -> Result<(), CommandError> {
     loop {
         let (in_folder, posted, error) = export::send(target, &document);
-        let now = settlement::now();
-        store.sent(&document.id, in_folder, posted, error.as_deref(), now)?;
+        let now = settlement::unix_ms_now();
+        store.record_delivery(&document.id, in_folder, posted, error.as_deref(), now)?;
         document.in_folder |= in_folder;
         document.posted |= posted;
         document.attempts += 1;
@@ -78,7 +78,7 @@
             let id = document.id;
             return Err(RuntimeError::DocumentNotAcknowledged { id, reason }.into());
         }
-        let delay = export::wait(target.again, document.attempts);
+        let delay = export::retry_delay(target.retry_delay, document.attempts);
         std::thread::sleep(delay.min(MAX_RETRY_DELAY));
     }
 }
--- a/crates/cottonhill/src/commands/ledger/reconcile.rs
+++ b/crates/cottonhill/src/commands/ledger/reconcile.rs
@@ -3,8 +3,8 @@
 use super::context::LedgerContext;
 use crate::error::{CommandError, CommandResult, RuntimeError, UsageError};
 use crate::output::{self, Format, FormatOption, ResultTable};
-use cottonhill_ledger::reconcile::{self, ClientUse, Reconciled};
-use cottonhill_ledger::store::{Standing, Store};
+use cottonhill_ledger::reconcile::{self, ClientUse, Reconciliation};
+use cottonhill_ledger::store::{MemberStatus, Store};
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
@@ -51,7 +51,7 @@
     if let Some(path) = &arguments.clients {
         differences += with_clients(context, &store, path, arguments.format.format)?;
     }
-    let members = store.standings()?;
+    let members = store.member_statuses()?;
     for counters in &arguments.counters {
         differences += with_counters(&store, &members, counters)?;
     }
@@ -70,12 +70,13 @@
 ) -> Result<usize, CommandError> {
     let uses = read_client_uses(path)?;
     let calendar = &context.settings.calendar;
-    let reconciled = reconcile::with_clients(store, calendar, context.bounds(), ALL_TIME, &uses)?;
-    totals_table(&reconciled).print(format)?;
-    if !reconciled.differences.is_empty() {
-        differences_table(&reconciled).print(format)?;
+    let reconciliation =
+        reconcile::compare_with_clients(store, calendar, context.bounds(), ALL_TIME, &uses)?;
+    totals_table(&reconciliation).print(format)?;
+    if !reconciliation.differences.is_empty() {
+        differences_table(&reconciliation).print(format)?;
     }
-    Ok(reconciled.unequal() + reconciled.differences.len())
+    Ok(reconciliation.differing_totals() + reconciliation.differences.len())
 }
 
 fn read_client_uses(path: &Path) -> Result<Vec<ClientUse>, RuntimeError> {
@@ -88,9 +89,9 @@
     rows.map_err(read_error)
 }
 
-fn totals_table(reconciled: &Reconciled) -> ResultTable {
+fn totals_table(reconciliation: &Reconciliation) -> ResultTable {
     let mut table = ResultTable::new(&TOTAL_COLUMNS);
-    for ((period, tenant, class), pair) in &reconciled.totals {
+    for ((period, tenant, class), pair) in &reconciliation.totals {
         let equal = pair.ledger == pair.client && pair.ledger_answered == pair.client_answered;
         table.push(vec![
             json!(period),
@@ -106,14 +107,14 @@
     table
 }
 
-fn differences_table(reconciled: &Reconciled) -> ResultTable {
+fn differences_table(reconciliation: &Reconciliation) -> ResultTable {
     let mut table = ResultTable::new(&DIFFERENCE_COLUMNS);
-    for difference in &reconciled.differences {
+    for difference in &reconciliation.differences {
         table.push(vec![
-            json!(difference.what),
+            json!(difference.kind),
             json!(difference.tenant),
             json!(difference.class),
-            json!(difference.at),
+            json!(difference.timestamp),
             json!(difference.key),
             json!(difference.ledger),
             json!(difference.client),
@@ -125,7 +126,7 @@
 /// Compares with the counters of one mixer's latest run, given as `NAME=FILE`; returns how many differ.
 fn with_counters(
     store: &Store,
-    members: &[Standing],
+    members: &[MemberStatus],
     counters: &str,
 ) -> Result<usize, CommandError> {
     let (member, file) = counters
@@ -134,7 +135,7 @@
     let mixer_counts = read_counters(Path::new(file))?;
     let latest = members.iter().find(|state| state.member == member);
     let incarnation = latest.map_or(0, |state| state.position.incarnation);
-    let ledger_counts = store.recorded(member, incarnation)?;
+    let ledger_counts = store.record_counts(member, incarnation)?;
     let names: BTreeSet<&String> = ledger_counts.keys().chain(mixer_counts.keys()).collect();
     let mut differences = 0;
     for name in names {
--- a/crates/cottonhill/src/commands/ledger/serve.rs
+++ b/crates/cottonhill/src/commands/ledger/serve.rs
@@ -7,7 +7,7 @@
 use crate::logging::Logging;
 use crate::schema::SCHEMA;
 use cottonhill_ini::Settings;
-use cottonhill_ledger::settings::Ledger as LedgerSettings;
+use cottonhill_ledger::settings::LedgerSettings;
 use cottonhill_ledger::settlement::{self, Control};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
--- a/crates/cottonhill/src/commands/ledger/statement.rs
+++ b/crates/cottonhill/src/commands/ledger/statement.rs
@@ -117,7 +117,7 @@
         statement.period, statement.end, statement.closed, statement.rounding
     );
     for member in &statement.members {
-        if member.missing || member.lost + member.died + member.damaged > 0 {
+        if member.missing || member.lost_records + member.crashed_runs + member.damaged_ranges > 0 {
             text += &member_line(member);
         }
     }
@@ -135,9 +135,9 @@
         member.member,
         if member.missing { "MISSING, " } else { "" },
         member.complete.as_deref().unwrap_or("never"),
-        member.lost,
-        member.died,
-        member.damaged
+        member.lost_records,
+        member.crashed_runs,
+        member.damaged_ranges
     )
 }
 
@@ -147,6 +147,6 @@
         .map_or("none".to_string(), |allowance| allowance.to_string());
     format!(
         "tenant {}: {} answered, allowance {allowance}, {} over it, {} micro-units\n",
-        total.tenant, total.answered, total.over, total.amount
+        total.tenant, total.answered, total.above_allowance, total.amount
     )
 }
--- a/crates/cottonhill/src/commands/ledger/status.rs
+++ b/crates/cottonhill/src/commands/ledger/status.rs
@@ -3,8 +3,8 @@
 use super::context::LedgerContext;
 use crate::error::{CommandError, CommandResult};
 use crate::output::{self, Format, ResultTable};
-use cottonhill_ledger::period::stamp;
-use cottonhill_ledger::store::{Standing, Store};
+use cottonhill_ledger::period::format_timestamp;
+use cottonhill_ledger::store::{MemberStatus, Store};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
 
@@ -28,7 +28,7 @@
 /// The store can't be read.
 pub fn run(context: &LedgerContext, format: Format) -> CommandResult {
     let store = context.open_existing_store()?;
-    let states = store.standings()?;
+    let states = store.member_statuses()?;
     let mut table = ResultTable::new(&COLUMNS);
     for name in member_names(context, &states) {
         let configured = context.settings.members.contains_key(name);
@@ -44,21 +44,21 @@
     Ok(())
 }
 
-fn member_names<'a>(context: &'a LedgerContext, states: &'a [Standing]) -> BTreeSet<&'a str> {
+fn member_names<'a>(context: &'a LedgerContext, states: &'a [MemberStatus]) -> BTreeSet<&'a str> {
     let configured = context.settings.members.keys().map(String::as_str);
     let with_records = states.iter().map(|state| state.member.as_str());
     configured.chain(with_records).collect()
 }
 
-fn record_values(state: &Standing) -> Vec<Value> {
+fn record_values(state: &MemberStatus) -> Vec<Value> {
     vec![
         json!(state.position.incarnation),
         json!(state.position.sequence),
-        json!(stamp(state.complete)),
+        json!(format_timestamp(state.watermark_ms)),
         json!(state.records),
-        json!(state.lost),
-        json!(state.died),
-        json!(state.damaged),
+        json!(state.lost_records),
+        json!(state.crashed_runs),
+        json!(state.damaged_ranges),
     ]
 }
 
--- a/crates/cottonhill/src/commands/ledger/verify.rs
+++ b/crates/cottonhill/src/commands/ledger/verify.rs
@@ -7,7 +7,7 @@
 use crate::output;
 use crate::schema::SCHEMA;
 use cottonhill_ledger::log::{self, Item};
-use cottonhill_ledger::settings::Ledger as LedgerSettings;
+use cottonhill_ledger::settings::LedgerSettings;
 use std::path::{Path, PathBuf};
 
 /// What was checked, and what is wrong.
@@ -45,7 +45,7 @@
         path: directory.to_path_buf(),
         source,
     };
-    let segments = log::segments(directory).map_err(read_error)?;
+    let segments = log::list_segments(directory).map_err(read_error)?;
     let bar = progress::bar(segments.len(), "segments");
     for (index, segment) in segments.iter().enumerate() {
         let bytes = std::fs::read(&segment.path).map_err(read_error)?;
@@ -59,7 +59,7 @@
 
 /// The last segment of a log may end in the middle of a write.
 fn check_segment(name: &str, bytes: &[u8], is_last: bool, report: &mut Report) {
-    let start = match log::header(bytes) {
+    let start = match log::read_header(bytes) {
         Some((_, start)) => start,
         None => {
             let problem = format!("{name}: its header can't be read, at offset 0");
@@ -67,7 +67,7 @@
             log::MAGIC.len()
         }
     };
-    let read = log::read(bytes, start, usize::MAX);
+    let read = log::read_entries(bytes, start, usize::MAX);
     for item in &read.items {
         match item {
             Item::Entry(_) => report.entries += 1,
--- a/crates/cottonhill/src/commands/serve.rs
+++ b/crates/cottonhill/src/commands/serve.rs
@@ -5,7 +5,7 @@
 use crate::logging::Logging;
 use crate::mixer::{self, MixerContext};
 use crate::schema::SCHEMA;
-use cottonhill_ledger::settings::UsageLog;
+use cottonhill_ledger::settings::UsageLogSettings;
 use tokio::task::LocalSet;
 
 /// Runs the mixer.
@@ -17,7 +17,7 @@
     let path = path.ok_or(ConfigurationError::NoConfiguration)?;
     let config = files::read_configuration(path)?;
     let settings = files.read_settings()?;
-    let usage_log = UsageLog::read(&settings, &SCHEMA)?;
+    let usage_log = UsageLogSettings::read(&settings, &SCHEMA)?;
     let logging = Logging::start(&settings)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/cottonhill/src/mixer/mod.rs
+++ b/crates/cottonhill/src/mixer/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::error::{CommandResult, RuntimeError};
 use crate::log_targets::PROGRAM;
-use cottonhill_ledger::settings::UsageLog;
+use cottonhill_ledger::settings::UsageLogSettings;
 use cottonhill_ledger::writer::{self, Writer};
 use cottonhill_mixer::config::Config;
 use cottonhill_mixer::protocol::endpoint_updates::EndpointUpdate;
@@ -24,7 +24,10 @@
 ///
 /// # Errors
 /// A socket, signal handler or usage log that can't be opened.
-pub async fn serve(mut context: MixerContext, usage_log: Option<UsageLog>) -> CommandResult {
+pub async fn serve(
+    mut context: MixerContext,
+    usage_log: Option<UsageLogSettings>,
+) -> CommandResult {
     // A list may be large, and only the start needs it.
     let cached_endpoints = std::mem::take(&mut context.config.cached_endpoints);
     let config = context.config.clone();
@@ -71,12 +74,16 @@
 }
 
 /// Opens the usage log. `now` is Unix nanoseconds by the mixer's clock.
-fn start_writer(usage_log: &UsageLog, config: &Config, now: u64) -> Result<Writer, RuntimeError> {
+fn start_writer(
+    usage_log: &UsageLogSettings,
+    config: &Config,
+    now: u64,
+) -> Result<Writer, RuntimeError> {
     let settings = &config.mixer_settings;
-    let names = writer::Names {
+    let names = writer::NameTables {
         mixer: config.name.clone(),
         classes: settings.classes.clone(),
-        give_up: settings.deadlines.clone(),
+        give_up_ns: settings.deadlines.clone(),
         tenants: settings.tenants.clone(),
     };
     writer::start(usage_log, names, now).map_err(RuntimeError::UsageLog)
@@ -85,7 +92,7 @@
 fn new_reducer(
     config: &Config,
     cached_endpoints: EndpointUpdate,
-    usage_log: Option<&UsageLog>,
+    usage_log: Option<&UsageLogSettings>,
     now: u64,
 ) -> Reducer {
     let mut reducer = Reducer::new(
@@ -100,7 +107,7 @@
         reducer.limit_memory(memory_limit);
     }
     if let Some(usage_log) = usage_log {
-        reducer.record_usage(usage_log.mark.as_nanos() as u64);
+        reducer.record_usage(usage_log.watermark_interval.as_nanos() as u64);
     }
     reducer
 }
--- a/crates/cottonhill/src/mixer/usage_recorder.rs
+++ b/crates/cottonhill/src/mixer/usage_recorder.rs
@@ -44,9 +44,9 @@
 
 impl Recorder for UsageLogRecorder {
     fn record(&mut self, usage: UsageRecord) -> bool {
-        let accepted = self.0.offer(What::Record(wire_record(&usage)));
+        let accepted = self.0.try_enqueue(What::Record(wire_record(&usage)));
         if !accepted {
-            self.0.note_lost();
+            self.0.count_lost_record();
         }
         accepted
     }
@@ -54,23 +54,23 @@
     /// A watermark that is lost is superseded by the next one.
     fn record_watermark(&mut self, watermark: Watermark) {
         let complete_until_ms = watermark.complete_until / NANOS_PER_MS;
-        let mark = writer::mark(watermark.sequence, complete_until_ms, watermark.last);
-        self.0.offer(mark);
+        let mark = writer::watermark_entry(watermark.sequence, complete_until_ms, watermark.last);
+        self.0.try_enqueue(mark);
     }
 
     fn written_sequence(&self) -> watch::Receiver<u64> {
-        self.0.watch()
+        self.0.written_sequence()
     }
 
     fn max_write_delay(&self) -> Duration {
-        self.0.stall_bound()
+        self.0.max_write_delay()
     }
 
     fn count_unrecorded_reply(&mut self) {
-        self.0.note_late();
+        self.0.count_unrecorded_reply();
     }
 
     fn close(&mut self) {
-        self.0.finish();
+        self.0.close();
     }
 }
--- a/crates/ledger/build.rs
+++ b/crates/ledger/build.rs
@@ -1,4 +1,4 @@
-//! Makes the code for `proto/usage.proto`, without a compiler of its own on the machine.
+//! Generates the code for `proto/usage.proto`; protox replaces an installed `protoc`.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     println!("cargo:rerun-if-changed=proto/usage.proto");
--- a/crates/ledger/src/collect.rs
+++ b/crates/ledger/src/collect.rs
@@ -1,4 +1,4 @@
-//! Collection over gRPC: each mixer offers its log, and the settlement follows it.
+//! Collection over gRPC: each mixer serves its usage log, and the settlement follows it.
 
 use crate::log::{Follower, Position};
 use crate::wire::usage_log_server::{UsageLog, UsageLogServer};
@@ -14,21 +14,22 @@
 use tokio_stream::wrappers::{ReceiverStream, TcpListenerStream};
 use tonic::{Request, Response, Status};
 
-/// Most entries of one message.
-const MOST_ENTRIES: usize = 4096;
-/// Messages that may wait for a slow collector; then its log is read no further.
-const MOST_WAITING: usize = 4;
-/// Between two looks at a log that has nothing new.
-const LOOK: Duration = Duration::from_millis(20);
-/// An empty message after so long without news shows that the mixer lives.
-const ALIVE: u32 = 50;
+/// Entries of one message.
+const MAX_BATCH_ENTRIES: usize = 4096;
+/// Messages buffered for a slow collector; the log is not read further while the buffer is full.
+const MAX_QUEUED_MESSAGES: usize = 4;
+/// Interval of polling a log without new entries.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// An empty message is sent after this number of polls without new entries, so that the collector sees that the mixer
+/// is alive.
+const KEEPALIVE_POLLS: u32 = 50;
 
-struct Service {
+struct UsageLogService {
     directory: PathBuf,
 }
 
 #[tonic::async_trait]
-impl UsageLog for Service {
+impl UsageLog for UsageLogService {
     type FollowStream = ReceiverStream<Result<Batch, Status>>;
 
     async fn follow(
@@ -46,32 +47,36 @@
                 sequence,
             },
         );
-        let (send, receive) = mpsc::channel(MOST_WAITING);
+        let (send, receive) = mpsc::channel(MAX_QUEUED_MESSAGES);
         tokio::spawn(async move {
             let mut idle = 0;
             loop {
                 let read = tokio::task::spawn_blocking(move || {
-                    let next = follower.next(MOST_ENTRIES);
+                    let next = follower.next_batch(MAX_BATCH_ENTRIES);
                     (follower, next)
                 });
-                let Ok((back, next)) = read.await else { return };
-                follower = back;
+                let Ok((returned, next)) = read.await else {
+                    return;
+                };
+                follower = returned;
                 let message = match next {
                     Ok(Some(batch)) => Ok(batch),
-                    Ok(None) if idle < ALIVE => {
+                    Ok(None) if idle < KEEPALIVE_POLLS => {
                         idle += 1;
-                        tokio::time::sleep(LOOK).await;
+                        tokio::time::sleep(POLL_INTERVAL).await;
                         if send.is_closed() {
                             return;
                         }
                         continue;
                     }
                     Ok(None) => Ok(Batch::default()),
-                    Err(e) => Err(Status::unavailable(format!("the log can't be read: {e}"))),
+                    Err(e) => Err(Status::unavailable(format!(
+                        "cannot read the usage log: {e}"
+                    ))),
                 };
                 idle = 0;
-                let over = message.is_err();
-                if send.send(message).await.is_err() || over {
+                let failed = message.is_err();
+                if send.send(message).await.is_err() || failed {
                     return;
                 }
             }
@@ -88,28 +93,31 @@
             sequence,
         } = request.into_inner();
         let directory = self.directory.clone();
-        let upto = Position {
+        let settled = Position {
             incarnation,
             sequence,
         };
-        let done = tokio::task::spawn_blocking(move || writer::forget(&directory, upto)).await;
-        match done {
-            Ok(Ok(gone)) => {
-                tracing::debug!(gone, incarnation, sequence, "settled segments forgotten");
+        let removal = tokio::task::spawn_blocking(move || {
+            writer::remove_settled_segments(&directory, settled)
+        })
+        .await;
+        match removal {
+            Ok(Ok(removed)) => {
+                tracing::debug!(removed, incarnation, sequence, "settled segments removed");
                 Ok(Response::new(AcknowledgeReply {}))
             }
             Ok(Err(e)) => Err(Status::unavailable(format!(
-                "segments can't be removed: {e}"
+                "cannot remove settled segments: {e}"
             ))),
             Err(e) => Err(Status::internal(e.to_string())),
         }
     }
 }
 
-/// Offers a log for collection, on a thread of its own that ends with the process.
+/// Serves a log for collection on a dedicated thread, until the process ends.
 ///
 /// # Errors
-/// The address can't be listened on.
+/// The address cannot be bound.
 pub fn listen(address: SocketAddr, directory: PathBuf) -> io::Result<()> {
     let listener = std::net::TcpListener::bind(address)
         .map_err(|e| io::Error::new(e.kind(), format!("cannot listen on {address}: {e}")))?;
@@ -120,17 +128,17 @@
     thread::Builder::new()
         .name("usage collection".into())
         .spawn(move || {
-            let served: Result<(), String> = runtime.block_on(async move {
+            let result: Result<(), String> = runtime.block_on(async move {
                 let listener = TcpListener::from_std(listener).map_err(|e| e.to_string())?;
-                let service = UsageLogServer::new(Service { directory });
+                let service = UsageLogServer::new(UsageLogService { directory });
                 let server = tonic::transport::Server::builder().add_service(service);
                 server
                     .serve_with_incoming(TcpListenerStream::new(listener))
                     .await
                     .map_err(|e| e.to_string())
             });
-            if let Err(e) = served {
-                tracing::error!(error = e, "usage collection ended");
+            if let Err(e) = result {
+                tracing::error!(error = e, "usage collection server failed");
             }
         })?;
     Ok(())
--- a/crates/ledger/src/export.rs
+++ b/crates/ledger/src/export.rs
@@ -1,28 +1,28 @@
-//! Documents and their export: each with an id of its own that never changes, to a folder and to a receiver.
+//! Documents and their export to a folder and to an HTTP receiver, at least once and under a fixed id.
 //!
-//! A document is put into the outbox in the transaction that made it. It is sent until the receiver has said that it
-//! has it, always under the same id and as the same bytes, so that a receiver which keeps one of each id ends with
-//! each once, whatever became of its acknowledgements.
+//! A document enters the outbox in the transaction that creates it. It is sent until the receiver acknowledges it,
+//! always with the same id (the idempotency key) and the same bytes, so a receiver that deduplicates by id stores each
+//! document once even if acknowledgements are lost.
 
 use crate::period::Period;
-use crate::settings::ExportTo;
-use crate::store::{CorrectionLine, Outgoing, Statement, StatementLine, TenantTotal};
+use crate::settings::ExportSettings;
+use crate::store::{CorrectionLine, OutboxDocument, Statement, StatementLine, TenantTotal};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::Path;
 use std::time::Duration;
 
-/// What one tenant is sent.
+/// A statement, credit or debit of one tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Document {
     pub id: String,
     /// `statement`, `credit` or `debit`.
     pub kind: String,
     pub tenant: String,
-    /// The period of the statement, or of the statement that is corrected.
+    /// The period of the statement, or of the corrected statement.
     pub period: String,
-    /// Micro-units; a credit's is below zero.
+    /// Micro-units; negative for a credit.
     pub amount: i64,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub lines: Vec<StatementLine>,
@@ -30,37 +30,37 @@
     pub corrections: Vec<CorrectionLine>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub totals: Option<TenantTotal>,
-    /// The members whose records were missing, by name.
+    /// Names of the members whose records were incomplete.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub missing: Vec<String>,
-    /// Of the statement that a credit or debit corrects: its document and its hash.
+    /// Document id and hash of the statement that a credit or debit corrects.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub corrects: Option<(String, String)>,
 }
 
-/// A text as a part of a file's name: other characters than letters, digits, `-`, `_` and `.` are escaped.
-fn file_name_part(text: &str) -> String {
-    let plain = |c: char| {
+/// Escapes a text for a file name: all characters but ASCII letters, digits, `-`, `_` and `.`.
+fn escape_file_name(text: &str) -> String {
+    let escape = |c: char| {
         if c.is_ascii_alphanumeric() || "-_.".contains(c) {
             c.to_string()
         } else {
             format!("%{:x}", u32::from(c))
         }
     };
-    text.chars().map(plain).collect()
+    text.chars().map(escape).collect()
 }
 
 fn statement_id(period: &str, tenant: &str) -> String {
     format!(
         "statement-{}-{}",
-        file_name_part(&period.replace(':', "")),
-        file_name_part(tenant)
+        escape_file_name(&period.replace(':', "")),
+        escape_file_name(tenant)
     )
 }
 
 impl Document {
-    /// One for each tenant that a statement says something of.
-    pub fn of_statement(statement: &Statement) -> Vec<Document> {
+    /// One document for each tenant of a statement.
+    pub fn from_statement(statement: &Statement) -> Vec<Document> {
         let document = |totals: &TenantTotal| {
             let tenant = &totals.tenant;
             Document {
@@ -94,15 +94,15 @@
         statement.tenants.iter().map(document).collect()
     }
 
-    /// The credit or debit for a correction of a closed period.
-    pub fn of_correction(correction: &CorrectionLine, period: Period, hash: &str) -> Document {
+    /// The credit or debit for a correction of a closed period. `hash` is that of the period's statement.
+    pub fn from_correction(correction: &CorrectionLine, period: Period, hash: &str) -> Document {
         let kind = if correction.amount < 0 {
             "credit"
         } else {
             "debit"
         };
         Document {
-            id: format!("{kind}-{}", file_name_part(&correction.id)),
+            id: format!("{kind}-{}", escape_file_name(&correction.id)),
             kind: kind.into(),
             tenant: correction.tenant.clone(),
             period: period.name(),
@@ -119,63 +119,64 @@
     }
 }
 
-/// Puts a document into a folder: whole or not at all, and once.
+/// Writes a document to a folder atomically; an existing file of the same document is replaced.
 ///
 /// # Errors
-/// The folder can't be written.
-pub fn to_folder(folder: &Path, document: &Outgoing) -> io::Result<()> {
+/// The folder cannot be written.
+pub fn write_to_folder(folder: &Path, document: &OutboxDocument) -> io::Result<()> {
     fs::create_dir_all(folder)?;
-    let (half, whole) = (
+    let (temporary, complete) = (
         folder.join(format!(".{}.half", document.id)),
         folder.join(format!("{}.json", document.id)),
     );
-    let mut file = File::create(&half)?;
+    let mut file = File::create(&temporary)?;
     file.write_all(document.body.as_bytes())?;
     file.sync_all()?;
-    fs::rename(&half, &whole)?;
+    fs::rename(&temporary, &complete)?;
     File::open(folder)?.sync_all()
 }
 
-/// Posts a document; done once the receiver answers with a 2xx, or with a 409 for one that it has already.
+/// Posts a document. Succeeds if the receiver answers with 2xx, or with 409 for a document that it already has.
 ///
 /// # Errors
-/// It did not say so; it may have it all the same.
-pub fn post(url: &str, timeout: Duration, document: &Outgoing) -> Result<(), String> {
+/// The receiver did not acknowledge the document; it may have stored it nevertheless.
+pub fn post(url: &str, timeout: Duration, document: &OutboxDocument) -> Result<(), String> {
     let config = ureq::Agent::config_builder()
         .timeout_global(Some(timeout))
         .http_status_as_error(false);
     let agent: ureq::Agent = config.build().into();
-    let request = agent
+    let response = agent
         .post(url)
         .header("Idempotency-Key", &document.id)
         .header("Content-Type", "application/json")
         .send(document.body.as_bytes());
-    match request {
-        Ok(answer) if answer.status().is_success() || answer.status() == 409 => Ok(()),
-        Ok(answer) => Err(format!("the receiver answers {}", answer.status())),
+    match response {
+        Ok(response) if response.status().is_success() || response.status() == 409 => Ok(()),
+        Ok(response) => Err(format!("the receiver answered {}", response.status())),
         Err(e) => Err(e.to_string()),
     }
 }
 
-/// Wait before a document that has failed so often is sent again: doubled each time, at most 64-fold.
-pub fn wait(again: Duration, attempts: u32) -> Duration {
-    again * 2u32.pow(attempts.saturating_sub(1).min(6))
+/// Exponential backoff before a document is sent again after `attempts` failures: at most 64 times `base`.
+pub fn retry_delay(base: Duration, attempts: u32) -> Duration {
+    base * 2u32.pow(attempts.saturating_sub(1).min(6))
 }
 
-/// Sends one document to wherever it has still to go; what succeeded and why the rest did not.
-pub fn send(to: &ExportTo, document: &Outgoing) -> (bool, bool, Option<String>) {
-    let folder = match &to.folder {
+/// Sends one document to the targets that have not acknowledged it. Returns whether this attempt succeeded for the
+/// folder and for the receiver, and the first error.
+pub fn send(target: &ExportSettings, document: &OutboxDocument) -> (bool, bool, Option<String>) {
+    let folder = match &target.folder {
         Some(folder) if !document.in_folder => {
-            Some(to_folder(folder, document).map_err(|e| e.to_string()))
+            Some(write_to_folder(folder, document).map_err(|e| e.to_string()))
         }
         _ => None,
     };
-    let posted = match &to.url {
-        Some(url) if !document.posted => Some(post(url, to.timeout, document)),
+    let posted = match &target.url {
+        Some(url) if !document.posted => Some(post(url, target.timeout, document)),
         _ => None,
     };
-    let done = |sent: &Option<Result<(), String>>| matches!(sent, Some(Ok(())));
-    let (in_folder, sent) = (done(&folder), done(&posted));
+    let succeeded = |result: &Option<Result<(), String>>| matches!(result, Some(Ok(())));
+    let (in_folder, sent) = (succeeded(&folder), succeeded(&posted));
     let error = [folder, posted]
         .into_iter()
         .flatten()
--- a/crates/ledger/src/join.rs
+++ b/crates/ledger/src/join.rs
@@ -1,286 +1,313 @@
-//! Which tries are one use. Pure: tries go in by the order of their arrival, uses come out.
+//! Deduplication of client retries: joins the attempts of one client query into one use.
 //!
-//! A first try begins a use. A try marked as a retry joins the use of an earlier one, at most one retry to each try:
-//! - by the client's own key, whatever became of the earlier tries;
-//! - else by tenant, class and what was asked, within the class's give-up time of the first try, to the try that
-//!   has waited for longest among those that were not answered. A try whose answer may never have left, for its mixer
-//!   died right after, counts as not answered, but comes last.
+//! Pure: attempts are pushed in the order of their arrival, and complete uses are emitted. An attempt that is not
+//! marked as a retry starts a use. A retry joins the use of an earlier attempt, at most one retry for each attempt:
+//! - With a key that the client sent, it joins the use of that key, whatever the outcomes of the earlier attempts.
+//! - Otherwise it joins a use of the same tenant, class and request content whose first attempt is within the class's
+//!   give-up time: the one whose last attempt has been unanswered for longest. An attempt whose answer may not have
+//!   been delivered, because its mixer crashed right afterwards, counts as unanswered but is considered last.
 //!
-//! A retry that finds nothing to join is a use of its own: its first try never arrived anywhere, or its record died
-//! with a mixer. Clocks of mixers may differ by [`Joiner::new`]'s `skew`: so much earlier a retry may seem to be.
+//! A retry without a matching use starts one: its first attempt reached no mixer, or the record was lost in a crash.
+//! The clocks of mixers may differ, so a retry may seem to arrive up to the clock skew before the attempt that it
+//! repeats.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// How a try ended.
+/// The outcome of a client attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Outcome {
-    Whole,
-    /// With this share of the weight, in millionths.
+    Complete,
+    /// With this coverage: the answered fraction of the weight, in millionths.
     Partial(u32),
-    Refused,
+    Rejected,
     Failed,
-    Left,
+    ClientDisconnected,
 }
 
 impl Outcome {
-    /// Whether the client was answered, whole or in part.
+    /// Whether the client got an answer, complete or partial.
     pub fn answered(self) -> bool {
-        matches!(self, Outcome::Whole | Outcome::Partial(_))
+        matches!(self, Outcome::Complete | Outcome::Partial(_))
     }
 
-    /// Its name in reports and files.
+    /// The name in reports, CSV files and statements.
     pub fn name(self) -> &'static str {
         match self {
-            Outcome::Whole => "whole",
+            Outcome::Complete => "whole",
             Outcome::Partial(_) => "partial",
-            Outcome::Refused => "refused",
+            Outcome::Rejected => "refused",
             Outcome::Failed => "failed",
-            Outcome::Left => "left",
+            Outcome::ClientDisconnected => "left",
         }
     }
 
-    /// The share of the weight that a partial answer rests on, in millionths; 0 for any other outcome.
-    pub fn partial_share(self) -> u32 {
+    /// The coverage of a partial answer in millionths; 0 for any other outcome.
+    pub fn coverage_millionths(self) -> u32 {
         match self {
-            Outcome::Partial(share) => share,
+            Outcome::Partial(coverage) => coverage,
             _ => 0,
         }
     }
 
-    /// Which of two tries' outcomes is that of their use: the better one.
-    fn better(self, other: Outcome) -> Outcome {
+    /// The outcome of a use with these two attempts: the better one.
+    fn combine(self, other: Outcome) -> Outcome {
         match (self, other) {
-            (Outcome::Whole, _) | (_, Outcome::Whole) => Outcome::Whole,
+            (Outcome::Complete, _) | (_, Outcome::Complete) => Outcome::Complete,
             (Outcome::Partial(a), Outcome::Partial(b)) => Outcome::Partial(a.max(b)),
             (Outcome::Partial(_), _) => self,
-            // Neither was answered: that of the later try.
+            // Neither was answered: the later attempt decides.
             (_, later) => later,
         }
     }
 }
 
-/// One record, wherever it came from.
+/// The usage record of one client attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Try {
+pub struct ClientAttempt {
     /// Arrival in Unix milliseconds, by its mixer's clock.
-    pub at: i64,
+    pub arrived_ms: i64,
     pub member: u32,
+    /// The run of the member.
     pub incarnation: u64,
     pub sequence: u64,
     pub tenant: u32,
     pub class: u32,
     pub outcome: Outcome,
     pub parts: u32,
-    pub attempts: u32,
-    pub crossed: u32,
-    pub repeat: bool,
+    /// Attempts at parts, over all parts.
+    pub part_attempts: u32,
+    /// Attempts at parts in another zone.
+    pub cross_zone_attempts: u32,
+    /// The client marked it as a retry.
+    pub client_retry: bool,
+    /// Hash of the client's idempotency key, or of the request content without one.
     pub key: u64,
-    pub keyed: bool,
+    pub key_from_client: bool,
     /// The class's give-up time in milliseconds.
-    pub window: i64,
-    /// Its mixer died right after: the answer may never have left.
-    pub doubtful: bool,
+    pub retry_window_ms: i64,
+    /// The mixer crashed before a watermark confirmed this record: the answer may not have been delivered.
+    pub delivery_uncertain: bool,
 }
 
-/// Names one record for ever, in the order of arrival.
-pub type Id = (i64, u32, u64, u64);
+/// Identifies a record: arrival in Unix milliseconds, member, incarnation and sequence. Sorts by arrival.
+pub type RecordId = (i64, u32, u64, u64);
 
-impl Try {
-    pub fn id(&self) -> Id {
-        (self.at, self.member, self.incarnation, self.sequence)
+impl ClientAttempt {
+    pub fn id(&self) -> RecordId {
+        (
+            self.arrived_ms,
+            self.member,
+            self.incarnation,
+            self.sequence,
+        )
     }
 
-    fn open(&self) -> bool {
-        !self.outcome.answered() || self.doubtful
+    fn accepts_retry(&self) -> bool {
+        !self.outcome.answered() || self.delivery_uncertain
     }
 }
 
-/// One use: its tries, in the order that they were joined.
+/// One client query: its attempts, in the order in which they were joined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Use {
-    pub tries: Vec<Try>,
-    /// The best of its tries' outcomes.
+    pub attempts: Vec<ClientAttempt>,
+    /// The best outcome of the attempts.
     pub outcome: Outcome,
-    /// Of its tries, the retries that had more than one try to join, or none but answered ones: another reading
-    /// would count otherwise.
-    pub ambiguous: Vec<Id>,
+    /// Retries that matched more than one open use, or only answered ones: another assignment would give other counts.
+    pub ambiguous: Vec<RecordId>,
 }
 
 impl Use {
-    fn new(first: Try, ambiguous: bool) -> Use {
+    fn new(first: ClientAttempt, ambiguous: bool) -> Use {
         let ambiguous = if ambiguous {
             vec![first.id()]
         } else {
             Vec::new()
         };
         Use {
-            tries: vec![first],
+            attempts: vec![first],
             outcome: first.outcome,
             ambiguous,
         }
     }
 
-    /// The first try, or the earliest known.
-    pub fn first(&self) -> &Try {
-        &self.tries[0]
+    /// The first attempt, or the earliest known.
+    pub fn first(&self) -> &ClientAttempt {
+        &self.attempts[0]
     }
 
-    fn last(&self) -> &Try {
-        &self.tries[self.tries.len() - 1]
+    fn last(&self) -> &ClientAttempt {
+        &self.attempts[self.attempts.len() - 1]
     }
 
-    fn join(&mut self, retry: Try, ambiguous: bool) {
-        self.outcome = self.outcome.better(retry.outcome);
+    fn join(&mut self, retry: ClientAttempt, ambiguous: bool) {
+        self.outcome = self.outcome.combine(retry.outcome);
         if ambiguous {
             self.ambiguous.push(retry.id());
         }
-        self.tries.push(retry);
+        self.attempts.push(retry);
     }
 }
 
-type Group = (u32, u32, u64, bool);
+/// Tenant, class, key, and whether the client sent the key.
+type DeduplicationKey = (u32, u32, u64, bool);
 
-/// Joins tries that come in the order of [`Try::id`], and holds only those that may yet be joined.
+/// Joins attempts that are pushed in the order of [`ClientAttempt::id`]. Retains only uses that a later attempt may
+/// join.
 #[derive(Debug)]
 pub struct Joiner {
-    skew: i64,
-    /// Milliseconds after its first try that a use with a client's key may still be joined.
-    horizon: i64,
-    open: HashMap<Group, Vec<Use>>,
-    /// Groups that have a use which can't be joined after this time.
-    due: BTreeMap<(i64, Id), Group>,
-    /// Retries that wait until no earlier try can come any more.
-    retries: VecDeque<Try>,
-    /// Retries that are ambiguous for what came before all that is taken here.
-    hints: BTreeSet<Id>,
+    skew_ms: i64,
+    /// Milliseconds after its first attempt that a use with a client's key accepts retries.
+    horizon_ms: i64,
+    open_uses: HashMap<DeduplicationKey, Vec<Use>>,
+    /// Keys of open uses, by the time after which the use accepts no retry and by its first attempt.
+    expiry: BTreeMap<(i64, RecordId), DeduplicationKey>,
+    /// Retries that are retained until every attempt that they may repeat has been pushed.
+    retries: VecDeque<ClientAttempt>,
+    /// Retries that the previous period has found to be ambiguous.
+    ambiguous_retries: BTreeSet<RecordId>,
 }
 
 impl Joiner {
-    pub fn new(skew: i64, horizon: i64) -> Joiner {
-        let (open, due, retries, hints) = Default::default();
+    pub fn new(skew_ms: i64, horizon_ms: i64) -> Joiner {
+        let (open_uses, expiry, retries, ambiguous_retries) = Default::default();
         Joiner {
-            skew,
-            horizon,
-            open,
-            due,
+            skew_ms,
+            horizon_ms,
+            open_uses,
+            expiry,
             retries,
-            hints,
+            ambiguous_retries,
         }
     }
 
     /// As [`Joiner::new`], with retries already known to be ambiguous.
-    pub fn with_hints(skew: i64, horizon: i64, hints: BTreeSet<Id>) -> Joiner {
+    pub fn with_ambiguous_retries(
+        skew_ms: i64,
+        horizon_ms: i64,
+        ambiguous_retries: BTreeSet<RecordId>,
+    ) -> Joiner {
         Joiner {
-            hints,
-            ..Joiner::new(skew, horizon)
+            ambiguous_retries,
+            ..Joiner::new(skew_ms, horizon_ms)
         }
     }
 
-    fn group(it: &Try) -> Group {
-        (it.tenant, it.class, it.key, it.keyed)
+    fn deduplication_key(attempt: &ClientAttempt) -> DeduplicationKey {
+        (
+            attempt.tenant,
+            attempt.class,
+            attempt.key,
+            attempt.key_from_client,
+        )
     }
 
-    /// Milliseconds after the first try within which one may be joined to it.
-    fn window(&self, it: &Try) -> i64 {
-        if it.keyed {
-            self.horizon
+    /// Milliseconds after the first attempt within which `attempt` may join its use.
+    fn retry_window_ms(&self, attempt: &ClientAttempt) -> i64 {
+        if attempt.key_from_client {
+            self.horizon_ms
         } else {
-            it.window.min(self.horizon)
+            attempt.retry_window_ms.min(self.horizon_ms)
         }
     }
 
-    /// Takes the next try. Uses that are over are handed to `done`.
-    pub fn take(&mut self, it: Try, done: &mut impl FnMut(Use)) {
-        self.pass(it.at, done);
-        if it.repeat || it.keyed {
-            self.retries.push_back(it);
+    /// Adds the next attempt. Uses that accept no further attempt are passed to `emit`.
+    pub fn push(&mut self, attempt: ClientAttempt, emit: &mut impl FnMut(Use)) {
+        self.advance(attempt.arrived_ms, emit);
+        if attempt.client_retry || attempt.key_from_client {
+            self.retries.push_back(attempt);
         } else {
-            self.begin(it, false);
+            self.start_use(attempt, false);
         }
     }
 
-    /// Nothing more comes.
-    pub fn finish(&mut self, done: &mut impl FnMut(Use)) {
-        self.pass(i64::MAX, done);
+    /// Emits the remaining uses; no attempt may follow.
+    pub fn finish(&mut self, emit: &mut impl FnMut(Use)) {
+        self.advance(i64::MAX, emit);
     }
 
-    fn begin(&mut self, first: Try, ambiguous: bool) {
-        let group = Joiner::group(&first);
-        let due = first
-            .at
-            .saturating_add(self.window(&first))
-            .saturating_add(2 * self.skew);
-        self.due.insert((due, first.id()), group);
-        self.open
-            .entry(group)
+    fn start_use(&mut self, first: ClientAttempt, ambiguous: bool) {
+        let key = Joiner::deduplication_key(&first);
+        let expires = first
+            .arrived_ms
+            .saturating_add(self.retry_window_ms(&first))
+            .saturating_add(2 * self.skew_ms);
+        self.expiry.insert((expires, first.id()), key);
+        self.open_uses
+            .entry(key)
             .or_default()
             .push(Use::new(first, ambiguous));
     }
 
-    /// All tries that arrived before `now` are known.
-    fn pass(&mut self, now: i64, done: &mut impl FnMut(Use)) {
+    /// Joins the retries and emits the uses that are final once all attempts that arrived before `now` have been pushed.
+    fn advance(&mut self, now: i64, emit: &mut impl FnMut(Use)) {
         while let Some(retry) = self.retries.front().copied() {
-            if retry.at.saturating_add(self.skew) >= now {
+            if retry.arrived_ms.saturating_add(self.skew_ms) >= now {
                 break;
             }
             self.retries.pop_front();
-            self.close(retry.at, done);
-            self.place(retry);
+            self.emit_expired(retry.arrived_ms, emit);
+            self.join_retry(retry);
         }
-        let waiting = self.retries.front().map_or(now, |retry| retry.at);
-        self.close(waiting, done);
+        let joined_until = self.retries.front().map_or(now, |retry| retry.arrived_ms);
+        self.emit_expired(joined_until, emit);
     }
 
-    /// Hands on the uses that nothing at or after `now` can join.
-    fn close(&mut self, now: i64, done: &mut impl FnMut(Use)) {
-        while let Some((&(due, id), group)) = self.due.first_key_value() {
-            if due >= now {
+    /// Emits the uses that no attempt at or after `now` can join.
+    fn emit_expired(&mut self, now: i64, emit: &mut impl FnMut(Use)) {
+        while let Some((&(expires, id), key)) = self.expiry.first_key_value() {
+            if expires >= now {
                 break;
             }
-            let group = *group;
-            self.due.remove(&(due, id));
-            let Some(uses) = self.open.get_mut(&group) else {
+            let key = *key;
+            self.expiry.remove(&(expires, id));
+            let Some(uses) = self.open_uses.get_mut(&key) else {
                 continue;
             };
-            if let Some(at) = uses.iter().position(|it| it.first().id() == id) {
-                done(uses.remove(at));
+            if let Some(index) = uses.iter().position(|open| open.first().id() == id) {
+                emit(uses.remove(index));
             }
             if uses.is_empty() {
-                self.open.remove(&group);
+                self.open_uses.remove(&key);
             }
         }
     }
 
-    fn place(&mut self, retry: Try) {
-        let (skew, window) = (self.skew, self.window(&retry));
-        let group = Joiner::group(&retry);
-        let uses = self.open.entry(group).or_default();
-        let within = |it: &Use| {
-            let first = it.first().at;
-            first >= retry.at.saturating_sub(window + skew)
-                && it.last().at <= retry.at.saturating_add(skew)
+    fn join_retry(&mut self, retry: ClientAttempt) {
+        let (skew, window) = (self.skew_ms, self.retry_window_ms(&retry));
+        let key = Joiner::deduplication_key(&retry);
+        let uses = self.open_uses.entry(key).or_default();
+        let within = |candidate: &Use| {
+            let first = candidate.first().arrived_ms;
+            first >= retry.arrived_ms.saturating_sub(window + skew)
+                && candidate.last().arrived_ms <= retry.arrived_ms.saturating_add(skew)
         };
-        if retry.keyed {
-            // The key names the use: its tries all belong to it, in whatever order they ended.
-            if let Some(it) = uses.iter_mut().find(|it| within(it)) {
-                return it.join(retry, false);
+        if retry.key_from_client {
+            // All attempts with the client's key belong to its use, whatever their outcomes.
+            if let Some(found) = uses.iter_mut().find(|candidate| within(candidate)) {
+                return found.join(retry, false);
             }
-            return self.begin(retry, false);
+            return self.start_use(retry, false);
         }
         let open: Vec<usize> = (0..uses.len())
-            .filter(|i| within(&uses[*i]) && uses[*i].last().open())
+            .filter(|i| within(&uses[*i]) && uses[*i].last().accepts_retry())
             .collect();
-        // Those not answered before those in doubt, those before it before those that only seem after it.
+        // Unanswered attempts rank before answered ones of uncertain delivery. Attempts that arrived before the retry
+        // rank before those that seem later because of clock skew.
         let rank = |i: &usize| {
             let last = uses[*i].last();
-            (last.outcome.answered(), last.at > retry.at, last.id())
+            (
+                last.outcome.answered(),
+                last.arrived_ms > retry.arrived_ms,
+                last.id(),
+            )
         };
-        let hinted = self.hints.contains(&retry.id());
+        let known_ambiguous = self.ambiguous_retries.contains(&retry.id());
         match open.iter().copied().min_by_key(rank) {
-            Some(best) => uses[best].join(retry, hinted || open.len() > 1),
+            Some(best) => uses[best].join(retry, known_ambiguous || open.len() > 1),
             None => {
                 let answered = uses.iter().any(within);
-                self.begin(retry, hinted || answered);
+                self.start_use(retry, known_ambiguous || answered);
             }
         }
     }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,8 +1,12 @@
-//! Use by tenant: what each mixer's log holds, how it is collected, joined, settled, corrected and exported.
+//! Usage accounting by tenant: the usage log of each mixer, its collection, deduplication of client retries, billing
+//! periods, statements, corrections and export.
 //!
-//! [`join`], [`rate`], [`settle`] and [`period`] are pure: no I/O and no clock. The rest moves bytes: [`log`] and
-//! [`writer`] at the mixer, [`collect`] between mixer and settlement, [`store`], [`settlement`] and [`export`] at
-//! the settlement.
+//! A *usage record* describes one client attempt that a mixer has finished. A *use* is one client query: it is counted
+//! once, however many attempts the client made. A *member* is a mixer whose log the settlement collects, a *run* is one
+//! execution of a mixer, identified by its incarnation.
+//!
+//! [`join`], [`rate`], [`settle`] and [`period`] are pure: no I/O and no clock. [`log`], [`writer`] and [`collect`] run
+//! in the mixer; [`store`], [`settlement`] and [`export`] run in the settlement.
 
 pub mod collect;
 pub mod export;
@@ -17,7 +21,7 @@
 pub mod store;
 pub mod writer;
 
-/// What crosses process boundaries, as `proto/usage.proto` states it.
+/// Messages of the usage log and of its collection, generated from `proto/usage.proto`.
 pub mod wire {
     #![allow(missing_docs)]
     tonic::include_proto!("cottonhill.usage.v1");
--- a/crates/ledger/src/log/follow.rs
+++ b/crates/ledger/src/log/follow.rs
@@ -1,30 +1,30 @@
-//! Reading a log that is still being written, from any position on.
+//! Reading a log from any position, also while it is being written.
 
-use super::{header, read, segments, Item, Segment, MAGIC};
+use super::{list_segments, read_entries, read_header, Item, Segment, MAGIC};
 use crate::wire::{entry::What, Batch, Damage, Header};
 use std::fs::File;
 use std::io::{self, Read, Seek, SeekFrom};
 use std::path::{Path, PathBuf};
 
-/// How far a log has been read: up to this record of this run.
+/// A position in a log: the last record read, as run and sequence.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
     pub incarnation: u64,
     pub sequence: u64,
 }
 
-/// Bytes that are read at a time.
-const CHUNK: u64 = 256 * 1024;
+/// Size of one read.
+const CHUNK_BYTES: u64 = 256 * 1024;
 
-fn head_of(segment: &Segment) -> io::Result<Option<(Header, usize)>> {
+fn read_segment_header(segment: &Segment) -> io::Result<Option<(Header, usize)>> {
     let mut bytes = Vec::new();
     File::open(&segment.path)?
-        .take(super::MOST_HEADER as u64 + 64)
+        .take(super::MAX_HEADER_BYTES as u64 + 64)
         .read_to_end(&mut bytes)?;
-    Ok(header(&bytes))
+    Ok(read_header(&bytes))
 }
 
-/// Reads a log from a position on, batch by batch.
+/// Reads a log in batches, starting after a position.
 #[derive(Debug)]
 pub struct Follower {
     directory: PathBuf,
@@ -41,48 +41,48 @@
         }
     }
 
-    /// What comes next, at most `most` entries of one run; none if there is nothing yet.
+    /// The next batch: at most `max_items` entries of one run; none if there is no new entry yet.
     ///
     /// # Errors
-    /// The log can't be read.
-    pub fn next(&mut self, most: usize) -> io::Result<Option<Batch>> {
-        // Each turn of the loop finishes a segment, and there are only so many.
+    /// The log cannot be read.
+    pub fn next_batch(&mut self, max_items: usize) -> io::Result<Option<Batch>> {
+        // Each iteration advances in a segment or finishes it, and the number of segments is finite.
         loop {
             let Some((segment, head, at)) = self.open.take() else {
                 let Some(next) = self.next_segment(None)? else {
                     return Ok(None);
                 };
-                self.start(next)?;
+                self.open_segment(next)?;
                 continue;
             };
-            // Looked up before reading: if a later one is there by now, this one has grown for the last time.
+            // Looked up before reading: once a later segment exists, this one does not grow any more.
             let later = self.next_segment(Some(&segment))?;
-            let (batch, end, left) = self.batch(&segment, head.clone(), at, most)?;
+            let (batch, end, unread) = self.read_batch(&segment, head.clone(), at, max_items)?;
             if !batch.entries.is_empty() || !batch.damage.is_empty() {
                 self.open = Some((segment, head, end));
                 return Ok(Some(batch));
             }
             if end > at {
-                // All of it stands before the position.
+                // All entries read are at or before the position.
                 self.open = Some((segment, head, end));
                 continue;
             }
             match later {
-                Some(next) if left > 0 => {
-                    // A tail that is no frame, and nothing will follow it.
+                Some(next) if unread > 0 => {
+                    // An invalid tail of a segment that does not grow any more is damage.
                     let damage = Damage {
                         segment: segment.name(),
                         from: end,
-                        to: end + left,
+                        to: end + unread,
                     };
-                    self.start(next)?;
+                    self.open_segment(next)?;
                     return Ok(Some(Batch {
                         header: head,
                         entries: Vec::new(),
                         damage: vec![damage],
                     }));
                 }
-                Some(next) => self.start(next)?,
+                Some(next) => self.open_segment(next)?,
                 None => {
                     self.open = Some((segment, head, end));
                     return Ok(None);
@@ -92,28 +92,28 @@
     }
 
     fn next_segment(&self, after: Option<&Segment>) -> io::Result<Option<Segment>> {
-        let all = segments(&self.directory)?;
+        let all = list_segments(&self.directory)?;
         let Some(after) = after else {
-            // The one that holds the position: the last that does not begin after it.
+            // The segment with the position is the last one that does not start after it.
             let from = (self.after.incarnation, self.after.sequence + 1);
-            let holds = all
+            let index = all
                 .iter()
                 .rposition(|s| (s.incarnation, s.first_sequence) <= from);
-            return Ok(all.into_iter().nth(holds.unwrap_or_default()));
+            return Ok(all.into_iter().nth(index.unwrap_or_default()));
         };
         Ok(all.into_iter().find(|segment| segment > after))
     }
 
-    fn start(&mut self, segment: Segment) -> io::Result<()> {
-        let (head, at) = match head_of(&segment)? {
+    fn open_segment(&mut self, segment: Segment) -> io::Result<()> {
+        let (head, at) = match read_segment_header(&segment)? {
             Some((head, at)) => (Some(head), at),
-            // Names hold for a whole run: any other segment of it knows them.
+            // All segments of a run have the same names: the header of another one serves.
             None => {
-                let same = segments(&self.directory)?
+                let same_run = list_segments(&self.directory)?
                     .into_iter()
                     .filter(|s| s.incarnation == segment.incarnation);
-                let head = same
-                    .filter_map(|other| head_of(&other).ok().flatten())
+                let head = same_run
+                    .filter_map(|other| read_segment_header(&other).ok().flatten())
                     .next();
                 (head.map(|(head, _)| head), MAGIC.len())
             }
@@ -122,34 +122,34 @@
         Ok(())
     }
 
-    fn batch(
+    fn read_batch(
         &mut self,
         segment: &Segment,
         head: Option<Header>,
         at: u64,
-        most: usize,
+        max_items: usize,
     ) -> io::Result<(Batch, u64, u64)> {
         let mut file = File::open(&segment.path)?;
         file.seek(SeekFrom::Start(at))?;
         let mut bytes = Vec::new();
-        let mut wanted = CHUNK;
-        // A damaged stretch may be longer than a chunk: then more is needed to get past it.
-        let found = loop {
+        let mut wanted = CHUNK_BYTES;
+        // Damage may be longer than a chunk: more is read until a valid frame follows it.
+        let result = loop {
             let missing = wanted - bytes.len() as u64;
-            let got = file.by_ref().take(missing).read_to_end(&mut bytes)? as u64;
-            let found = read(&bytes, 0, most);
-            if !found.items.is_empty() || got < missing {
-                break found;
+            let received = file.by_ref().take(missing).read_to_end(&mut bytes)? as u64;
+            let result = read_entries(&bytes, 0, max_items);
+            if !result.items.is_empty() || received < missing {
+                break result;
             }
             wanted *= 2;
         };
-        let left = bytes.len() as u64 - found.end as u64;
-        let end = at + found.end as u64;
+        let unread = bytes.len() as u64 - result.end as u64;
+        let end = at + result.end as u64;
         let mut batch = Batch {
             header: head,
             ..Batch::default()
         };
-        for item in found.items {
+        for item in result.items {
             match item {
                 Item::Damage(from, to) => {
                     batch.damage.push(Damage {
@@ -161,6 +161,7 @@
                 Item::Entry(entry) => {
                     let sequence = match &entry.what {
                         Some(What::Record(record)) => record.sequence,
+                        // A watermark follows the record of its sequence.
                         Some(What::Mark(mark)) => mark.sequence + 1,
                         None => 0,
                     };
@@ -172,6 +173,6 @@
                 }
             }
         }
-        Ok((batch, end, left))
+        Ok((batch, end, unread))
     }
 }
--- a/crates/ledger/src/log/mod.rs
+++ b/crates/ledger/src/log/mod.rs
@@ -1,8 +1,8 @@
-//! The segments of a usage log: their names, their frames, and reading them however damaged they are.
+//! The segments of a usage log: their names, their frames, and reading them with any damage.
 //!
-//! A segment is [`MAGIC`], then frames. A frame is the CRC-32 of what follows (4 bytes, least significant first),
-//! the length of its body (4 bytes), and the body: the first is a [`Header`], the others are [`Entry`]s. Nothing
-//! in a segment is ever changed once it is written.
+//! A segment is [`MAGIC`] followed by frames. A frame is the CRC-32 of the rest of the frame (4 bytes, little-endian),
+//! the length of its body (4 bytes, little-endian), and the body. The body of the first frame is a [`Header`], the
+//! others are [`Entry`]s. Segments are append-only.
 
 mod follow;
 
@@ -14,91 +14,92 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// The layout's name and version.
+/// Identifies the file format and its version.
 pub const MAGIC: &[u8; 8] = b"CTHLUSE\x01";
-/// The version that a header states.
+/// The format version in a header.
 pub const VERSION: u32 = 1;
-const FRAME_HEAD: usize = 8;
-/// The longest body of an entry and of a header.
-const MOST_ENTRY: usize = 1024;
-const MOST_HEADER: usize = 4 << 20;
+const FRAME_HEADER_BYTES: usize = 8;
+/// Size limit of the body of an entry.
+const MAX_ENTRY_BYTES: usize = 1024;
+/// Size limit of the body of a header.
+const MAX_HEADER_BYTES: usize = 4 << 20;
 
 /// Appends a frame.
-pub fn put_frame(out: &mut Vec<u8>, body: &impl Message) {
+pub fn append_frame(out: &mut Vec<u8>, body: &impl Message) {
     let at = out.len();
-    out.extend_from_slice(&[0; FRAME_HEAD]);
-    // A vector takes any length, so this can't fail.
+    out.extend_from_slice(&[0; FRAME_HEADER_BYTES]);
+    // Encoding fails only for lack of capacity, and a vector grows.
     let _ = body.encode(out);
-    let length = (out.len() - at - FRAME_HEAD) as u32;
+    let length = (out.len() - at - FRAME_HEADER_BYTES) as u32;
     out[at + 4..at + 8].copy_from_slice(&length.to_le_bytes());
     let sum = crc32fast::hash(&out[at + 4..]);
     out[at..at + 4].copy_from_slice(&sum.to_le_bytes());
 }
 
 enum Frame<'a> {
-    /// A body, and where the next frame begins.
-    Whole(&'a [u8], usize),
-    /// It goes on past the end of the bytes.
-    Short,
-    Bad,
+    /// The body, and the offset of the next frame.
+    Complete(&'a [u8], usize),
+    /// The frame extends beyond the end of the bytes.
+    Truncated,
+    Invalid,
 }
 
-fn frame(bytes: &[u8], at: usize, most: usize) -> Frame<'_> {
-    let Some(head) = bytes.get(at..at + FRAME_HEAD) else {
-        return Frame::Short;
+fn frame(bytes: &[u8], at: usize, max_length: usize) -> Frame<'_> {
+    let Some(head) = bytes.get(at..at + FRAME_HEADER_BYTES) else {
+        return Frame::Truncated;
     };
-    let word = |i: usize| u32::from_le_bytes([head[i], head[i + 1], head[i + 2], head[i + 3]]);
-    let (sum, length) = (word(0), word(4) as usize);
-    if length == 0 || length > most {
-        return Frame::Bad;
+    let u32_at = |i: usize| u32::from_le_bytes([head[i], head[i + 1], head[i + 2], head[i + 3]]);
+    let (sum, length) = (u32_at(0), u32_at(4) as usize);
+    if length == 0 || length > max_length {
+        return Frame::Invalid;
     }
-    let end = at + FRAME_HEAD + length;
+    let end = at + FRAME_HEADER_BYTES + length;
     match bytes.get(at + 4..end) {
-        None => Frame::Short,
-        Some(covered) if crc32fast::hash(covered) == sum => Frame::Whole(&covered[4..], end),
-        Some(_) => Frame::Bad,
+        None => Frame::Truncated,
+        Some(covered) if crc32fast::hash(covered) == sum => Frame::Complete(&covered[4..], end),
+        Some(_) => Frame::Invalid,
     }
 }
 
-/// What stands in a segment, in its order.
+/// An item of a segment, in the order of the file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Item {
     Entry(Entry),
-    /// Bytes from here to there that are no frames, though frames follow.
+    /// Offsets (start inclusive, end exclusive) of bytes that are no valid frame, although valid frames follow.
     Damage(u64, u64),
 }
 
-/// What [`read`] made of a segment's bytes.
+/// The result of [`read_entries`].
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Read {
+pub struct ReadResult {
     pub items: Vec<Item>,
-    /// Up to where the bytes are read; what follows is no frame, or not yet a whole one.
+    /// The offset up to which the bytes are read; no complete valid frame follows, or the limit of items is reached.
     pub end: usize,
 }
 
-/// The header of a segment, and where its entries begin.
-pub fn header(bytes: &[u8]) -> Option<(Header, usize)> {
+/// Decodes the header of a segment; returns it with the offset of the first entry.
+pub fn read_header(bytes: &[u8]) -> Option<(Header, usize)> {
     let rest = bytes.strip_prefix(MAGIC)?;
-    match frame(rest, 0, MOST_HEADER) {
-        Frame::Whole(body, end) => Some((Header::decode(body).ok()?, MAGIC.len() + end)),
+    match frame(rest, 0, MAX_HEADER_BYTES) {
+        Frame::Complete(body, end) => Some((Header::decode(body).ok()?, MAGIC.len() + end)),
         _ => None,
     }
 }
 
-/// Reads entries from `at` on, at most `most` items. What can't be read is skipped to the next frame that can.
-pub fn read(bytes: &[u8], at: usize, most: usize) -> Read {
-    let mut read = Read {
+/// Reads at most `max_items` items from offset `at`. Unreadable bytes are skipped up to the next valid frame.
+pub fn read_entries(bytes: &[u8], at: usize, max_items: usize) -> ReadResult {
+    let mut read = ReadResult {
         items: Vec::new(),
         end: at,
     };
-    while read.end < bytes.len() && read.items.len() < most {
+    while read.end < bytes.len() && read.items.len() < max_items {
         match entry(bytes, read.end) {
             Some((entry, end)) => {
                 read.items.push(Item::Entry(entry));
                 read.end = end;
             }
             None => {
-                // Where a length is damaged the next frame may begin anywhere.
+                // If a length is damaged, the next frame may start at any offset.
                 let Some(next) = (read.end + 1..bytes.len()).find(|at| entry(bytes, *at).is_some())
                 else {
                     break;
@@ -112,8 +113,8 @@
 }
 
 fn entry(bytes: &[u8], at: usize) -> Option<(Entry, usize)> {
-    match frame(bytes, at, MOST_ENTRY) {
-        Frame::Whole(body, end) => Entry::decode(body)
+    match frame(bytes, at, MAX_ENTRY_BYTES) {
+        Frame::Complete(body, end) => Entry::decode(body)
             .ok()
             .filter(|entry| entry.what.is_some())
             .map(|entry| (entry, end)),
@@ -121,7 +122,7 @@
     }
 }
 
-/// One segment's file.
+/// A segment file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Segment {
     pub incarnation: u64,
@@ -139,7 +140,7 @@
         }
     }
 
-    /// The file's name.
+    /// The file name.
     pub fn name(&self) -> String {
         self.path
             .file_name()
@@ -149,11 +150,11 @@
     }
 }
 
-/// The segments of a log, oldest first. Other files in the folder are left alone.
+/// Lists the segments of a log, oldest first; ignores other files in the folder.
 ///
 /// # Errors
-/// The folder can't be read.
-pub fn segments(directory: &Path) -> io::Result<Vec<Segment>> {
+/// The folder cannot be read.
+pub fn list_segments(directory: &Path) -> io::Result<Vec<Segment>> {
     let mut segments = Vec::new();
     for file in fs::read_dir(directory)? {
         let path = file?.path();
@@ -178,22 +179,25 @@
     Ok(segments)
 }
 
-/// Cuts what a sudden end has left half written off the end of a segment. Returns the bytes cut.
+/// Truncates an incomplete frame, which a crash during a write leaves at the end of a segment. Returns the number of
+/// bytes removed.
 ///
 /// # Errors
-/// The file can't be read or cut.
-pub fn cut_torn_tail(segment: &Segment) -> io::Result<u64> {
+/// The file cannot be read or truncated.
+pub fn truncate_torn_tail(segment: &Segment) -> io::Result<u64> {
     let bytes = fs::read(&segment.path)?;
-    let Some((_, at)) = header(&bytes) else {
-        // Not even the header is whole: there is nothing in it. A damaged one keeps its records.
-        if bytes.len() > MAGIC.len() + FRAME_HEAD && !read(&bytes, MAGIC.len(), 1).items.is_empty()
+    let Some((_, at)) = read_header(&bytes) else {
+        // Without a complete header and without entries the segment is empty and is removed. A segment with a damaged
+        // header keeps its entries.
+        if bytes.len() > MAGIC.len() + FRAME_HEADER_BYTES
+            && !read_entries(&bytes, MAGIC.len(), 1).items.is_empty()
         {
             return Ok(0);
         }
         fs::remove_file(&segment.path)?;
         return Ok(bytes.len() as u64);
     };
-    let end = read(&bytes, at, usize::MAX).end;
+    let end = read_entries(&bytes, at, usize::MAX).end;
     let torn = (bytes.len() - end) as u64;
     if torn > 0 {
         fs::OpenOptions::new()
--- a/crates/ledger/src/period.rs
+++ b/crates/ledger/src/period.rs
@@ -1,9 +1,9 @@
-//! Billing periods: half-open spans of UTC, whatever calendar they follow. No clock is read here.
+//! Billing periods: half-open ranges of UTC time, of a fixed length or by the calendar of a time zone. Reads no clock.
 
 use jiff::tz::TimeZone;
 use jiff::{Timestamp, ToSpan, Unit, ZonedRound};
 
-/// One period, in Unix milliseconds: from `start`, up to and without `end`.
+/// One period, in Unix milliseconds: `start` inclusive, `end` exclusive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Period {
     pub start: i64,
@@ -11,53 +11,54 @@
 }
 
 impl Period {
-    pub fn holds(&self, at: i64) -> bool {
+    pub fn contains(&self, at: i64) -> bool {
         (self.start..self.end).contains(&at)
     }
 
-    /// Its name: the UTC time of its start, which no other period has.
+    /// The unique name: the UTC timestamp of the start.
     pub fn name(&self) -> String {
-        stamp(self.start)
+        format_timestamp(self.start)
     }
 }
 
-/// A time in Unix milliseconds as UTC text that sorts as the time does.
-pub fn stamp(ms: i64) -> String {
+/// Formats Unix milliseconds as a UTC timestamp; the texts sort by time.
+pub fn format_timestamp(ms: i64) -> String {
     Timestamp::from_millisecond(ms).map_or_else(|_| ms.to_string(), |at| format!("{at:.3}"))
 }
 
 #[derive(Clone, Debug)]
-pub enum Every {
-    /// As many milliseconds, counted from the start of 1970.
-    Ms(i64),
-    /// A civil day or month: 23 or 25 hours long where the clocks change.
+pub enum PeriodLength {
+    /// Milliseconds; periods are counted from the Unix epoch.
+    FixedMs(i64),
+    /// A civil day of the time zone; 23 or 25 hours where daylight saving time changes.
     Day(TimeZone),
+    /// A civil month of the time zone.
     Month(TimeZone),
 }
 
-/// Cuts time into periods without gap or overlap.
+/// Divides time into periods without gaps or overlaps.
 #[derive(Clone, Debug)]
-pub struct Calendar(pub Every);
+pub struct Calendar(pub PeriodLength);
 
 impl Calendar {
-    /// The period that holds a time in Unix milliseconds.
-    pub fn at(&self, ms: i64) -> Period {
+    /// The period that contains a time in Unix milliseconds.
+    pub fn period_at(&self, ms: i64) -> Period {
         match &self.0 {
-            Every::Ms(length) => {
+            PeriodLength::FixedMs(length) => {
                 let start = ms.div_euclid(*length) * length;
                 Period {
                     start,
                     end: start + length,
                 }
             }
-            Every::Day(zone) => self.civil(ms, zone, false).unwrap_or(FOREVER),
-            Every::Month(zone) => self.civil(ms, zone, true).unwrap_or(FOREVER),
+            PeriodLength::Day(zone) => self.civil(ms, zone, false).unwrap_or(UNBOUNDED),
+            PeriodLength::Month(zone) => self.civil(ms, zone, true).unwrap_or(UNBOUNDED),
         }
     }
 
-    /// The period that follows.
-    pub fn after(&self, period: Period) -> Period {
-        self.at(period.end)
+    /// The period after `period`.
+    pub fn next_period(&self, period: Period) -> Period {
+        self.period_at(period.end)
     }
 
     fn civil(&self, ms: i64, zone: &TimeZone, month: bool) -> Option<Period> {
@@ -69,7 +70,7 @@
                     .mode(jiff::RoundMode::Floor),
             )
             .ok()?;
-        // Rounding takes the day's own first instant, also where midnight does not exist.
+        // Rounding gives the first instant of the day, also on days without a midnight.
         let (start, end) = if month {
             let first = at.first_of_month().ok()?;
             let first = first.start_of_day().ok()?;
@@ -90,8 +91,8 @@
     }
 }
 
-/// Where time is past what a calendar knows.
-const FOREVER: Period = Period {
+/// Stands in for periods outside the range of the calendar.
+const UNBOUNDED: Period = Period {
     start: i64::MIN,
     end: i64::MAX,
 };
--- a/crates/ledger/src/rate.rs
+++ b/crates/ledger/src/rate.rs
@@ -1,31 +1,32 @@
-//! What uses cost. Pure, in whole micro-units.
+//! Rating: the amount that uses cost. Pure; amounts are integers, in micro-units.
 //!
-//! A line counts the uses of one tenant and class in one period. Whole answers cost their price each; partial ones
-//! cost their price times the sum of their shares, rounded **once a line**, half a micro-unit up. Refused and failed
-//! uses and those whose client left are free, and counted.
+//! A line counts the uses of one tenant and class in one period. Complete answers cost their price each. Partial
+//! answers cost their price times the sum of their coverage, rounded **once a line**, half a micro-unit up. Uses that
+//! were rejected, failed or lost their client are counted and free.
 
 use crate::join::{Outcome, Use};
-use crate::settings::Price;
+use crate::settings::ClassPrice;
 use serde::{Deserialize, Serialize};
 use std::ops::{AddAssign, Sub};
 
-/// Declares [`Counts`] and its conversions, so that the fields and their order stand in one place.
+/// Declares [`Counts`] and its conversions, so that the fields and their order are defined once.
 macro_rules! counts {
     ($($(#[$doc:meta])* $field:ident,)*) => {
-        /// What a line counts. All of it adds up, so the difference of two counts is one, too.
+        /// The counts of a line. The field names are the names in statements, documents and CSV files. Every field is
+        /// additive, so the difference of two counts is valid, too.
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
         pub struct Counts {
             $($(#[$doc])* pub $field: i64,)*
         }
 
         impl Counts {
-            /// The fields' names, in the order in which they are declared.
+            /// The names of the fields, in the order of their declaration.
             pub const NAMES: [&'static str; Counts::FIELDS] = [$(stringify!($field)),*];
 
-            /// How many fields there are.
+            /// The number of fields.
             pub const FIELDS: usize = [$(stringify!($field)),*].len();
 
-            /// The fields in the order of [`Counts::NAMES`].
+            /// The values in the order of [`Counts::NAMES`].
             pub fn values(&self) -> [i64; Counts::FIELDS] {
                 [$(self.$field),*]
             }
@@ -39,61 +40,61 @@
 }
 
 counts! {
-    /// Uses, however they ended.
+    /// Uses of any outcome.
     uses,
-    /// Uses answered whole.
+    /// Uses with a complete answer.
     whole,
-    /// Uses answered in part.
+    /// Uses with a partial answer.
     partial,
-    /// Of the partial answers together, in millionths.
+    /// Sum of the coverage of the partial answers, in millionths.
     share,
-    /// Uses refused.
+    /// Rejected uses.
     refused,
-    /// Uses that failed.
+    /// Failed uses.
     failed,
-    /// Uses whose client left before the answer.
+    /// Uses whose client disconnected before the answer.
     left,
-    /// Records, first tries and retries.
+    /// Client attempts: first attempts and retries.
     tries,
-    /// Parts of all tries.
+    /// Parts of all client attempts.
     parts,
-    /// Attempts at parts, of all tries.
+    /// Attempts at parts, of all client attempts.
     attempts,
-    /// Attempts to another zone.
+    /// Attempts at parts in another zone.
     crossed,
-    /// Uses with a join that might have been another.
+    /// Uses with an ambiguous join.
     ambiguous,
 }
 
 impl Counts {
-    /// Adds one use with all its tries.
-    pub fn add(&mut self, it: &Use) {
+    /// Adds one use with all its attempts.
+    pub fn add(&mut self, billed: &Use) {
         self.uses += 1;
-        match it.outcome {
-            Outcome::Whole => self.whole += 1,
-            Outcome::Partial(share) => {
+        match billed.outcome {
+            Outcome::Complete => self.whole += 1,
+            Outcome::Partial(coverage) => {
                 self.partial += 1;
-                self.share += i64::from(share);
+                self.share += i64::from(coverage);
             }
-            Outcome::Refused => self.refused += 1,
+            Outcome::Rejected => self.refused += 1,
             Outcome::Failed => self.failed += 1,
-            Outcome::Left => self.left += 1,
+            Outcome::ClientDisconnected => self.left += 1,
         }
-        self.tries += it.tries.len() as i64;
-        for one in &it.tries {
-            self.parts += i64::from(one.parts);
-            self.attempts += i64::from(one.attempts);
-            self.crossed += i64::from(one.crossed);
+        self.tries += billed.attempts.len() as i64;
+        for attempt in &billed.attempts {
+            self.parts += i64::from(attempt.parts);
+            self.attempts += i64::from(attempt.part_attempts);
+            self.crossed += i64::from(attempt.cross_zone_attempts);
         }
-        self.ambiguous += i64::from(!it.ambiguous.is_empty());
+        self.ambiguous += i64::from(!billed.ambiguous.is_empty());
     }
 
-    /// Uses that were answered.
+    /// Uses with a complete or partial answer.
     pub fn answered(&self) -> i64 {
         self.whole + self.partial
     }
 
-    /// Whether nothing is counted.
+    /// Whether all counts are zero.
     pub fn is_zero(&self) -> bool {
         *self == Counts::default()
     }
@@ -125,15 +126,15 @@
 const MILLION: i128 = 1_000_000;
 
 /// The amount of a line in micro-units.
-pub fn amount(counts: &Counts, price: Price) -> i64 {
-    let whole = i128::from(counts.whole) * i128::from(price.whole);
-    let shares = i128::from(counts.share) * i128::from(price.partial);
-    let partial = shares.saturating_add(MILLION / 2).div_euclid(MILLION);
-    i64::try_from(whole.saturating_add(partial)).unwrap_or(i64::MAX)
+pub fn amount(counts: &Counts, price: ClassPrice) -> i64 {
+    let complete = i128::from(counts.whole) * i128::from(price.complete);
+    let weighted = i128::from(counts.share) * i128::from(price.partial);
+    let partial = weighted.saturating_add(MILLION / 2).div_euclid(MILLION);
+    i64::try_from(complete.saturating_add(partial)).unwrap_or(i64::MAX)
 }
 
-/// Answered uses past a tenant's allowance.
-pub fn over(answered: i64, allowance: Option<u64>) -> i64 {
+/// Answered uses above a tenant's allowance.
+pub fn uses_above_allowance(answered: i64, allowance: Option<u64>) -> i64 {
     allowance.map_or(0, |allowance| {
         (answered - i64::try_from(allowance).unwrap_or(i64::MAX)).max(0)
     })
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -1,41 +1,45 @@
-//! Sets the ledger beside what others counted: the clients' own records of their uses, and the mixers' counters.
+//! Reconciliation of the ledger with the records that clients keep of their own uses.
 
 use crate::join::{Joiner, Use};
-use crate::period::{stamp, Calendar};
+use crate::period::{format_timestamp, Calendar};
 use crate::settle::Bounds;
 use crate::store::{Error, Store};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// One use as a client recorded it: a row of its file.
+/// One use as a client recorded it: a row of its CSV file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClientUse {
-    /// When the first try was sent, in Unix milliseconds.
+    /// When the first attempt was sent, in Unix milliseconds.
     pub at_ms: i64,
     pub tenant: String,
     pub class: String,
-    /// `whole`, `partial`, or anything else for what was not answered.
+    /// `whole`, `partial`, or any other text for a use without an answer.
     pub outcome: String,
+    /// The number of attempts.
     pub tries: u32,
-    /// The key that joins its tries, in hexadecimal.
+    /// The deduplication key of its attempts, in hexadecimal.
     pub key: String,
 }
 
-/// What stands on one side only, or differently on both.
+/// A use that only one side has, or whose outcome differs.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Difference {
-    pub what: &'static str,
+    #[serde(rename = "what")]
+    pub kind: &'static str,
     pub tenant: String,
     pub class: String,
-    pub at: String,
+    /// Arrival of the use, or the time at which the client sent it.
+    #[serde(rename = "at")]
+    pub timestamp: String,
     pub key: String,
     pub ledger: String,
     pub client: String,
 }
 
-/// Uses of one tenant and class in one period, on both sides.
+/// Numbers of uses of one tenant and class in one period, on both sides.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Pair {
+pub struct UseTotals {
     pub ledger: u64,
     pub client: u64,
     pub ledger_answered: u64,
@@ -43,114 +47,120 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Reconciled {
+pub struct Reconciliation {
     /// By period, tenant and class.
-    pub totals: BTreeMap<(String, String, String), Pair>,
+    pub totals: BTreeMap<(String, String, String), UseTotals>,
     pub differences: Vec<Difference>,
 }
 
-impl Reconciled {
-    /// Totals that differ.
-    pub fn unequal(&self) -> usize {
-        let differ = |pair: &&Pair| {
+impl Reconciliation {
+    /// The number of totals that differ.
+    pub fn differing_totals(&self) -> usize {
+        let differ = |pair: &&UseTotals| {
             pair.ledger != pair.client || pair.ledger_answered != pair.client_answered
         };
         self.totals.values().filter(differ).count()
     }
 }
 
-/// Whether a client that recorded this outcome was answered.
+/// Whether an outcome in a client's file is an answer.
 fn answered(outcome: &str) -> bool {
     outcome == "whole" || outcome == "partial"
 }
 
-/// Joins all records that arrived in `from..until` and sets the uses beside the clients' ones, one by one.
+/// Joins all records that arrived in `from..until` (Unix milliseconds) and compares the uses with those of
+/// the clients.
 ///
 /// # Errors
-/// The store can't be read.
-pub fn with_clients(
+/// The store cannot be read.
+pub fn compare_with_clients(
     store: &Store,
     calendar: &Calendar,
     bounds: Bounds,
     (from, until): (i64, i64),
     clients: &[ClientUse],
-) -> Result<Reconciled, Error> {
+) -> Result<Reconciliation, Error> {
     let names = store.names()?;
     let name = |id: u32| names.get(&id).cloned().unwrap_or_default();
-    let mut reconciled = Reconciled::default();
-    let mut ours: BTreeMap<(String, String, String), VecDeque<Use>> = BTreeMap::new();
-    let mut joiner = Joiner::new(bounds.skew, bounds.horizon);
-    let mut put = |it: Use| {
-        let first = it.first();
+    let mut reconciliation = Reconciliation::default();
+    let mut ledger_uses: BTreeMap<(String, String, String), VecDeque<Use>> = BTreeMap::new();
+    let mut joiner = Joiner::new(bounds.skew_ms, bounds.horizon_ms);
+    let mut add_use = |used: Use| {
+        let first = used.first();
         let (tenant, class) = (name(first.tenant), name(first.class));
-        let period = calendar.at(first.at).name();
-        let pair = reconciled
+        let period = calendar.period_at(first.arrived_ms).name();
+        let totals = reconciliation
             .totals
             .entry((period, tenant.clone(), class.clone()))
             .or_default();
-        pair.ledger += 1;
-        pair.ledger_answered += u64::from(it.outcome.answered());
-        ours.entry((tenant, class, format!("{:016x}", first.key)))
+        totals.ledger += 1;
+        totals.ledger_answered += u64::from(used.outcome.answered());
+        ledger_uses
+            .entry((tenant, class, format!("{:016x}", first.key)))
             .or_default()
-            .push_back(it);
+            .push_back(used);
     };
-    for one in store.tries(from, until)? {
-        joiner.take(one, &mut put);
+    for attempt in store.client_attempts(from, until)? {
+        joiner.push(attempt, &mut add_use);
     }
-    joiner.finish(&mut put);
-    ours.values_mut()
-        .for_each(|uses| uses.make_contiguous().sort_by_key(|it| it.first().id()));
+    joiner.finish(&mut add_use);
+    ledger_uses
+        .values_mut()
+        .for_each(|uses| uses.make_contiguous().sort_by_key(|used| used.first().id()));
     let mut clients: Vec<&ClientUse> = clients
         .iter()
-        .filter(|it| (from..until).contains(&it.at_ms))
+        .filter(|client| (from..until).contains(&client.at_ms))
         .collect();
-    clients.sort_by_key(|it| it.at_ms);
+    clients.sort_by_key(|client| client.at_ms);
     for client in clients {
-        let period = calendar.at(client.at_ms).name();
+        let period = calendar.period_at(client.at_ms).name();
         let (tenant, class) = (client.tenant.clone(), client.class.clone());
-        let pair = reconciled
+        let totals = reconciliation
             .totals
             .entry((period, tenant.clone(), class.clone()))
             .or_default();
-        pair.client += 1;
-        pair.client_answered += u64::from(answered(&client.outcome));
+        totals.client += 1;
+        totals.client_answered += u64::from(answered(&client.outcome));
         let key = (tenant, class, client.key.clone());
-        let ledger = ours.get_mut(&key).and_then(VecDeque::pop_front);
-        let what = match &ledger {
+        let ledger = ledger_uses.get_mut(&key).and_then(VecDeque::pop_front);
+        let kind = match &ledger {
             None => "only the client has it",
-            Some(it) if it.outcome.answered() != answered(&client.outcome) => "ended otherwise",
-            Some(it) if answered(&client.outcome) && it.outcome.name() != client.outcome => {
+            Some(used) if used.outcome.answered() != answered(&client.outcome) => "ended otherwise",
+            Some(used) if answered(&client.outcome) && used.outcome.name() != client.outcome => {
                 "ended otherwise"
             }
             Some(_) => continue,
         };
-        reconciled.differences.push(Difference {
-            what,
+        reconciliation.differences.push(Difference {
+            kind,
             tenant: key.0,
             class: key.1,
-            at: stamp(client.at_ms),
+            timestamp: format_timestamp(client.at_ms),
             key: key.2,
             ledger: ledger
-                .map(|it| it.outcome.name().to_string())
+                .map(|used| used.outcome.name().to_string())
                 .unwrap_or_default(),
             client: client.outcome.clone(),
         });
     }
-    for ((tenant, class, key), uses) in ours {
-        for it in uses {
-            let (at, ledger) = (stamp(it.first().at), it.outcome.name().to_string());
+    for ((tenant, class, key), uses) in ledger_uses {
+        for used in uses {
+            let (timestamp, ledger) = (
+                format_timestamp(used.first().arrived_ms),
+                used.outcome.name().to_string(),
+            );
             let (tenant, class, key) = (tenant.clone(), class.clone(), key.clone());
-            let what = "only the ledger has it";
-            reconciled.differences.push(Difference {
-                what,
+            let kind = "only the ledger has it";
+            reconciliation.differences.push(Difference {
+                kind,
                 tenant,
                 class,
-                at,
+                timestamp,
                 key,
                 ledger,
                 client: String::new(),
             });
         }
     }
-    Ok(reconciled)
+    Ok(reconciliation)
 }
--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -1,6 +1,6 @@
-//! The ledger's sections of the settings file, and what they say once read.
+//! The ledger's sections of the settings file, and the settings read from them.
 
-use crate::period::{Calendar, Every};
+use crate::period::{Calendar, PeriodLength};
 use cottonhill_ini::{Key, Kind, Problems, Schema, Section, Settings};
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
@@ -9,7 +9,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const fn key(
+/// A setting that takes effect at a start.
+const fn restart_key(
     name: &'static str,
     kind: Kind,
     default: Option<&'static str>,
@@ -24,7 +25,8 @@
     }
 }
 
-const fn live(
+/// A setting that takes effect on SIGHUP.
+const fn live_key(
     name: &'static str,
     kind: Kind,
     default: Option<&'static str>,
@@ -39,287 +41,304 @@
     }
 }
 
-const MOST: u64 = 1_000_000_000_000;
+/// Upper bound of prices and allowances.
+const MAX_AMOUNT: u64 = 1_000_000_000_000;
 
+/// The usage log of a mixer.
 pub const USAGE: Section = Section {
     name: "usage",
     named: false,
     keys: &[
-        key(
+        restart_key(
             "directory",
             Kind::Text,
             None,
-            "Folder of the mixer's usage log; no log is kept without it.",
+            "Folder of the mixer's usage log; without it no usage is recorded.",
         ),
-        key(
+        restart_key(
             "segment",
             Kind::Bytes,
             Some("8MiB"),
-            "Size at which a segment of the log is closed and a new one begun.",
+            "Size at which a segment of the log is closed and a new one started.",
         ),
-        key(
+        restart_key(
             "keep",
             Kind::Bytes,
             Some("1GiB"),
-            "Most that the log may take; past it records are dropped and counted.",
+            "Maximum size of the log; records beyond it are dropped and counted.",
         ),
-        key(
+        restart_key(
             "queue",
             Kind::Count(16, 1_000_000),
             Some("8192"),
-            "Records that may wait for the writer.",
+            "Capacity of the queue between mixer and log writer, in records.",
         ),
-        key(
+        restart_key(
             "stall",
             Kind::Time,
             Some("5ms"),
-            "How long an answer waits for its record; then it goes without.",
+            "How long an answer waits until its record is written; after that it is sent without.",
         ),
-        key(
+        restart_key(
             "mark",
             Kind::Time,
             Some("500ms"),
-            "How often the log says up to when it is complete.",
+            "Interval of the watermarks that state up to when the log is complete.",
         ),
-        key(
+        restart_key(
             "listen",
             Kind::Address,
             None,
-            "Where the settlement collects the log; a listener of its own.",
+            "Address of a separate listener at which the settlement collects the log.",
         ),
     ],
 };
 
+/// Store of the settlement and collection from the members.
 pub const SETTLEMENT: Section = Section {
     name: "settlement",
     named: false,
     keys: &[
-        key(
+        restart_key(
             "store",
             Kind::Text,
             None,
             "The SQLite file of the settlement.",
         ),
-        live(
+        live_key(
             "again",
             Kind::Time,
             Some("200ms"),
-            "Wait before a member that failed is asked again; it doubles up to 32 times.",
+            "Delay before collection from a failed member is retried; it doubles up to 32 times this value.",
         ),
-        live(
+        live_key(
             "silent",
             Kind::Time,
             Some("5s"),
-            "A member that says nothing for so long is asked anew.",
+            "Collection from a member is restarted if it sends nothing for this time.",
         ),
     ],
 };
 
+/// Billing periods and the limits of joining retries.
 pub const PERIODS: Section = Section {
     name: "periods",
     named: false,
     keys: &[
-        key("every", Kind::TimeOr(&["daily", "monthly"]), Some("monthly"), "Length of a billing period."),
-        key("zone", Kind::Text, Some("UTC"), "Time zone of daily and monthly periods, by its IANA name."),
-        live(
+        restart_key("every", Kind::TimeOr(&["daily", "monthly"]), Some("monthly"), "Length of a billing period."),
+        restart_key("zone", Kind::Text, Some("UTC"), "Time zone of daily and monthly periods, by its IANA name."),
+        live_key(
             "horizon",
             Kind::Time,
             Some("30s"),
-            "The longest after a first try that a retry may arrive: at least the longest give-up time of a class.",
+            "The longest time after a first attempt that a retry may arrive: at least the longest give-up time of a class.",
         ),
-        live("skew", Kind::Time, Some("2s"), "The most that two mixers' clocks differ."),
-        live("grace", Kind::Time, Some("1h"), "How long a period waits for silent members after it could have closed."),
+        live_key("skew", Kind::Time, Some("2s"), "The largest difference between the clocks of two mixers."),
+        live_key("grace", Kind::Time, Some("1h"), "How long closing a period waits for members whose records are incomplete."),
     ],
 };
 
+/// One mixer whose usage log is collected.
 pub const MEMBER: Section = Section {
     name: "member",
     named: true,
     keys: &[
-        live(
+        live_key(
             "address",
             Kind::Address,
             None,
-            "Where this mixer's log is collected: its [usage] listen.",
+            "Address at which this mixer's log is collected: its [usage] listen.",
         ),
-        live(
+        live_key(
             "from",
             Kind::Text,
             None,
-            "When it joined, as in 2026-12-01T00:00:00Z; always if unset.",
+            "Start of its membership, as in 2026-12-01T00:00:00Z; unlimited if unset.",
         ),
-        live(
+        live_key(
             "until",
             Kind::Text,
             None,
-            "When it left; it has not if unset.",
+            "End of its membership; unlimited if unset.",
         ),
     ],
 };
 
+/// Prices of one class.
 pub const PRICE: Section = Section {
     name: "price",
     named: true,
     keys: &[
-        live(
+        live_key(
             "whole",
-            Kind::Count(0, MOST),
+            Kind::Count(0, MAX_AMOUNT),
             None,
-            "Price of a whole answer of this class, in micro-units.",
+            "Price of a complete answer of this class, in micro-units.",
         ),
-        live(
+        live_key(
             "partial",
-            Kind::Count(0, MOST),
+            Kind::Count(0, MAX_AMOUNT),
             None,
-            "Price of a partial answer before its share is taken; that of a whole one if unset.",
+            "Price of a partial answer, multiplied by its coverage; that of a complete answer if unset.",
         ),
     ],
 };
 
+/// Allowance of one tenant.
 pub const TENANT: Section = Section {
     name: "tenant",
     named: true,
-    keys: &[live(
+    keys: &[live_key(
         "allowance",
-        Kind::Count(0, MOST),
+        Kind::Count(0, MAX_AMOUNT),
         None,
-        "Answered uses in a period past which further ones are listed apart.",
+        "Answered uses in a period above which further ones are listed separately.",
     )],
 };
 
+/// Targets of the export of documents.
 pub const EXPORT: Section = Section {
     name: "export",
     named: false,
     keys: &[
-        live(
+        live_key(
             "folder",
             Kind::Text,
             None,
-            "Folder that documents are put into, each by an atomic rename.",
+            "Folder to which documents are written, each by an atomic rename.",
         ),
-        live(
+        live_key(
             "url",
             Kind::Text,
             None,
-            "Where documents are posted, as in http://127.0.0.1:9000/documents.",
+            "URL to which documents are posted, as in http://127.0.0.1:9000/documents.",
         ),
-        live(
+        live_key(
             "timeout",
             Kind::Time,
             Some("5s"),
-            "How long the receiver may take for one document.",
+            "Timeout of posting one document.",
         ),
-        live(
+        live_key(
             "again",
             Kind::Time,
             Some("500ms"),
-            "Wait before a failed document is sent again; it doubles up to 64 times.",
+            "Delay before a failed document is sent again; it doubles up to 64 times this value.",
         ),
     ],
 };
 
-/// The usage log of one mixer; none where it is off.
+/// Settings of a mixer's usage log.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UsageLog {
+pub struct UsageLogSettings {
     pub directory: PathBuf,
     pub segment_bytes: u64,
-    pub keep_bytes: u64,
-    pub queue: usize,
-    pub stall: Duration,
-    pub mark: Duration,
+    pub max_bytes: u64,
+    pub queue_capacity: usize,
+    pub max_write_delay: Duration,
+    pub watermark_interval: Duration,
     pub listen: Option<SocketAddr>,
 }
 
-impl UsageLog {
+impl UsageLogSettings {
+    /// Reads the `[usage]` section; none if no directory is set.
+    ///
     /// # Errors
     /// Values that contradict each other.
-    pub fn read(settings: &Settings, schema: &Schema) -> Result<Option<UsageLog>, Problems> {
+    pub fn read(
+        settings: &Settings,
+        schema: &Schema,
+    ) -> Result<Option<UsageLogSettings>, Problems> {
         let values = settings.of(schema, USAGE.name, "");
         let listen = values.address("listen");
-        let wrong = |key: &str, why: &str| settings.problem(USAGE.name, "", key, why);
+        let problem = |key: &str, why: &str| settings.problem(USAGE.name, "", key, why);
         let Some(directory) = values.text("directory").map(PathBuf::from) else {
             return match listen {
-                Some(_) => Err(wrong(
+                Some(_) => Err(problem(
                     "listen",
                     "there is no log to collect without 'directory'",
                 )),
                 None => Ok(None),
             };
         };
-        let (segment_bytes, keep_bytes) = (
+        let (segment_bytes, max_bytes) = (
             values.bytes("segment").unwrap_or(8 << 20),
             values.bytes("keep").unwrap_or(1 << 30),
         );
         if segment_bytes < 4096 {
-            return Err(wrong("segment", "has to be 4KiB at least"));
+            return Err(problem("segment", "has to be 4KiB at least"));
         }
-        if keep_bytes < 2 * segment_bytes {
-            return Err(wrong(
+        if max_bytes < 2 * segment_bytes {
+            return Err(problem(
                 "keep",
                 "has to be twice 'segment' at least, or no segment could ever be closed",
             ));
         }
-        let mark = values.time("mark").unwrap_or(Duration::from_millis(500));
-        if mark < Duration::from_millis(10) {
-            return Err(wrong("mark", "has to be 10ms at least"));
+        let watermark_interval = values.time("mark").unwrap_or(Duration::from_millis(500));
+        if watermark_interval < Duration::from_millis(10) {
+            return Err(problem("mark", "has to be 10ms at least"));
         }
-        Ok(Some(UsageLog {
+        Ok(Some(UsageLogSettings {
             directory,
             segment_bytes,
-            keep_bytes,
-            queue: values.count("queue").unwrap_or(8192) as usize,
-            stall: values.time("stall").unwrap_or(Duration::from_millis(5)),
-            mark,
+            max_bytes,
+            queue_capacity: values.count("queue").unwrap_or(8192) as usize,
+            max_write_delay: values.time("stall").unwrap_or(Duration::from_millis(5)),
+            watermark_interval,
             listen,
         }))
     }
 }
 
-/// A mixer whose log the settlement follows.
+/// A mixer whose log the settlement collects.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct MemberSettings {
     pub address: SocketAddr,
-    /// From when and until when it takes part, in Unix milliseconds.
-    pub from: i64,
-    pub until: i64,
+    /// Start of the membership, in Unix milliseconds.
+    pub from_ms: i64,
+    /// End of the membership, in Unix milliseconds.
+    pub until_ms: i64,
 }
 
 /// Prices of one class, in micro-units.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Price {
-    pub whole: u64,
+pub struct ClassPrice {
+    #[serde(rename = "whole")]
+    pub complete: u64,
     pub partial: u64,
 }
 
+/// Targets of the export of documents.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ExportTo {
+pub struct ExportSettings {
     pub folder: Option<PathBuf>,
     pub url: Option<String>,
     pub timeout: Duration,
-    pub again: Duration,
+    pub retry_delay: Duration,
 }
 
 /// The settings of the settlement.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct LedgerSettings {
     pub store: Option<PathBuf>,
-    pub again: Duration,
-    pub silent: Duration,
+    pub retry_delay: Duration,
+    pub silence_timeout: Duration,
     pub calendar: Calendar,
-    /// Milliseconds.
-    pub horizon: i64,
-    pub skew: i64,
-    pub grace: i64,
-    pub members: BTreeMap<String, Member>,
-    pub prices: BTreeMap<String, Price>,
+    pub horizon_ms: i64,
+    pub skew_ms: i64,
+    pub grace_ms: i64,
+    pub members: BTreeMap<String, MemberSettings>,
+    pub prices: BTreeMap<String, ClassPrice>,
     pub allowances: BTreeMap<String, u64>,
-    pub export: ExportTo,
+    pub export: ExportSettings,
 }
 
-impl Ledger {
+impl LedgerSettings {
+    /// Reads the sections of the settlement.
+    ///
     /// # Errors
-    /// Values that contradict each other, or that only their use shows to be wrong.
-    pub fn read(settings: &Settings, schema: &Schema) -> Result<Ledger, Problems> {
+    /// Values that contradict each other, or that the schema cannot check.
+    pub fn read(settings: &Settings, schema: &Schema) -> Result<LedgerSettings, Problems> {
         let periods = settings.of(schema, PERIODS.name, "");
         let zone = periods.text("zone").unwrap_or("UTC");
         let zone = TimeZone::get(zone).map_err(|_| {
@@ -331,19 +350,19 @@
             )
         })?;
         let ms = |key: &str| periods.time(key).unwrap_or_default().as_millis() as i64;
-        let every = match periods.text("every").unwrap_or("monthly") {
-            "daily" => Every::Day(zone),
-            "monthly" => Every::Month(zone),
-            _ => Every::Ms(ms("every")),
+        let period_length = match periods.text("every").unwrap_or("monthly") {
+            "daily" => PeriodLength::Day(zone),
+            "monthly" => PeriodLength::Month(zone),
+            _ => PeriodLength::FixedMs(ms("every")),
         };
-        if matches!(every, Every::Ms(length) if length < 1000) {
+        if matches!(period_length, PeriodLength::FixedMs(length) if length < 1000) {
             return Err(settings.problem(PERIODS.name, "", "every", "has to be 1s at least"));
         }
         let mut members = BTreeMap::new();
         for name in settings.names(MEMBER.name) {
             let values = settings.of(schema, MEMBER.name, name);
-            let at = |key: &'static str, otherwise: i64| match values.text(key) {
-                None => Ok(otherwise),
+            let timestamp = |key: &'static str, default: i64| match values.text(key) {
+                None => Ok(default),
                 Some(text) => text
                     .parse::<Timestamp>()
                     .map(Timestamp::as_millisecond)
@@ -359,8 +378,8 @@
             let Some(address) = values.address("address") else {
                 return Err(settings.problem(MEMBER.name, name, "address", "is missing"));
             };
-            let (from, until) = (at("from", i64::MIN)?, at("until", i64::MAX)?);
-            if from >= until {
+            let (from_ms, until_ms) = (timestamp("from", i64::MIN)?, timestamp("until", i64::MAX)?);
+            if from_ms >= until_ms {
                 return Err(settings.problem(
                     MEMBER.name,
                     name,
@@ -370,24 +389,24 @@
             }
             members.insert(
                 name.to_string(),
-                Member {
+                MemberSettings {
                     address,
-                    from,
-                    until,
+                    from_ms,
+                    until_ms,
                 },
             );
         }
         let mut prices = BTreeMap::new();
         for name in settings.names(PRICE.name) {
             let values = settings.of(schema, PRICE.name, name);
-            let Some(whole) = values.count("whole") else {
+            let Some(complete) = values.count("whole") else {
                 return Err(settings.problem(PRICE.name, name, "whole", "is missing"));
             };
             prices.insert(
                 name.to_string(),
-                Price {
-                    whole,
-                    partial: values.count("partial").unwrap_or(whole),
+                ClassPrice {
+                    complete,
+                    partial: values.count("partial").unwrap_or(complete),
                 },
             );
         }
@@ -408,23 +427,23 @@
             return Err(settings.problem(EXPORT.name, "", "url", "has to begin with http://"));
         }
         let settlement = settings.of(schema, SETTLEMENT.name, "");
-        let time = |key: &str| settlement.time(key).unwrap_or(Duration::from_millis(200));
-        Ok(Ledger {
+        let duration = |key: &str| settlement.time(key).unwrap_or(Duration::from_millis(200));
+        Ok(LedgerSettings {
             store: settlement.text("store").map(PathBuf::from),
-            again: time("again"),
-            silent: time("silent"),
-            calendar: Calendar(every),
-            horizon: ms("horizon"),
-            skew: ms("skew"),
-            grace: ms("grace"),
+            retry_delay: duration("again"),
+            silence_timeout: duration("silent"),
+            calendar: Calendar(period_length),
+            horizon_ms: ms("horizon"),
+            skew_ms: ms("skew"),
+            grace_ms: ms("grace"),
             members,
             prices,
             allowances,
-            export: ExportTo {
+            export: ExportSettings {
                 folder: export.text("folder").map(PathBuf::from),
                 url,
                 timeout: export.time("timeout").unwrap_or(Duration::from_secs(5)),
-                again: export.time("again").unwrap_or(Duration::from_millis(500)),
+                retry_delay: export.time("again").unwrap_or(Duration::from_millis(500)),
             },
         })
     }
--- a/crates/ledger/src/settle.rs
+++ b/crates/ledger/src/settle.rs
@@ -1,178 +1,202 @@
-//! Settling periods. Pure: when one may close, what its uses are, and what late records change.
+//! Settling of billing periods. Pure: whether a period may close, its uses, and the adjustments for late records.
 
-use crate::join::{Id, Joiner, Try, Use};
+use crate::join::{ClientAttempt, Joiner, RecordId, Use};
 use crate::period::Period;
 use crate::rate::Counts;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Times in milliseconds that joining goes by.
+/// Limits of joining, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// The longest after a first try that a retry may arrive.
-    pub horizon: i64,
-    /// The most that two mixers' clocks differ.
-    pub skew: i64,
+    /// The longest time after a first attempt that a retry may arrive.
+    pub horizon_ms: i64,
+    /// The largest difference between the clocks of two mixers.
+    pub skew_ms: i64,
 }
 
 impl Bounds {
-    /// The arrivals that settling a period has to see: from, and up to without.
-    pub fn seen(&self, period: Period) -> (i64, i64) {
+    /// The arrivals that settling a period needs: start inclusive, end exclusive.
+    pub fn arrival_range(&self, period: Period) -> (i64, i64) {
         (
-            period.start.saturating_sub(self.skew),
-            period.end.saturating_add(self.after()),
+            period.start.saturating_sub(self.skew_ms),
+            period.end.saturating_add(self.lookahead_ms()),
         )
     }
 
-    /// How far past its end settling a period sees, in milliseconds.
-    pub fn after(&self) -> i64 {
-        self.horizon.saturating_add(3 * self.skew).saturating_add(1)
+    /// Milliseconds after the end of a period up to which settling it needs arrivals.
+    pub fn lookahead_ms(&self) -> i64 {
+        self.horizon_ms
+            .saturating_add(3 * self.skew_ms)
+            .saturating_add(1)
     }
 }
 
-/// Up to when a member's records are known.
+/// The collection progress of one member.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct MemberProgress {
     pub member: String,
-    /// Complete before this time, in Unix milliseconds; none if it was never heard of.
-    pub complete: Option<i64>,
+    /// All records of arrivals before this time (Unix milliseconds) are in the store; none if no record or watermark of
+    /// the member has been collected.
+    pub watermark_ms: Option<i64>,
 }
 
 /// Whether a period may close.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Closing {
-    /// Not before these are complete, or the grace is over.
-    Waits(Vec<String>),
-    /// All that arrived is there.
-    Whole,
-    /// The grace is over; these are missing.
-    Without(Vec<String>),
+pub enum CloseDecision {
+    /// These members' records are not complete, and the grace period has not expired.
+    Wait(Vec<String>),
+    /// All records are in the store.
+    Complete,
+    /// The grace period has expired; these members' records are not complete.
+    Incomplete(Vec<String>),
 }
 
-/// Whether `period` may close at `now`, given the members that took part in it.
-pub fn closing(period: Period, bounds: Bounds, grace: i64, now: i64, members: &[Known]) -> Closing {
-    let (_, until) = bounds.seen(period);
-    let behind = |known: &&Known| known.complete.is_none_or(|complete| complete < until);
+/// Whether `period` may close at `now`, given its members. `grace` is in milliseconds.
+pub fn close_decision(
+    period: Period,
+    bounds: Bounds,
+    grace: i64,
+    now: i64,
+    members: &[MemberProgress],
+) -> CloseDecision {
+    let (_, until) = bounds.arrival_range(period);
+    let incomplete = |member: &&MemberProgress| {
+        member
+            .watermark_ms
+            .is_none_or(|watermark| watermark < until)
+    };
     let missing: Vec<String> = members
         .iter()
-        .filter(behind)
-        .map(|known| known.member.clone())
+        .filter(incomplete)
+        .map(|member| member.member.clone())
         .collect();
     if now < until {
-        // A mixer whose clock is ahead must not close a period for those that have yet to serve in it.
-        Closing::Waits(missing)
+        // A mixer whose clock is ahead must not close a period in which other mixers still accept queries.
+        CloseDecision::Wait(missing)
     } else if missing.is_empty() {
-        Closing::Whole
+        CloseDecision::Complete
     } else if now >= until.saturating_add(grace) {
-        Closing::Without(missing)
+        CloseDecision::Incomplete(missing)
     } else {
-        Closing::Waits(missing)
+        CloseDecision::Wait(missing)
     }
 }
 
 /// Lines by tenant and class.
 pub type Lines = BTreeMap<(u32, u32), Counts>;
 
-/// What one period's settling tells the next one's.
+/// State that settling a period passes to the next period.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Over {
-    /// Tries near or past the period's end that belong to its uses, and to none of the next one's.
-    pub carried: BTreeSet<Id>,
-    /// Retries of later uses that might have been joined to uses of this period.
-    pub hints: BTreeSet<Id>,
+pub struct CarryForward {
+    /// Attempts near or after the period's end that are already counted in its uses.
+    pub joined_attempts: BTreeSet<RecordId>,
+    /// Retries of later uses that could have been joined to uses of this period.
+    pub ambiguous_retries: BTreeSet<RecordId>,
 }
 
-/// What a period comes to.
+/// The result of settling a period.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Settled {
+pub struct SettledPeriod {
     pub lines: Lines,
-    pub over: Over,
-    /// First tries of uses with an ambiguous join.
-    pub ambiguous: Vec<Id>,
+    pub carry_forward: CarryForward,
+    /// First attempts of uses with an ambiguous join.
+    pub ambiguous: Vec<RecordId>,
 }
 
-/// Settles one period. Takes the tries that [`Bounds::seen`] asks for, in the order of [`Try::id`], and passes over
-/// those that the period before has carried over.
-pub struct Settling {
+/// Settles one period from the attempts in its [`Bounds::arrival_range`], pushed in the order of [`ClientAttempt::id`].
+/// Skips attempts that the previous period has counted.
+pub struct PeriodSettler {
     period: Period,
-    /// From where on a try may be the next period's, and up to where a retry may be this one's.
+    /// The time from which an attempt may belong to the next period, and the time up to which a retry may belong to
+    /// this one (Unix milliseconds).
     edge: (i64, i64),
-    carried: BTreeSet<Id>,
+    joined_earlier: BTreeSet<RecordId>,
     joiner: Joiner,
-    settled: Settled,
+    settled: SettledPeriod,
 }
 
-impl Settling {
-    pub fn new(period: Period, bounds: Bounds, before: Over) -> Settling {
-        let near = period.end.saturating_sub(bounds.skew);
+impl PeriodSettler {
+    pub fn new(period: Period, bounds: Bounds, before: CarryForward) -> PeriodSettler {
+        let near = period.end.saturating_sub(bounds.skew_ms);
         let far = period
             .end
-            .saturating_add(bounds.horizon)
-            .saturating_add(bounds.skew);
-        let joiner = Joiner::with_hints(bounds.skew, bounds.horizon, before.hints);
-        Settling {
+            .saturating_add(bounds.horizon_ms)
+            .saturating_add(bounds.skew_ms);
+        let joiner = Joiner::with_ambiguous_retries(
+            bounds.skew_ms,
+            bounds.horizon_ms,
+            before.ambiguous_retries,
+        );
+        PeriodSettler {
             period,
             edge: (near, far),
-            carried: before.carried,
+            joined_earlier: before.joined_attempts,
             joiner,
-            settled: Settled::default(),
+            settled: SettledPeriod::default(),
         }
     }
 
-    pub fn take(&mut self, one: Try) {
-        if !self.carried.contains(&one.id()) {
-            let Settling {
+    pub fn push(&mut self, attempt: ClientAttempt) {
+        if !self.joined_earlier.contains(&attempt.id()) {
+            let PeriodSettler {
                 joiner,
                 settled,
                 period,
                 edge,
                 ..
             } = self;
-            joiner.take(one, &mut |it| settled.count(*period, *edge, &it));
+            joiner.push(attempt, &mut |billed| {
+                settled.count(*period, *edge, &billed)
+            });
         }
     }
 
-    pub fn finish(mut self) -> Settled {
-        let Settling {
+    pub fn finish(mut self) -> SettledPeriod {
+        let PeriodSettler {
             joiner,
             settled,
             period,
             edge,
             ..
         } = &mut self;
-        joiner.finish(&mut |it| settled.count(*period, *edge, &it));
+        joiner.finish(&mut |billed| settled.count(*period, *edge, &billed));
         self.settled
     }
 }
 
-impl Settled {
-    fn count(&mut self, period: Period, (near, far): (i64, i64), it: &Use) {
-        let first = it.first();
-        if first.at >= period.end {
-            self.over
-                .hints
-                .extend(it.ambiguous.iter().filter(|id| id.0 <= far));
+impl SettledPeriod {
+    fn count(&mut self, period: Period, (near, far): (i64, i64), billed: &Use) {
+        let first = billed.first();
+        if first.arrived_ms >= period.end {
+            self.carry_forward
+                .ambiguous_retries
+                .extend(billed.ambiguous.iter().filter(|id| id.0 <= far));
             return;
         }
         self.lines
             .entry((first.tenant, first.class))
             .or_default()
-            .add(it);
-        self.over
-            .carried
-            .extend(it.tries.iter().filter(|one| one.at >= near).map(Try::id));
-        if !it.ambiguous.is_empty() {
+            .add(billed);
+        self.carry_forward.joined_attempts.extend(
+            billed
+                .attempts
+                .iter()
+                .filter(|attempt| attempt.arrived_ms >= near)
+                .map(ClientAttempt::id),
+        );
+        if !billed.ambiguous.is_empty() {
             self.ambiguous.push(first.id());
         }
     }
 }
 
-/// What has to be put right of a closed period: what it comes to now, less what statements have said so far.
-pub fn adjustments(now: &Lines, said: &Lines) -> Lines {
-    let keys: BTreeSet<_> = now.keys().chain(said.keys()).copied().collect();
+/// Adjustments of a closed period: its current counts less the counts that statements have billed so far.
+pub fn adjustments(current: &Lines, billed_lines: &Lines) -> Lines {
+    let keys: BTreeSet<_> = current.keys().chain(billed_lines.keys()).copied().collect();
     let line = |lines: &Lines, key| lines.get(&key).copied().unwrap_or_default();
     let differences = keys
         .into_iter()
-        .map(|key| (key, line(now, key) - line(said, key)));
+        .map(|key| (key, line(current, key) - line(billed_lines, key)));
     differences
         .filter(|(_, counts)| !counts.is_zero())
         .collect()
--- a/crates/ledger/src/settlement.rs
+++ b/crates/ledger/src/settlement.rs
@@ -1,11 +1,11 @@
-//! The settlement service: follows each member's log, closes periods, and sends documents on.
+//! The settlement service: collects each member's log, closes periods and exports documents.
 
 use crate::export;
 use crate::log::Position;
 use crate::period::Period;
-use crate::settings::Ledger;
-use crate::settle::{closing, Bounds, Closing, Known};
-use crate::store::{Error, Statement, Store, Terms};
+use crate::settings::LedgerSettings;
+use crate::settle::{close_decision, Bounds, CloseDecision, MemberProgress};
+use crate::store::{CloseParameters, Error, Statement, Store};
 use crate::wire::usage_log_client::UsageLogClient;
 use crate::wire::{AcknowledgeRequest, Batch, FollowRequest};
 use std::collections::{BTreeMap, HashMap};
@@ -18,42 +18,42 @@
 use tokio::time::timeout;
 use tonic::transport::Endpoint;
 
-/// Batches that may wait for the store, from all members together.
-const MOST_WAITING: usize = 8;
-/// Between two looks at whether a period may close, and at the outbox.
-const LOOK: Duration = Duration::from_millis(100);
-/// Between two words to a mixer on what it may forget.
-const ACKNOWLEDGE: Duration = Duration::from_secs(1);
-/// The most that a member's message may take.
-const MOST_MESSAGE: usize = 16 << 20;
-/// How often a wait is doubled at the most.
-const MOST_DOUBLED: u32 = 5;
+/// Batches of all members that may be queued for the store.
+const MAX_QUEUED_BATCHES: usize = 8;
+/// Interval of checking whether a period may close, and of polling the outbox.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum interval between acknowledgements to a mixer, which lets it remove settled segments.
+const ACKNOWLEDGE_INTERVAL: Duration = Duration::from_secs(1);
+/// Size limit of a member's message.
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
+/// Upper bound of the exponential backoff of collection: 32 times the retry delay.
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// A command to a running settlement.
 pub enum Control {
-    /// Put these settings in force, but for the calendar and the store, which stay as they were at the start.
-    Reload(Box<Ledger>),
-    /// End once what is under way is done.
+    /// Apply these settings, except for the calendar and the store, which change only at a start.
+    Reload(Box<LedgerSettings>),
+    /// Stop after the current step.
     Terminate,
 }
 
-/// A batch from a member, and where to say up to what it is in the store.
-struct Arrived {
+/// A batch from a member, and the channel that reports the stored position.
+struct ReceivedBatch {
     member: String,
     batch: Batch,
     stored: oneshot::Sender<Position>,
 }
 
-/// The store with the settings in force.
+/// The store and the current settings.
 pub struct Settlement {
     pub store: Store,
-    pub settings: Ledger,
-    /// What a waiting period was last said to wait for.
-    waits: Option<(Period, Vec<String>)>,
+    pub settings: LedgerSettings,
+    /// The period and missing members that were last logged as awaited, so that each wait is logged once.
+    reported_wait: Option<(Period, Vec<String>)>,
 }
 
-/// Unix milliseconds.
-pub fn now() -> i64 {
+/// The current time in Unix milliseconds.
+pub fn unix_ms_now() -> i64 {
     let now = std::time::SystemTime::now()
         .duration_since(std::time::UNIX_EPOCH)
         .unwrap_or_default();
@@ -61,35 +61,35 @@
 }
 
 impl Settlement {
-    pub fn new(store: Store, settings: Ledger) -> Settlement {
+    pub fn new(store: Store, settings: LedgerSettings) -> Settlement {
         Settlement {
             store,
             settings,
-            waits: None,
+            reported_wait: None,
         }
     }
 
     pub fn bounds(&self) -> Bounds {
         Bounds {
-            horizon: self.settings.horizon,
-            skew: self.settings.skew,
+            horizon_ms: self.settings.horizon_ms,
+            skew_ms: self.settings.skew_ms,
         }
     }
 
-    /// Takes a batch into the store.
-    pub fn take(&mut self, member: &str, batch: &Batch) -> Result<Position, Error> {
-        let took = self
+    /// Stores a batch; returns the member's position afterwards.
+    pub fn ingest(&mut self, member: &str, batch: &Batch) -> Result<Position, Error> {
+        let ingested = self
             .store
             .ingest(member, batch, &self.settings.calendar, self.bounds())?;
         for damage in &batch.damage {
             let (segment, from, to) = (&damage.segment, damage.from, damage.to);
-            tracing::error!(member, segment, from, to, "damaged bytes in a usage log");
+            tracing::error!(member, segment, from, to, "usage log has damaged bytes");
         }
-        if took.late > 0 {
+        if ingested.late > 0 {
             tracing::warn!(
                 member,
-                late = took.late,
-                "late records: they will adjust the next statement"
+                late = ingested.late,
+                "records arrived after their period closed; the next statement will contain adjustments"
             );
         }
         self.store.position(member)
@@ -101,52 +101,52 @@
             return Ok(None);
         };
         let bounds = self.bounds();
-        if now < bounds.seen(period).1 {
+        if now < bounds.arrival_range(period).1 {
             return Ok(None);
         }
-        let complete: HashMap<String, i64> = self
+        let watermarks: HashMap<String, i64> = self
             .store
-            .standings()?
+            .member_statuses()?
             .into_iter()
-            .map(|standing| (standing.member, standing.complete))
+            .map(|status| (status.member, status.watermark_ms))
             .collect();
-        let took_part = |member: &&crate::settings::Member| {
-            member.from < period.end && member.until > period.start
+        let participated = |member: &&crate::settings::MemberSettings| {
+            member.from_ms < period.end && member.until_ms > period.start
         };
         let members = self
             .settings
             .members
             .iter()
-            .filter(|(_, member)| took_part(member));
-        let members: Vec<Known> = members
-            .map(|(name, _)| Known {
+            .filter(|(_, member)| participated(member));
+        let members: Vec<MemberProgress> = members
+            .map(|(name, _)| MemberProgress {
                 member: name.clone(),
-                complete: complete.get(name).copied(),
+                watermark_ms: watermarks.get(name).copied(),
             })
             .collect();
-        let missing = match closing(period, bounds, self.settings.grace, now, &members) {
-            Closing::Whole => Vec::new(),
-            Closing::Without(missing) => missing,
-            Closing::Waits(missing) => {
+        let missing = match close_decision(period, bounds, self.settings.grace_ms, now, &members) {
+            CloseDecision::Complete => Vec::new(),
+            CloseDecision::Incomplete(missing) => missing,
+            CloseDecision::Wait(missing) => {
                 let waits = Some((period, missing));
-                if self.waits != waits {
+                if self.reported_wait != waits {
                     if let Some((period, missing)) = &waits {
                         tracing::info!(
                             period = period.name(),
                             missing = missing.join(" "),
-                            "a period waits for members"
+                            "closing of the period waits for records of members"
                         );
                     }
-                    self.waits = waits;
+                    self.reported_wait = waits;
                 }
                 return Ok(None);
             }
         };
-        let terms = Terms {
+        let terms = CloseParameters {
             bounds,
             prices: &self.settings.prices,
             allowances: &self.settings.allowances,
-            members: members.into_iter().map(|known| known.member).collect(),
+            members: members.into_iter().map(|member| member.member).collect(),
             missing: &missing,
             now,
         };
@@ -164,59 +164,62 @@
     }
 }
 
-/// Follows one member until it is aborted.
-async fn follow(
+/// Collects from one member, with retries, until the task is aborted.
+async fn collect_member(
     member: String,
     address: SocketAddr,
     path: PathBuf,
-    waits: Arc<Mutex<Waits>>,
-    arrived: mpsc::Sender<Arrived>,
+    timings: Arc<Mutex<CollectionTimings>>,
+    received: mpsc::Sender<ReceivedBatch>,
 ) {
     let mut failures: u32 = 0;
     loop {
-        let began = Instant::now();
-        let end = watch(&member, address, &path, &waits, &arrived).await;
-        let waits = *waits
+        let started = Instant::now();
+        let result = collect_stream(&member, address, &path, &timings, &received).await;
+        let current = *timings
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        failures = if began.elapsed() > waits.silent {
+        failures = if started.elapsed() > current.silence_timeout {
             0
         } else {
             failures + 1
         };
-        let wait = waits.again * 2u32.pow(failures.saturating_sub(1).min(MOST_DOUBLED));
+        let delay =
+            current.retry_delay * 2u32.pow(failures.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS));
         if failures <= 1 {
-            tracing::info!(member, %address, error = end.err(), "collection ended; it will be asked again");
+            tracing::info!(member, %address, error = result.err(), "collection from member ended; retrying");
         }
-        tokio::time::sleep(wait).await;
+        tokio::time::sleep(delay).await;
     }
 }
 
+/// Settings of the collection that a reload may change.
 #[derive(Clone, Copy)]
-struct Waits {
-    again: Duration,
-    silent: Duration,
+struct CollectionTimings {
+    retry_delay: Duration,
+    silence_timeout: Duration,
 }
 
-async fn watch(
+/// Collects from one member over one connection.
+async fn collect_stream(
     member: &str,
     address: SocketAddr,
     path: &Path,
-    waits: &Arc<Mutex<Waits>>,
-    arrived: &mpsc::Sender<Arrived>,
+    timings: &Arc<Mutex<CollectionTimings>>,
+    received: &mpsc::Sender<ReceivedBatch>,
 ) -> Result<(), String> {
-    let silent = waits
+    let silence_timeout = timings
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner)
-        .silent;
+        .silence_timeout;
     let endpoint = Endpoint::from_shared(format!("http://{address}")).map_err(|e| e.to_string())?;
     let channel = endpoint
-        .connect_timeout(silent)
+        .connect_timeout(silence_timeout)
         .connect()
         .await
         .map_err(|e| e.to_string())?;
-    let mut client = UsageLogClient::new(channel).max_decoding_message_size(MOST_MESSAGE);
-    // The store alone knows how far it got, whatever became of this process before.
+    let mut client = UsageLogClient::new(channel).max_decoding_message_size(MAX_MESSAGE_BYTES);
+    // The position comes from the store, which is correct also after a crash of this process.
     let path = path.to_path_buf();
     let name = member.to_string();
     let after = tokio::task::spawn_blocking(move || {
@@ -237,11 +240,11 @@
         .into_inner();
     let mut acknowledged = Instant::now();
     loop {
-        let next = timeout(silent, batches.message())
+        let next = timeout(silence_timeout, batches.message())
             .await
-            .map_err(|_| "silent for too long".to_string())?;
+            .map_err(|_| "no message within the silence timeout".to_string())?;
         let Some(batch) = next.map_err(|e| e.to_string())? else {
-            return Err("the stream ended".into());
+            return Err("the member closed the stream".into());
         };
         if batch.header.is_none() && batch.entries.is_empty() && batch.damage.is_empty() {
             continue;
@@ -251,54 +254,57 @@
             .as_ref()
             .filter(|header| header.mixer != member)
         {
-            return Err(format!("the mixer there is {}, not {member}", header.mixer));
+            return Err(format!(
+                "the mixer at this address is {}, expected {member}",
+                header.mixer
+            ));
         }
         let (stored, position) = oneshot::channel();
-        let sent = arrived
-            .send(Arrived {
+        let sent = received
+            .send(ReceivedBatch {
                 member: member.into(),
                 batch,
                 stored,
             })
             .await;
-        sent.map_err(|_| "the settlement ends".to_string())?;
+        sent.map_err(|_| "the settlement is stopping".to_string())?;
         let position = position
             .await
-            .map_err(|_| "the store did not take it".to_string())?;
-        if acknowledged.elapsed() >= ACKNOWLEDGE {
+            .map_err(|_| "the batch was not stored".to_string())?;
+        if acknowledged.elapsed() >= ACKNOWLEDGE_INTERVAL {
             let Position {
                 incarnation,
                 sequence,
             } = position;
-            let said = client
+            let acknowledgement = client
                 .acknowledge(AcknowledgeRequest {
                     incarnation,
                     sequence,
                 })
                 .await;
-            said.map_err(|e| e.to_string())?;
+            acknowledgement.map_err(|e| e.to_string())?;
             acknowledged = Instant::now();
         }
     }
 }
 
-/// Sends what stands in the outbox, each document until it is acknowledged.
-fn export(
+/// Sends the documents of the outbox, each until it is acknowledged, until `stop` is set.
+fn run_exporter(
     path: &Path,
-    settings: &Arc<Mutex<Ledger>>,
-    over: &std::sync::atomic::AtomicBool,
+    settings: &Arc<Mutex<LedgerSettings>>,
+    stop: &std::sync::atomic::AtomicBool,
 ) -> Result<(), Error> {
     let store = Store::open(path)?;
     let mut next: HashMap<String, Instant> = HashMap::new();
-    while !over.load(std::sync::atomic::Ordering::Relaxed) {
-        let to = settings
+    while !stop.load(std::sync::atomic::Ordering::Relaxed) {
+        let target = settings
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner)
             .export
             .clone();
-        if to.folder.is_some() || to.url.is_some() {
-            for document in store.outbox(to.folder.is_some(), to.url.is_some())? {
-                if over.load(std::sync::atomic::Ordering::Relaxed) {
+        if target.folder.is_some() || target.url.is_some() {
+            for document in store.outbox(target.folder.is_some(), target.url.is_some())? {
+                if stop.load(std::sync::atomic::Ordering::Relaxed) {
                     return Ok(());
                 }
                 if next
@@ -307,8 +313,14 @@
                 {
                     continue;
                 }
-                let (in_folder, posted, error) = export::send(&to, &document);
-                store.sent(&document.id, in_folder, posted, error.as_deref(), now())?;
+                let (in_folder, posted, error) = export::send(&target, &document);
+                store.record_delivery(
+                    &document.id,
+                    in_folder,
+                    posted,
+                    error.as_deref(),
+                    unix_ms_now(),
+                )?;
                 match error {
                     None => {
                         next.remove(&document.id);
@@ -323,61 +335,61 @@
                         );
                         next.insert(
                             document.id,
-                            Instant::now() + export::wait(to.again, attempts),
+                            Instant::now() + export::retry_delay(target.retry_delay, attempts),
                         );
                     }
                 }
             }
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-/// Runs the settlement until [`Control::Terminate`], or until nobody can send a command any more.
+/// Runs the settlement until [`Control::Terminate`], or until all senders of `controls` are dropped.
 ///
 /// # Errors
-/// The store can't be used.
+/// The store cannot be opened, read or written.
 pub async fn serve(
     path: PathBuf,
-    settings: Ledger,
+    settings: LedgerSettings,
     mut controls: mpsc::Receiver<Control>,
 ) -> Result<(), Error> {
     let mut settlement = Settlement::new(Store::open(&path)?, settings.clone());
     let shared = Arc::new(Mutex::new(settings));
-    let over = Arc::new(std::sync::atomic::AtomicBool::new(false));
+    let stop = Arc::new(std::sync::atomic::AtomicBool::new(false));
     let exporter = {
-        let (path, shared, over) = (path.clone(), shared.clone(), over.clone());
+        let (path, shared, stop) = (path.clone(), shared.clone(), stop.clone());
         std::thread::spawn(move || {
-            if let Err(e) = export(&path, &shared, &over) {
-                tracing::error!(error = %e, "export ended");
+            if let Err(e) = run_exporter(&path, &shared, &stop) {
+                tracing::error!(error = %e, "export of documents failed");
             }
         })
     };
-    let waits = Arc::new(Mutex::new(Waits {
-        again: settlement.settings.again,
-        silent: settlement.settings.silent,
+    let timings = Arc::new(Mutex::new(CollectionTimings {
+        retry_delay: settlement.settings.retry_delay,
+        silence_timeout: settlement.settings.silence_timeout,
     }));
-    let (send, mut arrived) = mpsc::channel(MOST_WAITING);
-    let mut followed: BTreeMap<String, (SocketAddr, AbortHandle)> = BTreeMap::new();
+    let (send, mut received) = mpsc::channel(MAX_QUEUED_BATCHES);
+    let mut collectors: BTreeMap<String, (SocketAddr, AbortHandle)> = BTreeMap::new();
     loop {
         let members = &settlement.settings.members;
-        followed.retain(|name, (address, task)| {
-            let stays = members
+        collectors.retain(|name, (address, task)| {
+            let unchanged = members
                 .get(name)
                 .is_some_and(|member| member.address == *address);
-            if !stays {
+            if !unchanged {
                 task.abort();
             }
-            stays
+            unchanged
         });
         for (name, member) in members {
-            followed.entry(name.clone()).or_insert_with(|| {
-                let task = follow(
+            collectors.entry(name.clone()).or_insert_with(|| {
+                let task = collect_member(
                     name.clone(),
                     member.address,
                     path.clone(),
-                    waits.clone(),
+                    timings.clone(),
                     send.clone(),
                 );
                 (member.address, tokio::spawn(task).abort_handle())
@@ -388,24 +400,24 @@
             control = controls.recv() => match control {
                 Some(Control::Reload(next)) => {
                     *shared.lock().unwrap_or_else(std::sync::PoisonError::into_inner) = (*next).clone();
-                    *waits.lock().unwrap_or_else(std::sync::PoisonError::into_inner) =
-                        Waits { again: next.again, silent: next.silent };
-                    // The calendar and the store stay what they were at the start.
+                    *timings.lock().unwrap_or_else(std::sync::PoisonError::into_inner) =
+                        CollectionTimings { retry_delay: next.retry_delay, silence_timeout: next.silence_timeout };
+                    // The calendar and the store change only at a start.
                     let calendar = settlement.settings.calendar.clone();
-                    settlement.settings = Ledger { calendar, ..*next };
+                    settlement.settings = LedgerSettings { calendar, ..*next };
                 }
                 Some(Control::Terminate) | None => break,
             },
-            Some(Arrived { member, batch, stored }) = arrived.recv() => {
-                let position = tokio::task::block_in_place(|| settlement.take(&member, &batch))?;
+            Some(ReceivedBatch { member, batch, stored }) = received.recv() => {
+                let position = tokio::task::block_in_place(|| settlement.ingest(&member, &batch))?;
                 let _ = stored.send(position);
             }
-            () = tokio::time::sleep(LOOK) => {}
+            () = tokio::time::sleep(POLL_INTERVAL) => {}
         }
-        tokio::task::block_in_place(|| settlement.close_next(now()))?;
+        tokio::task::block_in_place(|| settlement.close_next(unix_ms_now()))?;
     }
-    over.store(true, std::sync::atomic::Ordering::Relaxed);
-    followed.values().for_each(|(_, task)| task.abort());
+    stop.store(true, std::sync::atomic::Ordering::Relaxed);
+    collectors.values().for_each(|(_, task)| task.abort());
     let _ = tokio::task::spawn_blocking(move || exporter.join()).await;
     Ok(())
 }
--- a/crates/ledger/src/store/carried.rs
+++ b/crates/ledger/src/store/carry_forward.rs
@@ -1,20 +1,20 @@
-//! What settling one period leaves for the next: tries that it has joined, and hints about keys.
+//! The carry-forward from one period to the next: attempts that are already counted, and ambiguous retries.
 
 use super::Result;
-use crate::join::Id;
-use crate::settle::Over;
+use crate::join::RecordId;
+use crate::settle::CarryForward;
 use rusqlite::{params, Connection};
 use std::collections::BTreeSet;
 
-/// What the last period before this start has left.
-pub(super) fn left_before(db: &Connection, before: i64) -> Result<Over> {
+/// The carry-forward of the last period that starts before `before` (Unix milliseconds).
+pub(super) fn load_previous_carry_forward(db: &Connection, before: i64) -> Result<CarryForward> {
     let last = "SELECT max(start) FROM period WHERE start < ?";
     let last: Option<i64> = db.query_row(last, [before], |row| row.get(0))?;
-    left_by(db, last.unwrap_or(i64::MIN))
+    load_carry_forward(db, last.unwrap_or(i64::MIN))
 }
 
-/// The ids that a table holds for a period.
-pub(super) fn ids(db: &Connection, table: &str, period: i64) -> Result<BTreeSet<Id>> {
+/// The record ids in a table for a period.
+pub(super) fn load_ids(db: &Connection, table: &str, period: i64) -> Result<BTreeSet<RecordId>> {
     let mut rows = db.prepare(&format!(
         "SELECT at, member, incarnation, sequence FROM {table} WHERE period = ?"
     ))?;
@@ -24,20 +24,20 @@
     Ok(rows.collect::<rusqlite::Result<_>>()?)
 }
 
-/// What settling this period has left.
-pub(super) fn left_by(db: &Connection, period: i64) -> Result<Over> {
-    Ok(Over {
-        carried: ids(db, "carried", period)?,
-        hints: ids(db, "hint", period)?,
+/// The carry-forward of the period that starts at `period`.
+pub(super) fn load_carry_forward(db: &Connection, period: i64) -> Result<CarryForward> {
+    Ok(CarryForward {
+        joined_attempts: load_ids(db, "carried", period)?,
+        ambiguous_retries: load_ids(db, "hint", period)?,
     })
 }
 
-/// Replaces the ids that a table holds for a period.
-pub(super) fn put_ids<'a>(
+/// Replaces the record ids in a table for a period.
+pub(super) fn replace_ids<'a>(
     db: &Connection,
     table: &str,
     period: i64,
-    ids: impl Iterator<Item = &'a Id>,
+    ids: impl Iterator<Item = &'a RecordId>,
 ) -> Result<()> {
     db.execute(&format!("DELETE FROM {table} WHERE period = ?"), [period])?;
     let mut insert = db.prepare(&format!("INSERT INTO {table} VALUES (?, ?, ?, ?, ?)"))?;
--- a/crates/ledger/src/store/closing.rs
+++ b/crates/ledger/src/store/closing.rs
@@ -1,35 +1,36 @@
-//! Closing periods: each once, into a statement that never changes.
+//! Closing periods: each once, with an immutable statement.
 
-use super::corrections::take_waiting;
-use super::members::Standing;
-use super::outbox::put_document;
-use super::settling::{next_unsettled, settle, stated};
+use super::corrections::include_open_corrections;
+use super::members::MemberStatus;
+use super::outbox::enqueue_document;
+use super::settling::{billed_totals, next_changed_period, settle};
 use super::statement::{totals, MemberState, Statement, StatementLine, ROUNDING};
 use super::{digest, Error, Result, Store};
 use crate::export::Document;
-use crate::period::{stamp, Calendar, Period};
+use crate::period::{format_timestamp, Calendar, Period};
 use crate::rate::{amount, Counts};
-use crate::settings::Price;
+use crate::settings::ClassPrice;
 use crate::settle::{adjustments, Bounds};
 use rusqlite::{params, Connection, OptionalExtension};
 use std::collections::{BTreeMap, HashMap};
 
-/// What closing a period needs beside the store.
+/// Parameters of closing a period.
 #[derive(Clone, Debug)]
-pub struct Terms<'a> {
+pub struct CloseParameters<'a> {
     pub bounds: Bounds,
-    pub prices: &'a BTreeMap<String, Price>,
+    pub prices: &'a BTreeMap<String, ClassPrice>,
     pub allowances: &'a BTreeMap<String, u64>,
-    /// Members that took part, and those without which it closes.
+    /// The members of the period.
     pub members: Vec<String>,
+    /// Members whose records are incomplete.
     pub missing: &'a [String],
     /// Unix milliseconds.
     pub now: i64,
 }
 
-/// A line of a statement, with numbers in place of names.
+/// A line of a statement, with ids in place of names.
 struct NumberedLine {
-    of: Period,
+    period: Period,
     adjusts: bool,
     /// Tenant and class.
     key: (u32, u32),
@@ -39,7 +40,7 @@
     unpriced: bool,
 }
 
-/// Names by their numbers in the store.
+/// Names by their ids in the store.
 type Names = HashMap<u32, String>;
 
 fn name(names: &Names, number: u32) -> String {
@@ -47,37 +48,38 @@
 }
 
 impl Store {
-    /// The period to close next; none before the first record.
+    /// The next period to close; none before the first record.
     pub fn next_period(&self, calendar: &Calendar) -> Result<Option<Period>> {
         let last = "SELECT max(end) FROM period WHERE start IN (SELECT period FROM statement)";
         let last: Option<i64> = self.db.query_row(last, [], |row| row.get(0))?;
         if let Some(end) = last {
             return Ok(Some(Period {
                 start: end,
-                end: calendar.at(end).end,
+                end: calendar.period_at(end).end,
             }));
         }
         let first: Option<i64> = self
             .db
             .query_row("SELECT min(at) FROM record", [], |row| row.get(0))?;
-        Ok(first.map(|at| calendar.at(at)))
+        Ok(first.map(|at| calendar.period_at(at)))
     }
 
-    /// Closes a period: its lines, what late records have changed of earlier ones, corrections that wait for it,
-    /// the statement, and a document for each tenant, all or nothing.
+    /// Closes a period in one transaction: stores its lines, the adjustments of earlier periods for late records, its
+    /// corrections, the statement, and a document for each tenant.
     ///
     /// # Errors
-    /// [`Error::Asked`] if the period is closed already; else what SQLite reports. Nothing has changed then.
-    pub fn close(&mut self, period: Period, terms: &Terms) -> Result<Statement> {
-        let standings = self.standings()?;
+    /// [`Error::InvalidRequest`] if the period is already closed; otherwise an error of SQLite. The store is
+    /// unchanged then.
+    pub fn close(&mut self, period: Period, parameters: &CloseParameters) -> Result<Statement> {
+        let statuses = self.member_statuses()?;
         let names = self.names()?;
         let transaction = self.begin()?;
-        refuse_closed(&transaction, period)?;
-        put_period(&transaction, period, terms.prices)?;
-        let mut lines = settle_earlier(&transaction, period, terms.bounds, &names)?;
-        lines.extend(settle_own(&transaction, period, terms, &names)?);
-        put_lines(&transaction, period, &lines)?;
-        let corrections = take_waiting(&transaction, period)?;
+        ensure_not_closed(&transaction, period)?;
+        upsert_period(&transaction, period, parameters.prices)?;
+        let mut lines = settle_earlier(&transaction, period, parameters.bounds, &names)?;
+        lines.extend(settle_closing(&transaction, period, parameters, &names)?);
+        insert_lines(&transaction, period, &lines)?;
+        let corrections = include_open_corrections(&transaction, period)?;
         let lines: Vec<StatementLine> = lines.into_iter().map(|line| line.named(&names)).collect();
         let last = "SELECT hash FROM statement ORDER BY period DESC LIMIT 1";
         let previous: Option<String> = transaction
@@ -85,27 +87,27 @@
             .optional()?;
         let statement = Statement {
             period: period.name(),
-            end: stamp(period.end),
-            closed: stamp(terms.now),
-            members: terms
+            end: format_timestamp(period.end),
+            closed: format_timestamp(parameters.now),
+            members: parameters
                 .members
                 .iter()
-                .map(|member| member_state(member, terms, &standings))
+                .map(|member| member_state(member, parameters, &statuses))
                 .collect(),
             total: lines.iter().map(|line| line.amount).sum::<i64>()
                 + corrections.iter().map(|c| c.amount).sum::<i64>(),
-            tenants: totals(&lines, &corrections, terms.allowances),
+            tenants: totals(&lines, &corrections, parameters.allowances),
             lines,
             corrections,
             rounding: ROUNDING.into(),
-            previous: previous.unwrap_or_default(),
+            previous_hash: previous.unwrap_or_default(),
         };
-        put_statement(&transaction, period, &statement, terms.now)?;
+        insert_statement(&transaction, period, &statement, parameters.now)?;
         transaction.commit()?;
         Ok(statement)
     }
 
-    /// Statements, oldest first, with their hashes.
+    /// Statements, oldest first, each with its hash and its stored text.
     pub fn statements(&self) -> Result<Vec<(Statement, String, String)>> {
         let mut rows = self
             .db
@@ -120,7 +122,7 @@
         .collect()
     }
 
-    /// The closed periods, and whether late records wait to be settled.
+    /// The closed periods, and whether each has to be settled again for late records.
     pub fn periods(&self) -> Result<Vec<(Period, bool)>> {
         let mut rows = self
             .db
@@ -141,7 +143,7 @@
 impl NumberedLine {
     fn named(self, names: &Names) -> StatementLine {
         let NumberedLine {
-            of,
+            period: line_period,
             adjusts,
             key: (tenant, class),
             counts,
@@ -151,7 +153,7 @@
         StatementLine {
             tenant: name(names, tenant),
             class: name(names, class),
-            period: of.name(),
+            period: line_period.name(),
             adjusts,
             counts,
             amount,
@@ -160,19 +162,23 @@
     }
 }
 
-fn refuse_closed(db: &Connection, period: Period) -> Result<()> {
+fn ensure_not_closed(db: &Connection, period: Period) -> Result<()> {
     let closed = "SELECT count(*) FROM statement WHERE period = ?";
     let closed: i64 = db.query_row(closed, [period.start], |row| row.get(0))?;
     if closed > 0 {
-        return Err(Error::Asked(format!(
-            "the period {} is closed",
+        return Err(Error::InvalidRequest(format!(
+            "the period {} is already closed",
             period.name()
         )));
     }
     Ok(())
 }
 
-fn put_period(db: &Connection, period: Period, prices: &BTreeMap<String, Price>) -> Result<()> {
+fn upsert_period(
+    db: &Connection,
+    period: Period,
+    prices: &BTreeMap<String, ClassPrice>,
+) -> Result<()> {
     let prices = serde_json::to_string(prices)?;
     db.execute(
         "INSERT INTO period VALUES (?, ?, ?, 0)
@@ -182,7 +188,7 @@
     Ok(())
 }
 
-fn note_settled(db: &Connection, period: Period) -> Result<()> {
+fn mark_settled(db: &Connection, period: Period) -> Result<()> {
     db.execute(
         "UPDATE period SET dirty = 0 WHERE start = ?",
         [period.start],
@@ -190,8 +196,8 @@
     Ok(())
 }
 
-/// Settles the earlier periods again that late records have changed: a line for each difference from what statements
-/// have said, at the prices that were in force.
+/// Settles earlier periods again that late records have changed. Each difference from the billed counts becomes an
+/// adjustment line, at the prices of the earlier period.
 fn settle_earlier(
     db: &Connection,
     closing: Period,
@@ -199,28 +205,28 @@
     names: &Names,
 ) -> Result<Vec<NumberedLine>> {
     let mut lines = Vec::new();
-    while let Some((earlier, prices)) = next_unsettled(db, closing.start)? {
-        let (now, changed) = settle(db, earlier, bounds)?;
-        note_settled(db, earlier)?;
+    while let Some((earlier, prices)) = next_changed_period(db, closing.start)? {
+        let (current, changed) = settle(db, earlier, bounds)?;
+        mark_settled(db, earlier)?;
         if changed {
-            // What it took of the next one's tries is another: that one is to be settled again as well. The
-            // one that closes now is settled after all of them in any case.
+            // The carry-forward has changed, so the next period has to be settled again as well. The period that
+            // closes now is settled after these in any case.
             db.execute(
                 "UPDATE period SET dirty = 1 WHERE start = (SELECT min(start) FROM period WHERE start > ?)
                    AND start < ?",
                 [earlier.start, closing.start],
             )?;
         }
-        let (stated, amounts) = stated(db, earlier)?;
-        for (key, counts) in adjustments(&now, &stated) {
+        let (billed, amounts) = billed_totals(db, earlier)?;
+        for (key, counts) in adjustments(&current, &billed) {
             let price = prices.get(&name(names, key.1)).copied();
-            let due = now
+            let due = current
                 .get(&key)
                 .map_or(0, |counts| amount(counts, price.unwrap_or_default()));
             let difference = due - amounts.get(&key).copied().unwrap_or_default();
             let unpriced = price.is_none();
             lines.push(NumberedLine {
-                of: earlier,
+                period: earlier,
                 adjusts: true,
                 key,
                 counts,
@@ -232,21 +238,21 @@
     Ok(lines)
 }
 
-/// Settles the period that closes.
-fn settle_own(
+/// Settles the period that is closing.
+fn settle_closing(
     db: &Connection,
     period: Period,
-    terms: &Terms,
+    parameters: &CloseParameters,
     names: &Names,
 ) -> Result<Vec<NumberedLine>> {
-    let (own, _) = settle(db, period, terms.bounds)?;
-    note_settled(db, period)?;
+    let (own, _) = settle(db, period, parameters.bounds)?;
+    mark_settled(db, period)?;
     let line = |(key, counts): (&(u32, u32), &Counts)| {
-        let price = terms.prices.get(&name(names, key.1)).copied();
+        let price = parameters.prices.get(&name(names, key.1)).copied();
         let amount = amount(counts, price.unwrap_or_default());
         let unpriced = price.is_none();
         NumberedLine {
-            of: period,
+            period,
             adjusts: false,
             key: *key,
             counts: *counts,
@@ -257,9 +263,9 @@
     Ok(own.iter().map(line).collect())
 }
 
-fn put_lines(db: &Connection, period: Period, lines: &[NumberedLine]) -> Result<()> {
+fn insert_lines(db: &Connection, period: Period, lines: &[NumberedLine]) -> Result<()> {
     for NumberedLine {
-        of,
+        period: line_period,
         key: (tenant, class),
         counts,
         amount,
@@ -268,42 +274,51 @@
     {
         let mut values: Vec<i64> = vec![
             period.start,
-            of.start,
+            line_period.start,
             i64::from(*tenant),
             i64::from(*class),
         ];
         values.extend(counts.values());
         values.push(*amount);
-        let marks = vec!["?"; values.len()].join(", ");
+        let placeholders = vec!["?"; values.len()].join(", ");
         db.execute(
-            &format!("INSERT INTO line VALUES ({marks})"),
+            &format!("INSERT INTO line VALUES ({placeholders})"),
             rusqlite::params_from_iter(values),
         )?;
     }
     Ok(())
 }
 
-fn member_state(member: &str, terms: &Terms, standings: &[Standing]) -> MemberState {
-    let standing = standings.iter().find(|standing| standing.member == member);
+fn member_state(
+    member: &str,
+    parameters: &CloseParameters,
+    statuses: &[MemberStatus],
+) -> MemberState {
+    let status = statuses.iter().find(|status| status.member == member);
     MemberState {
         member: member.to_string(),
-        complete: standing.map(|standing| stamp(standing.complete)),
-        missing: terms.missing.iter().any(|missing| missing == member),
-        lost: standing.map_or(0, |standing| standing.lost),
-        died: standing.map_or(0, |standing| standing.died),
-        damaged: standing.map_or(0, |standing| standing.damaged),
+        complete: status.map(|status| format_timestamp(status.watermark_ms)),
+        missing: parameters.missing.iter().any(|missing| missing == member),
+        lost_records: status.map_or(0, |status| status.lost_records),
+        crashed_runs: status.map_or(0, |status| status.crashed_runs),
+        damaged_ranges: status.map_or(0, |status| status.damaged_ranges),
     }
 }
 
 /// Stores a statement with its hash, and a document for each tenant.
-fn put_statement(db: &Connection, period: Period, statement: &Statement, now: i64) -> Result<()> {
+fn insert_statement(
+    db: &Connection,
+    period: Period,
+    statement: &Statement,
+    now: i64,
+) -> Result<()> {
     let body = serde_json::to_string(statement)?;
     db.execute(
         "INSERT INTO statement VALUES (?, ?, ?, ?)",
         params![period.start, now, body, digest(body.as_bytes())],
     )?;
-    for document in Document::of_statement(statement) {
-        put_document(db, &document, now)?;
+    for document in Document::from_statement(statement) {
+        enqueue_document(db, &document, now)?;
     }
     Ok(())
 }
--- a/crates/ledger/src/store/corrections.rs
+++ b/crates/ledger/src/store/corrections.rs
@@ -1,16 +1,17 @@
-//! Corrections that an operator enters, and the statements that they stand in.
+//! Corrections that an operator enters, and the statements that include them.
 
-use super::outbox::put_document;
+use super::outbox::enqueue_document;
 use super::{CorrectionLine, Error, Result, Store};
 use crate::export::Document;
-use crate::period::{stamp, Period};
+use crate::period::{format_timestamp, Period};
 use rusqlite::{params, Connection, OptionalExtension, Row};
 
 impl Store {
-    /// Enters a correction: into the statement of its period if that is still open, else as a document of its own.
+    /// Enters a correction. It is included in the statement of its period if that is still open; otherwise it becomes a
+    /// separate document, which is returned.
     ///
     /// # Errors
-    /// [`Error::Asked`] if a correction of that id was entered before.
+    /// [`Error::InvalidRequest`] if a correction with the same id exists.
     pub fn correct(
         &mut self,
         correction: &CorrectionLine,
@@ -37,24 +38,26 @@
             params![id, now, tenant, period.start, amount, reason, author],
         )?;
         if added == 0 {
-            return Err(Error::Asked(format!("there is a correction {id} already")));
+            return Err(Error::InvalidRequest(format!(
+                "there is a correction {id} already"
+            )));
         }
-        let document = closed.map(|hash| Document::of_correction(correction, period, &hash));
+        let document = closed.map(|hash| Document::from_correction(correction, period, &hash));
         if let Some(document) = &document {
-            put_document(&transaction, document, now)?;
+            enqueue_document(&transaction, document, now)?;
         }
         transaction.commit()?;
         Ok(document)
     }
 
-    /// All corrections: the period's name, and whether they stand in its statement.
+    /// All corrections, each with the name of its period and whether the period's statement includes it.
     pub fn corrections(&self) -> Result<Vec<(CorrectionLine, String, bool)>> {
         let mut rows = self.db.prepare(
             "SELECT id, tenant, amount, reason, author, period, statement IS NOT NULL FROM correction
              ORDER BY made, id",
         )?;
         let rows = rows.query_map([], |row| {
-            Ok((correction(row)?, stamp(row.get(5)?), row.get(6)?))
+            Ok((correction(row)?, format_timestamp(row.get(5)?), row.get(6)?))
         })?;
         Ok(rows.collect::<rusqlite::Result<_>>()?)
     }
@@ -70,8 +73,11 @@
     })
 }
 
-/// Takes the corrections that wait for a period into its statement.
-pub(super) fn take_waiting(db: &Connection, period: Period) -> Result<Vec<CorrectionLine>> {
+/// Assigns the open corrections of a period to its statement and returns them.
+pub(super) fn include_open_corrections(
+    db: &Connection,
+    period: Period,
+) -> Result<Vec<CorrectionLine>> {
     let mut rows = db.prepare(
         "SELECT id, tenant, amount, reason, author FROM correction
          WHERE statement IS NULL AND period = ? ORDER BY made, id",
--- a/crates/ledger/src/store/ingest.rs
+++ b/crates/ledger/src/store/ingest.rs
@@ -1,6 +1,6 @@
-//! Batches of the members' logs, on their way into the store.
+//! Storing batches of the members' logs.
 
-use super::records::{unconfirmed_runs, RunId, Unconfirmed};
+use super::records::{unconfirmed_runs, RunId, UnconfirmedRun};
 use super::{Result, Store};
 use crate::period::Calendar;
 use crate::settle::Bounds;
@@ -8,43 +8,44 @@
 use rusqlite::{params, Connection, OptionalExtension, Statement};
 use std::collections::{BTreeSet, HashMap};
 
-/// What a batch of records came to.
+/// Numbers of records of a stored batch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Ingested {
     pub new: u64,
-    pub known: u64,
-    /// Of the new ones, those of a period that was closed by then.
+    /// Records that the store had already.
+    pub duplicates: u64,
+    /// New records that a closed period should have included.
     pub late: u64,
 }
 
-/// The numbers in the store of the names that a batch's records use.
+/// The ids in the store of the names in a batch.
 struct BatchNames {
     member: u32,
     tenants: Vec<u32>,
-    /// The tenant of all use where the platform names no tenants.
-    all: u32,
-    /// Each class, and after how many milliseconds its clients give up.
+    /// The tenant of records whose tenant has no name in the header.
+    default_tenant: u32,
+    /// Class id and give-up time in milliseconds of each class.
     classes: Vec<(u32, i64)>,
     unknown_class: u32,
 }
 
-/// How far one run of a member is in the store.
+/// The collection progress of one run of a member.
 struct RunProgress {
     sequence: i64,
-    /// All that arrived before this time (Unix milliseconds) and has ended is recorded.
+    /// The watermark: all records of arrivals before this time (Unix milliseconds) are stored.
     complete: i64,
-    /// The last sequence that a mark has confirmed.
+    /// The sequence of the last watermark.
     marked: i64,
     ended: bool,
-    /// Records that never came.
+    /// Records missing in the sequence.
     lost: i64,
 }
 
 impl RunProgress {
     fn read(db: &Connection, (member, incarnation): (u32, i64)) -> Result<RunProgress> {
-        let known =
+        let stored =
             "SELECT sequence, complete, marked, ended, lost FROM position WHERE member = ? AND incarnation = ?";
-        let progress = db.query_row(known, params![member, incarnation], |row| {
+        let progress = db.query_row(stored, params![member, incarnation], |row| {
             Ok(RunProgress {
                 sequence: row.get(0)?,
                 complete: row.get(1)?,
@@ -78,8 +79,8 @@
         Ok(())
     }
 
-    /// A record that was not known before: it widens the gap of those that never came, or fills a part of it.
-    fn note_record(&mut self, sequence: i64) {
+    /// Counts a new record: it either leaves a gap of missing records before it, or fills part of an earlier gap.
+    fn apply_record(&mut self, sequence: i64) {
         let expected = self.sequence + 1;
         self.lost += if sequence >= expected {
             sequence - expected
@@ -89,7 +90,7 @@
         self.sequence = self.sequence.max(sequence);
     }
 
-    fn note_mark(&mut self, mark: &Mark) {
+    fn apply_watermark(&mut self, mark: &Mark) {
         let sequence = mark.sequence as i64;
         self.lost += (sequence - self.sequence).max(0);
         self.sequence = self.sequence.max(sequence);
@@ -100,10 +101,10 @@
 }
 
 impl Store {
-    /// Takes what a member's log holds. The same batch again changes nothing.
+    /// Stores a batch of a member's log. Storing the same batch again changes nothing.
     ///
     /// # Errors
-    /// What SQLite reports; then no record of the batch is in the store.
+    /// An error of SQLite; then no record of the batch is stored.
     pub fn ingest(
         &mut self,
         member: &str,
@@ -131,47 +132,53 @@
                 match &entry.what {
                     Some(What::Record(record)) => {
                         if !insert_record(&mut insert, &names, run, record)? {
-                            ingested.known += 1;
+                            ingested.duplicates += 1;
                             continue;
                         }
                         ingested.new += 1;
-                        progress.note_record(record.sequence as i64);
+                        progress.apply_record(record.sequence as i64);
                         let at = record.arrived_ms as i64;
-                        // A closed period has seen a while past its end, where its retries are.
-                        if at < closed.saturating_add(bounds.after()) {
+                        // Settling a closed period has included retries for some time after its end.
+                        if at < closed.saturating_add(bounds.lookahead_ms()) {
                             ingested.late += 1;
-                            note_late(&transaction, at, at < closed, calendar, bounds)?;
+                            mark_periods_of_late_record(
+                                &transaction,
+                                at,
+                                at < closed,
+                                calendar,
+                                bounds,
+                            )?;
                         }
                     }
-                    Some(What::Mark(mark)) => progress.note_mark(mark),
+                    Some(What::Mark(mark)) => progress.apply_watermark(mark),
                     None => {}
                 }
             }
         }
         progress.write(&transaction, run)?;
         let now_unconfirmed = unconfirmed_runs(&transaction, Some(names.member))?;
-        note_changed_runs(&transaction, &unconfirmed, &now_unconfirmed, bounds)?;
+        mark_periods_of_changed_runs(&transaction, &unconfirmed, &now_unconfirmed, bounds)?;
         transaction.commit()?;
         Ok(ingested)
     }
 
     fn batch_names(&mut self, member: &str, header: &Header) -> Result<BatchNames> {
-        let member = self.number("member", member)?;
+        let member = self.name_id("member", member)?;
         let tenants = header
             .tenants
             .iter()
-            .map(|tenant| self.number("tenant", tenant));
+            .map(|tenant| self.name_id("tenant", tenant));
         let tenants = tenants.collect::<Result<_>>()?;
-        let all = self.number("tenant", "all")?;
+        let default_tenant = self.name_id("tenant", "all")?;
         let mut classes = Vec::new();
         for class in &header.classes {
-            classes.push((self.number("class", &class.name)?, class.give_up_ms as i64));
+            classes.push((self.name_id("class", &class.name)?, class.give_up_ms as i64));
         }
-        let unknown_class = self.number("class", "unknown")?;
+        let unknown_class = self.name_id("class", "unknown")?;
         Ok(BatchNames {
             member,
             tenants,
-            all,
+            default_tenant,
             classes,
             unknown_class,
         })
@@ -188,7 +195,7 @@
     Ok(())
 }
 
-/// Whether the record is new.
+/// Inserts a record; returns whether it is new.
 fn insert_record(
     insert: &mut Statement,
     names: &BatchNames,
@@ -201,7 +208,7 @@
         .tenants
         .get(record.tenant as usize)
         .copied()
-        .unwrap_or(names.all);
+        .unwrap_or(names.default_tenant);
     let flags = i64::from(record.repeat) | i64::from(record.keyed) << 1;
     let inserted = insert.execute(params![
         record.arrived_ms as i64,
@@ -222,8 +229,9 @@
     Ok(inserted > 0)
 }
 
-/// A record has come that closed periods should have seen, or for a time that no period was ever made for.
-fn note_late(
+/// Marks the closed periods that a late record concerns, so that they are settled again. Inserts a period if the record
+/// is from a time before the first one.
+fn mark_periods_of_late_record(
     db: &Connection,
     at: i64,
     closed: bool,
@@ -231,14 +239,14 @@
     bounds: Bounds,
 ) -> Result<()> {
     db.prepare_cached("UPDATE period SET dirty = 1 WHERE start - ?2 <= ?1 AND end + ?3 > ?1")?
-        .execute([at, bounds.skew, bounds.after()])?;
+        .execute([at, bounds.skew_ms, bounds.lookahead_ms()])?;
     let covering = "SELECT count(*) FROM period WHERE start <= ? AND end > ?";
     let covering: i64 = db
         .prepare_cached(covering)?
         .query_row([at, at], |row| row.get(0))?;
     if closed && covering == 0 {
-        let period = calendar.at(at);
-        // Not over its neighbours, should the calendar have been another then.
+        let period = calendar.period_at(at);
+        // Clipped to its neighbours, in case the calendar has changed since.
         let after = "SELECT min(start) FROM period WHERE start > ?";
         let after: Option<i64> = db.query_row(after, [at], |row| row.get(0))?;
         let before: Option<i64> =
@@ -252,11 +260,11 @@
     Ok(())
 }
 
-/// Has periods settled again that runs concern whose last answers have come into doubt, or out of it.
-fn note_changed_runs(
+/// Marks the periods to settle again because runs have become unconfirmed, or are no longer.
+fn mark_periods_of_changed_runs(
     db: &Connection,
-    before: &HashMap<RunId, Unconfirmed>,
-    after: &HashMap<RunId, Unconfirmed>,
+    before: &HashMap<RunId, UnconfirmedRun>,
+    after: &HashMap<RunId, UnconfirmedRun>,
     bounds: Bounds,
 ) -> Result<()> {
     let runs: BTreeSet<_> = before.keys().chain(after.keys()).copied().collect();
@@ -264,27 +272,28 @@
         .into_iter()
         .filter(|run| before.get(run) != after.get(run))
     {
-        let both = [before.get(&run), after.get(&run)];
-        let past = both
+        let states = [before.get(&run), after.get(&run)];
+        let past = states
             .iter()
             .flatten()
-            .map(|it| it.marked)
+            .map(|run| run.confirmed_sequence)
             .min()
             .unwrap_or_default();
-        let since = both
+        let since = states
             .iter()
             .flatten()
-            .map(|it| it.complete)
+            .map(|run| run.watermark_ms)
             .min()
             .unwrap_or_default();
-        note_changed_run(db, run, past, since, bounds)?;
+        mark_periods_of_run(db, run, past, since, bounds)?;
     }
     Ok(())
 }
 
-/// A run's last answers have come into doubt, or out of it: whoever retried them may be joined otherwise now, and
-/// periods closed with the other reading are settled again.
-fn note_changed_run(
+/// Marks the closed periods with attempts whose delivery has become uncertain, or certain: their retries may now be
+/// joined differently. These are the attempts of `run` after the sequence `past`, which arrived at `since` (Unix
+/// milliseconds) or later.
+fn mark_periods_of_run(
     db: &Connection,
     run: RunId,
     past: u64,
@@ -294,7 +303,7 @@
     db.execute(
         "UPDATE period SET dirty = 1 WHERE end + ?6 > ?4 AND EXISTS (SELECT 1 FROM record
            WHERE at >= max(start - ?5, ?4) AND at < end + ?6 AND member = ?1 AND incarnation = ?2 AND sequence > ?3)",
-        params![run.0, run.1 as i64, past as i64, since, bounds.skew, bounds.after()],
+        params![run.0, run.1 as i64, past as i64, since, bounds.skew_ms, bounds.lookahead_ms()],
     )?;
     Ok(())
 }
--- a/crates/ledger/src/store/members.rs
+++ b/crates/ledger/src/store/members.rs
@@ -1,25 +1,30 @@
-//! How far the members' logs have been collected.
+//! The collection state of the members' logs.
 
 use super::{Result, Store};
 use crate::log::Position;
 use rusqlite::{params, OptionalExtension, Row};
 use std::collections::BTreeMap;
 
-/// How a member stands.
+/// The collection state of one member: position and watermark of its latest run, and totals of all its runs.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Standing {
+pub struct MemberStatus {
     pub member: String,
     pub position: Position,
-    pub complete: i64,
+    /// All records of arrivals before this time (Unix milliseconds) are in the store.
+    pub watermark_ms: i64,
+    /// The latest run has ended in order.
     pub ended: bool,
     pub records: i64,
-    pub lost: i64,
-    pub died: i64,
-    pub damaged: i64,
+    /// Records missing in the sequence.
+    pub lost_records: i64,
+    /// Earlier runs without a final watermark.
+    pub crashed_runs: i64,
+    /// Unreadable ranges of the log.
+    pub damaged_ranges: i64,
 }
 
 impl Store {
-    /// Up to where a member's log is in the store.
+    /// The position up to which a member's log is in the store.
     pub fn position(&self, member: &str) -> Result<Position> {
         let last = "SELECT incarnation, sequence FROM position JOIN name ON name.id = member
             WHERE kind = 'member' AND text = ? ORDER BY incarnation DESC LIMIT 1";
@@ -36,8 +41,8 @@
             .unwrap_or_default())
     }
 
-    /// How the members stand that were ever heard of.
-    pub fn standings(&self) -> Result<Vec<Standing>> {
+    /// The state of every member with a collected batch.
+    pub fn member_statuses(&self) -> Result<Vec<MemberStatus>> {
         let mut rows = self.db.prepare(
             "SELECT text, p.incarnation, p.sequence, p.complete, p.ended,
                (SELECT sum(sequence - lost) FROM position o WHERE o.member = p.member),
@@ -49,25 +54,25 @@
              WHERE p.incarnation = (SELECT max(incarnation) FROM position o WHERE o.member = p.member) ORDER BY text",
         )?;
         let rows = rows.query_map([], |row| {
-            Ok(Standing {
+            Ok(MemberStatus {
                 member: row.get(0)?,
                 position: Position {
                     incarnation: row.get(1)?,
                     sequence: row.get(2)?,
                 },
-                complete: row.get(3)?,
+                watermark_ms: row.get(3)?,
                 ended: row.get(4)?,
                 records: row.get(5)?,
-                lost: row.get(6)?,
-                died: row.get(7)?,
-                damaged: row.get(8)?,
+                lost_records: row.get(6)?,
+                crashed_runs: row.get(7)?,
+                damaged_ranges: row.get(8)?,
             })
         })?;
         Ok(rows.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// Records of one run of a member, by `TENANT CLASS` as the mixer's own counters have them.
-    pub fn recorded(&self, member: &str, incarnation: u64) -> Result<BTreeMap<String, u64>> {
+    /// Number of records of one run of a member, by `TENANT CLASS` like the mixer's own counters.
+    pub fn record_counts(&self, member: &str, incarnation: u64) -> Result<BTreeMap<String, u64>> {
         let mut rows = self.db.prepare(
             "SELECT t.text || ' ' || c.text, count(*) FROM record r JOIN name t ON t.id = r.tenant
              JOIN name c ON c.id = r.class JOIN name m ON m.id = r.member
--- a/crates/ledger/src/store/mod.rs
+++ b/crates/ledger/src/store/mod.rs
@@ -1,9 +1,9 @@
-//! The settlement's store: one SQLite file, one writer at a time, every step a transaction.
+//! The settlement's store: one SQLite file with one writer at a time; each step is a transaction.
 //!
-//! [`ingest`](Store::ingest) takes the members' logs, [`close`](Store::close) makes statements of them, and
-//! [`verify`](Store::verify) checks that what is stored still agrees.
+//! [`ingest`](Store::ingest) stores batches of the members' logs, [`close`](Store::close) closes a period with a
+//! statement, and [`verify`](Store::verify) checks the stored data for consistency.
 
-mod carried;
+mod carry_forward;
 mod closing;
 mod corrections;
 mod ingest;
@@ -15,13 +15,13 @@
 mod statement;
 mod verify;
 
-pub use closing::Terms;
+pub use closing::CloseParameters;
 pub use ingest::Ingested;
-pub use members::Standing;
-pub use outbox::Outgoing;
+pub use members::MemberStatus;
+pub use outbox::OutboxDocument;
 pub use statement::{CorrectionLine, MemberState, Statement, StatementLine, TenantTotal};
 
-use crate::join::Id;
+use crate::join::RecordId;
 use crate::period::Period;
 use rusqlite::{params, Connection, Transaction, TransactionBehavior};
 use schema::MIGRATIONS;
@@ -30,29 +30,29 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What can go wrong with the store.
+/// Errors of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    #[error("the store: {0}")]
+    #[error("store: {0}")]
     Sqlite(#[from] rusqlite::Error),
-    #[error("the store is of version {0}, made by a later program: this one knows {known}", known = MIGRATIONS.len())]
-    Newer(usize),
+    #[error("the store has schema version {0} of a later program; this program supports up to {known}", known = MIGRATIONS.len())]
+    NewerSchema(usize),
     #[error("{0}")]
-    Asked(String),
-    #[error("a document can't be written: {0}")]
+    InvalidRequest(String),
+    #[error("invalid JSON in the store or a document: {0}")]
     Json(#[from] serde_json::Error),
 }
 
 type Result<T> = std::result::Result<T, Error>;
 
-/// How long a step waits for another process that writes.
+/// How long a transaction waits for the lock of another process.
 const BUSY_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// An open store.
 pub struct Store {
     db: Connection,
-    /// The numbers of names by kind and text, as far as they were asked for.
-    names: HashMap<(&'static str, String), u32>,
+    /// Cache of name ids by kind and text.
+    name_ids: HashMap<(&'static str, String), u32>,
 }
 
 /// SHA-256, in hexadecimal.
@@ -61,10 +61,10 @@
 }
 
 impl Store {
-    /// Opens the store, and brings it to the present version of the schema.
+    /// Opens the store and migrates it to the current version of the schema.
     ///
     /// # Errors
-    /// It can't be opened, or a later program made it.
+    /// It cannot be opened, or its schema is of a later version.
     pub fn open(path: &Path) -> Result<Store> {
         let mut db = Connection::open(path)?;
         db.busy_timeout(BUSY_TIMEOUT)?;
@@ -74,7 +74,7 @@
         schema::migrate(&mut db)?;
         Ok(Store {
             db,
-            names: HashMap::new(),
+            name_ids: HashMap::new(),
         })
     }
 
@@ -84,9 +84,9 @@
             .transaction_with_behavior(TransactionBehavior::Immediate)?)
     }
 
-    /// The number of a name, made where it is new.
-    fn number(&mut self, kind: &'static str, text: &str) -> Result<u32> {
-        if let Some(id) = self.names.get(&(kind, text.to_string())) {
+    /// The id of a name; a new name is inserted.
+    fn name_id(&mut self, kind: &'static str, text: &str) -> Result<u32> {
+        if let Some(id) = self.name_ids.get(&(kind, text.to_string())) {
             return Ok(*id);
         }
         self.db.execute(
@@ -97,19 +97,19 @@
         let id: u32 = self
             .db
             .query_row(id, params![kind, text], |row| row.get(0))?;
-        self.names.insert((kind, text.to_string()), id);
+        self.name_ids.insert((kind, text.to_string()), id);
         Ok(id)
     }
 
-    /// The names by their numbers.
+    /// All names by their ids.
     pub fn names(&self) -> Result<HashMap<u32, String>> {
         let mut rows = self.db.prepare("SELECT id, text FROM name")?;
         let names = rows.query_map([], |row| Ok((row.get(0)?, row.get(1)?)))?;
         Ok(names.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// First tries of uses with a join that might have been another, by period.
-    pub fn ambiguous(&self, period: Period) -> Result<BTreeSet<Id>> {
-        carried::ids(&self.db, "ambiguous", period.start)
+    /// First attempts of the uses of a period that have an ambiguous join.
+    pub fn ambiguous_uses(&self, period: Period) -> Result<BTreeSet<RecordId>> {
+        carry_forward::load_ids(&self.db, "ambiguous", period.start)
     }
 }
--- a/crates/ledger/src/store/outbox.rs
+++ b/crates/ledger/src/store/outbox.rs
@@ -1,12 +1,12 @@
-//! Documents on their way to the folder and the receiver.
+//! The outbox: documents to export to the folder and the receiver.
 
 use super::{digest, Result, Store};
 use crate::export::Document;
 use rusqlite::{params, Connection};
 
-/// A document to send, or sent.
+/// A document and its delivery state.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Outgoing {
+pub struct OutboxDocument {
     pub id: String,
     pub body: String,
     pub in_folder: bool,
@@ -16,14 +16,14 @@
 }
 
 impl Store {
-    /// Documents, oldest first; only those still to be sent to the folder or the URL if asked.
-    pub fn outbox(&self, folder: bool, url: bool) -> Result<Vec<Outgoing>> {
+    /// Documents, oldest first. With `folder` or `url` set, only those not yet delivered to that target.
+    pub fn outbox(&self, folder: bool, url: bool) -> Result<Vec<OutboxDocument>> {
         let mut rows = self.db.prepare(
             "SELECT id, body, folder IS NOT NULL, posted IS NOT NULL, attempts, error FROM outbox
              WHERE (?1 AND folder IS NULL) OR (?2 AND posted IS NULL) OR NOT (?1 OR ?2) ORDER BY made, id",
         )?;
         let rows = rows.query_map([folder, url], |row| {
-            Ok(Outgoing {
+            Ok(OutboxDocument {
                 id: row.get(0)?,
                 body: row.get(1)?,
                 in_folder: row.get(2)?,
@@ -35,8 +35,8 @@
         Ok(rows.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// Notes that a document is in the folder, was posted, or failed.
-    pub fn sent(
+    /// Records a delivery attempt: success by target, or the error.
+    pub fn record_delivery(
         &self,
         id: &str,
         folder: bool,
@@ -54,8 +54,8 @@
     }
 }
 
-/// Puts a document into the outbox, in the transaction that made it. `now` is Unix milliseconds.
-pub(super) fn put_document(db: &Connection, document: &Document, now: i64) -> Result<()> {
+/// Adds a document to the outbox, in the transaction that created it. `now` is Unix milliseconds.
+pub(super) fn enqueue_document(db: &Connection, document: &Document, now: i64) -> Result<()> {
     let body = serde_json::to_string(document)?;
     db.execute(
         "INSERT INTO outbox VALUES (?, ?, ?, ?, NULL, NULL, 0, NULL)",
--- a/crates/ledger/src/store/schema.rs
+++ b/crates/ledger/src/store/schema.rs
@@ -1,9 +1,9 @@
-//! The schema of the store, and the way to it from every earlier version.
+//! The schema of the store and its migrations.
 
 use super::{Error, Result};
 use rusqlite::{Connection, TransactionBehavior};
 
-/// The schema's versions, each made from the one before; never changed once they are out.
+/// Migrations, each from the previous schema version; a released migration is never changed.
 pub(super) const MIGRATIONS: &[&str] = &["
 CREATE TABLE name (id INTEGER PRIMARY KEY, kind TEXT NOT NULL, text TEXT NOT NULL, UNIQUE (kind, text));
 CREATE TABLE record (
@@ -45,17 +45,17 @@
   attempts INTEGER NOT NULL, error TEXT);
 "];
 
-/// Brings a database to the present version of the schema, in one transaction.
+/// Migrates a database to the current schema version, in one transaction.
 ///
 /// # Errors
-/// [`Error::Newer`] if a later program made it; else what SQLite reports.
+/// [`Error::NewerSchema`] if the schema is of a later version; otherwise the error of SQLite.
 pub(super) fn migrate(db: &mut Connection) -> Result<()> {
-    // Another process may be doing the same: whoever comes second finds it done.
+    // The version is read under the write lock, since another process may migrate at the same time.
     let transaction = db.transaction_with_behavior(TransactionBehavior::Immediate)?;
     let version: usize =
         transaction.pragma_query_value(None, "user_version", |row| row.get::<_, u32>(0))? as usize;
     if version > MIGRATIONS.len() {
-        return Err(Error::Newer(version));
+        return Err(Error::NewerSchema(version));
     }
     for migration in &MIGRATIONS[version..] {
         transaction.execute_batch(migration)?;
--- a/crates/ledger/src/store/settling.rs
+++ b/crates/ledger/src/store/settling.rs
@@ -1,38 +1,53 @@
-//! Settling periods from their records, the first time and again when late records have come.
+//! Settling of periods from their records: at closing, and again after late records.
 
-use super::carried::{left_before, left_by, put_ids};
-use super::records::for_each_try;
+use super::carry_forward::{load_carry_forward, load_previous_carry_forward, replace_ids};
+use super::records::for_each_attempt;
 use super::Result;
 use crate::period::Period;
 use crate::rate::Counts;
-use crate::settings::Price;
-use crate::settle::{Bounds, Lines, Settling};
+use crate::settings::ClassPrice;
+use crate::settle::{Bounds, Lines, PeriodSettler};
 use rusqlite::{Connection, OptionalExtension, Row};
 use std::collections::BTreeMap;
 
 /// Amounts in micro-units, by tenant and class.
 pub(super) type Amounts = BTreeMap<(u32, u32), i64>;
 
-/// Settles a period anew from its records, and remembers what it carries. True if that has changed.
+/// Settles a period from its records and stores its carry-forward. Returns the lines, and whether the carry-forward has
+/// changed.
 pub(super) fn settle(db: &Connection, period: Period, bounds: Bounds) -> Result<(Lines, bool)> {
-    let (from, until) = bounds.seen(period);
-    let mut settling = Settling::new(period, bounds, left_before(db, period.start)?);
-    // One by one: memory holds what may yet be joined, however long the period is.
-    for_each_try(db, from, until, |one| settling.take(one))?;
-    let settled = settling.finish();
-    let changed = left_by(db, period.start)? != settled.over;
-    put_ids(db, "carried", period.start, settled.over.carried.iter())?;
-    put_ids(db, "hint", period.start, settled.over.hints.iter())?;
-    put_ids(db, "ambiguous", period.start, settled.ambiguous.iter())?;
+    let (from, until) = bounds.arrival_range(period);
+    let mut settler = PeriodSettler::new(
+        period,
+        bounds,
+        load_previous_carry_forward(db, period.start)?,
+    );
+    // Streams the attempts: memory use depends on the open uses, not on the length of the period.
+    for_each_attempt(db, from, until, |attempt| settler.push(attempt))?;
+    let settled = settler.finish();
+    let changed = load_carry_forward(db, period.start)? != settled.carry_forward;
+    replace_ids(
+        db,
+        "carried",
+        period.start,
+        settled.carry_forward.joined_attempts.iter(),
+    )?;
+    replace_ids(
+        db,
+        "hint",
+        period.start,
+        settled.carry_forward.ambiguous_retries.iter(),
+    )?;
+    replace_ids(db, "ambiguous", period.start, settled.ambiguous.iter())?;
     Ok((settled.lines, changed))
 }
 
-/// The next closed period that has to be settled again, with its prices, one after another: settling one may call
-/// for the one after it.
-pub(super) fn next_unsettled(
+/// The first period before `before` that has to be settled again, with its prices. Queried one by one, since settling a
+/// period may mark the next one.
+pub(super) fn next_changed_period(
     db: &Connection,
     before: i64,
-) -> Result<Option<(Period, BTreeMap<String, Price>)>> {
+) -> Result<Option<(Period, BTreeMap<String, ClassPrice>)>> {
     let next =
         "SELECT start, end, prices FROM period WHERE dirty AND start < ? ORDER BY start LIMIT 1";
     let read = |row: &Row| {
@@ -50,8 +65,8 @@
     }
 }
 
-/// The counts and amounts that statements so far have given for a period.
-pub(super) fn stated(db: &Connection, period: Period) -> Result<(Lines, Amounts)> {
+/// The counts and amounts that statements have billed for a period so far.
+pub(super) fn billed_totals(db: &Connection, period: Period) -> Result<(Lines, Amounts)> {
     let mut rows = db.prepare(
         "SELECT tenant, class, sum(uses), sum(whole), sum(partial), sum(share), sum(refused), sum(failed), sum(gone),
            sum(tries), sum(parts), sum(attempts), sum(crossed), sum(ambiguous), sum(amount)
--- a/crates/ledger/src/store/statement.rs
+++ b/crates/ledger/src/store/statement.rs
@@ -1,6 +1,6 @@
-//! Statements: what a closed period came to, as it is stored, hashed and exported.
+//! Statements of closed periods, as they are stored, hashed and exported.
 
-use crate::rate::{over, Counts};
+use crate::rate::{uses_above_allowance, Counts};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -9,57 +9,64 @@
 pub struct StatementLine {
     pub tenant: String,
     pub class: String,
-    /// The period it counts: the statement's own, or an earlier one that late records have changed.
+    /// The period that the line counts: that of the statement, or an earlier one that late records have changed.
     pub period: String,
+    /// The line is an adjustment of an earlier period.
     pub adjusts: bool,
     #[serde(flatten)]
     pub counts: Counts,
     /// Micro-units.
     pub amount: i64,
-    /// The class has no price; it is counted and free.
+    /// The class has no price: its uses are counted and free.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub unpriced: bool,
 }
 
-/// A correction that stands in a statement.
+/// A correction of an amount by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CorrectionLine {
     pub id: String,
     pub tenant: String,
+    /// Micro-units; negative for a credit.
     pub amount: i64,
     pub reason: String,
     pub author: String,
 }
 
-/// One tenant's part of a statement.
+/// The totals of one tenant in a statement.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantTotal {
     pub tenant: String,
-    /// Answered uses of the period itself.
+    /// Answered uses of the statement's own period, without adjustments.
     pub answered: i64,
     pub allowance: Option<u64>,
-    pub over: i64,
-    /// Micro-units, with adjustments and corrections.
+    /// Answered uses above the allowance.
+    #[serde(rename = "over")]
+    pub above_allowance: i64,
+    /// Micro-units, including adjustments and corrections.
     pub amount: i64,
 }
 
-/// How far a member's records were there when a period closed.
+/// The collection state of a member when the period closed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberState {
     pub member: String,
-    /// Complete up to this time.
+    /// The watermark: records are complete up to this time; none if the member was never collected.
     pub complete: Option<String>,
-    /// It was not complete: the period closed without the rest.
+    /// The records of the period were incomplete.
     pub missing: bool,
-    /// Records that were never written.
-    pub lost: i64,
-    /// Runs that ended without their last mark.
-    pub died: i64,
-    /// Stretches of its log that can't be read.
-    pub damaged: i64,
+    /// Records missing in the sequence.
+    #[serde(rename = "lost")]
+    pub lost_records: i64,
+    /// Earlier runs without a final watermark.
+    #[serde(rename = "died")]
+    pub crashed_runs: i64,
+    /// Unreadable ranges of the log.
+    #[serde(rename = "damaged")]
+    pub damaged_ranges: i64,
 }
 
-/// What a closed period came to. It never changes.
+/// The statement of a closed period; immutable once stored.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Statement {
     pub period: String,
@@ -69,14 +76,15 @@
     pub lines: Vec<StatementLine>,
     pub corrections: Vec<CorrectionLine>,
     pub tenants: Vec<TenantTotal>,
-    /// Micro-units: all lines and corrections.
+    /// Micro-units: the sum of all lines and corrections.
     pub total: i64,
     pub rounding: String,
-    /// SHA-256 of the statement before, in hexadecimal; empty for the first.
-    pub previous: String,
+    /// SHA-256 of the previous statement, in hexadecimal; empty for the first.
+    #[serde(rename = "previous")]
+    pub previous_hash: String,
 }
 
-/// How amounts are rounded, as every statement says.
+/// The rounding of amounts, as every statement describes it.
 pub(super) const ROUNDING: &str = "once a line, half a micro-unit up";
 
 /// The totals of each tenant that has a line or a correction, by name.
@@ -104,7 +112,7 @@
             tenant: tenant.into(),
             answered,
             allowance,
-            over: over(answered, allowance),
+            above_allowance: uses_above_allowance(answered, allowance),
             amount,
         }
     };
