--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -1,8 +1,10 @@
-//! The writer of a mixer's usage log: a thread of its own behind a bounded queue, so that no disk can hold up an
-//! answer.
+//! The writer of a mixer's usage log: a dedicated thread behind a bounded queue, so that a slow disk cannot delay
+//! answers without bound.
 
-use crate::log::{cut_torn_tail, put_frame, segments, Position, Segment, MAGIC, VERSION};
-use crate::settings::UsageLog;
+use crate::log::{
+    append_frame, list_segments, truncate_torn_tail, Position, Segment, MAGIC, VERSION,
+};
+use crate::settings::UsageLogSettings;
 use crate::wire::{entry::What, Class, Entry, Header, Mark, Outcome, Record};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -14,113 +16,115 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// What the numbers in records stand for, for one run of a mixer.
+/// The names that the numeric ids in records refer to, for one run of a mixer.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct NameTables {
     pub mixer: String,
     pub classes: Vec<String>,
-    /// For each class, the longest that a client waits over all its tries, in nanoseconds.
-    pub give_up: Vec<u64>,
+    /// For each class, the longest time that a client waits over all its attempts, in nanoseconds.
+    pub give_up_ns: Vec<u64>,
     pub tenants: Vec<String>,
 }
 
-/// What became of records, for the log and the counters.
+/// Counters of usage records and replies.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct WriterCounters {
     pub written: AtomicU64,
-    /// Never written: the queue was full, or the disk took nothing.
+    /// Records that were never written: the queue was full, or writing failed.
     pub lost: AtomicU64,
-    /// Replies that left before their record was written.
-    pub late: AtomicU64,
+    /// Replies that were sent before their record was written.
+    pub unrecorded_replies: AtomicU64,
 }
 
-/// How bytes reach a segment; a test has it fail.
-pub trait Disk: Send + 'static {
+/// Appends bytes to segment files; tests substitute failing storage.
+pub trait SegmentStorage: Send + 'static {
     /// # Errors
-    /// Not all of `bytes` could be written; what was is cut off again.
+    /// Not all of `bytes` could be written; the caller truncates what was.
     fn append(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()>;
 }
 
-/// The real one.
-pub struct Plain;
+/// Writes to the file system.
+pub struct FileStorage;
 
-impl Disk for Plain {
+impl SegmentStorage for FileStorage {
     fn append(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
         file.write_all(bytes)
     }
 }
 
-/// Most records of one write.
-const MOST_BATCH: usize = 1024;
-/// Between two tries to write after one has failed: in between, records are lost at once and nothing waits.
-const TRY_AGAIN: Duration = Duration::from_millis(100);
-/// How long the end waits for the writer.
-const CLOSE: Duration = Duration::from_secs(2);
+/// Entries of one write.
+const MAX_BATCH_ENTRIES: usize = 1024;
+/// Interval of retrying after a failed write. Records in between are dropped at once, so that no answer waits for them.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// How long [`Writer::close`] waits for the writer thread.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The end of the queue that the mixer holds.
+/// The mixer's handle of the writer thread.
 pub struct Writer {
     queue: Option<SyncSender<Entry>>,
     written: watch::Receiver<u64>,
-    counts: Arc<Counts>,
-    stall: Duration,
+    counts: Arc<WriterCounters>,
+    max_write_delay: Duration,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Opens the log for one more run and starts its writer. What the run before has left half written is cut off.
+/// Opens the log for a new run and starts its writer. An incomplete frame at the end of the previous run is truncated.
+/// `now` is in Unix nanoseconds.
 ///
 /// # Errors
-/// The folder can't be used, or another mixer is using it.
-pub fn start(settings: &UsageLog, names: Names, now: u64) -> io::Result<Writer> {
-    let writer = start_on(Plain, settings, names, now)?;
+/// The folder cannot be used, or another mixer is using it.
+pub fn start(settings: &UsageLogSettings, names: NameTables, now: u64) -> io::Result<Writer> {
+    let writer = start_with_storage(FileStorage, settings, names, now)?;
     if let Some(listen) = settings.listen {
         crate::collect::listen(listen, settings.directory.clone())?;
     }
     Ok(writer)
 }
 
-/// As [`start`], on any disk and without a listener.
+/// As [`start`], with any storage and without a listener for collection.
 ///
 /// # Errors
 /// As [`start`].
-pub fn start_on(
-    disk: impl Disk,
-    settings: &UsageLog,
-    names: Names,
+pub fn start_with_storage(
+    storage: impl SegmentStorage,
+    settings: &UsageLogSettings,
+    names: NameTables,
     now: u64,
 ) -> io::Result<Writer> {
     let directory = &settings.directory;
-    let at = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", directory.display()));
-    fs::create_dir_all(directory).map_err(at)?;
+    let with_path =
+        |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", directory.display()));
+    fs::create_dir_all(directory).map_err(with_path)?;
     let lock = OpenOptions::new()
         .create(true)
         .truncate(false)
         .write(true)
         .open(directory.join("lock"))
-        .map_err(at)?;
+        .map_err(with_path)?;
     if lock.try_lock().is_err() {
         return Err(io::Error::other(format!(
-            "{}: another mixer writes this log",
+            "{}: another mixer is writing this log",
             directory.display()
         )));
     }
-    let before = segments(directory).map_err(at)?;
-    if let Some(last) = before.last() {
-        let torn = cut_torn_tail(last).map_err(at)?;
+    let existing = list_segments(directory).map_err(with_path)?;
+    if let Some(last) = existing.last() {
+        let torn = truncate_torn_tail(last).map_err(with_path)?;
         if torn > 0 {
             tracing::warn!(
                 segment = last.name(),
                 bytes = torn,
-                "half a record at the end of the log was cut off"
+                "truncated an incomplete record at the end of the usage log"
             );
         }
     }
-    // Later than any run before, also where the clock has stepped back.
-    let last = before.last().map_or(0, |segment| segment.incarnation);
-    let incarnation = (now / 1_000_000).max(last + 1);
+    // Larger than that of any earlier run, also if the clock was set back.
+    let last_incarnation = existing.last().map_or(0, |segment| segment.incarnation);
+    let incarnation = (now / 1_000_000).max(last_incarnation + 1);
     let classes = names
         .classes
         .iter()
-        .zip(names.give_up.iter().chain(std::iter::repeat(&0)));
+        .zip(names.give_up_ns.iter().chain(std::iter::repeat(&0)));
     let header = Header {
         version: VERSION,
         mixer: names.mixer,
@@ -134,110 +138,119 @@
             .collect(),
         tenants: names.tenants,
     };
-    let (queue, entries) = sync_channel(settings.queue);
-    let (tell, written) = watch::channel(0);
-    let counts = Arc::<Counts>::default();
-    let job = Job {
-        disk,
+    let (queue, entries) = sync_channel(settings.queue_capacity);
+    let (written_sender, written) = watch::channel(0);
+    let counts = Arc::<WriterCounters>::default();
+    let writer_thread = WriterThread {
+        storage,
         _lock: lock,
         directory: directory.clone(),
         segment_bytes: settings.segment_bytes,
-        keep_bytes: settings.keep_bytes,
+        max_bytes: settings.max_bytes,
         header,
-        open: None,
-        tell,
+        open_segment: None,
+        written_sender,
         counts: counts.clone(),
-        failed: None,
+        failed_at: None,
     };
     let thread = thread::Builder::new()
         .name("usage log".into())
-        .spawn(move || job.run(&entries))?;
+        .spawn(move || writer_thread.run(&entries))?;
     tracing::info!(directory = %directory.display(), incarnation, "usage log opened");
     Ok(Writer {
         queue: Some(queue),
         written,
         counts,
-        stall: settings.stall,
+        max_write_delay: settings.max_write_delay,
         thread: Some(thread),
     })
 }
 
 impl Writer {
-    /// Hands an entry on without waiting; false if there is no room.
-    pub fn offer(&mut self, what: What) -> bool {
+    /// Queues an entry without blocking; false if the queue is full.
+    pub fn try_enqueue(&mut self, what: What) -> bool {
         let entry = Entry { what: Some(what) };
         self.queue
             .as_ref()
             .is_some_and(|queue| queue.try_send(entry).is_ok())
     }
 
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &WriterCounters {
         &self.counts
     }
 
-    /// The sequence up to which nothing is left to wait for.
-    pub fn watch(&self) -> watch::Receiver<u64> {
+    /// The sequence up to which all records are written or dropped.
+    pub fn written_sequence(&self) -> watch::Receiver<u64> {
         self.written.clone()
     }
 
-    pub fn stall_bound(&self) -> Duration {
-        self.stall
+    pub fn max_write_delay(&self) -> Duration {
+        self.max_write_delay
     }
 
-    pub fn note_lost(&self) {
+    pub fn count_lost_record(&self) {
         let lost = self.counts.lost.fetch_add(1, Ordering::Relaxed) + 1;
         if lost.is_power_of_two() {
-            tracing::error!(lost, "usage records lost: the log takes none");
+            tracing::error!(lost, "usage records lost: the queue of the log is full");
         }
     }
 
-    pub fn note_late(&self) {
-        let late = self.counts.late.fetch_add(1, Ordering::Relaxed) + 1;
-        if late.is_power_of_two() {
+    pub fn count_unrecorded_reply(&self) {
+        let unrecorded_replies = self
+            .counts
+            .unrecorded_replies
+            .fetch_add(1, Ordering::Relaxed)
+            + 1;
+        if unrecorded_replies.is_power_of_two() {
             tracing::warn!(
-                late,
-                "answers that left before their usage record: the log has stalled"
+                unrecorded_replies,
+                "replies sent before their usage record was written: the log is slow"
             );
         }
     }
 
-    /// Ends the writer once all that waits is written, or after a bounded time.
-    pub fn finish(&mut self) {
+    /// Stops the writer once all queued entries are written, or after two seconds.
+    pub fn close(&mut self) {
         self.queue = None;
         let Some(thread) = self.thread.take() else {
             return;
         };
-        let until = Instant::now() + CLOSE;
+        let until = Instant::now() + CLOSE_TIMEOUT;
         while !thread.is_finished() && Instant::now() < until {
             thread::sleep(Duration::from_millis(1));
         }
         if thread.is_finished() {
             let _ = thread.join();
         } else {
-            tracing::error!("the usage log did not take its last records in time");
+            tracing::error!("usage log not closed in time: the last records may be lost");
         }
-        let (written, lost, late) = (&self.counts.written, &self.counts.lost, &self.counts.late);
-        let [written, lost, late] =
-            [written, lost, late].map(|count| count.load(Ordering::Relaxed));
-        tracing::info!(written, lost, late, "usage log closed");
+        let (written, lost, unrecorded_replies) = (
+            &self.counts.written,
+            &self.counts.lost,
+            &self.counts.unrecorded_replies,
+        );
+        let [written, lost, unrecorded_replies] =
+            [written, lost, unrecorded_replies].map(|count| count.load(Ordering::Relaxed));
+        tracing::info!(written, lost, unrecorded_replies, "usage log closed");
     }
 }
 
-struct Job<D> {
-    disk: D,
-    /// Held for as long as the log is written.
+struct WriterThread<D> {
+    storage: D,
+    /// Locked while the log is open.
     _lock: File,
     directory: PathBuf,
     segment_bytes: u64,
-    keep_bytes: u64,
+    max_bytes: u64,
     header: Header,
-    open: Option<(File, u64)>,
-    tell: watch::Sender<u64>,
-    counts: Arc<Counts>,
-    failed: Option<Instant>,
+    /// The current segment and its length.
+    open_segment: Option<(File, u64)>,
+    written_sender: watch::Sender<u64>,
+    counts: Arc<WriterCounters>,
+    failed_at: Option<Instant>,
 }
 
-impl<D: Disk> Job<D> {
+impl<D: SegmentStorage> WriterThread<D> {
     fn run(mut self, entries: &Receiver<Entry>) {
         let mut bytes = Vec::new();
         let mut last = 0;
@@ -248,7 +261,7 @@
                 Err(RecvTimeoutError::Timeout) => continue,
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            while batch.len() < MOST_BATCH {
+            while batch.len() < MAX_BATCH_ENTRIES {
                 match entries.try_recv() {
                     Ok(entry) => batch.push(entry),
                     Err(TryRecvError::Empty | TryRecvError::Disconnected) => break,
@@ -258,7 +271,7 @@
             let mut records = 0;
             let first = last + 1;
             for entry in &batch {
-                put_frame(&mut bytes, entry);
+                append_frame(&mut bytes, entry);
                 if let Some(What::Record(record)) = &entry.what {
                     last = record.sequence;
                     records += 1;
@@ -267,72 +280,78 @@
             let count = match self.append(first, &bytes) {
                 Ok(()) => &self.counts.written,
                 Err(e) => {
-                    if self.failed.replace(Instant::now()).is_none() {
-                        tracing::error!(error = %e, "the usage log can't be written: records are lost until it can");
+                    if self.failed_at.replace(Instant::now()).is_none() {
+                        tracing::error!(
+                            error = %e,
+                            "cannot write the usage log; records are dropped until writing succeeds"
+                        );
                     }
                     &self.counts.lost
                 }
             };
             count.fetch_add(records, Ordering::Relaxed);
-            self.tell.send_replace(last);
+            self.written_sender.send_replace(last);
         }
     }
 
-    /// Writes whole frames, in a new segment where the last one is full.
+    /// Appends complete frames, to a new segment if the current one is full.
     fn append(&mut self, first: u64, bytes: &[u8]) -> io::Result<()> {
-        if self.failed.is_some_and(|at| at.elapsed() < TRY_AGAIN) {
-            return Err(io::Error::other("it could not be a moment ago"));
+        if self
+            .failed_at
+            .is_some_and(|at| at.elapsed() < RETRY_INTERVAL)
+        {
+            return Err(io::Error::other("a write failed less than 100 ms ago"));
         }
         if self
-            .open
+            .open_segment
             .as_ref()
             .is_some_and(|(_, length)| *length >= self.segment_bytes)
         {
-            self.open = None;
+            self.open_segment = None;
         }
-        let (mut file, length) = match self.open.take() {
+        let (mut file, length) = match self.open_segment.take() {
             Some(open) => open,
-            None => self.begin(first)?,
+            None => self.create_segment(first)?,
         };
-        match self.disk.append(&mut file, bytes) {
+        match self.storage.append(&mut file, bytes) {
             Ok(()) => {
-                if self.failed.take().is_some() {
-                    tracing::info!("the usage log can be written again");
+                if self.failed_at.take().is_some() {
+                    tracing::info!("usage log writable again");
                 }
-                self.open = Some((file, length + bytes.len() as u64));
+                self.open_segment = Some((file, length + bytes.len() as u64));
                 Ok(())
             }
             Err(e) => {
-                // Half a frame in the middle would read as damage: back to the last whole one, or leave the
-                // segment as it is and go on in another.
+                // An incomplete frame inside a segment would be read as damage: the file is truncated to the last
+                // complete frame, or, if that fails, writing continues in a new segment.
                 if file.set_len(length).is_ok() {
-                    self.open = Some((file, length));
+                    self.open_segment = Some((file, length));
                 }
                 Err(e)
             }
         }
     }
 
-    fn begin(&mut self, first: u64) -> io::Result<(File, u64)> {
+    fn create_segment(&mut self, first: u64) -> io::Result<(File, u64)> {
         let mut log_bytes = 0;
-        for segment in segments(&self.directory)? {
+        for segment in list_segments(&self.directory)? {
             log_bytes += fs::metadata(&segment.path).map_or(0, |file| file.len());
         }
-        if log_bytes + self.segment_bytes > self.keep_bytes {
+        if log_bytes + self.segment_bytes > self.max_bytes {
             return Err(io::Error::other(
-                "it holds as much as it may; nothing of it has been settled",
+                "another segment would exceed the size limit of the log until settled segments are removed",
             ));
         }
         self.header.first_sequence = first;
         let mut bytes = MAGIC.to_vec();
-        put_frame(&mut bytes, &self.header);
+        append_frame(&mut bytes, &self.header);
         let segment = Segment::new(&self.directory, self.header.incarnation, first);
         let mut file = OpenOptions::new()
             .append(true)
             .create(true)
             .open(&segment.path)?;
         file.set_len(0)?;
-        if let Err(e) = self.disk.append(&mut file, &bytes) {
+        if let Err(e) = self.storage.append(&mut file, &bytes) {
             let _ = fs::remove_file(&segment.path);
             return Err(e);
         }
@@ -340,35 +359,35 @@
     }
 }
 
-/// Forgets the segments that are settled for good: all but the last, as far as they hold nothing after `upto`.
-/// Returns how many went.
+/// Removes segments that hold no record after `settled_up_to`, except for the last segment.
+/// Returns the number of removed segments.
 ///
 /// # Errors
-/// The folder can't be read, or a segment can't be removed.
-pub fn forget(directory: &Path, upto: Position) -> io::Result<usize> {
-    let all = segments(directory)?;
-    let mut gone = 0;
+/// The folder cannot be read, or a segment cannot be removed.
+pub fn remove_settled_segments(directory: &Path, settled_up_to: Position) -> io::Result<usize> {
+    let all = list_segments(directory)?;
+    let mut removed = 0;
     for pair in all.windows(2) {
         let [segment, next] = pair else { continue };
-        let same = next.incarnation == segment.incarnation;
+        let same_run = next.incarnation == segment.incarnation;
         let settled = Position {
             incarnation: segment.incarnation,
             sequence: next.first_sequence.saturating_sub(1),
         };
-        if if same {
-            upto >= settled
+        if if same_run {
+            settled_up_to >= settled
         } else {
-            upto.incarnation > segment.incarnation
+            settled_up_to.incarnation > segment.incarnation
         } {
             fs::remove_file(&segment.path)?;
-            gone += 1;
+            removed += 1;
         }
     }
-    Ok(gone)
+    Ok(removed)
 }
 
-/// A record as it goes into the log.
-pub fn record(sequence: u64, arrived_ms: u64, outcome: Outcome, share: u32) -> Record {
+/// A record with the fields that every record has; the others are zero.
+pub fn new_record(sequence: u64, arrived_ms: u64, outcome: Outcome, share: u32) -> Record {
     Record {
         sequence,
         arrived_ms,
@@ -378,8 +397,9 @@
     }
 }
 
-/// A mark as it goes into the log.
-pub fn mark(sequence: u64, complete_ms: u64, end: bool) -> What {
+/// A watermark: all records of queries that arrived before `complete_ms` (Unix milliseconds) have at most this
+/// sequence. `end` is set on the last entry of a run that shuts down in order.
+pub fn watermark_entry(sequence: u64, complete_ms: u64, end: bool) -> What {
     What::Mark(Mark {
         sequence,
         complete_ms,
--- a/crates/ledger/tests/joining.rs
+++ b/crates/ledger/tests/joining.rs
@@ -1,11 +1,11 @@
-//! Joining, settling and adjusting against a naive model, under random retries, deaths, reorderings and late
-//! arrivals.
+//! Joining, settling and adjustments against a naive model, under random retries, crashes, reordering and late records.
 
-use cottonhill_ledger::join::{Id, Joiner, Outcome, Try, Use};
+use cottonhill_ledger::join::{ClientAttempt, Joiner, Outcome, RecordId, Use};
 use cottonhill_ledger::period::Period;
 use cottonhill_ledger::rate::Counts;
 use cottonhill_ledger::settle::{
-    adjustments, closing, Bounds, Closing, Known, Lines, Over, Settling,
+    adjustments, close_decision, Bounds, CarryForward, CloseDecision, Lines, MemberProgress,
+    PeriodSettler,
 };
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,74 +15,85 @@
 const HORIZON: i64 = 150;
 const PERIOD: i64 = 400;
 const BOUNDS: Bounds = Bounds {
-    horizon: HORIZON,
-    skew: SKEW,
+    horizon_ms: HORIZON,
+    skew_ms: SKEW,
 };
 
-fn one(at: i64, sequence: u64) -> Try {
-    Try {
-        at,
+fn attempt(arrived_ms: i64, sequence: u64) -> ClientAttempt {
+    ClientAttempt {
+        arrived_ms,
         member: 1,
         incarnation: 1,
         sequence,
         tenant: 1,
         class: 1,
-        outcome: Outcome::Refused,
+        outcome: Outcome::Rejected,
         parts: 2,
-        attempts: 3,
-        crossed: 1,
-        repeat: false,
+        part_attempts: 3,
+        cross_zone_attempts: 1,
+        client_retry: false,
         key: 2,
-        keyed: false,
-        window: WINDOW,
-        doubtful: false,
+        key_from_client: false,
+        retry_window_ms: WINDOW,
+        delivery_uncertain: false,
     }
 }
 
-fn join(mut tries: Vec<Try>) -> Vec<Use> {
-    tries.sort_by_key(Try::id);
+fn join(mut attempts: Vec<ClientAttempt>) -> Vec<Use> {
+    attempts.sort_by_key(ClientAttempt::id);
     let mut uses = Vec::new();
     let mut joiner = Joiner::new(SKEW, HORIZON);
-    for it in tries {
-        joiner.take(it, &mut |it| uses.push(it));
+    for it in attempts {
+        joiner.push(it, &mut |it| uses.push(it));
     }
     joiner.finish(&mut |it| uses.push(it));
     uses.sort_by_key(|it| it.first().id());
     uses
 }
 
-/// The rule as it is stated, over everything at once: no streaming, nothing closed early.
-fn naive(mut tries: Vec<Try>) -> Vec<Vec<Id>> {
-    tries.sort_by_key(Try::id);
-    let mut uses: Vec<Vec<Try>> = tries
+/// The rule of [`cottonhill_ledger::join`] over all attempts at once, without streaming.
+fn naive(mut attempts: Vec<ClientAttempt>) -> Vec<Vec<RecordId>> {
+    attempts.sort_by_key(ClientAttempt::id);
+    let mut uses: Vec<Vec<ClientAttempt>> = attempts
         .iter()
-        .filter(|it| !it.repeat && !it.keyed)
+        .filter(|it| !it.client_retry && !it.key_from_client)
         .map(|it| vec![*it])
         .collect();
-    for retry in tries.iter().filter(|it| it.repeat || it.keyed) {
-        let same = |it: &Try| {
-            (it.tenant, it.class, it.key, it.keyed)
-                == (retry.tenant, retry.class, retry.key, retry.keyed)
+    for retry in attempts
+        .iter()
+        .filter(|it| it.client_retry || it.key_from_client)
+    {
+        let same = |it: &ClientAttempt| {
+            (it.tenant, it.class, it.key, it.key_from_client)
+                == (retry.tenant, retry.class, retry.key, retry.key_from_client)
+        };
+        let window = if retry.key_from_client {
+            HORIZON
+        } else {
+            WINDOW
         };
-        let window = if retry.keyed { HORIZON } else { WINDOW };
-        let fits = |it: &&mut Vec<Try>| {
+        let fits = |it: &&mut Vec<ClientAttempt>| {
             let (first, last) = (it[0], it[it.len() - 1]);
-            let open = retry.keyed
-                || last.doubtful
-                || !matches!(last.outcome, Outcome::Whole | Outcome::Partial(_));
+            let open = retry.key_from_client
+                || last.delivery_uncertain
+                || !matches!(last.outcome, Outcome::Complete | Outcome::Partial(_));
             same(&first)
-                && first.at + window + SKEW >= retry.at
-                && last.at <= retry.at + SKEW
+                && first.arrived_ms + window + SKEW >= retry.arrived_ms
+                && last.arrived_ms <= retry.arrived_ms + SKEW
                 && open
         };
-        let rank = |it: &&mut Vec<Try>| {
+        let rank = |it: &&mut Vec<ClientAttempt>| {
             let last = it[it.len() - 1];
-            let answered =
-                !retry.keyed && matches!(last.outcome, Outcome::Whole | Outcome::Partial(_));
+            let answered = !retry.key_from_client
+                && matches!(last.outcome, Outcome::Complete | Outcome::Partial(_));
             (
                 answered,
-                last.at > retry.at,
-                if retry.keyed { it[0].id() } else { last.id() },
+                last.arrived_ms > retry.arrived_ms,
+                if retry.key_from_client {
+                    it[0].id()
+                } else {
+                    last.id()
+                },
             )
         };
         match uses.iter_mut().filter(fits).min_by_key(rank) {
@@ -90,33 +101,33 @@
             None => uses.push(vec![*retry]),
         }
     }
-    let mut ids: Vec<Vec<Id>> = uses
+    let mut ids: Vec<Vec<RecordId>> = uses
         .iter()
-        .map(|it| it.iter().map(Try::id).collect())
+        .map(|it| it.iter().map(ClientAttempt::id).collect())
         .collect();
     ids.sort();
     ids
 }
 
-fn ids(uses: &[Use]) -> Vec<Vec<Id>> {
-    let mut ids: Vec<Vec<Id>> = uses
+fn ids(uses: &[Use]) -> Vec<Vec<RecordId>> {
+    let mut ids: Vec<Vec<RecordId>> = uses
         .iter()
-        .map(|it| it.tries.iter().map(Try::id).collect())
+        .map(|it| it.attempts.iter().map(ClientAttempt::id).collect())
         .collect();
     ids.sort();
     ids
 }
 
-fn tries() -> impl Strategy<Value = Vec<Try>> {
+fn attempts() -> impl Strategy<Value = Vec<ClientAttempt>> {
     let outcome = prop_oneof![
-        Just(Outcome::Whole),
+        Just(Outcome::Complete),
         (1u32..1_000_000).prop_map(Outcome::Partial),
-        Just(Outcome::Refused),
-        Just(Outcome::Refused),
+        Just(Outcome::Rejected),
+        Just(Outcome::Rejected),
         Just(Outcome::Failed),
-        Just(Outcome::Left),
+        Just(Outcome::ClientDisconnected),
     ];
-    let it = (
+    let fields = (
         0i64..1600,
         1u32..4,
         1u32..3,
@@ -125,41 +136,45 @@
         outcome,
         0u8..8,
     );
-    prop::collection::vec(it, 0..60).prop_map(|all| {
-        let make = |(n, (at, member, tenant, key, repeat, outcome, dice)): (
+    prop::collection::vec(fields, 0..60).prop_map(|all| {
+        let make = |(n, (at, member, tenant, key, client_retry, outcome, choice)): (
             usize,
             (i64, u32, u32, u64, bool, _, u8),
         )| {
-            let keyed = dice == 0;
+            let keyed = choice == 0;
             let key = key * 2 + u64::from(keyed);
-            Try {
+            ClientAttempt {
                 member,
                 tenant,
                 key,
-                keyed,
-                repeat,
+                key_from_client: keyed,
+                client_retry,
                 outcome,
-                doubtful: dice == 1,
-                ..one(at, n as u64 + 1)
+                delivery_uncertain: choice == 1,
+                ..attempt(at, n as u64 + 1)
             }
         };
         all.into_iter().enumerate().map(make).collect()
     })
 }
 
-/// Settles one period after the other, as the store does.
-fn settle(tries: &[Try], period: Period, before: &Over) -> (Lines, Over) {
-    let (from, until) = BOUNDS.seen(period);
-    let mut seen: Vec<Try> = tries
+/// Settles one period like the store does; returns its lines and carry-forward.
+fn settle(
+    attempts: &[ClientAttempt],
+    period: Period,
+    before: &CarryForward,
+) -> (Lines, CarryForward) {
+    let (from, until) = BOUNDS.arrival_range(period);
+    let mut seen: Vec<ClientAttempt> = attempts
         .iter()
-        .filter(|it| (from..until).contains(&it.at))
+        .filter(|it| (from..until).contains(&it.arrived_ms))
         .copied()
         .collect();
-    seen.sort_by_key(Try::id);
-    let mut settling = Settling::new(period, BOUNDS, before.clone());
-    seen.into_iter().for_each(|it| settling.take(it));
-    let settled = settling.finish();
-    (settled.lines, settled.over)
+    seen.sort_by_key(ClientAttempt::id);
+    let mut settler = PeriodSettler::new(period, BOUNDS, before.clone());
+    seen.into_iter().for_each(|it| settler.push(it));
+    let settled = settler.finish();
+    (settled.lines, settled.carry_forward)
 }
 
 fn period(n: i64) -> Period {
@@ -180,47 +195,47 @@
         failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn streaming_joins_as_the_rule_says_each_try_once(tries in tries()) {
-        let uses = join(tries.clone());
-        prop_assert_eq!(ids(&uses), naive(tries.clone()));
-        let all: BTreeSet<Id> = uses.iter().flat_map(|it| it.tries.iter().map(Try::id)).collect();
-        prop_assert_eq!(all.len(), uses.iter().map(|it| it.tries.len()).sum::<usize>());
-        prop_assert_eq!(all.len(), tries.len());
+    fn streaming_joins_each_attempt_once_like_the_naive_model(attempts in attempts()) {
+        let uses = join(attempts.clone());
+        prop_assert_eq!(ids(&uses), naive(attempts.clone()));
+        let all: BTreeSet<RecordId> = uses.iter().flat_map(|it| it.attempts.iter().map(ClientAttempt::id)).collect();
+        prop_assert_eq!(all.len(), uses.iter().map(|it| it.attempts.len()).sum::<usize>());
+        prop_assert_eq!(all.len(), attempts.len());
     }
 
     #[test]
-    fn periods_one_by_one_come_to_what_all_together_do(tries in tries()) {
+    fn settling_period_by_period_equals_joining_all_attempts(attempts in attempts()) {
         let mut expected: BTreeMap<i64, Lines> = BTreeMap::new();
-        for it in join(tries.clone()) {
-            let (at, key) = (it.first().at, (it.first().tenant, it.first().class));
+        for it in join(attempts.clone()) {
+            let (at, key) = (it.first().arrived_ms, (it.first().tenant, it.first().class));
             expected.entry(at.div_euclid(PERIOD)).or_default().entry(key).or_default().add(&it);
         }
-        let mut carried = Over::default();
+        let mut carried = CarryForward::default();
         for n in 0..4 {
-            let (lines, next) = settle(&tries, period(n), &carried);
+            let (lines, next) = settle(&attempts, period(n), &carried);
             prop_assert_eq!(lines, expected.remove(&n).unwrap_or_default(), "period {}", n);
             carried = next;
         }
         prop_assert!(expected.is_empty());
     }
 
-    /// Some records come only after the periods were closed: statements and adjustments together come to what all
-    /// records do, whatever the order.
+    /// Some records arrive after their period has closed: statements and adjustments together must equal the counts of
+    /// all records, in any order.
     #[test]
-    fn late_records_are_made_good_by_adjustments(tries in tries(), late in any::<u64>()) {
-        let early: Vec<Try> = tries.iter().filter(|it| late >> (it.sequence % 64) & 1 == 0).copied().collect();
-        let mut said: Vec<Lines> = Vec::new();
-        let mut carried = Over::default();
+    fn adjustments_account_for_late_records(attempts in attempts(), late in any::<u64>()) {
+        let on_time: Vec<ClientAttempt> = attempts.iter().filter(|it| late >> (it.sequence % 64) & 1 == 0).copied().collect();
+        let mut billed: Vec<Lines> = Vec::new();
+        let mut carried = CarryForward::default();
         for n in 0..4 {
-            let (lines, next) = settle(&early, period(n), &carried);
-            said.push(lines);
+            let (lines, next) = settle(&on_time, period(n), &carried);
+            billed.push(lines);
             carried = next;
         }
-        let mut carried = Over::default();
+        let mut carried = CarryForward::default();
         for n in 0..4 {
-            let (now, next) = settle(&tries, period(n), &carried);
-            let adjusted = adjustments(&now, &said[n as usize]);
-            let both = said[n as usize].values().chain(adjusted.values()).copied();
+            let (now, next) = settle(&attempts, period(n), &carried);
+            let adjusted = adjustments(&now, &billed[n as usize]);
+            let both = billed[n as usize].values().chain(adjusted.values()).copied();
             prop_assert_eq!(total(both), total(now.values().copied()));
             carried = next;
         }
@@ -229,101 +244,108 @@
 
 #[test]
 fn retries_are_joined_one_to_one_and_in_order() {
-    let retry = |at, sequence| Try {
-        repeat: true,
-        ..one(at, sequence)
+    let retry = |at, sequence| ClientAttempt {
+        client_retry: true,
+        ..attempt(at, sequence)
     };
-    let whole = |it: Try| Try {
-        outcome: Outcome::Whole,
+    let answered = |it: ClientAttempt| ClientAttempt {
+        outcome: Outcome::Complete,
         ..it
     };
-    // Two clients with the same text at the same moment are two uses, each with its retry.
+    // Two clients with the same request at the same time are two uses, each with its retry.
     let uses = join(vec![
-        one(0, 1),
-        one(0, 2),
-        whole(retry(30, 3)),
-        whole(retry(31, 4)),
+        attempt(0, 1),
+        attempt(0, 2),
+        answered(retry(30, 3)),
+        answered(retry(31, 4)),
     ]);
     assert_eq!(uses.len(), 2);
     assert!(uses
         .iter()
-        .all(|it| it.outcome == Outcome::Whole && it.tries.len() == 2));
+        .all(|it| it.outcome == Outcome::Complete && it.attempts.len() == 2));
     assert!(
         !uses[0].ambiguous.is_empty(),
-        "there were two to join, and that is told"
+        "the retry had two candidates, which is reported"
     );
-    // Its first try never arrived: a use of its own.
-    let uses = join(vec![whole(retry(30, 1))]);
+    // The first attempt never arrived: the retry is a use of its own.
+    let uses = join(vec![answered(retry(30, 1))]);
     assert_eq!((uses.len(), uses[0].ambiguous.len()), (1, 0));
-    // An answered one has had its retries.
-    let uses = join(vec![whole(one(0, 1)), whole(retry(30, 2))]);
+    // An answered attempt accepts no retry.
+    let uses = join(vec![answered(attempt(0, 1)), answered(retry(30, 2))]);
     assert_eq!((uses.len(), uses[1].ambiguous.len()), (2, 1));
-    // Unless its mixer died before the answer can have left for certain.
-    let died = Try {
-        doubtful: true,
-        ..whole(one(0, 1))
+    // Unless its mixer crashed, so that delivery of the answer is uncertain.
+    let died = ClientAttempt {
+        delivery_uncertain: true,
+        ..answered(attempt(0, 1))
     };
-    assert_eq!(join(vec![died, whole(retry(30, 2))]).len(), 1);
-    // Past the class's give-up time it is no retry of that.
-    assert_eq!(join(vec![one(0, 1), retry(WINDOW + SKEW, 2)]).len(), 1);
-    assert_eq!(join(vec![one(0, 1), retry(WINDOW + SKEW + 1, 2)]).len(), 2);
-    // A clock that is behind: the retry seems to come before its first try.
-    let uses = join(vec![one(100, 1), whole(retry(100 - SKEW, 2))]);
-    assert_eq!((uses.len(), uses[0].first().at), (1, 100));
-    assert_eq!(join(vec![one(100, 1), whole(retry(99 - SKEW, 2))]).len(), 2);
+    assert_eq!(join(vec![died, answered(retry(30, 2))]).len(), 1);
+    // After the class's give-up time a retry is not joined.
+    assert_eq!(join(vec![attempt(0, 1), retry(WINDOW + SKEW, 2)]).len(), 1);
+    assert_eq!(
+        join(vec![attempt(0, 1), retry(WINDOW + SKEW + 1, 2)]).len(),
+        2
+    );
+    // Clock skew: the retry seems to precede its first attempt.
+    let uses = join(vec![attempt(100, 1), answered(retry(100 - SKEW, 2))]);
+    assert_eq!((uses.len(), uses[0].first().arrived_ms), (1, 100));
+    assert_eq!(
+        join(vec![attempt(100, 1), answered(retry(99 - SKEW, 2))]).len(),
+        2
+    );
 }
 
 #[test]
-fn a_key_of_the_clients_own_joins_whatever_became_of_the_tries() {
-    let keyed = |at, sequence, outcome| Try {
-        keyed: true,
+fn a_key_from_the_client_joins_attempts_of_any_outcome() {
+    let keyed = |at, sequence, outcome| ClientAttempt {
+        key_from_client: true,
         key: 7,
         outcome,
-        ..one(at, sequence)
+        ..attempt(at, sequence)
     };
-    let tries = vec![
-        keyed(0, 1, Outcome::Whole),
+    let attempts = vec![
+        keyed(0, 1, Outcome::Complete),
         keyed(40, 2, Outcome::Partial(700_000)),
-        keyed(HORIZON, 3, Outcome::Refused),
-        Try {
+        keyed(HORIZON, 3, Outcome::Rejected),
+        ClientAttempt {
             tenant: 2,
-            ..keyed(10, 4, Outcome::Whole)
+            ..keyed(10, 4, Outcome::Complete)
         },
     ];
-    let uses = join(tries);
+    let uses = join(attempts);
     assert_eq!(
         uses.iter()
-            .map(|it| (it.tries.len(), it.outcome))
+            .map(|it| (it.attempts.len(), it.outcome))
             .collect::<Vec<_>>(),
-        [(3, Outcome::Whole), (1, Outcome::Whole)]
+        [(3, Outcome::Complete), (1, Outcome::Complete)]
     );
 }
 
 #[test]
-fn a_period_waits_for_its_members_until_the_grace_is_over() {
-    let known = |member: &str, complete| Known {
+fn a_period_waits_for_its_members_until_the_grace_period_expires() {
+    let progress = |member: &str, watermark_ms| MemberProgress {
         member: member.into(),
-        complete,
+        watermark_ms,
     };
-    let (_, until) = BOUNDS.seen(period(0));
-    let both = |b| [known("a", Some(until)), known("b", b)];
-    let closes = |now, members: &[Known]| closing(period(0), BOUNDS, 1000, now, members);
-    assert_eq!(closes(until, &both(Some(until))), Closing::Whole);
+    let (_, until) = BOUNDS.arrival_range(period(0));
+    let both = |b| [progress("a", Some(until)), progress("b", b)];
+    let closes =
+        |now, members: &[MemberProgress]| close_decision(period(0), BOUNDS, 1000, now, members);
+    assert_eq!(closes(until, &both(Some(until))), CloseDecision::Complete);
     assert_eq!(
         closes(until, &both(Some(until - 1))),
-        Closing::Waits(vec!["b".into()])
+        CloseDecision::Wait(vec!["b".into()])
     );
     assert_eq!(
         closes(until + 999, &both(None)),
-        Closing::Waits(vec!["b".into()])
+        CloseDecision::Wait(vec!["b".into()])
     );
     assert_eq!(
         closes(until + 1000, &both(None)),
-        Closing::Without(vec!["b".into()])
+        CloseDecision::Incomplete(vec!["b".into()])
     );
     assert_eq!(
         closes(until - 1, &both(Some(until))),
-        Closing::Waits(vec![]),
-        "a clock ahead closes nothing early"
+        CloseDecision::Wait(vec![]),
+        "a clock ahead closes no period early"
     );
 }
--- a/crates/ledger/tests/log.rs
+++ b/crates/ledger/tests/log.rs
@@ -1,9 +1,9 @@
-//! The usage log under everything a disk does: torn tails, flipped bytes, no room, no answer at all.
+//! The usage log under disk faults: torn tails, flipped bits, a full disk, and a disk that blocks.
 
 use cottonhill_ledger::log::{self, Follower, Item, Position};
-use cottonhill_ledger::settings::UsageLog;
+use cottonhill_ledger::settings::UsageLogSettings;
 use cottonhill_ledger::wire::{entry::What, Outcome, Record};
-use cottonhill_ledger::writer::{self, Disk, Names, Plain, Writer};
+use cottonhill_ledger::writer::{self, FileStorage, NameTables, SegmentStorage, Writer};
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::Path;
@@ -12,23 +12,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn settings(directory: &Path, segment_bytes: u64) -> UsageLog {
-    UsageLog {
+fn settings(directory: &Path, segment_bytes: u64) -> UsageLogSettings {
+    UsageLogSettings {
         directory: directory.into(),
         segment_bytes,
-        keep_bytes: 1 << 30,
-        queue: 64,
-        stall: Duration::from_millis(5),
-        mark: Duration::from_millis(100),
+        max_bytes: 1 << 30,
+        queue_capacity: 64,
+        max_write_delay: Duration::from_millis(5),
+        watermark_interval: Duration::from_millis(100),
         listen: None,
     }
 }
 
-fn names() -> Names {
-    Names {
+fn names() -> NameTables {
+    NameTables {
         mixer: "n0".into(),
         classes: vec!["c".into()],
-        give_up: vec![1_000_000_000],
+        give_up_ns: vec![1_000_000_000],
         tenants: vec!["t".into()],
     }
 }
@@ -37,15 +37,15 @@
     What::Record(Record {
         parts: 5,
         key: sequence * 7,
-        ..writer::record(sequence, 1_000 + sequence, Outcome::Whole, 0)
+        ..writer::new_record(sequence, 1_000 + sequence, Outcome::Whole, 0)
     })
 }
 
-/// Writes records one after another, each waited for so that none is left out for want of room.
+/// Writes records one after another and waits for each, so that none is dropped because the queue is full.
 fn write(writer: &mut Writer, sequences: std::ops::RangeInclusive<u64>) {
-    let mut written = writer.watch();
+    let mut written = writer.written_sequence();
     for sequence in sequences {
-        assert!(writer.offer(record(sequence)));
+        assert!(writer.try_enqueue(record(sequence)));
         let runtime = tokio::runtime::Builder::new_current_thread()
             .build()
             .unwrap();
@@ -53,26 +53,30 @@
     }
 }
 
-fn log_of(directory: &Path, segment_bytes: u64, records: u64) {
-    let mut writer = writer::start_on(
-        Plain,
+fn write_log(directory: &Path, segment_bytes: u64, records: u64) {
+    let mut writer = writer::start_with_storage(
+        FileStorage,
         &settings(directory, segment_bytes),
         names(),
         5_000_000,
     )
     .unwrap();
     write(&mut writer, 1..=records);
-    writer.finish();
+    writer.close();
 }
 
-/// A damaged stretch: its segment, from and to.
+/// A damaged range: segment, start and end offset.
 type Damaged = (String, u64, u64);
 
-/// All that a follower finds: records by run and sequence, and damage.
-fn found(directory: &Path, after: Position, most: usize) -> (Vec<(u64, u64)>, Vec<Damaged>) {
+/// All that a follower reads: records by run and sequence, and damaged ranges.
+fn read_all(
+    directory: &Path,
+    after: Position,
+    max_items: usize,
+) -> (Vec<(u64, u64)>, Vec<Damaged>) {
     let mut follower = Follower::new(directory, after);
     let (mut records, mut damage) = (Vec::new(), Vec::new());
-    while let Some(batch) = follower.next(most).unwrap() {
+    while let Some(batch) = follower.next_batch(max_items).unwrap() {
         let run = batch.header.as_ref().map_or(0, |header| header.incarnation);
         for entry in batch.entries {
             if let Some(What::Record(record)) = entry.what {
@@ -91,21 +95,24 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut_wherever_it_is_torn_and_nothing_before_it_is_lost() {
+fn a_torn_tail_is_truncated_at_any_length_and_no_complete_record_is_lost() {
     let folder = tempfile::tempdir().unwrap();
-    log_of(folder.path(), 1 << 20, 6);
-    let segment = log::segments(folder.path()).unwrap().remove(0);
-    let whole = fs::read(&segment.path).unwrap();
-    let (_, start) = log::header(&whole).unwrap();
-    let ends: Vec<usize> = (1..=6).map(|n| log::read(&whole, start, n).end).collect();
-    for length in 0..=whole.len() {
-        fs::write(&segment.path, &whole[..length]).unwrap();
+    write_log(folder.path(), 1 << 20, 6);
+    let segment = log::list_segments(folder.path()).unwrap().remove(0);
+    let intact = fs::read(&segment.path).unwrap();
+    let (_, start) = log::read_header(&intact).unwrap();
+    let ends: Vec<usize> = (1..=6)
+        .map(|n| log::read_entries(&intact, start, n).end)
+        .collect();
+    for length in 0..=intact.len() {
+        fs::write(&segment.path, &intact[..length]).unwrap();
         let kept = ends.iter().filter(|end| **end <= length).count() as u64;
-        let mut again =
-            writer::start_on(Plain, &settings(folder.path(), 1 << 20), names(), 0).unwrap();
-        write(&mut again, 1..=2);
-        again.finish();
-        let (records, damage) = found(folder.path(), Position::default(), 100);
+        let mut second =
+            writer::start_with_storage(FileStorage, &settings(folder.path(), 1 << 20), names(), 0)
+                .unwrap();
+        write(&mut second, 1..=2);
+        second.close();
+        let (records, damage) = read_all(folder.path(), Position::default(), 100);
         let old: Vec<u64> = records
             .iter()
             .filter(|it| it.0 == segment.incarnation && kept > 0)
@@ -124,7 +131,7 @@
                 .collect::<Vec<_>>(),
             [2, 1]
         );
-        for later in log::segments(folder.path())
+        for later in log::list_segments(folder.path())
             .unwrap()
             .iter()
             .filter(|it| it.path != segment.path)
@@ -135,30 +142,32 @@
 }
 
 #[test]
-fn a_flipped_byte_anywhere_costs_what_it_is_in_and_is_named() {
+fn a_flipped_bit_loses_only_its_record_and_is_reported_as_damage() {
     let folder = tempfile::tempdir().unwrap();
-    log_of(folder.path(), 1 << 20, 8);
-    let segment = log::segments(folder.path()).unwrap().remove(0);
-    let whole = fs::read(&segment.path).unwrap();
-    let (_, start) = log::header(&whole).unwrap();
+    write_log(folder.path(), 1 << 20, 8);
+    let segment = log::list_segments(folder.path()).unwrap().remove(0);
+    let intact = fs::read(&segment.path).unwrap();
+    let (_, start) = log::read_header(&intact).unwrap();
     let ends: Vec<usize> = std::iter::once(start)
-        .chain((1..=8).map(|n| log::read(&whole, start, n).end))
+        .chain((1..=8).map(|n| log::read_entries(&intact, start, n).end))
         .collect();
-    // A later segment: what is wrong at the end of this one is no write under way.
-    let mut again = writer::start_on(Plain, &settings(folder.path(), 1 << 20), names(), 0).unwrap();
-    write(&mut again, 1..=1);
-    again.finish();
-    for at in start..whole.len() {
+    // With a later segment, an invalid end of this one is damage, not a write in progress.
+    let mut second =
+        writer::start_with_storage(FileStorage, &settings(folder.path(), 1 << 20), names(), 0)
+            .unwrap();
+    write(&mut second, 1..=1);
+    second.close();
+    for at in start..intact.len() {
         for bit in [0x01, 0x80] {
-            let mut bytes = whole.clone();
+            let mut bytes = intact.clone();
             bytes[at] ^= bit;
             fs::write(&segment.path, &bytes).unwrap();
-            let hit = ends
+            let damaged = ends
                 .windows(2)
                 .position(|pair| (pair[0]..pair[1]).contains(&at))
                 .unwrap() as u64
                 + 1;
-            let (records, damage) = found(folder.path(), Position::default(), 3);
+            let (records, damage) = read_all(folder.path(), Position::default(), 3);
             let old: Vec<u64> = records
                 .iter()
                 .filter(|it| it.0 == segment.incarnation)
@@ -166,7 +175,7 @@
                 .collect();
             assert_eq!(
                 old,
-                (1..=8).filter(|n| *n != hit).collect::<Vec<_>>(),
+                (1..=8).filter(|n| *n != damaged).collect::<Vec<_>>(),
                 "at {at}"
             );
             let [(name, from, to)] = &damage[..] else {
@@ -179,11 +188,11 @@
             );
         }
     }
-    // The header: its names are known from elsewhere in the run, or the records are kept without.
-    let mut bytes = whole.clone();
+    // With a damaged header the entries are still readable.
+    let mut bytes = intact.clone();
     bytes[start - 1] ^= 1;
     fs::write(&segment.path, &bytes).unwrap();
-    let items = log::read(&bytes, log::MAGIC.len(), 100).items;
+    let items = log::read_entries(&bytes, log::MAGIC.len(), 100).items;
     assert_eq!(
         items
             .iter()
@@ -194,15 +203,15 @@
 }
 
 #[test]
-fn a_follower_goes_on_from_any_position_over_any_segments() {
+fn a_follower_continues_from_any_position_over_all_segments() {
     let folder = tempfile::tempdir().unwrap();
-    log_of(folder.path(), 1024, 200);
-    log_of(folder.path(), 1024, 100);
+    write_log(folder.path(), 1024, 200);
+    write_log(folder.path(), 1024, 100);
     assert!(
-        log::segments(folder.path()).unwrap().len() > 4,
+        log::list_segments(folder.path()).unwrap().len() > 4,
         "it rotates"
     );
-    let (all, damage) = found(folder.path(), Position::default(), 7);
+    let (all, damage) = read_all(folder.path(), Position::default(), 7);
     assert_eq!((all.len(), damage.len()), (300, 0));
     for (n, (incarnation, sequence)) in all.iter().enumerate() {
         let after = Position {
@@ -210,21 +219,21 @@
             sequence: *sequence,
         };
         assert_eq!(
-            found(folder.path(), after, 1 + n % 90).0,
+            read_all(folder.path(), after, 1 + n % 90).0,
             all[n + 1..],
             "after {n}"
         );
     }
-    // What is settled may go; the rest stays, and so does the last segment.
-    let before = log::segments(folder.path()).unwrap().len();
+    // Settled segments are removed; the others stay, and so does the last one.
+    let before = log::list_segments(folder.path()).unwrap().len();
     let upto = Position {
         incarnation: all[120].0,
         sequence: all[120].1,
     };
-    let gone = writer::forget(folder.path(), upto).unwrap();
-    assert!(gone > 0 && log::segments(folder.path()).unwrap().len() == before - gone);
-    assert_eq!(found(folder.path(), upto, 50).0, all[121..]);
-    writer::forget(
+    let removed = writer::remove_settled_segments(folder.path(), upto).unwrap();
+    assert!(removed > 0 && log::list_segments(folder.path()).unwrap().len() == before - removed);
+    assert_eq!(read_all(folder.path(), upto, 50).0, all[121..]);
+    writer::remove_settled_segments(
         folder.path(),
         Position {
             incarnation: u64::MAX,
@@ -232,13 +241,13 @@
         },
     )
     .unwrap();
-    assert_eq!(log::segments(folder.path()).unwrap().len(), 1);
+    assert_eq!(log::list_segments(folder.path()).unwrap().len(), 1);
 }
 
-/// Takes half of what it is given and fails, for as long as it is told to.
-struct Full(Arc<AtomicBool>);
+/// Writes half of the bytes and fails while the flag is set.
+struct FullDisk(Arc<AtomicBool>);
 
-impl Disk for Full {
+impl SegmentStorage for FullDisk {
     fn append(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
         if self.0.load(Ordering::SeqCst) {
             file.write_all(&bytes[..bytes.len() / 2])?;
@@ -249,19 +258,20 @@
 }
 
 #[test]
-fn a_full_disk_costs_records_and_nothing_waits_for_them() {
+fn a_full_disk_loses_records_and_blocks_no_writer() {
     let folder = tempfile::tempdir().unwrap();
     let full = Arc::new(AtomicBool::new(false));
-    let disk = Full(full.clone());
-    let mut writer = writer::start_on(disk, &settings(folder.path(), 1 << 20), names(), 0).unwrap();
+    let disk = FullDisk(full.clone());
+    let mut writer =
+        writer::start_with_storage(disk, &settings(folder.path(), 1 << 20), names(), 0).unwrap();
     write(&mut writer, 1..=3);
     full.store(true, Ordering::SeqCst);
-    // Waited for each: what can't be written is not waited for.
+    // Each wait ends although the record cannot be written.
     write(&mut writer, 4..=9);
     full.store(false, Ordering::SeqCst);
     std::thread::sleep(Duration::from_millis(120));
     write(&mut writer, 10..=12);
-    writer.finish();
+    writer.close();
     assert_eq!(
         (
             writer.counts().lost.load(Ordering::SeqCst),
@@ -269,18 +279,21 @@
         ),
         (6, 6)
     );
-    let (records, damage) = found(folder.path(), Position::default(), 100);
+    let (records, damage) = read_all(folder.path(), Position::default(), 100);
     assert_eq!(
         records.iter().map(|it| it.1).collect::<Vec<_>>(),
         [1, 2, 3, 10, 11, 12]
     );
-    assert!(damage.is_empty(), "half a write is taken back: {damage:?}");
+    assert!(
+        damage.is_empty(),
+        "a partial write is truncated: {damage:?}"
+    );
 }
 
-/// Answers only once it is let go.
-struct Frozen(Receiver<()>);
+/// Blocks until the sender is dropped.
+struct BlockedDisk(Receiver<()>);
 
-impl Disk for Frozen {
+impl SegmentStorage for BlockedDisk {
     fn append(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()> {
         let _ = self.0.recv();
         file.write_all(bytes)
@@ -288,55 +301,59 @@
 }
 
 #[test]
-fn a_frozen_disk_takes_no_more_than_its_queue_and_never_blocks() {
+fn a_blocked_disk_fills_the_queue_and_never_blocks_the_mixer() {
     let folder = tempfile::tempdir().unwrap();
-    let (thaw, frozen) = channel();
-    let mut writer = writer::start_on(
-        Frozen(frozen),
+    let (unblock, blocked) = channel();
+    let mut writer = writer::start_with_storage(
+        BlockedDisk(blocked),
         &settings(folder.path(), 1 << 20),
         names(),
         0,
     )
     .unwrap();
-    let taken = (1..=3000)
-        .filter(|sequence| writer.offer(record(*sequence)))
+    let queued = (1..=3000)
+        .filter(|sequence| writer.try_enqueue(record(*sequence)))
         .count() as u64;
-    // The queue, and the batch that the writer has in hand.
-    assert!((64..=64 + 1024).contains(&taken), "{taken}");
-    assert_eq!(*writer.watch().borrow(), 0, "none is told to be written");
-    drop(thaw);
-    writer.finish();
-    let (records, _) = found(folder.path(), Position::default(), 4096);
+    // The queue, and the batch that the writer is writing.
+    assert!((64..=64 + 1024).contains(&queued), "{queued}");
+    assert_eq!(
+        *writer.written_sequence().borrow(),
+        0,
+        "no record is reported as written"
+    );
+    drop(unblock);
+    writer.close();
+    let (records, _) = read_all(folder.path(), Position::default(), 4096);
     assert_eq!(
         records.len() as u64,
-        taken,
-        "all that was taken is there, and the gap shows in the sequence"
+        queued,
+        "all queued records are written; the others are a gap in the sequence"
     );
 }
 
 #[test]
-fn a_log_has_one_writer_and_a_bound() {
+fn a_log_has_one_writer_and_a_size_limit() {
     let folder = tempfile::tempdir().unwrap();
-    let bounded = UsageLog {
-        keep_bytes: 12 * 1024,
+    let bounded = UsageLogSettings {
+        max_bytes: 12 * 1024,
         ..settings(folder.path(), 4096)
     };
-    let mut writer = writer::start_on(Plain, &bounded, names(), 0).unwrap();
-    let second = writer::start_on(Plain, &bounded, names(), 0);
+    let mut writer = writer::start_with_storage(FileStorage, &bounded, names(), 0).unwrap();
+    let second = writer::start_with_storage(FileStorage, &bounded, names(), 0);
     assert!(second.err().unwrap().to_string().contains("another mixer"));
     write(&mut writer, 1..=1000);
     let lost = writer.counts().lost.load(Ordering::SeqCst);
-    let held: u64 = log::segments(folder.path())
+    let size: u64 = log::list_segments(folder.path())
         .unwrap()
         .iter()
         .map(|s| fs::metadata(&s.path).unwrap().len())
         .sum();
     assert!(
-        lost > 0 && held <= bounded.keep_bytes,
-        "{lost} lost, {held} bytes"
+        lost > 0 && size <= bounded.max_bytes,
+        "{lost} lost, {size} bytes"
     );
-    // Once what it holds is settled, there is room again.
-    writer::forget(
+    // Once the segments are settled, records are written again.
+    writer::remove_settled_segments(
         folder.path(),
         Position {
             incarnation: u64::MAX,
@@ -347,5 +364,5 @@
     std::thread::sleep(Duration::from_millis(120));
     write(&mut writer, 1001..=1003);
     assert_eq!(writer.counts().lost.load(Ordering::SeqCst), lost);
-    writer.finish();
+    writer.close();
 }
--- a/crates/ledger/tests/period.rs
+++ b/crates/ledger/tests/period.rs
@@ -1,6 +1,6 @@
-//! Billing periods: days and months by the calendar of a time zone, and spans of a fixed length.
+//! Billing periods: days and months in a time zone, and periods of a fixed length.
 
-use cottonhill_ledger::period::{Calendar, Every, Period};
+use cottonhill_ledger::period::{Calendar, Period, PeriodLength};
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
 
@@ -9,36 +9,36 @@
 }
 
 #[test]
-fn periods_follow_each_other_without_gap_also_where_an_hour_is_repeated_or_skipped() {
+fn periods_have_no_gaps_where_daylight_saving_time_repeats_or_skips_an_hour() {
     let zone = |name| TimeZone::get(name).unwrap();
     let calendars = [
         (
-            Calendar(Every::Day(zone("Europe/Berlin"))),
+            Calendar(PeriodLength::Day(zone("Europe/Berlin"))),
             "2026-10-20T12:00:00Z",
             25,
             23,
         ),
         (
-            Calendar(Every::Day(zone("Asia/Colombo"))),
+            Calendar(PeriodLength::Day(zone("Asia/Colombo"))),
             "2026-10-20T12:00:00Z",
             24,
             24,
         ),
         (
-            Calendar(Every::Month(zone("Europe/Berlin"))),
+            Calendar(PeriodLength::Month(zone("Europe/Berlin"))),
             "2026-01-10T12:00:00Z",
             31 * 24 + 1,
             28 * 24,
         ),
     ];
     for (calendar, from, longest, shortest) in calendars {
-        let mut period = calendar.at(ms(from));
+        let mut period = calendar.period_at(ms(from));
         let mut hours = Vec::new();
         for _ in 0..200 {
-            assert_eq!(calendar.at(period.start), period);
-            assert_eq!(calendar.at(period.end - 1), period);
+            assert_eq!(calendar.period_at(period.start), period);
+            assert_eq!(calendar.period_at(period.end - 1), period);
             hours.push((period.end - period.start) / 3_600_000);
-            let next = calendar.after(period);
+            let next = calendar.next_period(period);
             assert_eq!(next.start, period.end);
             period = next;
         }
@@ -47,14 +47,14 @@
             (Some(&longest), Some(&shortest))
         );
     }
-    // Both hours between two and three belong to the one day.
-    let berlin = Calendar(Every::Day(zone("Europe/Berlin")));
+    // The repeated hour between two and three belongs to one day.
+    let berlin = Calendar(PeriodLength::Day(zone("Europe/Berlin")));
     assert_eq!(
-        berlin.at(ms("2026-10-25T00:30:00Z")),
-        berlin.at(ms("2026-10-25T01:30:00Z"))
+        berlin.period_at(ms("2026-10-25T00:30:00Z")),
+        berlin.period_at(ms("2026-10-25T01:30:00Z"))
     );
     assert_eq!(
-        Calendar(Every::Ms(5000)).at(12_345),
+        Calendar(PeriodLength::FixedMs(5000)).period_at(12_345),
         Period {
             start: 10_000,
             end: 15_000
--- a/crates/ledger/tests/rate.rs
+++ b/crates/ledger/tests/rate.rs
@@ -1,12 +1,12 @@
-//! What a line of a statement costs, and the use over an allowance.
+//! The amount of a statement line, and uses above an allowance.
 
-use cottonhill_ledger::rate::{amount, over, Counts};
-use cottonhill_ledger::settings::Price;
+use cottonhill_ledger::rate::{amount, uses_above_allowance, Counts};
+use cottonhill_ledger::settings::ClassPrice;
 
 #[test]
 fn a_line_is_rounded_once_half_up_and_differences_add_up() {
-    let price = Price {
-        whole: 3,
+    let price = ClassPrice {
+        complete: 3,
         partial: 1,
     };
     let line = |whole, share| Counts {
@@ -22,29 +22,33 @@
         ((1, 1_499_999), 4),
         ((1, 1_500_000), 5),
     ];
-    for ((whole, share), due) in cases {
-        assert_eq!(amount(&line(whole, share), price), due, "{whole} {share}");
+    for ((whole, share), expected) in cases {
+        assert_eq!(
+            amount(&line(whole, share), price),
+            expected,
+            "{whole} {share}"
+        );
     }
     let (before, after) = (line(1, 400_000), line(2, 900_000));
     assert_eq!((after - before).share, 500_000);
     let mut sum = before;
     sum += after - before;
     assert_eq!(sum, after);
-    let most = Price {
-        whole: u64::MAX,
+    let max_price = ClassPrice {
+        complete: u64::MAX,
         partial: u64::MAX,
     };
-    assert_eq!(amount(&line(i64::MAX, i64::MAX), most), i64::MAX);
+    assert_eq!(amount(&line(i64::MAX, i64::MAX), max_price), i64::MAX);
 }
 
 #[test]
-fn use_over_the_allowance_stands_apart() {
+fn uses_above_the_allowance_are_counted_separately() {
     assert_eq!(
         (
-            over(5, None),
-            over(5, Some(3)),
-            over(3, Some(3)),
-            over(0, Some(0))
+            uses_above_allowance(5, None),
+            uses_above_allowance(5, Some(3)),
+            uses_above_allowance(3, Some(3)),
+            uses_above_allowance(0, Some(0))
         ),
         (0, 2, 0, 0)
     );
--- a/crates/ledger/tests/recorded_store.rs
+++ b/crates/ledger/tests/recorded_store.rs
@@ -1,4 +1,4 @@
-//! A store and usage logs that an earlier program wrote (`tests/data`): they must verify, and give the same statements.
+//! A store and usage logs that an earlier version wrote (`tests/data`) must verify and give the same statements.
 
 use cottonhill_ledger::log::{self, Item};
 use cottonhill_ledger::settle::Bounds;
@@ -6,10 +6,10 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// As `tests/data/ledger.ini` states them, in milliseconds.
+/// The values of `tests/data/ledger.ini`.
 const BOUNDS: Bounds = Bounds {
-    horizon: 2000,
-    skew: 100,
+    horizon_ms: 2000,
+    skew_ms: 100,
 };
 /// Statements, documents and periods in the store.
 const CHECKED: u64 = 30;
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn a_store_of_an_earlier_program_verifies() {
+fn a_store_of_an_earlier_version_verifies() {
     let directory = tempfile::tempdir().unwrap();
-    let (checked, wrong) = open_copy(directory.path()).verify(BOUNDS).unwrap();
-    assert_eq!((checked, wrong), (CHECKED, Vec::new()));
+    let (checked, problems) = open_copy(directory.path()).verify(BOUNDS).unwrap();
+    assert_eq!((checked, problems), (CHECKED, Vec::new()));
 }
 
 #[test]
-fn statements_of_an_earlier_program_read_the_same() {
+fn statements_of_an_earlier_version_read_the_same() {
     let directory = tempfile::tempdir().unwrap();
     let statements = open_copy(directory.path()).statements().unwrap();
     let periods = fs::read_to_string(data("periods.txt")).unwrap();
@@ -52,18 +52,18 @@
     }
 }
 
-/// Entries and records of each member, as the earlier program counted them (`ledger verify`, `ledger dump`).
+/// Entries and records of each member, as the earlier version counted them (`ledger verify`, `ledger dump`).
 #[test]
-fn usage_logs_of_an_earlier_program_are_read_without_damage() {
+fn usage_logs_of_an_earlier_version_are_read_without_damage() {
     let expected = [("n0", 849, 294), ("n1", 873, 318), ("n2", 360, 130)];
     for (member, entries, records) in expected {
-        let segments = log::segments(&data(&format!("{member}.usage"))).unwrap();
+        let segments = log::list_segments(&data(&format!("{member}.usage"))).unwrap();
         assert_eq!(segments.len(), 1, "{member}");
         let bytes = fs::read(&segments[0].path).unwrap();
-        let (header, start) = log::header(&bytes).expect("a header");
+        let (header, start) = log::read_header(&bytes).expect("a header");
         assert_eq!(header.mixer, member);
         assert_eq!(header.tenants, ["alpha", "beta", "gamma", "delta"]);
-        let read = log::read(&bytes, start, usize::MAX);
+        let read = log::read_entries(&bytes, start, usize::MAX);
         assert_eq!(read.end, bytes.len(), "{member}: read to its end");
         let sequences = read.items.iter().filter_map(record_sequence);
         assert!(
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -1,12 +1,12 @@
-//! The settlement's store: what is delivered twice, late, in another order, or never; and crashes between the steps.
+//! The settlement's store under duplicate, late, reordered and missing records, and crashes between the steps.
 
 use cottonhill_ledger::export::{self, Document};
 use cottonhill_ledger::log::Position;
-use cottonhill_ledger::period::{Calendar, Every, Period};
+use cottonhill_ledger::period::{Calendar, Period, PeriodLength};
 use cottonhill_ledger::rate::Counts;
-use cottonhill_ledger::settings::{ExportTo, Price};
+use cottonhill_ledger::settings::{ClassPrice, ExportSettings};
 use cottonhill_ledger::settle::Bounds;
-use cottonhill_ledger::store::{CorrectionLine, Statement, Store, Terms};
+use cottonhill_ledger::store::{CloseParameters, CorrectionLine, Statement, Store};
 use cottonhill_ledger::wire::{entry::What, Batch, Class, Entry, Header, Mark, Outcome, Record};
 use cottonhill_ledger::writer;
 use proptest::prelude::*;
@@ -15,14 +15,14 @@
 use std::time::Duration;
 
 const BOUNDS: Bounds = Bounds {
-    horizon: 150,
-    skew: 20,
+    horizon_ms: 150,
+    skew_ms: 20,
 };
 const PERIOD: i64 = 1000;
 const FIRST: i64 = 1_000_000;
 
 fn calendar() -> Calendar {
-    Calendar(Every::Ms(PERIOD))
+    Calendar(PeriodLength::FixedMs(PERIOD))
 }
 
 fn period(n: i64) -> Period {
@@ -32,27 +32,27 @@
     }
 }
 
-struct Bed {
+struct TestStore {
     _folder: tempfile::TempDir,
     path: PathBuf,
     store: Store,
-    prices: BTreeMap<String, Price>,
+    prices: BTreeMap<String, ClassPrice>,
     allowances: BTreeMap<String, u64>,
 }
 
-impl Bed {
-    fn new() -> Bed {
+impl TestStore {
+    fn new() -> TestStore {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("ledger.sqlite");
         let store = Store::open(&path).unwrap();
         let prices = BTreeMap::from([(
             "c".to_string(),
-            Price {
-                whole: 10,
+            ClassPrice {
+                complete: 10,
                 partial: 7,
             },
         )]);
-        Bed {
+        TestStore {
             _folder: folder,
             path,
             store,
@@ -61,12 +61,12 @@
         }
     }
 
-    /// The process dies here and comes back.
+    /// The process crashes here and starts again.
     fn crash(&mut self) {
         self.store = Store::open(&self.path).unwrap();
     }
 
-    fn take(&mut self, member: &str, batch: &Batch) -> cottonhill_ledger::store::Ingested {
+    fn ingest(&mut self, member: &str, batch: &Batch) -> cottonhill_ledger::store::Ingested {
         self.store
             .ingest(member, batch, &calendar(), BOUNDS)
             .unwrap()
@@ -74,7 +74,7 @@
 
     fn close(&mut self, n: i64, missing: &[&str]) -> Statement {
         let missing: Vec<String> = missing.iter().map(|name| name.to_string()).collect();
-        let terms = Terms {
+        let terms = CloseParameters {
             bounds: BOUNDS,
             prices: &self.prices,
             allowances: &self.allowances,
@@ -85,9 +85,9 @@
         self.store.close(period(n), &terms).unwrap()
     }
 
-    fn sound(&self) {
-        let (checked, wrong) = self.store.verify(BOUNDS).unwrap();
-        assert!(checked > 0 && wrong.is_empty(), "{wrong:?}");
+    fn assert_consistent(&self) {
+        let (checked, problems) = self.store.verify(BOUNDS).unwrap();
+        assert!(checked > 0 && problems.is_empty(), "{problems:?}");
     }
 }
 
@@ -119,12 +119,12 @@
     }
 }
 
-fn whole(sequence: u64, at: i64, key: u64) -> Record {
+fn answered(sequence: u64, at: i64, key: u64) -> Record {
     Record {
         key,
         parts: 1,
         attempts: 1,
-        ..writer::record(sequence, at as u64, Outcome::Whole, 0)
+        ..writer::new_record(sequence, at as u64, Outcome::Whole, 0)
     }
 }
 
@@ -135,14 +135,14 @@
     })
 }
 
-fn refused(sequence: u64, at: i64, key: u64) -> What {
+fn rejected(sequence: u64, at: i64, key: u64) -> What {
     What::Record(Record {
         outcome: Outcome::Refused.into(),
-        ..whole(sequence, at, key)
+        ..answered(sequence, at, key)
     })
 }
 
-fn mark(sequence: u64, complete: i64, end: bool) -> What {
+fn watermark(sequence: u64, complete: i64, end: bool) -> What {
     What::Mark(Mark {
         sequence,
         complete_ms: complete as u64,
@@ -160,35 +160,41 @@
 }
 
 #[test]
-fn the_same_records_again_in_any_order_and_after_a_crash_change_nothing() {
-    let mut bed = Bed::new();
+fn duplicate_records_in_any_order_and_after_a_crash_change_nothing() {
+    let mut store = TestStore::new();
     let one = batch(
         1,
-        vec![What::Record(whole(1, FIRST, 2)), refused(2, FIRST + 5, 4)],
+        vec![
+            What::Record(answered(1, FIRST, 2)),
+            rejected(2, FIRST + 5, 4),
+        ],
     );
     let two = batch(
         1,
-        vec![retry(whole(3, FIRST + 60, 4)), mark(3, FIRST + 5000, false)],
+        vec![
+            retry(answered(3, FIRST + 60, 4)),
+            watermark(3, FIRST + 5000, false),
+        ],
     );
-    assert_eq!(bed.take("n0", &one).new, 2);
-    // Killed between ingest and acknowledgement: it is sent again.
-    bed.crash();
+    assert_eq!(store.ingest("n0", &one).new, 2);
+    // A crash between ingestion and acknowledgement: the batch is sent again.
+    store.crash();
     assert_eq!(
         (
-            bed.take("n0", &one).known,
-            bed.take("n0", &two).new,
-            bed.take("n0", &one).known
+            store.ingest("n0", &one).duplicates,
+            store.ingest("n0", &two).new,
+            store.ingest("n0", &one).duplicates
         ),
         (2, 1, 2)
     );
     assert_eq!(
-        bed.store.position("n0").unwrap(),
+        store.store.position("n0").unwrap(),
         Position {
             incarnation: 1,
             sequence: 3
         }
     );
-    let statement = bed.close(0, &[]);
+    let statement = store.close(0, &[]);
     assert_eq!(
         (
             uses(&statement, false),
@@ -197,27 +203,30 @@
         ),
         (2, 20, 3)
     );
-    assert_eq!(bed.store.standings().unwrap()[0].lost, 0);
+    assert_eq!(store.store.member_statuses().unwrap()[0].lost_records, 0);
     assert!(
-        (statement.tenants[0].over, statement.tenants[0].answered) == (1, 2),
-        "one over the allowance of one"
+        (
+            statement.tenants[0].above_allowance,
+            statement.tenants[0].answered
+        ) == (1, 2),
+        "one use above the allowance of one"
     );
-    bed.sound();
+    store.assert_consistent();
 }
 
 #[test]
-fn a_closed_statement_stays_and_what_is_late_adjusts_the_next() {
-    let mut bed = Bed::new();
-    // A retry whose first try's record is still at its mixer, at the end of one period and the start of the next.
+fn late_records_adjust_the_next_statement_and_keep_the_closed_one() {
+    let mut store = TestStore::new();
+    // A retry at the start of one period whose first attempt, at the end of the period before, is not yet collected.
     let orphan = batch(
         1,
         vec![
-            retry(whole(1, FIRST + PERIOD + 30, 4)),
-            mark(1, FIRST + 9000, false),
+            retry(answered(1, FIRST + PERIOD + 30, 4)),
+            watermark(1, FIRST + 9000, false),
         ],
     );
-    bed.take("n0", &orphan);
-    let empty = bed.close(0, &["n1"]);
+    store.ingest("n0", &orphan);
+    let empty = store.close(0, &["n1"]);
     assert_eq!(
         (
             uses(&empty, false),
@@ -226,22 +235,22 @@
         ),
         (0, true, None)
     );
-    let first = bed.close(1, &["n1"]);
+    let first = store.close(1, &["n1"]);
     assert_eq!((uses(&first, false), first.total), (1, 10));
-    let before = bed.store.statements().unwrap();
-    // The silent member returns with the first try: one use, in the first try's period.
-    let late = bed.take(
+    let before = store.store.statements().unwrap();
+    // The missing member delivers the first attempt: one use, in the period of the first attempt.
+    let late = store.ingest(
         "n1",
         &batch(
             7,
             vec![
-                refused(1, FIRST + PERIOD - 20, 4),
-                mark(1, FIRST + 9000, false),
+                rejected(1, FIRST + PERIOD - 20, 4),
+                watermark(1, FIRST + 9000, false),
             ],
         ),
     );
     assert_eq!(late.late, 1);
-    let next = bed.close(2, &[]);
+    let next = store.close(2, &[]);
     let lines: Vec<(String, i64, i64)> = next
         .lines
         .iter()
@@ -252,56 +261,62 @@
         [(period(0).name(), 1, 10), (period(1).name(), -1, -10)]
     );
     assert_eq!(
-        bed.store.statements().unwrap()[..2],
+        store.store.statements().unwrap()[..2],
         before[..],
         "byte for byte"
     );
-    bed.sound();
+    store.assert_consistent();
 }
 
 #[test]
 fn a_late_record_from_before_the_first_period_is_not_lost() {
-    let mut bed = Bed::new();
-    bed.take("n0", &batch(1, vec![What::Record(whole(1, FIRST + 10, 2))]));
-    bed.close(0, &[]);
-    bed.take(
+    let mut store = TestStore::new();
+    store.ingest(
         "n0",
-        &batch(1, vec![What::Record(whole(2, FIRST - 5 * PERIOD + 10, 4))]),
+        &batch(1, vec![What::Record(answered(1, FIRST + 10, 2))]),
+    );
+    store.close(0, &[]);
+    store.ingest(
+        "n0",
+        &batch(
+            1,
+            vec![What::Record(answered(2, FIRST - 5 * PERIOD + 10, 4))],
+        ),
     );
-    let next = bed.close(1, &[]);
+    let next = store.close(1, &[]);
     assert_eq!(
         (uses(&next, true), next.lines[0].period.clone()),
         (1, period(-5).name())
     );
-    bed.sound();
+    store.assert_consistent();
 }
 
 #[test]
-fn clocks_apart_and_a_clock_that_steps_back_count_each_use_once() {
-    let mut bed = Bed::new();
-    // n1 is behind: the retry that it took seems to come before the first try, across the end of the period.
-    bed.take(
+fn clock_skew_and_a_clock_set_back_count_each_use_once() {
+    let mut store = TestStore::new();
+    // The clock of n1 is behind: its retry seems to precede the first attempt, across the end of the period.
+    store.ingest(
         "n0",
         &batch(
             1,
             vec![
-                refused(1, FIRST + PERIOD + 5, 4),
-                mark(1, FIRST + 5000, false),
+                rejected(1, FIRST + PERIOD + 5, 4),
+                watermark(1, FIRST + 5000, false),
             ],
         ),
     );
-    bed.take(
+    store.ingest(
         "n1",
         &batch(
             1,
             vec![
-                retry(whole(1, FIRST + PERIOD - 10, 4)),
-                mark(1, FIRST + 5000, false),
+                retry(answered(1, FIRST + PERIOD - 10, 4)),
+                watermark(1, FIRST + 5000, false),
             ],
         ),
     );
-    assert_eq!(uses(&bed.close(0, &[]), false), 0);
-    let first = bed.close(1, &[]);
+    assert_eq!(uses(&store.close(0, &[]), false), 0);
+    let first = store.close(1, &[]);
     assert_eq!(
         (
             uses(&first, false),
@@ -310,66 +325,72 @@
         ),
         (1, 1, 2)
     );
-    // A restart steps a clock back: its records are late by then, and counted all the same.
-    bed.take(
+    // A restart sets a clock back: its records are late, and counted nevertheless.
+    store.ingest(
         "n0",
         &batch(
             2,
             vec![
-                What::Record(whole(1, FIRST + 500, 6)),
-                mark(1, FIRST + 900, false),
+                What::Record(answered(1, FIRST + 500, 6)),
+                watermark(1, FIRST + 900, false),
             ],
         ),
     );
     assert_eq!(
-        bed.store.standings().unwrap()[0].complete,
+        store.store.member_statuses().unwrap()[0].watermark_ms,
         FIRST + 900,
-        "what it says last is what holds"
+        "the watermark of the latest run applies"
     );
-    let second = bed.close(2, &[]);
+    let second = store.close(2, &[]);
     assert_eq!(
         (uses(&second, true), second.lines[0].period.clone()),
         (1, period(0).name())
     );
-    bed.sound();
+    store.assert_consistent();
 }
 
 #[test]
-fn a_mixer_that_died_right_after_an_answer_may_have_it_retried() {
-    let mut bed = Bed::new();
-    let last = vec![mark(0, FIRST, false), What::Record(whole(1, FIRST + 10, 4))];
-    bed.take("n0", &batch(1, last));
-    bed.take(
+fn an_answer_right_before_a_mixer_crash_accepts_a_retry() {
+    let mut store = TestStore::new();
+    let last = vec![
+        watermark(0, FIRST, false),
+        What::Record(answered(1, FIRST + 10, 4)),
+    ];
+    store.ingest("n0", &batch(1, last));
+    store.ingest(
         "n1",
         &batch(
             1,
-            vec![retry(whole(1, FIRST + 60, 4)), mark(1, FIRST + 5000, false)],
+            vec![
+                retry(answered(1, FIRST + 60, 4)),
+                watermark(1, FIRST + 5000, false),
+            ],
         ),
     );
-    // So far it may be alive: the answer counts, and the retry with it.
-    let first = bed.close(0, &["n0"]);
+    // The mixer may still be running: its answer and the retry are two uses.
+    let first = store.close(0, &["n0"]);
     assert_eq!(
         (uses(&first, false), first.lines[0].counts.ambiguous),
         (2, 1)
     );
-    // It is back, and said no end: the retry was of that.
-    bed.take("n0", &batch(2, vec![mark(0, FIRST + 5000, false)]));
-    let next = bed.close(1, &[]);
+    // A new run without a final watermark of the old one: the retry joins the answered attempt.
+    store.ingest("n0", &batch(2, vec![watermark(0, FIRST + 5000, false)]));
+    let next = store.close(1, &[]);
     assert_eq!(
-        (uses(&next, true), next.total, next.members[0].died),
+        (uses(&next, true), next.total, next.members[0].crashed_runs),
         (-1, -10, 1)
     );
-    bed.sound();
+    store.assert_consistent();
 }
 
 #[test]
-fn gaps_deaths_and_damage_are_told_and_a_removed_tenant_keeps_its_use() {
-    let mut bed = Bed::new();
+fn statements_report_gaps_crashes_and_damage_and_keep_uses_of_a_removed_tenant() {
+    let mut store = TestStore::new();
     let mut records = batch(
         1,
         vec![
-            What::Record(whole(1, FIRST, 2)),
-            What::Record(whole(5, FIRST + 1, 4)),
+            What::Record(answered(1, FIRST, 2)),
+            What::Record(answered(5, FIRST + 1, 4)),
         ],
     );
     records.damage.push(cottonhill_ledger::wire::Damage {
@@ -377,20 +398,27 @@
         from: 3,
         to: 9,
     });
-    bed.take("n0", &records);
-    bed.take("n0", &batch(1, vec![mark(7, FIRST + 10, false)]));
-    // The next run's settings know one tenant less.
+    store.ingest("n0", &records);
+    store.ingest("n0", &batch(1, vec![watermark(7, FIRST + 10, false)]));
+    // The settings of the next run have one tenant less.
     let next = Batch {
         header: header(2, &["u"]),
         entries: vec![Entry {
-            what: Some(What::Record(whole(1, FIRST + 20, 6))),
+            what: Some(What::Record(answered(1, FIRST + 20, 6))),
         }],
         damage: Vec::new(),
     };
-    bed.take("n0", &next);
-    let statement = bed.close(0, &["n1"]);
+    store.ingest("n0", &next);
+    let statement = store.close(0, &["n1"]);
     let member = &statement.members[0];
-    assert_eq!((member.lost, member.died, member.damaged), (5, 1, 1));
+    assert_eq!(
+        (
+            member.lost_records,
+            member.crashed_runs,
+            member.damaged_ranges
+        ),
+        (5, 1, 1)
+    );
     let by: Vec<(&str, i64)> = statement
         .lines
         .iter()
@@ -400,9 +428,9 @@
 }
 
 #[test]
-fn a_correction_stands_in_its_statement_or_becomes_a_document_that_names_it() {
-    let mut bed = Bed::new();
-    bed.take("n0", &batch(1, vec![What::Record(whole(1, FIRST, 2))]));
+fn a_correction_is_part_of_an_open_statement_or_a_document_that_names_a_closed_one() {
+    let mut store = TestStore::new();
+    store.ingest("n0", &batch(1, vec![What::Record(answered(1, FIRST, 2))]));
     let correction = |id: &str, amount| CorrectionLine {
         id: id.into(),
         tenant: "t".into(),
@@ -410,19 +438,19 @@
         reason: "r".into(),
         author: "a".into(),
     };
-    assert!(bed
+    assert!(store
         .store
         .correct(&correction("early", -3), period(0), FIRST)
         .unwrap()
         .is_none());
-    let statement = bed.close(0, &[]);
+    let statement = store.close(0, &[]);
     assert_eq!((statement.total, statement.corrections.len()), (7, 1));
-    let credit = bed
+    let credit = store
         .store
         .correct(&correction("late", -4), period(0), FIRST)
         .unwrap()
         .unwrap();
-    let (_, hash, _) = bed.store.statements().unwrap().remove(0);
+    let (_, hash, _) = store.store.statements().unwrap().remove(0);
     assert_eq!(
         (
             credit.kind.as_str(),
@@ -433,10 +461,11 @@
     );
     assert_eq!(
         credit.corrects.unwrap().0,
-        Document::of_statement(&statement)[0].id
+        Document::from_statement(&statement)[0].id
     );
     assert_eq!(
-        bed.store
+        store
+            .store
             .correct(&correction("more", 4), period(0), FIRST)
             .unwrap()
             .unwrap()
@@ -444,41 +473,44 @@
         "debit"
     );
     assert!(
-        bed.store
+        store
+            .store
             .correct(&correction("late", -4), period(0), FIRST)
             .is_err(),
-        "one of each id"
+        "correction ids are unique"
     );
-    assert_eq!(bed.store.outbox(false, false).unwrap().len(), 3);
-    bed.sound();
+    assert_eq!(store.store.outbox(false, false).unwrap().len(), 3);
+    store.assert_consistent();
 }
 
-/// Killed between close and export, and between an export and its note: the same document goes out again.
+/// Crashes between closing and export, and between an export and its record in the outbox: the same document is sent
+/// again.
 #[test]
 fn a_document_survives_crashes_under_one_id_with_the_same_bytes() {
-    let mut bed = Bed::new();
-    bed.take("n0", &batch(1, vec![What::Record(whole(1, FIRST, 2))]));
-    bed.close(0, &[]);
-    bed.crash();
+    let mut store = TestStore::new();
+    store.ingest("n0", &batch(1, vec![What::Record(answered(1, FIRST, 2))]));
+    store.close(0, &[]);
+    store.crash();
     let folder = tempfile::tempdir().unwrap();
-    let to = ExportTo {
+    let target = ExportSettings {
         folder: Some(folder.path().into()),
         url: None,
         timeout: Duration::from_secs(1),
-        again: Duration::from_millis(1),
+        retry_delay: Duration::from_millis(1),
     };
-    let waiting = bed.store.outbox(true, false).unwrap();
-    assert_eq!(export::send(&to, &waiting[0]), (true, false, None));
+    let unsent = store.store.outbox(true, false).unwrap();
+    assert_eq!(export::send(&target, &unsent[0]), (true, false, None));
     let bytes =
-        |folder: &Path| std::fs::read(folder.join(format!("{}.json", waiting[0].id))).unwrap();
+        |folder: &Path| std::fs::read(folder.join(format!("{}.json", unsent[0].id))).unwrap();
     let first = bytes(folder.path());
-    // It went out, and the process died before it was noted.
-    bed.crash();
-    let again = bed.store.outbox(true, false).unwrap();
-    assert_eq!(again, waiting);
-    assert_eq!(export::send(&to, &again[0]), (true, false, None));
-    bed.store
-        .sent(&again[0].id, true, false, None, FIRST)
+    // The document was sent, and the process crashed before the delivery was recorded.
+    store.crash();
+    let again = store.store.outbox(true, false).unwrap();
+    assert_eq!(again, unsent);
+    assert_eq!(export::send(&target, &again[0]), (true, false, None));
+    store
+        .store
+        .record_delivery(&again[0].id, true, false, None, FIRST)
         .unwrap();
     assert_eq!(
         (
@@ -487,20 +519,20 @@
         ),
         (first, 1)
     );
-    assert!(bed.store.outbox(true, false).unwrap().is_empty());
-    let again = Duration::from_millis(10);
+    assert!(store.store.outbox(true, false).unwrap().is_empty());
+    let base = Duration::from_millis(10);
     assert_eq!(
-        [1, 2, 7, 99].map(|n| export::wait(again, n).as_millis()),
+        [1, 2, 7, 99].map(|n| export::retry_delay(base, n).as_millis()),
         [10, 20, 640, 640]
     );
 }
 
 #[test]
-fn verify_finds_what_was_tampered_with_and_a_later_schema_is_refused() {
+fn verify_finds_tampering_and_a_later_schema_is_rejected() {
     let tampering = [
         (
             "UPDATE statement SET body = replace(body, '\"total\":10', '\"total\":11')",
-            "is not what was hashed",
+            "its text does not match its hash",
         ),
         (
             "UPDATE line SET uses = uses + 1",
@@ -513,31 +545,31 @@
         ),
         (
             "DELETE FROM statement WHERE period = 1000000",
-            "does not follow",
+            "its link to the previous statement does not match",
         ),
     ];
     for (sql, found) in tampering {
-        let mut bed = Bed::new();
-        bed.take("n0", &batch(1, vec![What::Record(whole(1, FIRST, 2))]));
-        bed.close(0, &[]);
-        bed.close(1, &[]);
-        bed.sound();
-        rusqlite::Connection::open(&bed.path)
+        let mut store = TestStore::new();
+        store.ingest("n0", &batch(1, vec![What::Record(answered(1, FIRST, 2))]));
+        store.close(0, &[]);
+        store.close(1, &[]);
+        store.assert_consistent();
+        rusqlite::Connection::open(&store.path)
             .unwrap()
             .execute(sql, [])
             .unwrap();
-        let (_, wrong) = bed.store.verify(BOUNDS).unwrap();
+        let (_, problems) = store.store.verify(BOUNDS).unwrap();
         assert!(
-            wrong.iter().any(|line| line.contains(found)),
-            "{sql}: {wrong:?}"
+            problems.iter().any(|line| line.contains(found)),
+            "{sql}: {problems:?}"
         );
     }
-    let bed = Bed::new();
-    rusqlite::Connection::open(&bed.path)
+    let store = TestStore::new();
+    rusqlite::Connection::open(&store.path)
         .unwrap()
         .pragma_update(None, "user_version", 99)
         .unwrap();
-    assert!(Store::open(&bed.path)
+    assert!(Store::open(&store.path)
         .err()
         .unwrap()
         .to_string()
@@ -547,23 +579,23 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Random records of two members, delivered in random batches, some twice, some only after their period was
-    /// closed; members die and start again, with and without a word, and so does the settlement: all statements
-    /// together come to all records joined at once.
+    /// Random records of two members in random batches, some delivered twice, some after their period has closed.
+    /// Members restart with and without a final watermark, and the settlement crashes. All statements together must
+    /// equal the result of joining all records at once.
     #[test]
-    fn statements_come_to_the_records_whatever_the_delivery(
+    fn statements_equal_the_records_for_any_delivery(
         records in prop::collection::vec((0i64..3 * PERIOD, 0u64..4, any::<bool>(), 0i32..5, 0u8..8, 0u8..4), 1..60),
         ends in any::<u64>(), marks in any::<u64>(),
     ) {
-        let mut bed = Bed::new();
+        let mut store = TestStore::new();
         let (mut sent, mut run) = ([0u64; 2], [1u64; 2]);
         let mut delivery: Vec<(u8, usize, u64, Vec<What>)> = Vec::new();
-        for (n, (at, key, repeat, outcome, dice, step)) in records.iter().enumerate() {
-            let member = usize::from(dice % 2);
-            if *dice < 2 && sent[member] > 0 {
-                // It dies, or ends in order.
+        for (n, (at, key, repeat, outcome, choice, step)) in records.iter().enumerate() {
+            let member = usize::from(choice % 2);
+            if *choice < 2 && sent[member] > 0 {
+                // The member crashes, or ends with a final watermark.
                 if ends >> (n % 64) & 1 == 0 {
-                    delivery.push((*step, member, run[member], vec![mark(sent[member], FIRST, true)]));
+                    delivery.push((*step, member, run[member], vec![watermark(sent[member], FIRST, true)]));
                 }
                 run[member] += 1;
                 sent[member] = 0;
@@ -572,38 +604,38 @@
             let keyed = *key == 0;
             let key = if keyed { 1 } else { key * 2 };
             let (outcome, share) = (*outcome, if *outcome == 1 { 600_000 } else { 0 });
-            let one = Record { repeat: *repeat, keyed, outcome, share, ..whole(sent[member], FIRST + at, key) };
-            let mut what = vec![What::Record(one)];
+            let record = Record { repeat: *repeat, keyed, outcome, share, ..answered(sent[member], FIRST + at, key) };
+            let mut what = vec![What::Record(record)];
             if marks >> (n % 64) & 1 == 0 {
-                what.push(mark(sent[member], FIRST, false));
+                what.push(watermark(sent[member], FIRST, false));
             }
             delivery.push((*step, member, run[member], what));
         }
         for n in 0..4u8 {
             for (i, (step, member, run, what)) in delivery.iter().enumerate() {
                 if *step == n || (*step < n && i % 3 == 0) {
-                    bed.take(["n0", "n1"][*member], &batch(*run, what.clone()));
+                    store.ingest(["n0", "n1"][*member], &batch(*run, what.clone()));
                 }
             }
-            bed.crash();
-            bed.close(i64::from(n), &[]);
+            store.crash();
+            store.close(i64::from(n), &[]);
         }
-        // One more, for what came late to the last.
-        bed.close(4, &[]);
-        bed.sound();
-        let mut said = Counts::default();
-        for (statement, ..) in bed.store.statements().unwrap() {
+        // One more period, for records that are late for the last one.
+        store.close(4, &[]);
+        store.assert_consistent();
+        let mut billed = Counts::default();
+        for (statement, ..) in store.store.statements().unwrap() {
             for line in &statement.lines {
-                said += line.counts;
+                billed += line.counts;
             }
         }
         let mut all = Counts::default();
-        let mut joiner = cottonhill_ledger::join::Joiner::new(BOUNDS.skew, BOUNDS.horizon);
-        for one in bed.store.tries(i64::MIN, i64::MAX).unwrap() {
-            joiner.take(one, &mut |it| all.add(&it));
+        let mut joiner = cottonhill_ledger::join::Joiner::new(BOUNDS.skew_ms, BOUNDS.horizon_ms);
+        for attempt in store.store.client_attempts(i64::MIN, i64::MAX).unwrap() {
+            joiner.push(attempt, &mut |joined| all.add(&joined));
         }
-        joiner.finish(&mut |it| all.add(&it));
-        prop_assert_eq!(said, all);
-        prop_assert_eq!(said.tries, records.len() as i64);
+        joiner.finish(&mut |joined| all.add(&joined));
+        prop_assert_eq!(billed, all);
+        prop_assert_eq!(billed.tries, records.len() as i64);
     }
 }
--- a/crates/standins/src/bin/cottonhill-bench-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-bench-ledger.rs
@@ -1,11 +1,11 @@
 //! `cottonhill-bench-ledger`: what the usage log costs a mixer, and how fast the settlement is.
 
 use clap::Parser;
-use cottonhill_ledger::log::put_frame;
-use cottonhill_ledger::period::{Calendar, Every, Period};
-use cottonhill_ledger::settings::Price;
+use cottonhill_ledger::log::append_frame;
+use cottonhill_ledger::period::{Calendar, Period, PeriodLength};
+use cottonhill_ledger::settings::ClassPrice;
 use cottonhill_ledger::settle::Bounds;
-use cottonhill_ledger::store::{Store, Terms};
+use cottonhill_ledger::store::{CloseParameters, Store};
 use cottonhill_ledger::wire::{entry::What, Batch, Class, Entry, Header, Outcome, Record};
 use cottonhill_standins::client::{spread, Attempt, Connection, Got, Question};
 use cottonhill_standins::installation::{Installation, Plan, CLASSES, SHARDS, TENANTS};
@@ -224,10 +224,10 @@
     let mut random = StdRng::seed_from_u64(7);
     // As long a period as it takes at 1,000 a second.
     let length = records as i64;
-    let calendar = Calendar(Every::Ms(86_400_000));
+    let calendar = Calendar(PeriodLength::FixedMs(86_400_000));
     let bounds = Bounds {
-        horizon: 2000,
-        skew: 100,
+        horizon_ms: 2000,
+        skew_ms: 100,
     };
     let header = Header {
         version: 1,
@@ -267,14 +267,14 @@
         .map(|(name, ..)| {
             (
                 name.to_string(),
-                Price {
-                    whole: 100,
+                ClassPrice {
+                    complete: 100,
                     partial: 90,
                 },
             )
         })
         .collect();
-    let terms = Terms {
+    let terms = CloseParameters {
         bounds,
         prices: &prices,
         allowances: &BTreeMap::new(),
@@ -312,7 +312,7 @@
     let count = 100_000;
     for n in 1..=count {
         let what = What::Record(record(&mut random, 1_000_000 + n, START + n as i64));
-        put_frame(&mut bytes, &Entry { what: Some(what) });
+        append_frame(&mut bytes, &Entry { what: Some(what) });
     }
     println!(
         "log: {:.1} bytes a record",
