--- a/crates/cottonhill/src/commands/check.rs
+++ b/crates/cottonhill/src/commands/check.rs
@@ -102,12 +102,12 @@
     let file = path
         .map(|path| path.display().to_string())
         .unwrap_or_default();
-    for setting in settings.shown(&SCHEMA) {
+    for setting in settings.effective_values(&SCHEMA) {
         let origin = match setting.origin {
             Origin::Line(line) => format!("{file}:{line}"),
             Origin::Default => "default".into(),
         };
-        let takes_effect = if setting.live {
+        let takes_effect = if setting.reloadable {
             TakesEffect::OnReload
         } else {
             TakesEffect::AtStart
--- a/crates/cottonhill/src/commands/ledger/export.rs
+++ b/crates/cottonhill/src/commands/ledger/export.rs
@@ -39,10 +39,11 @@
 }
 
 fn send_outbox(context: &LedgerContext, store: &Store, within: &str) -> Result<(), CommandError> {
-    let timeout = cottonhill_ini::time(within).map_err(|reason| UsageError::InvalidDuration {
-        value: within.to_string(),
-        reason: reason.to_string(),
-    })?;
+    let timeout =
+        cottonhill_ini::parse_duration(within).map_err(|reason| UsageError::InvalidDuration {
+            value: within.to_string(),
+            reason: reason.to_string(),
+        })?;
     let target = &context.settings.export;
     let (to_folder, to_url) = (target.folder.is_some(), target.url.is_some());
     if !to_folder && !to_url {
--- a/crates/cottonhill/src/error.rs
+++ b/crates/cottonhill/src/error.rs
@@ -1,6 +1,6 @@
 //! Why a command fails: one type for each exit code, gathered in [`CommandError`].
 
-use cottonhill_ini::Problems;
+use cottonhill_ini::SettingsErrors;
 use cottonhill_ledger::store;
 use std::io;
 use std::net::SocketAddr;
@@ -35,8 +35,8 @@
     }
 }
 
-impl From<Problems> for CommandError {
-    fn from(problems: Problems) -> CommandError {
+impl From<SettingsErrors> for CommandError {
+    fn from(problems: SettingsErrors) -> CommandError {
         ConfigurationError::InvalidSettings(problems).into()
     }
 }
@@ -109,7 +109,7 @@
     },
     /// The settings are malformed or contradict each other.
     #[error(transparent)]
-    InvalidSettings(#[from] Problems),
+    InvalidSettings(#[from] SettingsErrors),
     /// Certificate or key of a front can't be used; says which file.
     #[error("{0}")]
     InvalidCertificate(String),
--- a/crates/cottonhill/src/files.rs
+++ b/crates/cottonhill/src/files.rs
@@ -32,7 +32,11 @@
                 source,
             }
         })?;
-        Ok(Settings::read(&SCHEMA, &path.display().to_string(), &text)?)
+        Ok(Settings::parse(
+            &SCHEMA,
+            &path.display().to_string(),
+            &text,
+        )?)
     }
 }
 
--- a/crates/cottonhill/src/logging.rs
+++ b/crates/cottonhill/src/logging.rs
@@ -5,7 +5,7 @@
 
 use crate::error::{CommandError, RuntimeError};
 use crate::schema::{LOG, SCHEMA};
-use cottonhill_ini::{Problems, Settings};
+use cottonhill_ini::{Settings, SettingsErrors};
 use tracing_subscriber::filter::Targets;
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::reload::Handle;
@@ -57,12 +57,12 @@
 }
 
 fn is_json(settings: &Settings) -> bool {
-    settings.of(&SCHEMA, LOG.name, "").text("format") == Some("json")
+    settings.section(&SCHEMA, LOG.name, "").text("format") == Some("json")
 }
 
 /// The filter that the settings and the environment ask for.
-fn parse_filter(settings: &Settings) -> Result<Targets, Problems> {
-    let values = settings.of(&SCHEMA, LOG.name, "");
+fn parse_filter(settings: &Settings) -> Result<Targets, SettingsErrors> {
+    let values = settings.section(&SCHEMA, LOG.name, "");
     let environment = std::env::var(LEVEL_VARIABLE).ok();
     let level = environment
         .as_deref()
@@ -76,6 +76,6 @@
     };
     directives.parse().map_err(|error| {
         let reason = format!("'{directives}' does not do: {error}");
-        settings.problem(LOG.name, "", "targets", &reason)
+        settings.value_error(LOG.name, "", "targets", &reason)
     })
 }
--- a/crates/cottonhill/tests/commands.rs
+++ b/crates/cottonhill/tests/commands.rs
@@ -31,7 +31,7 @@
     ("[usage]\nlisten = 127.0.0.1:1\n", "2: [usage] listen: there is no log to collect"),
     ("[usage]\ndirectory = x\nkeep = 1MiB\n", "3: [usage] keep: has to be twice 'segment'"),
     ("[log]\nlevel = info\nlevel = warn\n", "3: [log] level is set twice"),
-    ("[log]\n[log]\n", "2: [log] stands twice"),
+    ("[log]\n[log]\n", "2: [log] occurs twice"),
     ("[price]\nwhole = 1\n", "1: [price] has to be of the form [price NAME]"),
     ("[price x]\npartial = 1\n", "1: [price x] whole: is missing"),
     ("[member n0]\naddress = localhost:1\n", "2: [member n0] address"),
@@ -45,7 +45,7 @@
          [network x]\ntenant = t\nprefixes = 10.0.0.0/8\n[network y]\ntenant = t\nprefixes = 10.1.0.0/16\n",
         "12: [network y] prefixes: 10.1.0.0/16 lies in a network of 't' already",
     ),
-    ("level = info\n", "1: 'level' stands in no section"),
+    ("level = info\n", "1: 'level' is not in any section"),
 ];
 
 #[test]
--- a/crates/ini/src/lib.rs
+++ b/crates/ini/src/lib.rs
@@ -1,13 +1,13 @@
-//! Our own settings: INI files read against a schema.
+//! Settings from INI files that are validated against a schema.
 //!
-//! A program states its sections and keys as a [`Schema`]: the kind of each value, its unit, default and whether a
-//! running program takes up a change. [`Settings::read`] checks a whole file against it and reports everything that
-//! is wrong at once, each with file, line, key and the nearest valid name. What is read knows where each value came
-//! from, so that it can be shown.
+//! A program declares its sections and keys as a [`Schema`]: the kind, unit and default of each value, and whether a
+//! running program applies a change of it. [`Settings::parse`] validates a file against the schema and reports all of
+//! its errors at once, each with file, line, key and the nearest valid name. The parsed settings keep the origin of
+//! each value, so that a program can print it.
 
 mod value;
 
-pub use value::{bytes, time, Kind};
+pub use value::{parse_bytes, parse_duration, Kind};
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -19,14 +19,15 @@
 pub struct Key {
     pub name: &'static str,
     pub kind: Kind,
-    /// What holds where the file is silent; none where nothing does.
+    /// The value of a key that the file does not set; `None` if the key then has no value.
     pub default: Option<&'static str>,
-    /// A running program takes up a change on SIGHUP.
-    pub live: bool,
+    /// Whether a running program applies a change on SIGHUP; otherwise a change needs a restart.
+    pub reloadable: bool,
+    /// A sentence for the documentation of the key.
     pub doc: &'static str,
 }
 
-/// One section; a named one may stand several times, as `[kind NAME]`.
+/// One section. A named section may occur several times, as `[kind NAME]`.
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
     pub name: &'static str,
@@ -34,7 +35,7 @@
     pub keys: &'static [Key],
 }
 
-/// All that a file may hold.
+/// All sections that a file may contain.
 #[derive(Clone, Copy, Debug)]
 pub struct Schema(pub &'static [Section]);
 
@@ -44,67 +45,68 @@
     }
 }
 
-/// Where a value came from.
+/// The origin of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Origin {
-    /// A line of the file, counted from 1.
+    /// A line of the file; the first is 1.
     Line(usize),
     Default,
 }
 
-/// One thing that is wrong with a file.
+/// One error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{file}{}: {what}", .line.map(|line| format!(":{line}")).unwrap_or_default())]
-pub struct Problem {
+#[error("{file}{}: {message}", .line.map(|line| format!(":{line}")).unwrap_or_default())]
+pub struct SettingsError {
     pub file: String,
     pub line: Option<usize>,
-    pub what: String,
+    pub message: String,
 }
 
-/// All that is wrong with a file, in the order of its lines.
+/// All errors in a settings file, in the order of its lines.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub struct Problems(pub Vec<Problem>);
+pub struct SettingsErrors(pub Vec<SettingsError>);
 
-impl fmt::Display for Problems {
+impl fmt::Display for SettingsErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let all: Vec<String> = self.0.iter().map(Problem::to_string).collect();
+        let all: Vec<String> = self.0.iter().map(SettingsError::to_string).collect();
         f.write_str(&all.join("; "))
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Given {
+struct ConfiguredValue {
     text: String,
     line: usize,
 }
 
-/// The values in force: those of the file, and the defaults where it is silent.
+/// The effective values: those that the file sets, and the schema's defaults for all other keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     file: String,
-    /// By section, name (empty where the section has none) and key.
-    given: BTreeMap<(&'static str, String, &'static str), Given>,
-    names: BTreeMap<&'static str, BTreeMap<String, usize>>,
+    /// The values of the file by section, section name (empty for a section without one) and key.
+    configured: BTreeMap<(&'static str, String, &'static str), ConfiguredValue>,
+    /// The names of the named sections of each kind, with the lines of their headers.
+    section_names: BTreeMap<&'static str, BTreeMap<String, usize>>,
 }
 
-/// One value in force, for people to read.
+/// One effective value, as text for display.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Shown {
+pub struct EffectiveValue {
     pub section: String,
     pub key: &'static str,
     pub value: String,
     pub origin: Origin,
-    pub live: bool,
+    pub reloadable: bool,
 }
 
-/// Where sections and keys stand in a text; the parser tells values, not lines.
-struct Lines {
+/// The line numbers of the sections and keys of a text, which the INI parser does not report.
+struct LineIndex {
     sections: BTreeMap<String, Vec<usize>>,
     keys: BTreeMap<(String, String), Vec<usize>>,
 }
 
-impl Lines {
-    fn of(text: &str) -> Lines {
+impl LineIndex {
+    fn build(text: &str) -> LineIndex {
         let (mut sections, mut keys) = (BTreeMap::new(), BTreeMap::new());
         let mut section = String::new();
         for (number, line) in text.lines().enumerate() {
@@ -120,71 +122,75 @@
                     .push(number + 1);
             } else if let Some((key, _)) = line.split_once(['=', ':']) {
                 if !line.starts_with([';', '#']) {
-                    let at = (section.clone(), key.trim().to_string());
-                    keys.entry(at).or_insert_with(Vec::new).push(number + 1);
+                    let key = (section.clone(), key.trim().to_string());
+                    keys.entry(key).or_insert_with(Vec::new).push(number + 1);
                 }
             }
         }
-        Lines { sections, keys }
+        LineIndex { sections, keys }
     }
 
-    fn section(&self, name: &str) -> Option<usize> {
+    /// The first line with the header of this section.
+    fn section_line(&self, name: &str) -> Option<usize> {
         self.sections
             .get(name)
             .and_then(|lines| lines.first())
             .copied()
     }
 
-    fn keys(&self, section: &str, key: &str) -> &[usize] {
+    /// All lines that set this key of this section.
+    fn key_lines(&self, section: &str, key: &str) -> &[usize] {
         self.keys
             .get(&(section.to_string(), key.to_string()))
             .map_or(&[], Vec::as_slice)
     }
 }
 
-/// The valid name that `name` is most like, if it is like any.
+/// The valid name that is most similar to `name`, if any is similar enough.
 fn nearest<'a>(name: &str, valid: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    let near = valid.map(|valid| (strsim::jaro_winkler(name, valid), valid));
-    near.filter(|(like, _)| *like > 0.7)
+    let similarities = valid.map(|valid| (strsim::jaro_winkler(name, valid), valid));
+    similarities
+        .filter(|(similarity, _)| *similarity > 0.7)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, valid)| valid)
 }
 
+/// The part of an error message that suggests valid names instead of `name`.
 fn suggestion<'a>(name: &str, valid: impl Iterator<Item = &'a str> + Clone) -> String {
     match nearest(name, valid.clone()) {
         Some(near) => format!("; the nearest is '{near}'"),
-        None => format!("; there are {}", valid.collect::<Vec<_>>().join(", ")),
+        None => format!("; expected one of {}", valid.collect::<Vec<_>>().join(", ")),
     }
 }
 
 impl Settings {
-    /// No file: the defaults.
+    /// The settings without a file: the defaults.
     pub fn defaults() -> Settings {
         Settings {
             file: "no file".into(),
-            given: BTreeMap::new(),
-            names: BTreeMap::new(),
+            configured: BTreeMap::new(),
+            section_names: BTreeMap::new(),
         }
     }
 
-    /// Reads `text`, which stands in `file`, against `schema`.
+    /// Parses `text`, the contents of `file`, and validates it against `schema`.
     ///
     /// # Errors
-    /// Everything in it that is not as the schema says.
-    pub fn read(schema: &Schema, file: &str, text: &str) -> Result<Settings, Problems> {
-        let problem = |line: Option<usize>, what: String| Problem {
+    /// Everything that violates the schema.
+    pub fn parse(schema: &Schema, file: &str, text: &str) -> Result<Settings, SettingsErrors> {
+        let error = |line: Option<usize>, message: String| SettingsError {
             file: file.into(),
             line,
-            what,
+            message,
         };
         let ini = ini::Ini::load_from_str(text).map_err(|e| {
-            Problems(vec![problem(
+            SettingsErrors(vec![error(
                 Some(e.line),
-                format!("cannot be read: {}", e.msg),
+                format!("cannot be parsed: {}", e.msg),
             )])
         })?;
-        let lines = Lines::of(text);
-        let mut problems = Vec::new();
+        let lines = LineIndex::build(text);
+        let mut errors = Vec::new();
         let mut settings = Settings {
             file: file.into(),
             ..Settings::defaults()
@@ -194,88 +200,105 @@
             let header = header.unwrap_or_default().trim();
             if header.is_empty() {
                 for (key, _) in properties.iter() {
-                    let line = lines.keys("", key).first().copied();
-                    problems.push(problem(line, format!("'{key}' stands in no section")));
+                    let line = lines.key_lines("", key).first().copied();
+                    errors.push(error(line, format!("'{key}' is not in any section")));
                 }
                 continue;
             }
             if !seen.insert(header.to_string()) {
-                let line = lines.sections.get(header).and_then(|at| at.get(1)).copied();
-                problems.push(problem(line, format!("[{header}] stands twice")));
+                let line = lines
+                    .sections
+                    .get(header)
+                    .and_then(|lines| lines.get(1))
+                    .copied();
+                errors.push(error(line, format!("[{header}] occurs twice")));
                 continue;
             }
-            let line = lines.section(header);
+            let line = lines.section_line(header);
             let (kind, name) = header
                 .split_once(char::is_whitespace)
                 .unwrap_or((header, ""));
             let name = name.trim().trim_matches('"');
             let Some(section) = schema.section(kind) else {
-                let near = suggestion(kind, schema.0.iter().map(|section| section.name));
-                problems.push(problem(line, format!("there is no section [{kind}]{near}")));
+                let suggestion = suggestion(kind, schema.0.iter().map(|section| section.name));
+                errors.push(error(
+                    line,
+                    format!("there is no section [{kind}]{suggestion}"),
+                ));
                 continue;
             };
             if section.named == name.is_empty() {
-                let form = if section.named {
+                let expected = if section.named {
                     format!("[{kind} NAME]")
                 } else {
                     format!("[{kind}]")
                 };
-                problems.push(problem(
+                errors.push(error(
                     line,
-                    format!("[{header}] has to be of the form {form}"),
+                    format!("[{header}] has to be of the form {expected}"),
                 ));
                 continue;
             }
             if section.named {
-                let names = settings.names.entry(section.name).or_default();
+                let names = settings.section_names.entry(section.name).or_default();
                 names.insert(name.to_string(), line.unwrap_or_default());
             }
-            let mut counted: BTreeMap<&str, usize> = BTreeMap::new();
-            for (given, text) in properties.iter() {
-                let nth = counted.entry(given).or_default();
-                let line = lines.keys(header, given).get(*nth).copied();
+            let mut occurrences: BTreeMap<&str, usize> = BTreeMap::new();
+            for (key_name, text) in properties.iter() {
+                let nth = occurrences.entry(key_name).or_default();
+                let line = lines.key_lines(header, key_name).get(*nth).copied();
                 *nth += 1;
                 if *nth > 1 {
-                    problems.push(problem(line, format!("[{header}] {given} is set twice")));
+                    errors.push(error(line, format!("[{header}] {key_name} is set twice")));
                     continue;
                 }
-                let Some(key) = section.keys.iter().find(|key| key.name == given) else {
-                    let near = suggestion(given, section.keys.iter().map(|key| key.name));
-                    problems.push(problem(
+                let Some(key) = section.keys.iter().find(|key| key.name == key_name) else {
+                    let suggestion = suggestion(key_name, section.keys.iter().map(|key| key.name));
+                    errors.push(error(
                         line,
-                        format!("[{header}] has no key '{given}'{near}"),
+                        format!("[{header}] has no key '{key_name}'{suggestion}"),
                     ));
                     continue;
                 };
-                if let Err(why) = key.kind.check(text) {
-                    problems.push(problem(line, format!("[{header}] {given} = {text}: {why}")));
+                if let Err(reason) = key.kind.check(text) {
+                    errors.push(error(
+                        line,
+                        format!("[{header}] {key_name} = {text}: {reason}"),
+                    ));
                     continue;
                 }
-                let value = Given {
+                let value = ConfiguredValue {
                     text: text.trim().to_string(),
                     line: line.unwrap_or_default(),
                 };
                 settings
-                    .given
+                    .configured
                     .insert((section.name, name.to_string(), key.name), value);
             }
         }
-        if problems.is_empty() {
+        if errors.is_empty() {
             return Ok(settings);
         }
-        problems.sort_by_key(|problem| problem.line);
-        Err(Problems(problems))
+        errors.sort_by_key(|error| error.line);
+        Err(SettingsErrors(errors))
     }
 
-    /// A problem with one value that only what it is used for can see.
-    pub fn problem(&self, section: &str, name: &str, key: &str, why: &str) -> Problems {
-        let given = self
-            .given
+    /// An error in one value that the schema cannot find, only the code that uses the value. Its line is that of the
+    /// value, or that of the section's header if the file does not set the value.
+    pub fn value_error(
+        &self,
+        section: &str,
+        name: &str,
+        key: &str,
+        reason: &str,
+    ) -> SettingsErrors {
+        let configured = self
+            .configured
             .iter()
             .find(|((s, n, k), _)| *s == section && n == name && *k == key);
-        let line = given.map(|(_, given)| given.line);
+        let line = configured.map(|(_, configured)| configured.line);
         let line = line.or_else(|| {
-            self.names
+            self.section_names
                 .get(section)
                 .and_then(|names| names.get(name).copied())
         });
@@ -284,61 +307,75 @@
         } else {
             format!("{section} {name}")
         };
-        Problems(vec![Problem {
+        SettingsErrors(vec![SettingsError {
             file: self.file.clone(),
             line,
-            what: format!("[{header}] {key}: {why}"),
+            message: format!("[{header}] {key}: {reason}"),
         }])
     }
 
-    /// The names under which a named section stands.
-    pub fn names(&self, section: &str) -> Vec<&str> {
+    /// The names of all sections of this kind, as in `[section NAME]`.
+    pub fn section_names(&self, section: &str) -> Vec<&str> {
         let names = self
-            .names
+            .section_names
             .get(section)
             .into_iter()
             .flat_map(|names| names.keys());
         names.map(String::as_str).collect()
     }
 
-    /// Everything in force, with where it came from.
-    pub fn shown(&self, schema: &Schema) -> Vec<Shown> {
-        let mut shown = Vec::new();
+    /// All effective values with their origins.
+    pub fn effective_values(&self, schema: &Schema) -> Vec<EffectiveValue> {
+        let mut effective = Vec::new();
         for section in schema.0 {
             let names = if section.named {
-                self.names(section.name)
+                self.section_names(section.name)
             } else {
                 vec![""]
             };
             for name in names {
                 for key in section.keys {
-                    let given = self.given.get(&(section.name, name.to_string(), key.name));
-                    let value = given.map(|given| given.text.as_str()).or(key.default);
-                    let origin = given.map_or(Origin::Default, |given| Origin::Line(given.line));
+                    let configured =
+                        self.configured
+                            .get(&(section.name, name.to_string(), key.name));
+                    let value = configured
+                        .map(|configured| configured.text.as_str())
+                        .or(key.default);
+                    let origin = configured
+                        .map_or(Origin::Default, |configured| Origin::Line(configured.line));
                     let header = if name.is_empty() {
                         section.name.into()
                     } else {
                         format!("{} {name}", section.name)
                     };
                     let value = value.unwrap_or("(not set)").to_string();
-                    shown.push(Shown {
+                    effective.push(EffectiveValue {
                         section: header,
                         key: key.name,
                         value,
                         origin,
-                        live: key.live,
+                        reloadable: key.reloadable,
                     });
                 }
             }
         }
-        shown
+        effective
     }
 
-    /// What `next` states otherwise, as `[section] key`, and of it only what a running program does not take up.
+    /// The settings that differ in `next` and need a restart, as `[section] key`.
     pub fn needs_restart(&self, next: &Settings, schema: &Schema) -> Vec<String> {
-        let plain = |shown: Shown| ((shown.section, shown.key, shown.live), shown.value);
-        let before: BTreeMap<_, _> = self.shown(schema).into_iter().map(plain).collect();
-        let after: BTreeMap<_, _> = next.shown(schema).into_iter().map(plain).collect();
+        let entry =
+            |value: EffectiveValue| ((value.section, value.key, value.reloadable), value.value);
+        let before: BTreeMap<_, _> = self
+            .effective_values(schema)
+            .into_iter()
+            .map(entry)
+            .collect();
+        let after: BTreeMap<_, _> = next
+            .effective_values(schema)
+            .into_iter()
+            .map(entry)
+            .collect();
         let keys: BTreeSet<_> = before.keys().chain(after.keys()).collect();
         let changed = keys
             .into_iter()
@@ -348,8 +385,13 @@
             .collect()
     }
 
-    /// The values under one section, with the defaults of `schema`.
-    pub fn of<'a>(&'a self, schema: &Schema, section: &'static str, name: &'a str) -> Values<'a> {
+    /// The values of one section, with the defaults of `schema`; `name` is empty for a section without one.
+    pub fn section<'a>(
+        &'a self,
+        schema: &Schema,
+        section: &'static str,
+        name: &'a str,
+    ) -> Values<'a> {
         Values {
             settings: self,
             section: schema.section(section),
@@ -358,7 +400,8 @@
     }
 }
 
-/// The values of one section. All were checked when they were read: what can't be parsed is not there.
+/// The values of one section. [`Settings::parse`] has validated them, so a getter returns `None` only for a key without
+/// a value or of another kind.
 #[derive(Clone, Copy)]
 pub struct Values<'a> {
     settings: &'a Settings,
@@ -370,12 +413,12 @@
     pub fn text(&self, key: &str) -> Option<&'a str> {
         let section = self.section?;
         let key = section.keys.iter().find(|k| k.name == key)?;
-        let given = self
-            .settings
-            .given
-            .get(&(section.name, self.name.to_string(), key.name));
-        given
-            .map(|given| given.text.as_str())
+        let configured =
+            self.settings
+                .configured
+                .get(&(section.name, self.name.to_string(), key.name));
+        configured
+            .map(|configured| configured.text.as_str())
             .or(key.default)
             .filter(|text| !text.is_empty())
     }
@@ -384,16 +427,16 @@
         self.text(key) == Some("yes")
     }
 
-    pub fn count(&self, key: &str) -> Option<u64> {
+    pub fn integer(&self, key: &str) -> Option<u64> {
         self.text(key).and_then(|text| text.parse().ok())
     }
 
-    pub fn time(&self, key: &str) -> Option<Duration> {
-        self.text(key).and_then(|text| time(text).ok())
+    pub fn duration(&self, key: &str) -> Option<Duration> {
+        self.text(key).and_then(|text| parse_duration(text).ok())
     }
 
     pub fn bytes(&self, key: &str) -> Option<u64> {
-        self.text(key).and_then(|text| bytes(text).ok())
+        self.text(key).and_then(|text| parse_bytes(text).ok())
     }
 
     pub fn address(&self, key: &str) -> Option<SocketAddr> {
--- a/crates/ini/src/value.rs
+++ b/crates/ini/src/value.rs
@@ -1,30 +1,32 @@
-//! Kinds of values, with their units.
+//! Kinds of setting values and their units.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a value has to be.
+/// The kind of a value, which decides the texts that are valid for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
     Text,
     /// `yes` or `no`.
     Flag,
-    /// A whole number within these bounds, both included.
-    Count(u64, u64),
-    /// A length of time with its unit: `us`, `ms`, `s`, `m`, `h` or `d`.
-    Time,
+    /// A whole number from the first bound to the second, both included.
+    Integer(u64, u64),
+    /// A duration with its unit: `us`, `ms`, `s`, `m`, `h` or `d`.
+    Duration,
     /// An amount of memory or disk with its unit: `B`, `KiB`, `MiB` or `GiB`.
     Bytes,
-    /// `ADDRESS:PORT`, numeric.
+    /// `ADDRESS:PORT` with a numeric IP address.
     Address,
     Choice(&'static [&'static str]),
-    /// A length of time, or one of these words.
-    TimeOr(&'static [&'static str]),
+    /// A duration, or one of these words.
+    DurationOr(&'static [&'static str]),
 }
 
 impl Kind {
+    /// Checks that `text` is a valid value of this kind.
+    ///
     /// # Errors
-    /// Why `text` is no such value.
+    /// The reason for which it is not, for a message that starts with the key.
     pub fn check(&self, text: &str) -> Result<(), String> {
         let text = text.trim();
         match self {
@@ -33,54 +35,56 @@
                 "yes" | "no" => Ok(()),
                 _ => Err("has to be 'yes' or 'no'".into()),
             },
-            Kind::Count(least, most) => match text.parse::<u64>() {
-                Ok(number) if (*least..=*most).contains(&number) => Ok(()),
-                _ => Err(format!("has to be a whole number from {least} to {most}")),
+            Kind::Integer(min, max) => match text.parse::<u64>() {
+                Ok(number) if (*min..=*max).contains(&number) => Ok(()),
+                _ => Err(format!("has to be a whole number from {min} to {max}")),
             },
-            Kind::Time => time(text).map(drop),
-            Kind::Bytes => bytes(text).map(drop),
+            Kind::Duration => parse_duration(text).map(drop),
+            Kind::Bytes => parse_bytes(text).map(drop),
             Kind::Address => match text.parse::<SocketAddr>() {
                 Ok(_) => Ok(()),
-                Err(_) => Err("has to be ADDRESS:PORT, in numbers".into()),
+                Err(_) => Err("has to be ADDRESS:PORT with a numeric IP address".into()),
             },
             Kind::Choice(words) if words.contains(&text) => Ok(()),
             Kind::Choice(words) => {
+                // The suggestion without its leading "; ".
                 Err(crate::suggestion(text, words.iter().copied())[2..].to_string())
             }
-            Kind::TimeOr(words) if words.contains(&text) => Ok(()),
-            Kind::TimeOr(words) => time(text)
+            Kind::DurationOr(words) if words.contains(&text) => Ok(()),
+            Kind::DurationOr(words) => parse_duration(text)
                 .map(drop)
-                .map_err(|why| format!("{why}, or {}", words.join(", "))),
+                .map_err(|reason| format!("{reason}, or {}", words.join(", "))),
         }
     }
 }
 
-fn measure(text: &str, units: &[(&str, u64)], example: &str) -> Result<u64, String> {
+/// Parses a whole number that is followed by one of `units`, and multiplies it by the factor of that unit.
+fn parse_quantity(text: &str, units: &[(&str, u64)], example: &str) -> Result<u64, String> {
     let text = text.trim();
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit) = text.split_at(digits);
-    let words: Vec<&str> = units.iter().map(|(unit, _)| *unit).collect();
-    let wrong = || {
+    let unit_names: Vec<&str> = units.iter().map(|(unit, _)| *unit).collect();
+    let invalid = || {
         format!(
             "has to be a whole number and a unit ({}), as in {example}",
-            words.join(", ")
+            unit_names.join(", ")
         )
     };
     let factor = units
         .iter()
-        .find(|(word, _)| *word == unit.trim())
+        .find(|(name, _)| *name == unit.trim())
         .map(|(_, factor)| *factor);
-    let number: u64 = number.parse().map_err(|_| wrong())?;
+    let number: u64 = number.parse().map_err(|_| invalid())?;
     number
-        .checked_mul(factor.ok_or_else(wrong)?)
+        .checked_mul(factor.ok_or_else(invalid)?)
         .ok_or_else(|| "is too large".to_string())
 }
 
-/// A length of time with its unit.
+/// Parses a duration with its unit, as in `250ms`.
 ///
 /// # Errors
-/// Why it is none.
-pub fn time(text: &str) -> Result<Duration, String> {
+/// The reason for which it is not valid.
+pub fn parse_duration(text: &str) -> Result<Duration, String> {
     let units = [
         ("us", 1),
         ("ms", 1_000),
@@ -89,15 +93,15 @@
         ("h", 3_600_000_000),
         ("d", 86_400_000_000),
     ];
-    measure(text, &units, "250ms").map(Duration::from_micros)
+    parse_quantity(text, &units, "250ms").map(Duration::from_micros)
 }
 
-/// An amount of memory or disk with its unit, in bytes.
+/// Parses an amount of memory or disk with its unit, as in `8MiB`, into bytes.
 ///
 /// # Errors
-/// Why it is none.
-pub fn bytes(text: &str) -> Result<u64, String> {
-    measure(
+/// The reason for which it is not valid.
+pub fn parse_bytes(text: &str) -> Result<u64, String> {
+    parse_quantity(
         text,
         &[
             ("B", 1),
--- a/crates/lab/src/hollow/settings.rs
+++ b/crates/lab/src/hollow/settings.rs
@@ -19,7 +19,7 @@
         name,
         kind,
         default: Some(default),
-        live: false,
+        reloadable: false,
         doc,
     }
 }
@@ -43,13 +43,13 @@
         ),
         key(
             "base_mixers",
-            Kind::Count(1, MOST_MIXERS),
+            Kind::Integer(1, MOST_MIXERS),
             "10",
             "Mixers where the list is stepped.",
         ),
         key(
             "base_entries",
-            Kind::Count(15, MOST_ENTRIES),
+            Kind::Integer(15, MOST_ENTRIES),
             "300",
             "Entries where the mixers are stepped.",
         ),
@@ -61,13 +61,13 @@
         ),
         key(
             "threads",
-            Kind::Count(1, 64),
+            Kind::Integer(1, 64),
             "4",
             "Threads that the mixers share.",
         ),
         key(
             "changes",
-            Kind::Count(1, 10_000),
+            Kind::Integer(1, 10_000),
             "20",
             "Changes of one entry, one after another.",
         ),
@@ -79,31 +79,31 @@
         ),
         key(
             "rate_time",
-            Kind::Time,
+            Kind::Duration,
             "5s",
             "How long each rate is kept up.",
         ),
         key(
             "zone_entries",
-            Kind::Count(1, MOST_ENTRIES),
+            Kind::Integer(1, MOST_ENTRIES),
             "7333",
             "Entries of a zone, changed at once; all where the list has fewer.",
         ),
         key(
             "rest_time",
-            Kind::Time,
+            Kind::Duration,
             "2s",
             "How long the cost of a fleet at rest is measured.",
         ),
         key(
             "absent_time",
-            Kind::Time,
+            Kind::Duration,
             "2s",
             "How long discovery is gone before it returns.",
         ),
         key(
             "step_time",
-            Kind::Time,
+            Kind::Duration,
             "30s",
             "The longest that one step waits for the last mixer.",
         ),
@@ -164,11 +164,12 @@
     /// # Errors
     /// A list that holds something else than its kind of values, named with its line.
     pub fn read(settings: &Settings) -> Result<HollowSettings, Failure> {
-        let values = settings.of(&SCHEMA, HOLLOW.name, "");
-        let count = |key: &str| values.count(key).unwrap_or_default();
-        let time = |key: &str| values.time(key).unwrap_or_default();
-        let problem =
-            |key: &str, why: &str| Failure::settings(settings.problem(HOLLOW.name, "", key, why));
+        let values = settings.section(&SCHEMA, HOLLOW.name, "");
+        let count = |key: &str| values.integer(key).unwrap_or_default();
+        let time = |key: &str| values.duration(key).unwrap_or_default();
+        let problem = |key: &str, why: &str| {
+            Failure::settings(settings.value_error(HOLLOW.name, "", key, why))
+        };
         let sizes = |key: &str, range: RangeInclusive<u64>| {
             let why = format!(
                 "has to be whole numbers from {} to {}, as in 300, 3000",
--- a/crates/lab/src/logs.rs
+++ b/crates/lab/src/logs.rs
@@ -17,14 +17,14 @@
             name: "level",
             kind: Kind::Choice(&["error", "warn", "info", "debug", "trace"]),
             default: Some("info"),
-            live: false,
+            reloadable: false,
             doc: "The least level that is logged.",
         },
         Key {
             name: "format",
             kind: Kind::Choice(&["text", "json"]),
             default: Some("text"),
-            live: false,
+            reloadable: false,
             doc: "One line of text, or one JSON object, for each event.",
         },
     ],
@@ -35,7 +35,7 @@
 /// # Errors
 /// A logger that runs already.
 pub fn start(settings: &Settings) -> Result<(), Failure> {
-    let values = settings.of(&SCHEMA, SECTION.name, "");
+    let values = settings.section(&SCHEMA, SECTION.name, "");
     let level = values.text("level").unwrap_or("info");
     let filter: Targets = level.parse().map_err(Failure::settings)?;
     let plain = tracing_subscriber::fmt::layer()
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -32,7 +32,7 @@
         .collect();
     let slopes = findings::slopes(scale, &series);
     let ratios = findings::ratios(scale, &series);
-    let shown = settings.shown(&SCHEMA).into_iter();
+    let shown = settings.effective_values(&SCHEMA).into_iter();
     Report {
         format: FORMAT,
         machine,
--- a/crates/lab/src/scale/settings.rs
+++ b/crates/lab/src/scale/settings.rs
@@ -10,7 +10,7 @@
         name,
         kind,
         default: Some(default),
-        live: false,
+        reloadable: false,
         doc,
     }
 }
@@ -22,7 +22,7 @@
     keys: &[
         key(
             "seed",
-            Kind::Count(0, u64::MAX),
+            Kind::Integer(0, u64::MAX),
             "1",
             "Seed of the mixer's decisions; the workload is the same for each.",
         ),
@@ -58,67 +58,67 @@
         ),
         key(
             "copies",
-            Kind::Count(1, 64),
+            Kind::Integer(1, 64),
             "3",
             "Leaf servers that hold the same shard.",
         ),
         key(
             "zones",
-            Kind::Count(1, 64),
+            Kind::Integer(1, 64),
             "15",
             "Zones that the leaf servers are spread over.",
         ),
         key(
             "base_servers",
-            Kind::Count(1, 1_000_000),
+            Kind::Integer(1, 1_000_000),
             "3000",
             "Leaf servers where another size is stepped.",
         ),
         key(
             "base_open",
-            Kind::Count(1, 100_000),
+            Kind::Integer(1, 100_000),
             "32",
             "Queries open at once where another size is stepped.",
         ),
         key(
             "answer",
-            Kind::Time,
+            Kind::Duration,
             "60ms",
             "How long a leaf server takes for a part, in the run's own time.",
         ),
         key(
             "queries",
-            Kind::Count(1, 1_000_000),
+            Kind::Integer(1, 1_000_000),
             "2000",
             "Queries of one point, at most.",
         ),
         key(
             "warm_queries",
-            Kind::Count(0, 1_000_000),
+            Kind::Integer(0, 1_000_000),
             "200",
             "Queries before the measured ones, at most.",
         ),
         key(
             "change_messages",
-            Kind::Count(1, 100_000),
+            Kind::Integer(1, 100_000),
             "50",
             "Messages of changes of one point, at most.",
         ),
         key(
             "change_entries",
-            Kind::Count(1, 10_000),
+            Kind::Integer(1, 10_000),
             "50",
             "Entries of a message in the series of larger changes.",
         ),
         key(
             "point_time",
-            Kind::Time,
+            Kind::Duration,
             "10s",
             "Time after which the work of one point is cut.",
         ),
         key(
             "point_limit",
-            Kind::Time,
+            Kind::Duration,
             "60s",
             "Time after which the process of one point is ended; it counts as failed.",
         ),
@@ -164,13 +164,13 @@
     /// # Errors
     /// A list that is not of rising whole numbers, named with its line.
     pub fn read(settings: &Settings) -> Result<Scale, Failure> {
-        let values = settings.of(&SCHEMA, SCALE.name, "");
-        let count = |key: &str| values.count(key).unwrap_or_default();
-        let time = |key: &str| values.time(key).unwrap_or_default();
+        let values = settings.section(&SCHEMA, SCALE.name, "");
+        let count = |key: &str| values.integer(key).unwrap_or_default();
+        let time = |key: &str| values.duration(key).unwrap_or_default();
         let sizes = |key: &'static str| {
             let text = values.text(key).unwrap_or_default();
             rising(text)
-                .map_err(|why| Failure::settings(settings.problem(SCALE.name, "", key, why)))
+                .map_err(|why| Failure::settings(settings.value_error(SCALE.name, "", key, why)))
         };
         let scale = Scale {
             seed: count("seed"),
@@ -193,7 +193,7 @@
         };
         let wrong = |key, why: &str| {
             Err(Failure::settings(
-                settings.problem(SCALE.name, "", key, why),
+                settings.value_error(SCALE.name, "", key, why),
             ))
         };
         let most_parts = scale.widest().max(last(&scale.part_steps));
--- a/crates/lab/src/settings.rs
+++ b/crates/lab/src/settings.rs
@@ -20,5 +20,5 @@
     let shown = path.display().to_string();
     let text = std::fs::read_to_string(path)
         .map_err(|e| Failure::Settings(format!("cannot read the settings {shown}: {e}")))?;
-    Settings::read(&SCHEMA, &shown, &text).map_err(Failure::settings)
+    Settings::parse(&SCHEMA, &shown, &text).map_err(Failure::settings)
 }
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -18,7 +18,7 @@
 
 fn read(text: &str) -> Result<HollowSettings, Failure> {
     let settings =
-        cottonhill_ini::Settings::read(&SCHEMA, "lab.ini", text).map_err(Failure::settings)?;
+        cottonhill_ini::Settings::parse(&SCHEMA, "lab.ini", text).map_err(Failure::settings)?;
     HollowSettings::read(&settings)
 }
 
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -392,7 +392,7 @@
 }
 
 fn refused(settings: &str) -> String {
-    let read = Settings::read(&SCHEMA, "scale.ini", settings).map_err(Failure::settings);
+    let read = Settings::parse(&SCHEMA, "scale.ini", settings).map_err(Failure::settings);
     let failure = read
         .and_then(|settings| Scale::read(&settings))
         .expect_err("settings that do not do");
@@ -466,10 +466,10 @@
 fn the_settings_that_are_committed_are_the_defaults() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/scale.ini");
     let text = std::fs::read_to_string(path).expect("the settings");
-    let committed = Settings::read(&SCHEMA, "lab/scale.ini", &text).expect("good settings");
+    let committed = Settings::parse(&SCHEMA, "lab/scale.ini", &text).expect("good settings");
     let scale = |settings: &Settings| Scale::read(settings).expect("good settings");
     assert_eq!(scale(&committed), scale(&Settings::defaults()));
-    for shown in committed.shown(&SCHEMA) {
+    for shown in committed.effective_values(&SCHEMA) {
         assert_ne!(
             shown.origin,
             cottonhill_ini::Origin::Default,
--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -1,7 +1,7 @@
 //! The ledger's sections of the settings file, and what they say once read.
 
 use crate::period::{Calendar, Every};
-use cottonhill_ini::{Key, Kind, Problems, Schema, Section, Settings};
+use cottonhill_ini::{Key, Kind, Schema, Section, Settings, SettingsErrors};
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
         name,
         kind,
         default,
-        live: false,
+        reloadable: false,
         doc,
     }
 }
@@ -34,7 +34,7 @@
         name,
         kind,
         default,
-        live: true,
+        reloadable: true,
         doc,
     }
 }
@@ -65,19 +65,19 @@
         ),
         key(
             "queue",
-            Kind::Count(16, 1_000_000),
+            Kind::Integer(16, 1_000_000),
             Some("8192"),
             "Records that may wait for the writer.",
         ),
         key(
             "stall",
-            Kind::Time,
+            Kind::Duration,
             Some("5ms"),
             "How long an answer waits for its record; then it goes without.",
         ),
         key(
             "mark",
-            Kind::Time,
+            Kind::Duration,
             Some("500ms"),
             "How often the log says up to when it is complete.",
         ),
@@ -102,13 +102,13 @@
         ),
         live(
             "again",
-            Kind::Time,
+            Kind::Duration,
             Some("200ms"),
             "Wait before a member that failed is asked again; it doubles up to 32 times.",
         ),
         live(
             "silent",
-            Kind::Time,
+            Kind::Duration,
             Some("5s"),
             "A member that says nothing for so long is asked anew.",
         ),
@@ -119,16 +119,16 @@
     name: "periods",
     named: false,
     keys: &[
-        key("every", Kind::TimeOr(&["daily", "monthly"]), Some("monthly"), "Length of a billing period."),
+        key("every", Kind::DurationOr(&["daily", "monthly"]), Some("monthly"), "Length of a billing period."),
         key("zone", Kind::Text, Some("UTC"), "Time zone of daily and monthly periods, by its IANA name."),
         live(
             "horizon",
-            Kind::Time,
+            Kind::Duration,
             Some("30s"),
             "The longest after a first try that a retry may arrive: at least the longest give-up time of a class.",
         ),
-        live("skew", Kind::Time, Some("2s"), "The most that two mixers' clocks differ."),
-        live("grace", Kind::Time, Some("1h"), "How long a period waits for silent members after it could have closed."),
+        live("skew", Kind::Duration, Some("2s"), "The most that two mixers' clocks differ."),
+        live("grace", Kind::Duration, Some("1h"), "How long a period waits for silent members after it could have closed."),
     ],
 };
 
@@ -163,13 +163,13 @@
     keys: &[
         live(
             "whole",
-            Kind::Count(0, MOST),
+            Kind::Integer(0, MOST),
             None,
             "Price of a whole answer of this class, in micro-units.",
         ),
         live(
             "partial",
-            Kind::Count(0, MOST),
+            Kind::Integer(0, MOST),
             None,
             "Price of a partial answer before its share is taken; that of a whole one if unset.",
         ),
@@ -181,7 +181,7 @@
     named: true,
     keys: &[live(
         "allowance",
-        Kind::Count(0, MOST),
+        Kind::Integer(0, MOST),
         None,
         "Answered uses in a period past which further ones are listed apart.",
     )],
@@ -205,13 +205,13 @@
         ),
         live(
             "timeout",
-            Kind::Time,
+            Kind::Duration,
             Some("5s"),
             "How long the receiver may take for one document.",
         ),
         live(
             "again",
-            Kind::Time,
+            Kind::Duration,
             Some("500ms"),
             "Wait before a failed document is sent again; it doubles up to 64 times.",
         ),
@@ -233,10 +233,10 @@
 impl UsageLog {
     /// # Errors
     /// Values that contradict each other.
-    pub fn read(settings: &Settings, schema: &Schema) -> Result<Option<UsageLog>, Problems> {
-        let values = settings.of(schema, USAGE.name, "");
+    pub fn read(settings: &Settings, schema: &Schema) -> Result<Option<UsageLog>, SettingsErrors> {
+        let values = settings.section(schema, USAGE.name, "");
         let listen = values.address("listen");
-        let wrong = |key: &str, why: &str| settings.problem(USAGE.name, "", key, why);
+        let wrong = |key: &str, why: &str| settings.value_error(USAGE.name, "", key, why);
         let Some(directory) = values.text("directory").map(PathBuf::from) else {
             return match listen {
                 Some(_) => Err(wrong(
@@ -259,7 +259,9 @@
                 "has to be twice 'segment' at least, or no segment could ever be closed",
             ));
         }
-        let mark = values.time("mark").unwrap_or(Duration::from_millis(500));
+        let mark = values
+            .duration("mark")
+            .unwrap_or(Duration::from_millis(500));
         if mark < Duration::from_millis(10) {
             return Err(wrong("mark", "has to be 10ms at least"));
         }
@@ -267,8 +269,8 @@
             directory,
             segment_bytes,
             keep_bytes,
-            queue: values.count("queue").unwrap_or(8192) as usize,
-            stall: values.time("stall").unwrap_or(Duration::from_millis(5)),
+            queue: values.integer("queue").unwrap_or(8192) as usize,
+            stall: values.duration("stall").unwrap_or(Duration::from_millis(5)),
             mark,
             listen,
         }))
@@ -319,36 +321,36 @@
 impl Ledger {
     /// # Errors
     /// Values that contradict each other, or that only their use shows to be wrong.
-    pub fn read(settings: &Settings, schema: &Schema) -> Result<Ledger, Problems> {
-        let periods = settings.of(schema, PERIODS.name, "");
+    pub fn read(settings: &Settings, schema: &Schema) -> Result<Ledger, SettingsErrors> {
+        let periods = settings.section(schema, PERIODS.name, "");
         let zone = periods.text("zone").unwrap_or("UTC");
         let zone = TimeZone::get(zone).map_err(|_| {
-            settings.problem(
+            settings.value_error(
                 PERIODS.name,
                 "",
                 "zone",
                 &format!("there is no time zone '{zone}'; use a name as in Asia/Colombo"),
             )
         })?;
-        let ms = |key: &str| periods.time(key).unwrap_or_default().as_millis() as i64;
+        let ms = |key: &str| periods.duration(key).unwrap_or_default().as_millis() as i64;
         let every = match periods.text("every").unwrap_or("monthly") {
             "daily" => Every::Day(zone),
             "monthly" => Every::Month(zone),
             _ => Every::Ms(ms("every")),
         };
         if matches!(every, Every::Ms(length) if length < 1000) {
-            return Err(settings.problem(PERIODS.name, "", "every", "has to be 1s at least"));
+            return Err(settings.value_error(PERIODS.name, "", "every", "has to be 1s at least"));
         }
         let mut members = BTreeMap::new();
-        for name in settings.names(MEMBER.name) {
-            let values = settings.of(schema, MEMBER.name, name);
+        for name in settings.section_names(MEMBER.name) {
+            let values = settings.section(schema, MEMBER.name, name);
             let at = |key: &'static str, otherwise: i64| match values.text(key) {
                 None => Ok(otherwise),
                 Some(text) => text
                     .parse::<Timestamp>()
                     .map(Timestamp::as_millisecond)
                     .map_err(|_| {
-                        settings.problem(
+                        settings.value_error(
                             MEMBER.name,
                             name,
                             key,
@@ -357,11 +359,11 @@
                     }),
             };
             let Some(address) = values.address("address") else {
-                return Err(settings.problem(MEMBER.name, name, "address", "is missing"));
+                return Err(settings.value_error(MEMBER.name, name, "address", "is missing"));
             };
             let (from, until) = (at("from", i64::MIN)?, at("until", i64::MAX)?);
             if from >= until {
-                return Err(settings.problem(
+                return Err(settings.value_error(
                     MEMBER.name,
                     name,
                     "until",
@@ -378,37 +380,43 @@
             );
         }
         let mut prices = BTreeMap::new();
-        for name in settings.names(PRICE.name) {
-            let values = settings.of(schema, PRICE.name, name);
-            let Some(whole) = values.count("whole") else {
-                return Err(settings.problem(PRICE.name, name, "whole", "is missing"));
+        for name in settings.section_names(PRICE.name) {
+            let values = settings.section(schema, PRICE.name, name);
+            let Some(whole) = values.integer("whole") else {
+                return Err(settings.value_error(PRICE.name, name, "whole", "is missing"));
             };
             prices.insert(
                 name.to_string(),
                 Price {
                     whole,
-                    partial: values.count("partial").unwrap_or(whole),
+                    partial: values.integer("partial").unwrap_or(whole),
                 },
             );
         }
         let allowance = |name: &&str| {
             Some((
                 name.to_string(),
-                settings.of(schema, TENANT.name, name).count("allowance")?,
+                settings
+                    .section(schema, TENANT.name, name)
+                    .integer("allowance")?,
             ))
         };
         let allowances = settings
-            .names(TENANT.name)
+            .section_names(TENANT.name)
             .iter()
             .filter_map(allowance)
             .collect();
-        let export = settings.of(schema, EXPORT.name, "");
+        let export = settings.section(schema, EXPORT.name, "");
         let url = export.text("url").map(str::to_string);
         if url.as_ref().is_some_and(|url| !url.starts_with("http://")) {
-            return Err(settings.problem(EXPORT.name, "", "url", "has to begin with http://"));
+            return Err(settings.value_error(EXPORT.name, "", "url", "has to begin with http://"));
         }
-        let settlement = settings.of(schema, SETTLEMENT.name, "");
-        let time = |key: &str| settlement.time(key).unwrap_or(Duration::from_millis(200));
+        let settlement = settings.section(schema, SETTLEMENT.name, "");
+        let time = |key: &str| {
+            settlement
+                .duration(key)
+                .unwrap_or(Duration::from_millis(200))
+        };
         Ok(Ledger {
             store: settlement.text("store").map(PathBuf::from),
             again: time("again"),
@@ -423,8 +431,10 @@
             export: ExportTo {
                 folder: export.text("folder").map(PathBuf::from),
                 url,
-                timeout: export.time("timeout").unwrap_or(Duration::from_secs(5)),
-                again: export.time("again").unwrap_or(Duration::from_millis(500)),
+                timeout: export.duration("timeout").unwrap_or(Duration::from_secs(5)),
+                again: export
+                    .duration("again")
+                    .unwrap_or(Duration::from_millis(500)),
             },
         })
     }
--- a/crates/opensearch/src/index.rs
+++ b/crates/opensearch/src/index.rs
@@ -2,7 +2,7 @@
 
 use crate::tenant::{networks, Networks, Table};
 use crate::tls::Files;
-use cottonhill_ini::{Key, Kind, Problems, Schema, Section, Settings};
+use cottonhill_ini::{Key, Kind, Schema, Section, Settings, SettingsErrors};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
         key("listen", Kind::Address, None, "Where the front listens; a listener of its own. Off without it."),
         key(
             "connections",
-            Kind::Count(1, 100_000),
+            Kind::Integer(1, 100_000),
             Some("64"),
             "Most connections at once; more wait unaccepted.",
         ),
@@ -26,7 +26,7 @@
             Some("8MiB"),
             "Most that the shards' answers to one search may hold together.",
         ),
-        key("idle", Kind::Time, Some("60s"), "A connection that asks nothing for so long is closed."),
+        key("idle", Kind::Duration, Some("60s"), "A connection that asks nothing for so long is closed."),
         key("cluster", Kind::Text, Some("cottonhill"), "The cluster name that clients are told."),
         key(
             "tenant-by",
@@ -102,7 +102,7 @@
         name,
         kind,
         default,
-        live: false,
+        reloadable: false,
         doc,
     }
 }
@@ -178,11 +178,11 @@
 }
 
 /// The tenants' networks, whatever order they stand in.
-fn table(settings: &Settings, schema: &Schema, by: TenantBy) -> Result<Table, Problems> {
+fn table(settings: &Settings, schema: &Schema, by: TenantBy) -> Result<Table, SettingsErrors> {
     let mut rules = Vec::new();
-    for name in settings.names(NETWORK.name) {
-        let network = settings.of(schema, NETWORK.name, name);
-        let wrong = |key: &str, why: &str| settings.problem(NETWORK.name, name, key, why);
+    for name in settings.section_names(NETWORK.name) {
+        let network = settings.section(schema, NETWORK.name, name);
+        let wrong = |key: &str, why: &str| settings.value_error(NETWORK.name, name, key, why);
         if matches!(by, TenantBy::Header | TenantBy::Certificate) {
             return Err(wrong(
                 "tenant",
@@ -203,10 +203,10 @@
     for (net, name, tenant) in rules {
         table
             .insert(net, tenant)
-            .map_err(|why| settings.problem(NETWORK.name, name, "prefixes", &why))?;
+            .map_err(|why| settings.value_error(NETWORK.name, name, "prefixes", &why))?;
     }
     if table.is_empty() && matches!(by, TenantBy::Network | TenantBy::Either) {
-        return Err(settings.problem(
+        return Err(settings.value_error(
             FRONT.name,
             "",
             "tenant-by",
@@ -221,15 +221,15 @@
     ///
     /// # Errors
     /// Values that contradict each other.
-    pub fn read(settings: &Settings, schema: &Schema) -> Result<Option<Front>, Problems> {
-        let values = settings.of(schema, FRONT.name, "");
+    pub fn read(settings: &Settings, schema: &Schema) -> Result<Option<Front>, SettingsErrors> {
+        let values = settings.section(schema, FRONT.name, "");
         let Some(listen) = values.address("listen") else {
             return Ok(None);
         };
         let mut indices = BTreeMap::new();
-        for name in settings.names(INDEX.name) {
-            let index = settings.of(schema, INDEX.name, name);
-            let wrong = |key: &str, why: &str| settings.problem(INDEX.name, name, key, why);
+        for name in settings.section_names(INDEX.name) {
+            let index = settings.section(schema, INDEX.name, name);
+            let wrong = |key: &str, why: &str| settings.value_error(INDEX.name, name, key, why);
             if !index_name(name) {
                 return Err(wrong(
                     "class",
@@ -277,7 +277,7 @@
             );
         }
         if indices.is_empty() {
-            return Err(settings.problem(
+            return Err(settings.value_error(
                 FRONT.name,
                 "",
                 "listen",
@@ -291,7 +291,7 @@
             _ => TenantBy::Header,
         };
         let path = |key: &str| values.text(key).map(PathBuf::from);
-        let wrong = |key: &str, why: &str| settings.problem(FRONT.name, "", key, why);
+        let wrong = |key: &str, why: &str| settings.value_error(FRONT.name, "", key, why);
         let tls = match (path("certificate"), path("key"), path("client-ca")) {
             (Some(certificate), Some(key), clients) => Some(Files {
                 certificate,
@@ -313,7 +313,7 @@
         }
         let mut proxies = Networks::default();
         let named = networks(values.text("proxies").unwrap_or_default());
-        let named = named.map_err(|why| settings.problem(FRONT.name, "", "proxies", &why))?;
+        let named = named.map_err(|why| settings.value_error(FRONT.name, "", "proxies", &why))?;
         named.into_iter().for_each(|net| proxies.insert(net));
         Ok(Some(Front {
             by,
@@ -321,10 +321,10 @@
             proxies,
             networks: table(settings, schema, by)?,
             listen,
-            connections: values.count("connections").unwrap_or(64) as usize,
+            connections: values.integer("connections").unwrap_or(64) as usize,
             most_body: values.bytes("body").unwrap_or(64 << 10) as usize,
             most_answer: values.bytes("answer").unwrap_or(8 << 20) as usize,
-            idle: values.time("idle").unwrap_or(Duration::from_secs(60)),
+            idle: values.duration("idle").unwrap_or(Duration::from_secs(60)),
             cluster: values.text("cluster").unwrap_or("cottonhill").to_string(),
             tenant_header: values
                 .text("tenant-header")
