--- a/crates/cottonhill/src/commands/check.rs
+++ b/crates/cottonhill/src/commands/check.rs
@@ -6,7 +6,7 @@
 use crate::schema::SCHEMA;
 use comfy_table::Table;
 use cottonhill_ini::{Origin, Settings};
-use cottonhill_ledger::settings::{Ledger, UsageLog};
+use cottonhill_ledger::settings::{LedgerSettings, UsageLogSettings};
 use cottonhill_mixer::config::Config;
 use cottonhill_opensearch::index::Front;
 use std::path::Path;
@@ -51,8 +51,8 @@
 
 /// Checks what only the use of the settings shows to be wrong.
 fn validate(settings: &Settings) -> Result<(), CommandError> {
-    UsageLog::read(settings, &SCHEMA)?;
-    Ledger::read(settings, &SCHEMA)?;
+    UsageLogSettings::read(settings, &SCHEMA)?;
+    LedgerSettings::read(settings, &SCHEMA)?;
     Front::read(settings, &SCHEMA)?;
     Ok(())
 }
@@ -102,12 +102,12 @@
     let file = path
         .map(|path| path.display().to_string())
         .unwrap_or_default();
-    for setting in settings.shown(&SCHEMA) {
+    for setting in settings.effective_values(&SCHEMA) {
         let origin = match setting.origin {
             Origin::Line(line) => format!("{file}:{line}"),
             Origin::Default => "default".into(),
         };
-        let takes_effect = if setting.live {
+        let takes_effect = if setting.reloadable {
             TakesEffect::OnReload
         } else {
             TakesEffect::AtStart
--- a/crates/mixer/src/reducer/client_requests.rs
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -1,4 +1,4 @@
-//! Clients: their connections, their requests and the replies.
+//! Client connections, requests and replies.
 
 use super::counters::Stats;
 use super::queries::{Part, Query};
@@ -11,9 +11,9 @@
 use cottonhill_decisions::{Event, Nanos, RequestId};
 use std::rc::Rc;
 
-/// Subtracted from the client's timeout: the network's round trip, and the delay of a late batch.
+/// Subtracted from the client's timeout to cover the network round trip and a delayed batch.
 const CLIENT_TIMEOUT_MARGIN: Nanos = 8 * NANOS_PER_MS;
-/// How long after its client has disconnected an attempt may still start.
+/// How long an attempt may still start after its client has disconnected.
 const MAX_START_AFTER_DISCONNECT: Nanos = 100 * NANOS_PER_MS;
 
 impl Reducer {
@@ -21,19 +21,19 @@
         self.counters.connections.clients += 1;
         self.clients.insert(client, now);
         if self.lifecycle.is_draining() {
-            // Accepted while the listener was being closed: without a request it would hold up the exit.
+            // Accepted while the listener was being closed: a client without a request would delay the exit.
             self.effects.push(Effect::CloseClient {
                 client,
                 immediate: false,
             });
-        } else if self.clients.len() > self.descriptor_budget.clients() / 2 {
+        } else if self.clients.len() > self.descriptor_budget.max_clients() / 2 {
             self.close_idle_clients(now, client);
         }
     }
 
     fn close_idle_clients(&mut self, now: Nanos, newest: ClientId) {
-        let limit = self.descriptor_budget.clients();
-        for client in self.clients.choose_to_close(now, newest, limit) {
+        let limit = self.descriptor_budget.max_clients();
+        for client in self.clients.select_for_closing(now, newest, limit) {
             self.effects.push(Effect::CloseClient {
                 client,
                 immediate: true,
@@ -56,12 +56,12 @@
         }
     }
 
-    /// A call for a client that has disconnected may still wait in its socket for its first byte, even one that was
-    /// cancelled. The socket has half of the time in which the call may start to report that it was written; the other
-    /// half is for closing the connection.
+    /// Limits how long a call for a disconnected client may remain in its socket. Even a cancelled call may not have
+    /// been written yet. Half of [`MAX_START_AFTER_DISCONNECT`] is for the socket to report the call as written, half
+    /// for closing the connection.
     fn limit_write_after_disconnect(&mut self, now: Nanos, parts: &[RequestId]) {
         let due = now + MAX_START_AFTER_DISCONNECT / 2;
-        for (connection, write_started_at) in self.connections.writing_any_of(parts) {
+        for (connection, write_started_at) in self.connections.writing_any_part(parts) {
             self.timers
                 .set(due, Timer::WriteStalled(connection, write_started_at));
         }
@@ -99,11 +99,11 @@
 
     fn reject_invalid_request(&mut self, now: Nanos, client: ClientId, error: RequestError) {
         self.counters.requests.invalid += 1;
-        // Not above debug: a client that sends nothing else could fill the log.
+        // At debug level, since a client that sends only invalid requests could fill the log.
         tracing::debug!(
             target: log_targets::CLIENTS, client,
             status = error.status,
-            why = error.reason,
+            reason = error.reason,
             "request rejected"
         );
         self.send_reply(now, client, Reply::InvalidRequest(error));
@@ -119,7 +119,7 @@
         if !self.clients.contains(client) {
             return;
         }
-        // Leaf servers could not distinguish its parts from those of the open query.
+        // Leaf servers could not distinguish the parts of two queries with the same id.
         if self.queries.contains_request_id(&request.request_id) {
             let error = RequestError {
                 status: 409,
@@ -137,27 +137,27 @@
             );
             return self.reject_before_decision(now, client, received_at, &request);
         }
-        let time_left = self.time_left(now, received_at, &request);
-        if time_left == 0 {
-            self.counters.requests.no_time_left += 1;
+        let remaining_time = self.remaining_time(now, received_at, &request);
+        if remaining_time == 0 {
+            self.counters.requests.deadline_exceeded += 1;
             tracing::info!(
                 target: log_targets::CLIENTS, timeout_ms = request.timeout / NANOS_PER_MS,
-                "query rejected: no time left"
+                "query rejected: no time remains before its deadline"
             );
             return self.reject_before_decision(now, client, received_at, &request);
         }
-        self.accept_query(now, client, received_at, request, time_left);
+        self.accept_query(now, client, received_at, request, remaining_time);
     }
 
-    /// How long the client still waits, less what is needed to reply; less than that during a shutdown, since the
-    /// process may be killed before.
-    fn time_left(&self, now: Nanos, received_at: Nanos, request: &QueryRequest) -> Nanos {
-        let time_left = request
+    /// The time in which the query must be answered: the rest of the client's timeout, less the time to deliver the
+    /// reply. During a shutdown the shutdown deadline limits it, since the process may be killed after that.
+    fn remaining_time(&self, now: Nanos, received_at: Nanos, request: &QueryRequest) -> Nanos {
+        let remaining_time = request
             .timeout
             .saturating_sub(network_delay(now, received_at));
         match self.lifecycle.shutdown_deadline() {
-            Some(deadline) => time_left.min(deadline.saturating_sub(now)),
-            None => time_left,
+            Some(deadline) => remaining_time.min(deadline.saturating_sub(now)),
+            None => remaining_time,
         }
     }
 
@@ -179,7 +179,7 @@
         client: ClientId,
         received_at: Nanos,
         request: QueryRequest,
-        time_left: Nanos,
+        remaining_time: Nanos,
     ) {
         let open_parts = self.queries.unanswered_parts();
         let id = self.ids.next_id();
@@ -190,14 +190,14 @@
             group,
             class: request.class,
             tenant: request.tenant,
-            client_timeout: time_left,
+            client_timeout: remaining_time,
             network_delay: network_delay(now, received_at),
             work: request.parts.iter().map(|part| part.work).sum(),
             client_retry: request.client_retry,
         });
         let parts = self.accept_parts(id, group, &request);
         self.count_accepted(&request);
-        let deadline = now + time_left;
+        let deadline = now + remaining_time;
         self.timers.set(deadline, Timer::QueryDeadline(id));
         let query = Query {
             request_id: request.request_id.as_str().into(),
@@ -213,9 +213,9 @@
         self.queries.insert(id, query);
         tracing::debug!(
             target: log_targets::CLIENTS, id,
-            name = request.request_id,
+            request_id = request.request_id,
             class = request.class,
-            patience_ms = time_left / NANOS_PER_MS,
+            remaining_ms = remaining_time / NANOS_PER_MS,
             open_parts,
             "query accepted"
         );
@@ -228,7 +228,7 @@
         requests.client_retries += u64::from(request.client_retry);
     }
 
-    /// Opens the parts of a query; returns their ids.
+    /// Adds the parts of a query; returns their ids.
     fn accept_parts(
         &mut self,
         query: RequestId,
@@ -266,7 +266,7 @@
     }
 }
 
-/// How much of the client's time goes to the network and to waiting for this batch.
+/// The part of the client's timeout that is spent on the network and on waiting for this batch.
 fn network_delay(now: Nanos, received_at: Nanos) -> Nanos {
     now.saturating_sub(received_at) + CLIENT_TIMEOUT_MARGIN
 }
--- a/crates/mixer/src/reducer/discovery.rs
+++ b/crates/mixer/src/reducer/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the endpoint updates that it sends, the watch on it, and a switch to another address.
+//! Discovery: endpoint updates, the watch, and a switch to another address.
 
 use super::replicas::EndpointChanges;
 use super::timers::Timer;
@@ -11,11 +11,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How the endpoint list is requested from discovery, and when discovery last sent anything.
+/// The policy for requests to discovery, and the time of its last message.
 #[derive(Debug)]
 pub(super) struct Discovery {
     watch_policy: WatchPolicy,
-    /// When an update or a heartbeat last arrived; before that, when the process started.
+    /// When an update or a heartbeat was last received; initially the start of the process.
     last_received_at: Nanos,
 }
 
@@ -33,28 +33,28 @@
         }
     }
 
-    /// When the endpoint list is requested from discovery, and the timeouts of these requests.
+    /// The schedule and the timeouts of requests for the endpoint list.
     pub(super) fn watch_policy(&self) -> &WatchPolicy {
         &self.watch_policy
     }
 
-    /// Bounds the updates that are accepted by the memory that the process may use, in bytes.
+    /// Sets the memory limit of the process, in bytes. It bounds the size of accepted endpoint updates.
     pub(super) fn limit_memory(&mut self, memory: usize) {
         self.watch_policy.limit_memory(memory);
     }
 
-    /// How long a new process waits for its first endpoint update.
+    /// How long a new process waits for its first endpoint update before it uses the cached list.
     pub(super) fn initial_list_timeout(&self) -> Nanos {
         self.watch_policy.initial_list_timeout().as_nanos() as Nanos
     }
 
-    /// Milliseconds since an update or a heartbeat last arrived.
+    /// Milliseconds since an update or a heartbeat was last received.
     pub(super) fn ms_since_last_message(&self, now: Nanos) -> u64 {
         now.saturating_sub(self.last_received_at) / NANOS_PER_MS
     }
 }
 
-/// The watch mode that the settings state.
+/// The watch mode according to the settings.
 fn watch_mode(mixer_settings: &MixerSettings, settings: &Settings) -> WatchMode {
     match settings.discovery_mode {
         DiscoveryMode::Poll => {
@@ -71,33 +71,32 @@
 
 impl Reducer {
     pub(super) fn on_endpoints_updated(&mut self, now: Nanos, update: EndpointUpdate) {
-        let (index, snapshot) = (update.version, update.snapshot);
+        let (version, snapshot) = (update.version, update.snapshot);
         let entries = update.entries.len();
         let invalid_entries = update.invalid_entries as u64;
         let changes = self.replicas.apply_update(now, update);
         self.count_update(invalid_entries, &changes);
         tracing::debug!(
-            target: log_targets::CONNECTIONS, index,
-            lines = entries,
-            whole = snapshot,
-            changed = changes.endpoints.len(),
-            leaving = changes.leaving.len(),
-            since_heard_ms = self.discovery.ms_since_last_message(now),
+            target: log_targets::CONNECTIONS, version,
+            entries,
+            snapshot,
+            changed_endpoints = changes.endpoints.len(),
+            not_ready = changes.not_ready.len(),
+            ms_since_last_message = self.discovery.ms_since_last_message(now),
             "endpoint update applied"
         );
         self.discovery.last_received_at = now;
         if self.replicas.has_ready() {
             self.lifecycle.on_ready_endpoint();
         }
-        // A snapshot was reduced to its changes, too: endpoints that it does not list are among them as gone.
+        // A snapshot has been reduced to its changes, which include unlisted endpoints as removed.
         self.events.push(Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Delta,
             endpoints: changes.endpoints,
         });
-        // Attempts that wait for a replica that is draining or gone are never sent, nor those that wait for the former
-        // address of a replica.
-        for replica in changes.leaving {
-            tracing::debug!(target: log_targets::CONNECTIONS, replica = replica.0, index, "replica announced as draining or gone");
+        // Attempts that wait for a draining or removed replica, or for the former address of a replica, are never sent.
+        for replica in changes.not_ready {
+            tracing::debug!(target: log_targets::CONNECTIONS, replica = replica.0, version, "replica announced as draining or removed");
             for connection in self.replicas.connections(replica).to_vec() {
                 self.withdraw_unsent_attempts(now, connection);
             }
@@ -105,7 +104,7 @@
         for connection in changes.stale_connections {
             self.withdraw_unsent_attempts(now, connection);
         }
-        self.on_discovery_settled(now);
+        self.stop_awaiting_discovery(now);
     }
 
     fn count_update(&mut self, invalid_entries: u64, changes: &EndpointChanges) {
@@ -113,7 +112,7 @@
         let update_faults = &mut self.counters.update_faults;
         update_faults.invalid_entries += invalid_entries;
         update_faults.duplicate_entries += changes.duplicate_entries;
-        update_faults.unknown_removals += changes.unknown_removals;
+        update_faults.unlisted_removals += changes.unlisted_removals;
     }
 
     pub(super) fn on_discovery_timeout(&mut self, now: Nanos) {
@@ -122,21 +121,22 @@
         }
         self.counters.watches.startup_timeouts += 1;
         tracing::warn!(
-            target: log_targets::BATCHES, index = self.replicas.version(),
+            target: log_targets::BATCHES, version = self.replicas.version(),
             "no endpoint update in time at startup, cached endpoint list used"
         );
-        self.on_discovery_settled(now);
+        self.stop_awaiting_discovery(now);
     }
 
-    /// The first endpoint update has arrived, or is not waited for any longer: what was received until now is decided.
-    fn on_discovery_settled(&mut self, now: Nanos) {
+    /// Ends the wait for the first endpoint update, which was received or has timed out. From now on batches are
+    /// decided, including the queries received so far.
+    fn stop_awaiting_discovery(&mut self, now: Nanos) {
         if self.lifecycle.is_awaiting_discovery() {
-            self.lifecycle.on_discovery_settled();
+            self.lifecycle.stop_awaiting_discovery();
             self.deduct_waiting_time(now);
         }
     }
 
-    /// Moves the time that queries have waited for their first decision from their clients' timeouts to their network
+    /// Deducts the time that queries have waited for discovery from their client timeouts and adds it to their network
     /// delays.
     fn deduct_waiting_time(&mut self, now: Nanos) {
         for event in &mut self.events {
@@ -149,12 +149,12 @@
             else {
                 continue;
             };
-            let time_left = match self.queries.get(*id) {
+            let remaining_time = match self.queries.get(*id) {
                 Some(query) => query.deadline.saturating_sub(now),
                 None => 0,
             };
-            *network_delay += client_timeout.saturating_sub(time_left);
-            *client_timeout = time_left;
+            *network_delay += client_timeout.saturating_sub(remaining_time);
+            *client_timeout = remaining_time;
         }
     }
 
@@ -164,9 +164,9 @@
         match event {
             WatchEvent::Requested => watches.requested += 1,
             WatchEvent::Heartbeat => self.discovery.last_received_at = now,
-            WatchEvent::Ended { silent } => {
+            WatchEvent::Ended { timed_out } => {
                 watches.ended += 1;
-                watches.silent += u64::from(silent);
+                watches.timed_out += u64::from(timed_out);
             }
             WatchEvent::UpdateRejected(UpdateFault::TooLarge) => update_faults.too_large += 1,
             WatchEvent::UpdateRejected(UpdateFault::Malformed) => update_faults.malformed += 1,
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Watches discovery at its configured address, even if that is unchanged: a reload may be meant to renew the
-    /// watch. The endpoint list, connections and queries stay.
+    /// Starts a new watch at the configured address, even if the address is unchanged, since an operator may reload to
+    /// renew the watch. The endpoint list, connections and queries are kept.
     pub(super) fn on_config_reloaded(&mut self, now: Nanos, discovery: Option<SocketAddr>) {
         let Some(address) = discovery else {
             self.counters.reloads.invalid += 1;
@@ -187,12 +187,12 @@
         self.counters.reloads.applied += 1;
         let mut from_version = Some(self.replicas.version());
         if self.discovery.watch_policy.versions_differ_by_address() {
-            // Versions of another address don't compare with the current one.
+            // Versions of different addresses are not comparable.
             from_version = None;
-            let settled_at = self.replicas.on_discovery_switched(now);
-            self.timers.cancel_discovery_switch_settled();
+            let caught_up_at = self.replicas.on_discovery_switched(now);
+            self.timers.cancel_discovery_caught_up();
             self.timers
-                .set(settled_at, Timer::DiscoverySwitchSettled(address));
+                .set(caught_up_at, Timer::DiscoveryCaughtUp(address));
         }
         self.effects.push(Effect::WatchEndpoints {
             address,
