--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -312,7 +312,7 @@
                 replica: id,
                 cell,
                 zone,
-                started: started_at,
+                started_at,
                 status,
             },
             changed: known.is_none() || !unchanged,
@@ -346,7 +346,7 @@
         let before = std::mem::replace(&mut replica.status, status);
         self.ready -= usize::from(before == EndpointStatus::Ready);
         self.ready += usize::from(status == EndpointStatus::Ready);
-        if status == EndpointStatus::Gone {
+        if status == EndpointStatus::Removed {
             self.removed.insert(id, now);
         } else {
             self.removed.remove(id);
@@ -363,19 +363,19 @@
         self.visited_records += self.table.len() as u64;
         let mut unlisted: Vec<(ReplicaId, Slot)> = Vec::new();
         for (slot, replica) in self.table.iter() {
-            if replica.status != EndpointStatus::Gone && !listed.contains(&slot) {
+            if replica.status != EndpointStatus::Removed && !listed.contains(&slot) {
                 unlisted.push((replica.id, slot));
             }
         }
         unlisted.sort_unstable();
         for (_, slot) in unlisted {
-            self.set_status(now, slot, EndpointStatus::Gone);
+            self.set_status(now, slot, EndpointStatus::Removed);
             if let Some(replica) = self.table.record(slot) {
                 endpoints.push(Endpoint {
                     replica: replica.id,
                     cell: replica.cell,
                     zone: replica.zone,
-                    started: replica.started_at,
+                    started_at: replica.started_at,
                     status: replica.status,
                 });
             }
