--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -431,7 +431,11 @@
             return Err(settings.value_error(EXPORT.name, "", "url", "has to begin with http://"));
         }
         let settlement = settings.section(schema, SETTLEMENT.name, "");
-        let duration = |key: &str| settlement.duration(key).unwrap_or(Duration::from_millis(200));
+        let duration = |key: &str| {
+            settlement
+                .duration(key)
+                .unwrap_or(Duration::from_millis(200))
+        };
         Ok(LedgerSettings {
             store: settlement.text("store").map(PathBuf::from),
             retry_delay: duration("again"),
