--- a/crates/cottonhill/src/mixer/fronts.rs
+++ b/crates/cottonhill/src/mixer/fronts.rs
@@ -5,7 +5,7 @@
 use crate::log_targets::FRONTS;
 use crate::schema::SCHEMA;
 use cottonhill_ini::Settings;
-use cottonhill_mixer::transport::StartFront;
+use cottonhill_mixer::transport::FrontendStarter;
 use cottonhill_opensearch::front;
 use cottonhill_opensearch::index::Front;
 use cottonhill_opensearch::tls::{Files, Tls};
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub struct Fronts {
     /// Starts each of them once the transport runs.
-    pub start: Vec<StartFront>,
+    pub start: Vec<FrontendStarter>,
     /// Certificate and key, which a reload reads again.
     pub tls: Option<Rc<Tls>>,
 }
@@ -39,7 +39,7 @@
         "OpenSearch-style front listening"
     );
     let front_tls = tls.clone();
-    let start: StartFront =
+    let start: FrontendStarter =
         Box::new(move |queries| front::start(opensearch, front_tls, listener, queries));
     Ok(Fronts {
         start: vec![start],
--- a/crates/cottonhill/src/mixer/mod.rs
+++ b/crates/cottonhill/src/mixer/mod.rs
@@ -42,7 +42,7 @@
     let listener = listener::bind(config.listen).await?;
     let integrations = transport::Integrations {
         recorder: writer.map(|writer| Box::new(UsageLogRecorder(writer)) as _),
-        fronts: fronts.start,
+        frontends: fronts.start,
     };
     transport::serve(
         reducer,
--- a/crates/cottonhill/src/mixer/reload.rs
+++ b/crates/cottonhill/src/mixer/reload.rs
@@ -77,7 +77,7 @@
                 return None;
             }
         };
-        let restart = self.config.needs_restart(&config).join(", ");
+        let restart = self.config.changes_requiring_restart(&config).join(", ");
         if !restart.is_empty() {
             tracing::warn!(
                 target: PROGRAM,
--- a/crates/cottonhill/tests/reload.rs
+++ b/crates/cottonhill/tests/reload.rs
@@ -160,7 +160,7 @@
     for (n, (changes, message)) in [
         (
             r#"{"index":43,"snapshot":false,"endpoints":[{"status":"draining"}]}"#,
-            "entry 0 of version 43 names nobody",
+            "entry 0 of version 43 has no valid name",
         ),
         (
             r#"{"index":43,"snapshot":[]}"#,
@@ -168,7 +168,7 @@
         ),
         (
             r#"{"index":7,"snapshot":false,"endpoints":[]}"#,
-            "changes up to version 7, 41 is in force: 41 or later is valid",
+            "delta to version 7 is older than the current version 41",
         ),
     ]
     .into_iter()
--- a/crates/mixer/src/config/error.rs
+++ b/crates/mixer/src/config/error.rs
@@ -1,83 +1,83 @@
-//! Why a configuration can't be used. The texts go to the user, on one line.
+//! Errors in the configuration. Each message is shown to the user on one line.
 
 use thiserror::Error;
 
-/// A configuration that can't be used.
+/// An invalid configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// Not JSON, or not JSON of the configuration's form.
+    /// The text is not JSON, or its structure is not that of a configuration.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// The seed is not a hexadecimal number of up to 64 bits.
-    #[error("bad seed '{0}'")]
+    #[error("seed '{0}' is not a hexadecimal number of up to 64 bits")]
     InvalidSeed(String),
     /// The settings are not a JSON object.
-    #[error("settings are no object")]
+    #[error("settings are not a JSON object")]
     SettingsNotAnObject,
-    /// A setting can't be used.
+    /// A setting is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// A setting that can't be used. `key` is the setting's wire name.
+/// An invalid setting. `key` is its wire name.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// A line of the settings is not `key=value`.
     #[error("settings line without '=': {line}")]
     MalformedLine {
-        /// The line.
+        /// The complete line.
         line: String,
     },
     /// A required setting is missing.
     #[error("setting {key} is missing")]
     Missing {
-        /// The setting.
+        /// Wire name of the setting.
         key: String,
     },
-    /// A list with one item for each class is too short.
-    #[error("setting {key} has no item {index}")]
+    /// A list with one item per class is too short.
+    #[error("setting {key} has no item {index}, counted from 0: one item per class is required")]
     MissingItem {
-        /// The list.
+        /// Wire name of the list.
         key: String,
-        /// The first missing item, counted from 0.
+        /// Index of the missing item, counted from 0.
         index: usize,
     },
-    /// The value is not of the setting's type, or not one of its allowed values.
-    #[error("setting {key}: bad value '{value}'")]
+    /// The value does not have the setting's type, or is not one of the allowed values.
+    #[error("setting {key}: invalid value '{value}', expected {expected}")]
     InvalidValue {
-        /// The setting.
+        /// Wire name of the setting.
         key: String,
-        /// Its value as written.
+        /// The value as configured.
         value: String,
-        /// What is allowed; for callers, the text does not print it.
+        /// Description of the allowed values.
         expected: &'static str,
     },
     /// The number is outside the setting's range.
-    #[error("setting {key}: {value} is out of range")]
+    #[error("setting {key}: {value} is out of range, expected {expected}")]
     OutOfRange {
-        /// The setting.
+        /// Wire name of the setting.
         key: String,
-        /// The number as parsed.
+        /// The parsed number.
         value: String,
-        /// What is allowed; for callers, the text does not print it.
+        /// Description of the allowed values.
         expected: &'static str,
     },
-    /// The number does not fit 32 bits.
-    #[error("setting {key} is out of range")]
+    /// The number does not fit in 32 bits.
+    #[error("setting {key}: {value} is out of range, the maximum is {max}")]
     TooLarge {
-        /// The setting.
+        /// Wire name of the setting.
         key: String,
-        /// The number; for callers, the text does not print it.
+        /// The number.
         value: u64,
-        /// The largest number that is allowed; for callers, the text does not print it.
+        /// Largest allowed number.
         max: u32,
     },
-    /// Queries of two phases are configured; the query protocol does not support them.
-    #[error("setting {key}: a second step can't be served")]
+    /// Queries with two phases are configured; the query protocol does not support them.
+    #[error("setting {key}: {value} is not supported, expected 0 (no second query phase)")]
     SecondPhaseUnsupported {
-        /// The setting.
+        /// Wire name of the setting.
         key: &'static str,
-        /// The number of parts in the second phase; for callers, the text does not print it.
+        /// Number of parts in the second phase.
         value: u32,
     },
 }
--- a/crates/mixer/src/config/flatten.rs
+++ b/crates/mixer/src/config/flatten.rs
@@ -1,13 +1,13 @@
-//! Nested JSON settings as lines of `path=value`, the form that the settings parser reads.
+//! Conversion of nested JSON settings to `path=value` lines, the input of the settings parser.
 
 use super::ConfigError;
 use serde_json::Value;
 use std::fmt::Write;
 
-/// Renders a JSON object as one `path=value` line for each plain value, the path's steps separated by dots.
+/// Renders a JSON object as one `path=value` line per scalar. The segments of a path are separated by dots.
 ///
-/// A list of objects becomes `path.count` and `path.0`, `path.1`, ...; a list of plain values becomes one line
-/// separated by commas.
+/// A list of objects becomes `path.count` and `path.0`, `path.1`, ...; a list of scalars becomes one line with
+/// comma-separated values.
 ///
 /// # Errors
 /// [`ConfigError::SettingsNotAnObject`] if `settings` is not an object.
@@ -34,15 +34,15 @@
             }
         }
         Value::Array(items) => {
-            let items: Vec<String> = items.iter().map(plain_text).collect();
+            let items: Vec<String> = items.iter().map(scalar_text).collect();
             append_line(lines, path, &items.join(","));
         }
-        scalar => append_line(lines, path, &plain_text(scalar)),
+        scalar => append_line(lines, path, &scalar_text(scalar)),
     }
 }
 
 fn append_line(lines: &mut String, path: &str, value: &str) {
-    // Writing to a string does not fail.
+    // Writing to a string can't fail.
     let _ = writeln!(lines, "{path}={value}");
 }
 
@@ -54,8 +54,9 @@
     }
 }
 
-/// A value without separators: a blank or comma would split it, a line break would forge another setting.
-fn plain_text(value: &Value) -> String {
+/// Renders a scalar and replaces separators: a space or comma would split the value, a line break would inject another
+/// setting.
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
         Value::String(text) => text.replace([' ', ',', '\n', '\r'], "_"),
--- a/crates/mixer/src/config/mod.rs
+++ b/crates/mixer/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The configuration of one mixer: the platform's JSON file, and the settings in it.
+//! Configuration of one mixer: the platform's JSON file and the settings that it contains.
 
 mod error;
 mod flatten;
@@ -16,13 +16,14 @@
 use settings::MixerSettings;
 use std::net::SocketAddr;
 
-/// The most file descriptors that a mixer uses, and what it uses where the configuration states no limit.
+/// Maximum number of file descriptors that a mixer uses; also the default if the configuration sets no limit.
 const MAX_DESCRIPTORS: usize = 1024;
 const BYTES_PER_MEGABYTE: f64 = 1e6;
-/// The seed is written in hexadecimal.
+/// The configuration file contains the seed in hexadecimal.
 const SEED_RADIX: u32 = 16;
 
-/// The file as written. Error texts contain the names of this struct and the next, and their numbers of fields.
+/// Top level of the configuration file. Serde's error messages contain the names of this struct and of `Limits`, and
+/// their numbers of fields.
 #[derive(Deserialize)]
 struct File {
     name: String,
@@ -44,41 +45,41 @@
 struct Limits {
     #[serde(rename = "sockets")]
     max_descriptors: usize,
-    /// No limit unless it is a number.
+    /// A value that is not a number means no limit.
     #[serde(default, rename = "memory_mb")]
     memory_megabytes: Value,
 }
 
 impl Limits {
-    /// Bytes of memory that the process may use, if that is limited.
+    /// Memory limit of the process in bytes; `None` if there is none.
     fn memory_limit(&self) -> Option<usize> {
         let bytes = self.memory_megabytes.as_f64()? * BYTES_PER_MEGABYTE;
         (bytes >= 1.0).then_some(bytes as usize)
     }
 }
 
-/// The configuration of one mixer.
+/// Configuration of one mixer.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The mixer's name.
     pub name: String,
-    /// Where clients connect.
+    /// Listen address for clients.
     pub listen: SocketAddr,
-    /// The settings of the sockets and protocols.
+    /// Settings of the sockets and protocols.
     pub mixer_settings: MixerSettings,
-    /// The settings of the decisions.
+    /// Settings of the coordinator.
     pub settings: Settings,
-    /// Seed of the mixer's random numbers; differs from mixer to mixer.
+    /// Seed of the mixer's random number generator; different for each mixer.
     pub seed: u64,
-    /// File descriptors that may be open.
+    /// Maximum number of open file descriptors.
     pub max_descriptors: usize,
-    /// Bytes of memory that the process may use, if that is limited.
+    /// Memory limit of the process in bytes; `None` if there is none.
     pub memory_limit: Option<usize>,
-    /// The endpoint list that was current before the start; it may be stale.
+    /// Endpoint list from before the start, which may be stale.
     pub cached_endpoints: EndpointUpdate,
-    /// The services that the mixer uses.
+    /// Addresses of discovery and of the other mixers.
     pub addresses: Addresses,
-    /// The names and bounds of the queries that it serves.
+    /// Names of classes and tenants, and limits, for validating queries.
     pub query_schema: QuerySchema,
 }
 
@@ -86,7 +87,7 @@
     /// Parses the platform's configuration file.
     ///
     /// # Errors
-    /// The file is not JSON of the expected form, or a setting or the seed can't be used.
+    /// The file is not valid JSON of the expected structure, or a setting or the seed is invalid.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let file: File = serde_json::from_str(text)?;
         let settings_text = flatten(&file.settings)?;
@@ -117,8 +118,8 @@
         })
     }
 
-    /// The wire names of what `next` changes and only a restart applies.
-    pub fn needs_restart(&self, next: &Config) -> Vec<&'static str> {
+    /// Wire names of the fields that differ in `next` and take effect only after a restart.
+    pub fn changes_requiring_restart(&self, next: &Config) -> Vec<&'static str> {
         let limits_changed =
             self.max_descriptors != next.max_descriptors || self.memory_limit != next.memory_limit;
         let peer_listen_changed = self.addresses.peer_listen != next.addresses.peer_listen;
--- a/crates/mixer/src/config/settings/decision_settings.rs
+++ b/crates/mixer/src/config/settings/decision_settings.rs
@@ -1,14 +1,14 @@
-//! The settings of the decisions.
+//! Parsing of the coordinator's settings.
 
 use super::super::SettingsError;
 use super::key_values::KeyValues;
 use super::wire_names::{self as wire, item_field};
 use cottonhill_decisions::{Class, DiscoveryMode, Idempotency, RetryBudget, Settings};
 
-/// Parses the settings of the decisions from lines of `key=value`.
+/// Parses the coordinator's settings from `key=value` lines.
 ///
 /// # Errors
-/// The first setting that is missing, malformed or out of range.
+/// The first setting found to be missing, malformed or out of range.
 pub fn parse_decisions(text: &str) -> Result<Settings, SettingsError> {
     let values = KeyValues::parse(text)?;
     let class_count = values.positive(&wire::item_count(wire::CLASSES))? as usize;
@@ -46,7 +46,7 @@
 
 fn class(values: &KeyValues, index: usize) -> Result<Class, SettingsError> {
     let key = |field: &str| item_field(wire::CLASSES, index, field);
-    // Parsed first: where several fields are invalid, the error names these before the others.
+    // Parsed before the other fields so that, if several are invalid, the error names one of these.
     let idempotency = idempotency(values, &key(wire::class::IDEMPOTENCY))?;
     let late_weight_fraction = values.non_negative(&key(wire::class::LATE_WEIGHT_FRACTION))?;
     Ok(Class {
@@ -85,7 +85,7 @@
     }
 }
 
-/// The sum of the tenants' rate limits; a tenant without one adds nothing.
+/// The sum of the tenants' rate limits. A tenant without a rate limit counts as 0.
 fn fleet_rate_limit(values: &KeyValues) -> Result<f64, SettingsError> {
     let mut sum = 0.0;
     for index in 0..values.count(wire::TENANTS)? {
@@ -95,7 +95,7 @@
     Ok(sum)
 }
 
-/// The retry budget, if its window and at least one of its bounds are stated.
+/// The retry budget; `None` unless its window and at least one of its minimum and ratio are set.
 fn retry_budget(values: &KeyValues) -> Result<Option<RetryBudget>, SettingsError> {
     let minimum = values.non_negative(wire::RETRY_BUDGET_MINIMUM)?;
     let ratio = values.non_negative(wire::RETRY_BUDGET_RATIO)?;
--- a/crates/mixer/src/config/settings/key_values.rs
+++ b/crates/mixer/src/config/settings/key_values.rs
@@ -1,13 +1,13 @@
-//! Typed access to settings that are written as `key=value` lines.
+//! Typed access to settings in the form of `key=value` lines.
 
 use super::super::SettingsError;
 use super::wire_names::{self, NAME};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 
-/// A type that a setting's value can have.
+/// A type of setting values.
 pub trait SettingValue: FromStr {
-    /// The allowed values, for errors.
+    /// Description of the allowed values for error messages.
     const EXPECTED: &'static str;
 }
 
@@ -16,19 +16,19 @@
 }
 
 impl SettingValue for u16 {
-    const EXPECTED: &'static str = "a whole number of up to 16 bits";
+    const EXPECTED: &'static str = "an integer of up to 16 bits";
 }
 
 impl SettingValue for u32 {
-    const EXPECTED: &'static str = "a whole number of up to 32 bits";
+    const EXPECTED: &'static str = "an integer of up to 32 bits";
 }
 
 impl SettingValue for u64 {
-    const EXPECTED: &'static str = "a whole number of up to 64 bits";
+    const EXPECTED: &'static str = "an integer of up to 64 bits";
 }
 
 impl SettingValue for usize {
-    const EXPECTED: &'static str = "a whole number";
+    const EXPECTED: &'static str = "an integer";
 }
 
 impl SettingValue for f64 {
@@ -39,11 +39,11 @@
     const EXPECTED: &'static str = "text";
 }
 
-/// The settings by wire name. Of a key that occurs twice the last value counts.
+/// Settings by wire name. If a key occurs more than once, the last value applies.
 pub struct KeyValues<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> KeyValues<'a> {
-    /// Splits lines of `key=value`; blank lines are skipped.
+    /// Parses `key=value` lines; blank lines are skipped.
     ///
     /// # Errors
     /// [`SettingsError::MalformedLine`] for a line without `=`.
@@ -60,22 +60,22 @@
         Ok(KeyValues(values))
     }
 
-    /// The value as written.
+    /// Returns the unparsed value.
     pub fn text(&self, key: &str) -> Option<&'a str> {
         self.0.get(key).copied()
     }
 
-    /// The value, or `None` if the setting is missing.
+    /// Parses a value; `None` if the setting is missing.
     ///
     /// # Errors
-    /// [`SettingsError::InvalidValue`] if it is not a `T`.
+    /// [`SettingsError::InvalidValue`] if the value is not a `T`.
     pub fn optional<T: SettingValue>(&self, key: &str) -> Result<Option<T>, SettingsError> {
         self.text(key)
             .map(|value| parse_value(key, value))
             .transpose()
     }
 
-    /// The value of a setting that has to be there.
+    /// Parses the value of a required setting.
     ///
     /// # Errors
     /// [`SettingsError::Missing`] or [`SettingsError::InvalidValue`].
@@ -83,7 +83,7 @@
         self.optional(key)?.ok_or_else(|| missing(key))
     }
 
-    /// The value, or its type's default (0, false) if the setting is missing.
+    /// Parses a value; the default of its type (0, false) if the setting is missing.
     ///
     /// # Errors
     /// [`SettingsError::InvalidValue`].
@@ -91,7 +91,7 @@
         Ok(self.optional(key)?.unwrap_or_default())
     }
 
-    /// A finite number of at least 0, or `None` if the setting is missing.
+    /// Parses a finite number of at least 0; `None` if the setting is missing.
     ///
     /// # Errors
     /// [`SettingsError::InvalidValue`] or [`SettingsError::OutOfRange`].
@@ -104,21 +104,21 @@
         }
     }
 
-    /// A whole number above 0 that has to be there.
+    /// Parses a required integer above 0.
     ///
     /// # Errors
     /// [`SettingsError::Missing`], [`SettingsError::InvalidValue`] or [`SettingsError::OutOfRange`].
     pub fn positive(&self, key: &str) -> Result<u64, SettingsError> {
         match self.required(key)? {
-            0 => Err(out_of_range(key, 0, "a whole number above 0")),
+            0 => Err(out_of_range(key, 0, "an integer above 0")),
             number => Ok(number),
         }
     }
 
-    /// A whole number above 0 of up to 32 bits that has to be there.
+    /// Parses a required integer above 0 of up to 32 bits.
     ///
     /// # Errors
-    /// As [`KeyValues::positive`], or [`SettingsError::TooLarge`].
+    /// The errors of [`KeyValues::positive`], and [`SettingsError::TooLarge`].
     pub fn positive_u32(&self, key: &str) -> Result<u32, SettingsError> {
         let value = self.positive(key)?;
         u32::try_from(value).map_err(|_| SettingsError::TooLarge {
@@ -128,7 +128,7 @@
         })
     }
 
-    /// Item `index` of a list that has one item for each class.
+    /// Parses item `index` of a list with one item per class.
     ///
     /// # Errors
     /// [`SettingsError::Missing`], [`SettingsError::MissingItem`] or [`SettingsError::InvalidValue`].
@@ -144,10 +144,10 @@
         parse_value(key, item)
     }
 
-    /// Item `index`, from 0 to 1, of a list that has one item for each class.
+    /// Parses item `index`, a number from 0 to 1, of a list with one item per class.
     ///
     /// # Errors
-    /// As [`KeyValues::item`], or [`SettingsError::OutOfRange`].
+    /// The errors of [`KeyValues::item`], and [`SettingsError::OutOfRange`].
     pub fn fraction_item(&self, key: &str, index: usize) -> Result<f64, SettingsError> {
         let number: f64 = self.item(key, index)?;
         if (0.0..=1.0).contains(&number) {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// All items of a list of plain values; none if the setting is missing.
+    /// Returns the items of a list of scalars without empty ones; an empty list if the setting is missing.
     pub fn list(&self, key: &str) -> Vec<String> {
         let items = self.text(key).unwrap_or_default().split(',');
         items
@@ -166,7 +166,7 @@
             .collect()
     }
 
-    /// How many items a list of objects has; 0 if it is missing.
+    /// Returns the number of items in a list of objects; 0 if the list is missing.
     ///
     /// # Errors
     /// [`SettingsError::InvalidValue`].
@@ -174,7 +174,7 @@
         self.or_default(&wire_names::item_count(list))
     }
 
-    /// The names of the items of a list of objects.
+    /// Returns the names of the items in a list of objects.
     ///
     /// # Errors
     /// [`SettingsError::Missing`] or [`SettingsError::InvalidValue`].
--- a/crates/mixer/src/config/settings/mixer_settings.rs
+++ b/crates/mixer/src/config/settings/mixer_settings.rs
@@ -1,72 +1,72 @@
-//! The settings of the mixer around the decisions.
+//! Settings of the mixer's sockets, protocols and reducer.
 
 use super::super::SettingsError;
 use super::key_values::KeyValues;
 use super::wire_names::{self as wire, item_field};
 use cottonhill_decisions::Nanos;
 
-/// [`MixerSettings::max_open_requests`] where the settings do not state it.
+/// Default of [`MixerSettings::max_open_requests`].
 const DEFAULT_MAX_OPEN_REQUESTS: usize = 4096;
-/// [`MixerSettings::max_attempts`] where the settings do not state it.
+/// Default of [`MixerSettings::max_attempts`].
 const DEFAULT_MAX_ATTEMPTS: usize = u8::MAX as usize;
-/// [`MixerSettings::connect_timeout`] where the settings do not state it.
+/// Default of [`MixerSettings::connect_timeout`].
 const DEFAULT_CONNECT_TIMEOUT_NS: Nanos = 250_000_000;
-/// [`MixerSettings::connection_idle_timeout`] where the settings do not state it.
+/// Default of [`MixerSettings::connection_idle_timeout`].
 const DEFAULT_CONNECTION_IDLE_TIMEOUT_NS: Nanos = 30_000_000_000;
-/// [`MixerSettings::drain_grace`] where the settings do not state it.
+/// Default of [`MixerSettings::drain_grace`].
 const DEFAULT_DRAIN_GRACE_NS: Nanos = 250_000_000;
 
-/// The settings of the mixer around the decisions, whose own are in `cottonhill_decisions::Settings`. Lists by class,
-/// tenant or zone are in the order of their numbers.
+/// Settings of the mixer's sockets, protocols and reducer; those of the coordinator are in
+/// `cottonhill_decisions::Settings`. Lists by class, tenant or zone are indexed by its number.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MixerSettings {
     /// Names of the classes.
     pub classes: Vec<String>,
-    /// Names of the tenants; empty where tenants are not distinguished.
+    /// Names of the tenants; empty if tenants are not distinguished.
     pub tenants: Vec<String>,
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Number of this mixer's zone.
     pub zone: u16,
-    /// By class: the longest that a client waits, ns.
+    /// By class: the longest time that a client waits for a reply, ns.
     pub deadlines: Vec<Nanos>,
-    /// By class: fraction of the weight that a complete answer needs.
+    /// By class: minimum coverage, as a fraction of the weight, of a complete answer.
     pub completeness_thresholds: Vec<f64>,
-    /// By class: least fraction of the weight that any answer needs.
+    /// By class: minimum coverage, as a fraction of the weight, of any answer.
     pub minimum_coverages: Vec<f64>,
     /// Number of shards.
     pub shards: u32,
-    /// Most parts in one call to a leaf server; at least 1.
+    /// Maximum number of parts in one call to a leaf server; at least 1.
     pub max_parts_per_call: usize,
-    /// Most calls in flight on one connection to a leaf server; at least 1.
+    /// Maximum number of calls in flight on one connection to a leaf server; at least 1.
     pub max_streams_per_connection: usize,
-    /// Most attempts of one part.
+    /// Maximum number of attempts per part.
     pub max_attempts: usize,
-    /// The most open queries and unanswered parts together; at this number a new query is rejected.
+    /// Maximum total of open queries and unanswered parts; new queries are rejected once it is reached.
     pub max_open_requests: usize,
-    /// Time for a connection to a leaf server to be established, ns.
+    /// Timeout for establishing a connection to a leaf server, ns.
     pub connect_timeout: Nanos,
-    /// Unused connections to leaf servers are closed after this time, ns.
+    /// Idle connections to leaf servers are closed after this duration, ns.
     pub connection_idle_timeout: Nanos,
-    /// `Retry-After` of a query that is rejected before the coordinator decides on it, ns. It is sent even if it is 0;
-    /// a query that the coordinator rejects gets none then.
+    /// `Retry-After` of a query that is rejected before the coordinator decides on it, ns. It is sent even if it is 0,
+    /// whereas a query that the coordinator rejects then gets no `Retry-After`.
     pub max_retry_after: Nanos,
-    /// How long after a replica was announced as draining or removed an attempt may still start there, ns. The
-    /// mixer makes no new attempt once it has received the announcement; the grace bounds the interval between requests
-    /// to an agent, and how long a call may wait in its socket.
+    /// Maximum delay between the announcement that a replica is draining or removed and the start of the last attempt
+    /// there, ns. The mixer starts no new attempt once it has received the announcement; the grace period limits the
+    /// interval between requests to an agent, and how long a call may wait in its socket.
     pub drain_grace: Nanos,
-    /// Datagrams are exchanged with the other mixers.
+    /// Whether datagrams are exchanged with the other mixers.
     pub peer_messages_enabled: bool,
-    /// Replicas may be probed.
+    /// Whether replicas may be probed.
     pub probing_enabled: bool,
-    /// Names of the values in a load report; empty where leaf servers report none.
+    /// Names of the values in a load report; empty if leaf servers do not report load.
     pub load_report_fields: Vec<String>,
 }
 
-/// Parses the mixer's settings from lines of `key=value`.
+/// Parses the mixer's settings from `key=value` lines.
 ///
 /// # Errors
-/// The first setting that is missing, malformed or out of range.
+/// The first setting found to be missing, malformed or out of range.
 pub fn parse_mixer(text: &str) -> Result<MixerSettings, SettingsError> {
     let values = KeyValues::parse(text)?;
     let classes = values.item_names(wire::CLASSES)?;
@@ -79,8 +79,11 @@
         zones: values.list(wire::ZONES),
         zone: values.or_default(wire::ZONE)?,
         shards: values.positive_u32(wire::SHARDS)?,
-        max_parts_per_call: at_least_one(&values, wire::MAX_PARTS_PER_CALL)?,
-        max_streams_per_connection: at_least_one(&values, wire::MAX_STREAMS_PER_CONNECTION)?,
+        max_parts_per_call: optional_at_least_one(&values, wire::MAX_PARTS_PER_CALL)?,
+        max_streams_per_connection: optional_at_least_one(
+            &values,
+            wire::MAX_STREAMS_PER_CONNECTION,
+        )?,
         max_attempts: values
             .optional(wire::MAX_ATTEMPTS)?
             .unwrap_or(DEFAULT_MAX_ATTEMPTS),
@@ -104,7 +107,8 @@
     })
 }
 
-/// The query protocol can't express a second phase: clients would get answers without it.
+/// Rejects settings with a second query phase: the query protocol can't express it, so clients would get answers
+/// without its results.
 fn reject_second_phases(values: &KeyValues, class_count: usize) -> Result<(), SettingsError> {
     for index in 0..class_count {
         let parts = values.item::<u32>(wire::SECOND_PHASE_PARTS, index)?;
@@ -130,7 +134,7 @@
         .collect()
 }
 
-/// A number that counts as 1 if it is missing or 0.
-fn at_least_one(values: &KeyValues, key: &str) -> Result<usize, SettingsError> {
+/// Parses a number; 1 if it is missing or 0.
+fn optional_at_least_one(values: &KeyValues, key: &str) -> Result<usize, SettingsError> {
     Ok(values.optional(key)?.unwrap_or(1).max(1))
 }
--- a/crates/mixer/src/config/settings/mod.rs
+++ b/crates/mixer/src/config/settings/mod.rs
@@ -1,7 +1,7 @@
-//! The settings as `key=value` lines, parsed into the decisions' [`Settings`] and the [`MixerSettings`].
+//! Parsing of settings in the form of `key=value` lines into the coordinator's [`Settings`] and the [`MixerSettings`].
 //!
-//! The simulator sends this text; the JSON of a mixer's configuration is flattened to it first. Unknown keys are
-//! ignored. A key that is required and missing, malformed or out of range is named in the error.
+//! The simulator sends the settings in this form; the JSON settings of a mixer's configuration file are flattened to
+//! it. Unknown keys are ignored. The error names the key of a setting that is missing, malformed or out of range.
 //!
 //! [`Settings`]: cottonhill_decisions::Settings
 
--- a/crates/mixer/src/config/settings/wire_names.rs
+++ b/crates/mixer/src/config/settings/wire_names.rs
@@ -1,7 +1,7 @@
 //! Wire names of the settings, each with the field that it sets: a field of `cottonhill_decisions::Settings`, its
-//! `Class` or `RetryBudget`, or of [`super::MixerSettings`]. No other module knows wire names.
+//! `Class` or `RetryBudget`, or of [`super::MixerSettings`]. No other module contains wire names of settings.
 
-/// Number of this mixer's zone: `Settings::zone`, `MixerSettings::zone`.
+/// Number of the zone that this mixer is in: `Settings::zone`, `MixerSettings::zone`.
 pub const ZONE: &str = "my_zone";
 /// Zone names, by zone number: `MixerSettings::zones`.
 pub const ZONES: &str = "localities";
@@ -9,16 +9,16 @@
 pub const CROSS_ZONE_COST: &str = "tariffs.cross_zone";
 /// Number of mixers: `Settings::fleet_size`.
 pub const FLEET_SIZE: &str = "replicas_of_me";
-/// Nanoseconds between two batches of events: `Settings::batch_interval`.
+/// Interval between two batches of events, in nanoseconds: `Settings::batch_interval`.
 pub const BATCH_INTERVAL: &str = "tick_ns";
-/// How the endpoint list is obtained: `Settings::discovery_mode`.
+/// Whether endpoint updates are pushed or polled: `Settings::discovery_mode`.
 pub const DISCOVERY_MODE: &str = "discovery";
 /// Value of [`DISCOVERY_MODE`] for `DiscoveryMode::Poll`; any other value is `DiscoveryMode::Push`.
 pub const DISCOVERY_MODE_POLL: &str = "on_request";
 
 /// Number of cells: `Settings::cells`.
 pub const CELLS: &str = "extra.places";
-/// Replicas of each cell: `Settings::replication_factor`.
+/// Number of replicas per cell: `Settings::replication_factor`.
 pub const REPLICATION_FACTOR: &str = "extra.reach";
 /// Number of shards: `MixerSettings::shards`.
 pub const SHARDS: &str = "extra.ranges";
@@ -33,7 +33,7 @@
 /// By class: `Class::second_phase_parts`.
 pub const SECOND_PHASE_PARTS: &str = "extra.second_step";
 
-/// Attempts of one part: `Settings::max_attempts`, `MixerSettings::max_attempts`.
+/// Maximum number of attempts per part: `Settings::max_attempts`, `MixerSettings::max_attempts`.
 pub const MAX_ATTEMPTS: &str = "limits.max_attempts";
 /// `Settings::cancellation_enabled`.
 pub const CANCELLATION_ENABLED: &str = "limits.cancelling";
@@ -42,8 +42,8 @@
 /// `Settings::probing_enabled`, `MixerSettings::probing_enabled`.
 pub const PROBING_ENABLED: &str = "limits.may_probe";
 /// `Settings::max_retry_after`, `MixerSettings::max_retry_after`, in nanoseconds. If it is 0 or missing, a query that
-/// the coordinator rejects gets no `Retry-After`, and one that is rejected before gets a `Retry-After` of 0. The wire's
-/// `limits.retry_after` is ignored.
+/// the coordinator rejects gets no `Retry-After`, and a query that is rejected before it reaches the coordinator gets a
+/// `Retry-After` of 0. The setting `limits.retry_after` is ignored.
 pub const MAX_RETRY_AFTER: &str = "limits.max_retry_after_ns";
 /// `Settings::connection_idle_timeout`, `MixerSettings::connection_idle_timeout`, in nanoseconds.
 pub const CONNECTION_IDLE_TIMEOUT: &str = "limits.conn_idle_ns";
@@ -83,12 +83,12 @@
 pub const TENANTS: &str = "orgs";
 /// List of classes.
 pub const CLASSES: &str = "classes";
-/// Number of items in a list of objects, behind the list's name.
+/// Suffix of the setting with the number of items in a list of objects.
 pub const COUNT: &str = "count";
 
 /// Wire names of the fields of one tenant, an item of [`TENANTS`].
 pub mod tenant {
-    /// Queries a second that the tenant may send: a term of `Settings::fleet_rate_limit`.
+    /// Rate limit of the tenant in queries per second; `Settings::fleet_rate_limit` is the sum over all tenants.
     pub const RATE_LIMIT: &str = "allowance_per_s";
 }
 
@@ -108,7 +108,7 @@
     pub const LATE_WEIGHT_FRACTION: &str = "late_value";
     /// `Class::idempotency`.
     pub const IDEMPOTENCY: &str = "semantics";
-    /// The values of [`IDEMPOTENCY`], for errors.
+    /// Description of the values of [`IDEMPOTENCY`] for error messages.
     pub const IDEMPOTENCY_VALUES: &str = "read_like, idempotency_key or non_idempotent";
     /// `Idempotency::Idempotent`.
     pub const IDEMPOTENT: &str = "read_like";
@@ -121,12 +121,12 @@
 /// Name of a class or tenant.
 pub const NAME: &str = "name";
 
-/// Wire name of field `field` of item `index` in the list of objects `list`.
+/// Returns the wire name of field `field` of item `index` in the list of objects `list`.
 pub fn item_field(list: &str, index: usize, field: &str) -> String {
     format!("{list}.{index}.{field}")
 }
 
-/// Wire name of the number of items in the list of objects `list`.
+/// Returns the wire name of the number of items in the list of objects `list`.
 pub fn item_count(list: &str) -> String {
     format!("{list}.{COUNT}")
 }
--- a/crates/mixer/src/protocol/endpoint_updates/error.rs
+++ b/crates/mixer/src/protocol/endpoint_updates/error.rs
@@ -1,47 +1,47 @@
-//! Why an endpoint update is rejected.
+//! Errors of rejected endpoint updates.
 
 use super::MAX_ENTRIES;
 use thiserror::Error;
 
-/// Why an endpoint update is rejected. The current list is kept.
+/// The reason why an endpoint update is rejected. The current list is kept.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum UpdateError {
-    /// The text is too long.
-    #[error("a list of over {max_bytes} bytes, the most that is accepted in one message")]
+    /// The update's text is too long.
+    #[error("endpoint update of over {max_bytes} bytes, which is the limit")]
     TooManyBytes {
-        /// The limit.
+        /// Maximum size in bytes.
         max_bytes: usize,
     },
-    /// The list has more than [`MAX_ENTRIES`] entries.
-    #[error("{entries} entries in version {version}, {max} at most are accepted", max = MAX_ENTRIES)]
+    /// The update has more than [`MAX_ENTRIES`] entries.
+    #[error("{entries} entries in version {version}, the limit is {max}", max = MAX_ENTRIES)]
     TooManyEntries {
-        /// The update's version.
+        /// Version of the update.
         version: u64,
-        /// The number of entries.
+        /// Number of entries.
         entries: usize,
     },
-    /// An entry of a delta has no usable name, so that it is not known which endpoint changes.
-    #[error("entry {entry} of version {version} names nobody: {reason}")]
+    /// An entry of a delta has no valid name, so that the changed endpoint is unknown.
+    #[error("entry {entry} of version {version} has no valid name: {reason}")]
     UnnamedEntry {
-        /// The update's version.
+        /// Version of the update.
         version: u64,
-        /// The entry, counted from 0.
+        /// Index of the entry, counted from 0.
         entry: usize,
-        /// What is wrong with it.
+        /// Message of the JSON parser.
         reason: String,
     },
-    /// Not the JSON of an update.
-    #[error("{reason}, in an object of {bytes} bytes")]
+    /// The text is not the JSON of an update.
+    #[error("malformed endpoint update of {bytes} bytes: {reason}")]
     Malformed {
-        /// The length of the text.
+        /// Length of the text.
         bytes: usize,
-        /// What is wrong with it.
+        /// Message of the JSON parser.
         reason: String,
     },
 }
 
 impl UpdateError {
-    /// Whether the update is larger than any that is accepted.
+    /// Whether the update is rejected because of its size.
     pub fn is_too_large(&self) -> bool {
         matches!(
             self,
--- a/crates/mixer/src/protocol/endpoint_updates/message.rs
+++ b/crates/mixer/src/protocol/endpoint_updates/message.rs
@@ -1,5 +1,5 @@
-//! The JSON of an endpoint update. Entries are parsed one by one, so that a malformed entry does not invalidate the
-//! others.
+//! Parsing of the JSON of an endpoint update. Each entry is parsed separately, so that a malformed entry does not
+//! invalidate the others.
 
 use super::{Address, EndpointEntry, EndpointUpdate, Status, UpdateError, MAX_ENTRIES};
 use crate::log_targets;
@@ -12,10 +12,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Invalid entries of one update that are logged one by one; the others are only counted.
+/// Maximum number of invalid entries of one update that are logged individually; the others are only counted.
 const MAX_LOGGED_ENTRIES: usize = 16;
 
-/// An update as written. Error texts contain the names of this struct and the next ones, and their numbers of fields.
+/// The JSON of an update. Serde's error messages contain the names of this struct and of `Entry`, and their numbers of
+/// fields.
 #[derive(Deserialize)]
 pub(super) struct Message {
     #[serde(rename = "index")]
@@ -25,7 +26,7 @@
     entries: Entries,
 }
 
-/// An entry as written. Its text is borrowed unless it has escapes.
+/// The JSON of an entry. Strings are borrowed unless they contain escapes.
 #[derive(Deserialize)]
 struct Entry<'a> {
     #[serde(borrow)]
@@ -41,34 +42,34 @@
     started_ms: u64,
 }
 
-/// The part of an entry that is used even if the rest is malformed.
+/// The field of an entry that is used even if the other fields are malformed.
 #[derive(Deserialize)]
-struct Named<'a> {
+struct EntryName<'a> {
     #[serde(borrow)]
     name: Cow<'a, str>,
 }
 
-/// An entry that can't be used as it is.
+/// An entry with an invalid field.
 struct InvalidEntry {
-    /// The entry, counted from 0.
+    /// Index of the entry, counted from 0.
     entry: usize,
     name: Option<Box<str>>,
     reason: String,
 }
 
-/// The entries of an update. They are parsed before the update's version is known.
+/// The entries of an update. The update's version may not have been parsed before them.
 #[derive(Default)]
 struct Entries {
     endpoints: Vec<EndpointEntry>,
-    /// Each zone's name once, to be shared by the entries.
+    /// The distinct zone names, which the entries share.
     zones: HashSet<Arc<str>>,
-    /// All entries, parsed or not.
+    /// Number of all entries, parsed or not.
     count: usize,
-    /// The first invalid entries.
+    /// The first invalid entries, which are logged.
     logged_invalid: Vec<InvalidEntry>,
-    /// All invalid entries.
+    /// Number of all invalid entries.
     invalid_count: usize,
-    /// The first entry without a name, counted from 0, and what is wrong with it.
+    /// Index, counted from 0, of the first entry without a valid name, and the message of the JSON parser.
     first_unnamed: Option<(usize, String)>,
 }
 
@@ -84,12 +85,12 @@
     type Value = Entries;
 
     fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        f.write_str("a list of leaf servers")
+        f.write_str("a list of endpoint entries")
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Entries, A::Error> {
         let mut entries = Entries::default();
-        // Only one entry's text is copied at a time.
+        // The text of only one entry is copied at a time.
         while let Some(text) = seq.next_element::<Box<RawValue>>()? {
             entries.add(text.get());
             if entries.count == MAX_ENTRIES {
@@ -104,27 +105,28 @@
 }
 
 impl Entries {
-    /// Parses an entry. A malformed one that has a name counts as draining: it gets no new calls, as it may be leaving.
+    /// Parses an entry. A malformed entry with a valid name counts as draining: it gets no new calls, since the
+    /// endpoint may be shutting down.
     fn add(&mut self, text: &str) {
         let entry = self.count;
         self.count += 1;
         match serde_json::from_str::<Entry>(text) {
-            Ok(written) => self.add_well_formed(entry, written),
+            Ok(parsed) => self.add_well_formed(entry, parsed),
             Err(error) => self.add_malformed(entry, text, error.to_string()),
         }
     }
 
-    fn add_well_formed(&mut self, entry: usize, written: Entry) {
-        let name: Box<str> = written.name.into();
-        let zone = self.shared_zone(&written.zone);
-        let address = written.address.parse::<SocketAddr>().ok();
-        if address.is_none() && written.status == Status::Up {
+    fn add_well_formed(&mut self, entry: usize, parsed: Entry) {
+        let name: Box<str> = parsed.name.into();
+        let zone = self.shared_zone(&parsed.zone);
+        let address = parsed.address.parse::<SocketAddr>().ok();
+        if address.is_none() && parsed.status == Status::Up {
             self.add_invalid(InvalidEntry {
                 entry,
                 name: Some(name.clone()),
                 reason: format!(
-                    "listed as up without a usable address: \"{}\" is no IP:PORT",
-                    written.address
+                    "status is up, but the address \"{}\" is not IP:PORT",
+                    parsed.address
                 ),
             });
         }
@@ -132,16 +134,16 @@
             name,
             address: address.map(Address::from),
             zone,
-            cell: written.cell,
-            status: written.status,
-            started_ms: written.started_ms,
+            cell: parsed.cell,
+            status: parsed.status,
+            started_ms: parsed.started_ms,
         });
     }
 
     fn add_malformed(&mut self, entry: usize, text: &str, reason: String) {
-        let name: Option<Box<str>> = serde_json::from_str::<Named>(text)
+        let name: Option<Box<str>> = serde_json::from_str::<EntryName>(text)
             .ok()
-            .map(|named| named.name.into());
+            .map(|entry_name| entry_name.name.into());
         match &name {
             Some(name) => {
                 let zone = self.shared_zone("");
@@ -182,7 +184,7 @@
         }
     }
 
-    fn log_invalid(&self, index: u64) {
+    fn log_invalid(&self, version: u64) {
         for invalid in &self.logged_invalid {
             let InvalidEntry {
                 entry,
@@ -191,17 +193,17 @@
             } = invalid;
             match name {
                 Some(name) => {
-                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index, entry, name, "invalid entry in endpoint update: {reason}")
+                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index = version, entry, name, "invalid entry in endpoint update: {reason}")
                 }
                 None => {
-                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index, entry, "unnamed entry in endpoint update: {reason}")
+                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index = version, entry, "unnamed entry in endpoint update: {reason}")
                 }
             }
         }
         let more = self.invalid_count - self.logged_invalid.len();
         if more > 0 {
             tracing::warn!(
-                target: log_targets::ENDPOINT_UPDATES, index,
+                target: log_targets::ENDPOINT_UPDATES, index = version,
                 more,
                 "further invalid entries in endpoint update"
             );
@@ -212,7 +214,8 @@
 impl TryFrom<Message> for EndpointUpdate {
     type Error = UpdateError;
 
-    /// A snapshot is usable without its unnamed entries. A delta is not: it is not known which endpoints they change.
+    /// In a snapshot, entries without a valid name are skipped. A delta with such entries is rejected, since the
+    /// endpoints that they change are unknown.
     fn try_from(message: Message) -> Result<EndpointUpdate, UpdateError> {
         let Message {
             version,
--- a/crates/mixer/src/protocol/endpoint_updates/mod.rs
+++ b/crates/mixer/src/protocol/endpoint_updates/mod.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, as discovery sends them: a snapshot of the whole list, or a delta.
+//! Updates of the endpoint list from discovery: a snapshot of the complete list, or a delta.
 
 mod error;
 mod limits;
@@ -14,7 +14,8 @@
 use std::net::{SocketAddr, SocketAddrV4, SocketAddrV6};
 use std::sync::Arc;
 
-/// A socket address in 16 bytes. A list holds many and nearly all are IPv4; an IPv6 address is on the heap.
+/// A socket address in 16 bytes. Lists contain many addresses and nearly all are IPv4, so IPv6 addresses are stored on
+/// the heap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Address {
     /// An IPv4 address and a port.
@@ -41,32 +42,32 @@
     }
 }
 
-/// One leaf server as listed.
+/// The entry of one leaf server in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointEntry {
-    /// The same at every mixer, for the whole life of the leaf server.
+    /// Name of the leaf server: the same at every mixer, and constant for its lifetime.
     pub name: Box<str>,
-    /// `None` if the entry states no usable address.
+    /// `None` if the entry has no valid address.
     pub address: Option<Address>,
-    /// Name of its zone, shared by all entries of a list with the same zone; empty if none is stated.
+    /// Name of its zone, shared by all entries of an update with the same zone; empty if the entry has none.
     pub zone: Arc<str>,
-    /// The cell that it holds.
+    /// Number of the cell that it serves.
     pub cell: u16,
-    /// What discovery announces of it.
+    /// Its status according to discovery.
     pub status: Status,
-    /// Its last start, in Unix milliseconds; 0 means long ago.
+    /// Time of its last start in Unix milliseconds; 0 means that it started long ago.
     pub started_ms: u64,
 }
 
-/// What discovery announces of a leaf server.
+/// The status of a leaf server according to discovery.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// Accepts calls.
+    /// It accepts calls.
     Up,
-    /// Completes the calls that it has and accepts no new ones.
+    /// It completes its current calls and accepts no new ones.
     Draining,
-    /// No longer exists; only in deltas.
+    /// It no longer exists; only in deltas.
     Removed,
 }
 
@@ -74,17 +75,17 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(try_from = "Message")]
 pub struct EndpointUpdate {
-    /// The version of the list once this is applied.
+    /// Version of the list after this update.
     pub version: u64,
-    /// Whether `entries` are the complete list; else they are the changes since the version before, in order.
+    /// Whether `entries` are the complete list; otherwise they are the changes since the previous version, in order.
     pub snapshot: bool,
-    /// The usable entries, and those with a name but no other usable value as draining.
+    /// The entries that have a valid name. A malformed entry has the status draining and no other values.
     pub entries: Vec<EndpointEntry>,
-    /// Entries that could not be used as they are.
+    /// Number of entries with an invalid field.
     pub invalid_entries: usize,
 }
 
-/// Parses one object of a watch; `None` for a heartbeat, which has no bytes.
+/// Parses one object of a watch; `None` for a heartbeat, which is empty.
 ///
 /// # Errors
 /// The update is too large or malformed.
--- a/crates/mixer/src/protocol/endpoint_updates/object_splitter.rs
+++ b/crates/mixer/src/protocol/endpoint_updates/object_splitter.rs
@@ -2,28 +2,28 @@
 
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Finds the ends of objects in a stream that arrives in pieces, looking at each byte once. Line breaks and the borders
-/// of pieces have no meaning. Objects are not validated: [`super::parse`] does that.
+/// Splits a stream into objects incrementally and scans each byte once. Line breaks and the boundaries of the received
+/// pieces have no meaning. Objects are not validated here, but in [`super::parse`].
 #[derive(Default)]
 pub struct JsonObjectSplitter {
     buffer: BytesMut,
-    /// Bytes of the buffer that have been scanned, all of them part of the next object.
+    /// Number of scanned bytes at the start of the buffer; they belong to the next object.
     scanned: usize,
-    /// Open braces and brackets.
+    /// Number of open braces and brackets.
     depth: usize,
     in_string: bool,
-    /// The last byte was a backslash in a string.
+    /// Whether the last byte was a backslash in a string that escapes the next byte.
     escaped: bool,
 }
 
 impl JsonObjectSplitter {
-    /// The buffer to which input is appended.
+    /// Returns the buffer to which input is appended.
     pub fn buffer(&mut self) -> &mut BytesMut {
         &mut self.buffer
     }
 
-    /// The next complete object. Input that starts no object comes out at its first byte, for [`super::parse`] to
-    /// report.
+    /// Removes and returns the next complete object. Of input that does not start an object, the first byte is
+    /// returned, so that [`super::parse`] reports an error.
     pub fn next_object(&mut self) -> Option<Bytes> {
         if self.scanned == 0 {
             self.skip_whitespace();
@@ -60,13 +60,13 @@
         }
     }
 
-    /// Takes the scanned bytes from the buffer.
+    /// Removes the scanned bytes from the buffer.
     fn split_object(&mut self) -> Bytes {
         let object = self.buffer.split_to(self.scanned).freeze();
         self.scanned = 0;
         self.in_string = false;
         if self.buffer.len() <= object.len() {
-            // Moved to a buffer of its own, so that a large object's memory is freed with the object.
+            // The remaining bytes are moved to a separate buffer, so that a large object's memory is freed with it.
             self.buffer = BytesMut::from(&self.buffer[..]);
         }
         object
--- a/crates/mixer/src/protocol/http/body.rs
+++ b/crates/mixer/src/protocol/http/body.rs
@@ -1,42 +1,42 @@
-//! Incremental reading of a message body, with a length or in chunks.
+//! Incremental reading of message bodies with a `Content-Length` or chunked encoding.
 
 use super::MAX_HEAD_BYTES;
 use bytes::{Buf, BytesMut};
 
-/// Bytes of the longest chunk-size line, extensions included.
+/// Maximum length of a chunk-size line in bytes, including extensions.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 const CRLF: &[u8] = b"\r\n";
 
-/// What is expected next of a body. Data is moved out as it arrives, so that a connection's read buffer never has to
-/// hold more than a head.
+/// The next expected element of a body. Data is moved out of the connection's read buffer as it arrives, so that this
+/// buffer needs no more space than a head.
 #[derive(Debug, PartialEq)]
 pub(super) enum BodyReader {
-    /// So many bytes of a body with a length.
+    /// The remaining bytes of a body with a length.
     Length(usize),
     /// The size line of a chunk.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// The remaining bytes of a chunk.
     ChunkData(usize),
     /// The line break after a chunk's data.
     ChunkEnd,
     /// A line of the trailer section.
     Trailer,
-    /// Nothing: the body is complete.
+    /// The body is complete.
     Complete,
 }
 
-/// A body that can't be read.
+/// The reason why a body is rejected.
 #[derive(Debug, PartialEq)]
 pub(super) enum BodyError {
     /// The chunked encoding is malformed.
     MalformedChunk,
-    /// The body is larger than allowed.
+    /// The body exceeds the maximum size.
     TooLarge,
 }
 
 impl BodyReader {
-    /// Moves what has arrived of the body from `src` to `out`, which may grow to `max_bytes`. True once the body is
-    /// complete.
+    /// Moves the received bytes of the body from `src` to `out`, which may grow to `max_bytes`. Returns true once the
+    /// body is complete.
     pub(super) fn read(
         &mut self,
         src: &mut BytesMut,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Moves up to `remaining` bytes; true once none remain.
+/// Moves up to `remaining` bytes. Returns true once none remain.
 fn move_data(
     remaining: &mut usize,
     src: &mut BytesMut,
@@ -82,7 +82,7 @@
     Ok(*remaining == 0)
 }
 
-/// The state after the chunk-size line; `None` if the line is incomplete.
+/// Reads a chunk-size line and returns the next state; `None` if the line is incomplete.
 fn read_chunk_size(src: &mut BytesMut) -> Result<Option<BodyReader>, BodyError> {
     match httparse::parse_chunk_size(src) {
         Ok(httparse::Status::Complete((line_length, size))) => {
@@ -98,7 +98,7 @@
     }
 }
 
-/// The state after the line break that ends a chunk; `None` if it is incomplete.
+/// Reads the line break after a chunk's data and returns the next state; `None` if it is incomplete.
 fn read_chunk_end(src: &mut BytesMut) -> Result<Option<BodyReader>, BodyError> {
     if src.len() < CRLF.len() {
         return Ok(None);
@@ -110,7 +110,8 @@
     Ok(Some(BodyReader::ChunkSize))
 }
 
-/// The state after a line of the trailer section, which an empty line ends; `None` if the line is incomplete.
+/// Reads a line of the trailer section, which ends with an empty line, and returns the next state; `None` if the line
+/// is incomplete.
 fn read_trailer_line(src: &mut BytesMut) -> Result<Option<BodyReader>, BodyError> {
     match src.iter().position(|byte| *byte == b'\n') {
         Some(line_end) => {
--- a/crates/mixer/src/protocol/http/framing.rs
+++ b/crates/mixer/src/protocol/http/framing.rs
@@ -1,11 +1,11 @@
-//! How a message's body is delimited, by its header fields.
+//! Body framing of a message, as its header fields define it.
 
 use super::body::BodyReader;
 
-/// Header fields that state no usable framing of the body.
+/// The reason why header fields do not define a valid framing of the body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FramingError {
-    /// `Content-Length` is not a plain number.
+    /// `Content-Length` does not consist of digits only.
     InvalidLength,
     /// `Transfer-Encoding` is anything but `chunked`.
     UnknownTransferEncoding,
@@ -14,7 +14,7 @@
 }
 
 impl FramingError {
-    /// The reason, for the response or the log.
+    /// Returns the reason for the response or the log.
     pub(super) const fn reason(self) -> &'static str {
         match self {
             FramingError::InvalidLength => "bad length",
@@ -24,25 +24,25 @@
     }
 }
 
-/// The reader for the body that these header fields announce; `None` if they state neither a length nor chunks.
+/// Returns a reader for the body; `None` if the header fields define neither a length nor chunked encoding.
 pub(super) fn body_reader(
     headers: &[httparse::Header],
 ) -> Result<Option<BodyReader>, FramingError> {
     let mut reader = None;
     for header in headers {
-        let Some(stated) = stated_framing(header)? else {
+        let Some(framing) = header_framing(header)? else {
             continue;
         };
-        if reader.as_ref().is_some_and(|earlier| *earlier != stated) {
+        if reader.as_ref().is_some_and(|earlier| *earlier != framing) {
             return Err(FramingError::ConflictingLengths);
         }
-        reader = Some(stated);
+        reader = Some(framing);
     }
     Ok(reader)
 }
 
-/// The framing that one header field states, if it is about framing.
-fn stated_framing(header: &httparse::Header) -> Result<Option<BodyReader>, FramingError> {
+/// Returns the framing that one header field defines; `None` if the field does not concern framing.
+fn header_framing(header: &httparse::Header) -> Result<Option<BodyReader>, FramingError> {
     let value = header.value.trim_ascii();
     if header.name.eq_ignore_ascii_case("content-length") {
         return parse_length(value).map(|length| Some(BodyReader::Length(length)));
@@ -58,11 +58,11 @@
 }
 
 fn parse_length(value: &[u8]) -> Result<usize, FramingError> {
-    // Digits only: signs and lists in this field are used for request smuggling.
+    // Only digits are accepted, because signs and lists in this field are used for request smuggling.
     if value.is_empty() || !value.iter().all(u8::is_ascii_digit) {
         return Err(FramingError::InvalidLength);
     }
     let digits = std::str::from_utf8(value).map_err(|_| FramingError::InvalidLength)?;
-    // A length that overflows is too large, not malformed.
+    // A number that overflows is reported as too large, not as malformed.
     Ok(digits.parse().unwrap_or(usize::MAX))
 }
--- a/crates/mixer/src/protocol/http/message.rs
+++ b/crates/mixer/src/protocol/http/message.rs
@@ -1,14 +1,14 @@
-//! Requests, responses, and why a request is rejected.
+//! Requests, responses, and the errors of rejected requests.
 
 use bytes::Bytes;
 use cottonhill_decisions::Nanos;
 
-/// Why a request is rejected, and the status of the response.
+/// The reason why a request is rejected, with the status of the response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestError {
     /// The HTTP status.
     pub status: u16,
-    /// The reason in the response's body; with 405, the method that is allowed.
+    /// The reason in the response's body; for status 405, the allowed method instead.
     pub reason: &'static str,
 }
 
@@ -21,7 +21,7 @@
         }
     }
 
-    /// 404: no resource has this path.
+    /// 404: there is no resource at this path.
     pub const fn not_found(reason: &'static str) -> RequestError {
         RequestError {
             status: 404,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// 405: the resource allows only the method `allowed`.
+    /// 405: the resource supports only the method `allowed`.
     pub const fn method_not_allowed(allowed: &'static str) -> RequestError {
         RequestError {
             status: 405,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// 408: the request was not complete in time.
+    /// 408: the request was not complete within the time limit.
     pub const fn timed_out() -> RequestError {
         RequestError {
             status: 408,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// 431: the head is larger than [`super::MAX_HEAD_BYTES`] or has too many fields.
+    /// 431: the head is larger than [`super::MAX_HEAD_BYTES`] or has too many header fields.
     pub const fn head_too_large() -> RequestError {
         RequestError {
             status: 431,
@@ -67,18 +67,18 @@
 pub struct Request {
     /// The method.
     pub method: String,
-    /// The request target as sent, with its query string.
+    /// The request target, including the query string.
     pub path: String,
-    /// The header fields in order, names in lower case.
+    /// The header fields in their order, with names in lower case.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Bytes,
-    /// The client allows another request on this connection.
+    /// Whether the client allows another request on this connection.
     pub keep_alive: bool,
 }
 
 impl Request {
-    /// The value of the first header field of this name, which has to be in lower case.
+    /// Returns the value of the first header field with this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -92,12 +92,12 @@
 pub struct Response {
     /// The HTTP status.
     pub status: u16,
-    /// `Retry-After`, in nanoseconds; rounded up to milliseconds when it is written.
+    /// `Retry-After` in nanoseconds; it is rounded up to milliseconds in the encoded response.
     pub retry_after: Option<Nanos>,
-    /// `Allow`: the method that is allowed.
+    /// `Allow`: the allowed method.
     pub allow: Option<&'static str>,
     /// The body.
     pub body: Vec<u8>,
-    /// Closes the connection after it.
+    /// Whether to close the connection after the response.
     pub close: bool,
 }
--- a/crates/mixer/src/protocol/http/mod.rs
+++ b/crates/mixer/src/protocol/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as far as the mixer needs it: a server codec for whole requests, and a client codec for one watch.
+//! The subset of HTTP/1.1 that the mixer needs: a server codec for complete requests, and a client codec for one watch.
 
 mod body;
 mod framing;
@@ -11,9 +11,9 @@
 pub use server_codec::ServerCodec;
 pub use watch_codec::{WatchCodec, WatchRejected, WatchRequest};
 
-/// Bytes of the largest request body that is accepted.
+/// Maximum size of a request body in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Bytes of the largest head that is accepted; it has to fit in one buffer of the pool.
+/// Maximum size of a message head in bytes; a head must fit in one buffer of the pool.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Header fields that a head may have.
+/// Maximum number of header fields in a head.
 const MAX_HEADERS: usize = 64;
--- a/crates/mixer/src/protocol/http/request_head.rs
+++ b/crates/mixer/src/protocol/http/request_head.rs
@@ -1,12 +1,12 @@
-//! Request line and header fields.
+//! Parsing of the request line and header fields.
 
 use super::body::BodyReader;
 use super::framing::body_reader;
 use super::{Request, RequestError, MAX_BODY_BYTES, MAX_HEADERS, MAX_HEAD_BYTES};
 use bytes::{Buf, Bytes, BytesMut};
 
-/// Takes a request's head from `src`: the request, still without its body, and the reader for the body. `None` if the
-/// head is incomplete.
+/// Consumes a request's head from `src`. Returns the request without its body, and the reader for the body; `None` if
+/// the head is incomplete.
 pub(super) fn parse_request_head(
     src: &mut BytesMut,
 ) -> Result<Option<(Request, BodyReader)>, RequestError> {
@@ -33,7 +33,7 @@
     Ok(Some((request, body)))
 }
 
-/// The reader for the body of a request; a request without framing has no body.
+/// Returns the reader for the body of a request. A request whose header fields define no framing has no body.
 fn request_body_reader(headers: &[httparse::Header]) -> Result<BodyReader, RequestError> {
     match body_reader(headers) {
         Ok(Some(BodyReader::Length(length))) if length > MAX_BODY_BYTES => {
@@ -54,7 +54,8 @@
     Ok(owned)
 }
 
-/// Whether the connection stays open after the response, by `Connection` or else by the HTTP version.
+/// Whether the connection may stay open after the response, according to `Connection`, or to the HTTP version if that
+/// is absent.
 fn allows_keep_alive(headers: &[(String, String)], minor_version: Option<u8>) -> bool {
     let connection = headers
         .iter()
--- a/crates/mixer/src/protocol/http/server_codec.rs
+++ b/crates/mixer/src/protocol/http/server_codec.rs
@@ -1,4 +1,4 @@
-//! The server's side of one connection.
+//! The codec of the server side of a connection.
 
 use super::body::{BodyError, BodyReader};
 use super::request_head::parse_request_head;
@@ -10,24 +10,24 @@
 
 const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
 
-/// Decodes requests and encodes responses. After a rejected request it discards all input, since where the next
-/// request begins is not known.
+/// Decodes requests and encodes responses. After a rejected request it discards all input, since the start of the next
+/// request is unknown.
 #[derive(Default)]
 pub struct ServerCodec {
-    /// The request that is being read, without its body, and the reader for the body.
+    /// The request being read, without its body, and the reader for the body.
     partial_request: Option<(Request, BodyReader)>,
-    /// What has been read of the body.
+    /// The bytes of the body that have been read.
     body: BytesMut,
     discards_input: bool,
 }
 
 impl ServerCodec {
-    /// Whether the head of a request has been read and its body is incomplete.
-    pub fn in_request(&self) -> bool {
+    /// Whether the head of a request has been read but its body is incomplete.
+    pub fn has_partial_request(&self) -> bool {
         self.partial_request.is_some()
     }
 
-    /// Gives up the request that is being read; all further input is discarded.
+    /// Abandons the request being read; all further input is discarded.
     pub fn abandon_request(&mut self) {
         self.discards_input = true;
     }
@@ -59,7 +59,7 @@
 }
 
 impl Decoder for ServerCodec {
-    /// A request, or why it is rejected.
+    /// A request, or the reason why it is rejected.
     type Item = Result<Request, RequestError>;
     type Error = io::Error;
 
@@ -73,7 +73,7 @@
         Ok(item)
     }
 
-    /// A client may close in the middle of a request: that ends the connection without an error.
+    /// A client may close the connection in the middle of a request; this is not an error.
     fn decode_eof(&mut self, src: &mut BytesMut) -> io::Result<Option<Self::Item>> {
         let item = self.decode(src)?;
         if item.is_none() {
@@ -93,7 +93,7 @@
     }
 }
 
-/// Status line, header fields and the empty line after them.
+/// Renders the status line, the header fields and the empty line after them.
 fn response_head(response: &Response) -> String {
     let mut head = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
@@ -102,7 +102,7 @@
         response.body.len()
     );
     if let Some(retry_after) = response.retry_after {
-        // Rounded up, so that no client retries early.
+        // Rounded up so that clients do not retry too early.
         let milliseconds = retry_after.div_ceil(NANOS_PER_MILLISECOND);
         head += &format!("Retry-After: {:.3}\r\n", milliseconds as f64 / 1000.0);
     }
--- a/crates/mixer/src/protocol/http/watch_codec.rs
+++ b/crates/mixer/src/protocol/http/watch_codec.rs
@@ -1,4 +1,4 @@
-//! The client's side of one watch on the endpoint list.
+//! The codec of the client side of a watch on the endpoint list.
 
 use super::body::{BodyError, BodyReader};
 use super::framing::body_reader;
@@ -14,9 +14,9 @@
 
 /// A request for the endpoint list: one snapshot, or a watch.
 pub struct WatchRequest {
-    /// The value of `Host`.
+    /// Value of `Host`.
     pub host: String,
-    /// Watches the changes after this version; `None` requests a snapshot.
+    /// Requests the changes after this version; `None` requests a snapshot.
     pub from_version: Option<u64>,
 }
 
@@ -25,7 +25,7 @@
 pub struct WatchRejected {
     /// The HTTP status.
     pub status: u16,
-    /// `Retry-After`: the least wait before the next request, if discovery states one.
+    /// `Retry-After`: the minimum delay before the next request, if discovery sends one.
     pub retry_after: Option<Duration>,
 }
 
@@ -33,17 +33,17 @@
 
 impl fmt::Display for WatchRejected {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "discovery answered {}", self.status)?;
+        write!(f, "discovery answered with status {}", self.status)?;
         match self.retry_after {
-            Some(wait) => write!(f, ", to come back in {} ms", wait.as_millis()),
+            Some(delay) => write!(f, ", retry after {} ms", delay.as_millis()),
             None => Ok(()),
         }
     }
 }
 
-/// Sends one request, then reads JSON objects as they arrive in the response's body.
+/// Encodes one request, then decodes the JSON objects in the response's body as they arrive.
 pub struct WatchCodec {
-    /// The reader for the response's body, once its head was read.
+    /// The reader for the response's body; `None` until the head has been read.
     body: Option<BodyReader>,
     objects: JsonObjectSplitter,
     max_object_bytes: usize,
@@ -56,7 +56,7 @@
 }
 
 impl WatchCodec {
-    /// A codec that rejects objects of more than `max_object_bytes`.
+    /// Creates a codec that rejects objects of more than `max_object_bytes`.
     pub fn new(max_object_bytes: usize) -> WatchCodec {
         WatchCodec {
             body: None,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Moves what has arrived of the body to the splitter; true once the body is complete.
+    /// Moves the received bytes of the body to the splitter. Returns true once the body is complete.
     fn read_body(&mut self, src: &mut BytesMut) -> io::Result<bool> {
         let Some(body) = &mut self.body else {
             return Ok(false);
@@ -73,7 +73,9 @@
         let max_bytes = self.max_object_bytes;
         body.read(src, self.objects.buffer(), max_bytes)
             .map_err(|error| match error {
-                BodyError::MalformedChunk => invalid_data("bad chunk"),
+                BodyError::MalformedChunk => {
+                    invalid_data("malformed chunked encoding in the response of discovery")
+                }
                 BodyError::TooLarge => invalid_data(UpdateError::TooManyBytes { max_bytes }),
             })
     }
@@ -95,7 +97,7 @@
 }
 
 impl Decoder for WatchCodec {
-    /// A complete object, or no bytes where input arrived that completes none: it shows that discovery is alive.
+    /// A complete object; empty if input arrived without completing an object, which shows that discovery is alive.
     type Item = Bytes;
     type Error = io::Error;
 
@@ -121,8 +123,8 @@
     }
 }
 
-/// Takes a response's head from `src` and returns the reader for its body; `None` if the head is incomplete. A body
-/// without framing lasts until the connection ends.
+/// Consumes a response's head from `src` and returns the reader for its body; `None` if the head is incomplete. A body
+/// without framing extends to the end of the connection.
 fn parse_response_head(src: &mut BytesMut) -> io::Result<Option<BodyReader>> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -130,7 +132,11 @@
     let head_length = match parsed {
         httparse::Status::Complete(length) => length,
         httparse::Status::Partial if src.len() <= MAX_HEAD_BYTES => return Ok(None),
-        httparse::Status::Partial => return Err(invalid_data("head too large")),
+        httparse::Status::Partial => {
+            return Err(invalid_data(format!(
+                "response head of discovery larger than {MAX_HEAD_BYTES} bytes"
+            )))
+        }
     };
     let status = head.code.unwrap_or_default();
     if status != STATUS_OK {
@@ -144,7 +150,7 @@
     Ok(Some(body.unwrap_or(BodyReader::Length(usize::MAX))))
 }
 
-/// `Retry-After` in seconds, whole or decimal; a date or a malformed value counts as none.
+/// Parses `Retry-After` as a decimal number of seconds; a date or a malformed value counts as absent.
 fn retry_after(headers: &[httparse::Header]) -> Option<Duration> {
     let header = headers
         .iter()
--- a/crates/mixer/src/protocol/leaf_frames/codec.rs
+++ b/crates/mixer/src/protocol/leaf_frames/codec.rs
@@ -5,14 +5,14 @@
 use std::io::{self, ErrorKind};
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Bytes of the length in front of each frame; it does not count itself.
+/// Size of the length field in front of each frame in bytes. The length does not include the field itself.
 const LENGTH_BYTES: usize = 4;
-/// Length of the longest answer: a value that still fits the body of a reply to a client, and its line.
+/// Maximum length of an answer: its line, and a value that fits in the body of a reply to a client.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 + 512;
-/// Length of the longest frame of any other kind.
+/// Maximum length of a frame of any other kind.
 const MAX_REPORT_BYTES: usize = 1024;
 
-/// First bytes of the frames to a leaf server.
+/// Kind bytes of the frames to a leaf server.
 mod request_kind {
     pub const CALL: u8 = b'Q';
     pub const CANCEL: u8 = b'X';
@@ -20,7 +20,7 @@
     pub const PROBE_LOAD: u8 = b'L';
 }
 
-/// First bytes of the frames from a leaf server.
+/// Kind bytes of the frames from a leaf server.
 mod response_kind {
     pub const ANSWER: u8 = b'A';
     pub const PROBE_ANSWER: u8 = b'P';
@@ -28,14 +28,15 @@
     pub const PROTOCOL_ERROR: u8 = b'E';
 }
 
-/// Encodes and decodes the frames of one connection. After a malformed frame all input is discarded.
+/// Encodes and decodes the frames of one connection. After a malformed frame, all input is discarded.
 #[derive(Default)]
 pub struct LeafCodec {
     discards_input: bool,
 }
 
 impl LeafCodec {
-    /// Gives up a frame that is not complete in time and of which `received` has arrived. It counts as malformed.
+    /// Abandons a frame that is not complete within its time limit. `received` are its bytes so far. It counts as
+    /// malformed.
     pub fn abandon_frame(&mut self, received: &[u8]) -> LeafResponse {
         self.discards_input = true;
         malformed(received.get(LENGTH_BYTES..).unwrap_or_default())
@@ -92,7 +93,7 @@
             return Ok(None);
         };
         let length = u32::from_be_bytes(*length) as usize;
-        // Before the rest has arrived: the rest of a frame with an impossible length never does.
+        // Checked before the frame is complete, since a frame with an invalid length may never be completed.
         if !is_plausible(src.get(LENGTH_BYTES).copied(), length) {
             self.discards_input = true;
             return Ok(Some(malformed(&src.split()[LENGTH_BYTES..])));
@@ -109,7 +110,7 @@
     }
 }
 
-/// Whether a frame of this kind, if it has arrived, can have this length.
+/// Whether a frame of this kind can have this length; `kind` is `None` if it has not arrived yet.
 fn is_plausible(kind: Option<u8>, length: usize) -> bool {
     match kind {
         None => (1..=MAX_ANSWER_BYTES).contains(&length),
@@ -123,7 +124,7 @@
     }
 }
 
-/// Parses a complete frame of a known kind, without its length.
+/// Parses a complete frame of a known kind, without its length field.
 fn parse_frame(frame: &Bytes) -> LeafResponse {
     match frame[0] {
         response_kind::ANSWER => parse_answer(frame.slice(1..)).unwrap_or_else(|| malformed(frame)),
@@ -142,7 +143,8 @@
     String::from_utf8_lossy(bytes).trim().to_string()
 }
 
-/// A malformed frame, given without its length. Its part's id is used only if it is complete.
+/// Creates a malformed response from a frame without its length field. The part's id is extracted only if it is
+/// complete.
 fn malformed(frame: &[u8]) -> LeafResponse {
     let line = frame
         .strip_prefix(&[response_kind::ANSWER])
@@ -154,8 +156,8 @@
     LeafResponse::Malformed(id.map(str::to_string))
 }
 
-/// Parses an answer without its kind: a line of id, status, score and report, then the value. The report may be
-/// malformed; it is parsed later.
+/// Parses an answer without its kind byte: a line of id, status, score and report, then the value. The report is not
+/// validated here; it is parsed later.
 fn parse_answer(answer: Bytes) -> Option<LeafResponse> {
     let line_end = answer.iter().position(|byte| *byte == b'\n')?;
     let line = std::str::from_utf8(&answer[..line_end]).ok()?;
@@ -178,7 +180,7 @@
 
 fn parse_status(status: &str, value: &[u8]) -> Option<PartStatus> {
     match status {
-        // The value goes into JSON for the client, which can't carry anything but UTF-8.
+        // The value must be UTF-8, since it becomes part of the JSON reply to the client.
         "ok" if !value.is_empty() && std::str::from_utf8(value).is_ok() => Some(PartStatus::Ok),
         "err" => Some(PartStatus::Error),
         "busy" => Some(PartStatus::Busy),
--- a/crates/mixer/src/protocol/leaf_frames/mod.rs
+++ b/crates/mixer/src/protocol/leaf_frames/mod.rs
@@ -1,5 +1,5 @@
-//! Frames between mixer and leaf server: the length of the rest (4 bytes, big-endian), a letter for the kind, and the
-//! body.
+//! Frames between mixer and leaf server. A frame consists of the length of the remainder (4 bytes, big-endian), one
+//! byte for the kind, and the body.
 
 mod codec;
 
@@ -8,14 +8,14 @@
 use bytes::Bytes;
 use std::rc::Rc;
 
-/// One part of a call. Its id identifies the part at the leaf server.
+/// One part of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallPart {
-    /// The part's id.
+    /// Id of the part at the leaf server.
     pub id: Rc<str>,
     /// The shard to search.
     pub shard: u32,
-    /// How long the mixer waits for the answer, in milliseconds.
+    /// Timeout of the mixer for the answer, in milliseconds.
     pub timeout_ms: u64,
     /// The text of the query.
     pub text: Bytes,
@@ -26,49 +26,49 @@
 pub enum LeafRequest {
     /// Executes parts.
     Call(Vec<CallPart>),
-    /// Cancels the part of this id.
+    /// Cancels the part with this id.
     Cancel(Rc<str>),
-    /// Asks whether the leaf server is serving.
+    /// Checks whether the leaf server is serving.
     Probe,
-    /// Asks whether the leaf server is serving, and for its load.
+    /// Checks whether the leaf server is serving, and requests its load.
     ProbeLoad,
 }
 
-/// How a part ended at the leaf server.
+/// The outcome of a part at the leaf server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartStatus {
-    /// Executed; the answer has its value.
+    /// The part was executed; the answer contains its value.
     Ok,
-    /// Failed.
+    /// The part failed.
     Error,
-    /// Rejected because of overload.
+    /// The leaf server rejected the part because of overload.
     Busy,
 }
 
 /// A frame from a leaf server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeafResponse {
-    /// The end of one part.
+    /// The answer to one part.
     Answer {
-        /// The part's id in the call.
+        /// Id of the part in the call.
         id: String,
-        /// How it ended.
+        /// Outcome of the part.
         status: PartStatus,
-        /// The load report, not yet parsed; `-` if there is none.
+        /// The unparsed load report; `-` if there is none.
         report: String,
-        /// The part's result; only with [`PartStatus::Ok`].
+        /// Result of the part; only with [`PartStatus::Ok`].
         value: Bytes,
     },
     /// The answer to a probe.
     ProbeAnswer {
-        /// The leaf server is serving.
+        /// Whether the leaf server is serving.
         ok: bool,
-        /// The load report, not yet parsed, or the text of the answer to a plain probe.
+        /// The unparsed load report, or the text of the answer to a probe without load.
         report: String,
     },
-    /// The leaf server could not use the last frame, for this reason; it closes the connection.
+    /// The leaf server rejected the last frame for this reason; it closes the connection.
     ProtocolError(String),
-    /// A malformed frame, with the id of its part if that can be read. Where the next frame begins is not known, so the
-    /// connection can't be used any more.
+    /// A malformed frame, with the id of its part if that can be parsed. The connection is no longer usable, since the
+    /// start of the next frame is unknown.
     Malformed(Option<String>),
 }
--- a/crates/mixer/src/protocol/mod.rs
+++ b/crates/mixer/src/protocol/mod.rs
@@ -1,7 +1,7 @@
-//! Messages and their codecs, without sockets. Messages are parsed and rendered without state; only the codecs
-//! of streams (`LeafCodec`, `ServerCodec`, `WatchCodec`) keep decoder state, each for one connection: how much of a
-//! message has been read, or whether all further input is discarded after a malformed message. All outside input is
-//! validated here: what passes is safe to act on.
+//! Messages and their codecs, without sockets. Parsing and rendering of messages is stateless; only the stream codecs
+//! (`LeafCodec`, `ServerCodec`, `WatchCodec`) have decoder state, each for one connection: the part of a message that
+//! has been read, or that all further input is discarded after a malformed message. All external input is validated
+//! here; other modules may rely on parsed messages.
 
 pub mod endpoint_updates;
 pub mod http;
--- a/crates/mixer/src/protocol/query_json/mod.rs
+++ b/crates/mixer/src/protocol/query_json/mod.rs
@@ -1,5 +1,5 @@
-//! The native protocol over HTTP: requests parsed to typed queries, and replies rendered as responses. A front of
-//! another protocol makes the same [`QueryRequest`] from its own requests and renders the same [`Reply`].
+//! The native protocol over HTTP: parsing of requests to typed queries, and rendering of replies as responses. The
+//! frontend of another protocol converts its requests to the same [`QueryRequest`] and renders the same [`Reply`].
 
 mod render;
 mod request;
@@ -12,50 +12,50 @@
 use cottonhill_decisions::Nanos;
 use serde::Serialize;
 
-/// The names that requests use for classes and tenants, and the bounds of a query.
+/// Names of classes and tenants, and limits, for validating queries.
 #[derive(Clone, Debug, Default)]
 pub struct QuerySchema {
-    /// Names of the classes, by their numbers.
+    /// Names of the classes, indexed by class number.
     pub classes: Vec<String>,
-    /// Names of the tenants, by their numbers; empty where tenants are not distinguished.
+    /// Names of the tenants, indexed by tenant number; empty if tenants are not distinguished.
     pub tenants: Vec<String>,
-    /// By class: the client's timeout if the request states none, in nanoseconds.
+    /// By class: the client's timeout if the request has none, in nanoseconds.
     pub default_timeouts: Vec<Nanos>,
-    /// By class: least fraction of the weight that any answer needs.
+    /// By class: minimum coverage, as a fraction of the weight, of any answer.
     pub minimum_coverages: Vec<f64>,
-    /// How many shards there are; they are numbered from 0.
+    /// Number of shards; they are numbered from 0.
     pub shards: u32,
 }
 
 /// One part of a query: a shard to search.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartRequest {
-    /// The shard's number.
+    /// Number of the shard.
     pub shard: u32,
-    /// Fraction of the complete answer; the weights of a query add up to 1.
+    /// Weight as a fraction of the complete answer; the weights of a query add up to 1.
     pub weight: f64,
     /// The client's estimate of the work, in nanoseconds.
     pub work: Option<Nanos>,
 }
 
-/// One query, whatever protocol brought it.
+/// One query, independent of the protocol in which it arrived.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryRequest {
-    /// The client's id for it; its parts' ids begin with it.
+    /// The client's id of the query; the ids of its parts begin with it.
     pub request_id: String,
-    /// The class's index in [`QuerySchema::classes`].
+    /// Index of the class in [`QuerySchema::classes`].
     pub class: u16,
-    /// The tenant's index in [`QuerySchema::tenants`]; 0 where there are none.
+    /// Index of the tenant in [`QuerySchema::tenants`]; 0 if that is empty.
     pub tenant: u32,
-    /// How long the client waits from when it sent the query, in nanoseconds.
+    /// The client's timeout, counted from when it sent the query, in nanoseconds.
     pub timeout: Nanos,
-    /// The client marked it as a retry.
+    /// Whether the client marked the query as a retry.
     pub client_retry: bool,
-    /// The client's idempotency key, the same on each of its retries.
+    /// The client's idempotency key, the same for all retries of the query.
     pub idempotency_key: Option<String>,
-    /// The parts, at most one for each shard.
+    /// The parts, at most one per shard.
     pub parts: Vec<PartRequest>,
-    /// The text that leaf servers get.
+    /// The text that is sent to leaf servers.
     pub text: Bytes,
 }
 
@@ -64,29 +64,29 @@
 pub enum ClientRequest {
     /// A query to run.
     Query(QueryRequest),
-    /// Whether the mixer is ready.
+    /// A request for the readiness of the mixer.
     Ready,
-    /// The counters.
+    /// A request for the counters.
     Stats,
 }
 
-/// What one shard contributes to an answer.
+/// The result of one shard in an answer.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Hit {
-    /// The shard's number.
+    /// Number of the shard.
     pub shard: u32,
-    /// The value that the leaf server returned.
+    /// Value returned by the leaf server.
     pub doc: String,
 }
 
-/// The one reply to a request.
+/// The reply to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// A query's answer, complete or partial.
+    /// The complete or partial answer to a query.
     Answer {
-        /// Whether the weight of the answered parts reaches the class's completeness threshold.
+        /// Whether the total weight of the answered parts reaches the class's completeness threshold.
         complete: bool,
-        /// One hit for each part that was answered.
+        /// One hit per answered part.
         hits: Vec<Hit>,
     },
     /// The query was rejected because of overload.
--- a/crates/mixer/src/protocol/query_json/render.rs
+++ b/crates/mixer/src/protocol/query_json/render.rs
@@ -1,4 +1,4 @@
-//! Replies as HTTP responses.
+//! Rendering of replies as HTTP responses.
 
 use super::{Hit, Reply};
 use crate::protocol::http::{RequestError, Response};
@@ -15,7 +15,7 @@
     error: &'a str,
 }
 
-/// Renders a reply; with `close`, the connection ends after it.
+/// Renders a reply; with `close`, the connection is closed after it.
 pub fn render(reply: &Reply, close: bool) -> Response {
     let response = match reply {
         Reply::Answer { complete, hits } => {
@@ -50,7 +50,7 @@
 }
 
 fn json_response(status: u16, body: &impl Serialize) -> Response {
-    // These types always serialize.
+    // Serialization of these types can't fail.
     response(status, serde_json::to_vec(body).unwrap_or_default())
 }
 
--- a/crates/mixer/src/protocol/query_json/request.rs
+++ b/crates/mixer/src/protocol/query_json/request.rs
@@ -1,4 +1,4 @@
-//! HTTP requests as typed requests.
+//! Parsing of HTTP requests to typed requests.
 
 use super::{ClientRequest, PartRequest, QueryRequest, QuerySchema};
 use crate::protocol::http::{Request, RequestError};
@@ -7,13 +7,14 @@
 use serde::Deserialize;
 use std::collections::BTreeSet;
 
-/// Bytes of the longest `X-Request-ID`.
+/// Maximum length of `X-Request-ID` in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 128;
-/// Bytes of the longest `Idempotency-Key`.
+/// Maximum length of `Idempotency-Key` in bytes.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
-/// How far a query's weights may add up to more or less than 1, since each is rounded.
+/// Maximum difference between 1 and the sum of a query's weights; clients round each weight.
 const WEIGHT_TOLERANCE: f64 = 0.01;
-/// The longest time that is represented, in nanoseconds: an hour exceeds any deadline, and sums of it don't overflow.
+/// Longer durations are reduced to this one, in nanoseconds: an hour exceeds any deadline, and sums of it don't
+/// overflow.
 const MAX_DURATION_NS: f64 = 3.6e12;
 const NS_PER_MICROSECOND: f64 = 1e3;
 const NS_PER_MILLISECOND: f64 = 1e6;
@@ -36,8 +37,8 @@
 /// Parses a request.
 ///
 /// # Errors
-/// The rejection that the client is sent: an unknown path, class, tenant or shard, a wrong method, or a header or body
-/// that is missing or malformed.
+/// The error to send to the client: an unknown path, class, tenant or shard, an unsupported method, or a missing or
+/// malformed header or body.
 pub fn parse(request: &Request, schema: &QuerySchema) -> Result<ClientRequest, RequestError> {
     let path = request.path.split(['?', '#']).next().unwrap_or_default();
     match path {
@@ -80,7 +81,7 @@
     })
 }
 
-/// The class, which the path's first segment names.
+/// Parses the class, whose name is the first segment of the path.
 fn parse_class(path: &str, schema: &QuerySchema) -> Result<usize, RequestError> {
     let segments = path.strip_prefix('/').unwrap_or_default();
     let class_name = segments.split('/').next().unwrap_or_default();
@@ -95,7 +96,8 @@
     let id = request
         .header("x-request-id")
         .ok_or(RequestError::bad_request("X-Request-ID is missing"))?;
-    // It goes into lines of the protocol to leaf servers: a blank or control character could forge another field.
+    // The id becomes part of a line in the protocol to leaf servers, where a space or control character could inject
+    // another field.
     let is_valid = !id.is_empty()
         && id.len() <= MAX_REQUEST_ID_BYTES
         && id.bytes().all(|byte| byte.is_ascii_graphic());
@@ -125,7 +127,7 @@
     }
 }
 
-/// A number followed by `m` (milliseconds) or `u` (microseconds).
+/// Parses a number followed by `m` (milliseconds) or `u` (microseconds).
 fn parse_duration(text: &str) -> Option<Nanos> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let ns_per_unit = match unit {
@@ -133,7 +135,7 @@
         "u" => NS_PER_MICROSECOND,
         _ => return None,
     };
-    // Digits and a point only: signs, exponents and NaN would parse as numbers, too.
+    // Only digits and a decimal point are accepted; `f64` would also parse signs, exponents and NaN.
     if !number.bytes().all(|b| b.is_ascii_digit() || b == b'.') {
         return None;
     }
@@ -141,7 +143,7 @@
     Some((number * ns_per_unit).min(MAX_DURATION_NS) as Nanos)
 }
 
-/// The tenant's number; 0 where tenants are not distinguished.
+/// Parses the tenant; 0 if tenants are not distinguished.
 fn parse_tenant(request: &Request, schema: &QuerySchema) -> Result<usize, RequestError> {
     if schema.tenants.is_empty() {
         return Ok(0);
@@ -149,7 +151,7 @@
     let tenant = request
         .header("x-tenant-id")
         .ok_or(RequestError::bad_request("X-Tenant-Id is missing"))?;
-    // As the names of the settings are normalized.
+    // Names in the settings are normalized in the same way.
     let tenant = tenant.replace([' ', ','], "_");
     schema
         .tenants
@@ -167,15 +169,16 @@
     }
 }
 
-/// The parts. Each shard may occur once: a second part of a shard would have the same id at the leaf server.
+/// Parses the parts. Each shard may occur only once: a second part of a shard would have the same id at the leaf
+/// server.
 fn parse_parts(shards: Vec<BodyShard>, shard_count: u32) -> Result<Vec<PartRequest>, RequestError> {
     if shards.is_empty() {
         return Err(RequestError::bad_request("no shards"));
     }
-    let mut seen = BTreeSet::new();
+    let mut requested_shards = BTreeSet::new();
     let mut parts = Vec::with_capacity(shards.len());
     for shard in shards {
-        if shard.shard >= shard_count || !seen.insert(shard.shard) {
+        if shard.shard >= shard_count || !requested_shards.insert(shard.shard) {
             return Err(RequestError::bad_request(
                 "a shard that does not exist or is named twice",
             ));
--- a/crates/mixer/src/transport/buffer_pool.rs
+++ b/crates/mixer/src/transport/buffer_pool.rs
@@ -1,4 +1,4 @@
-//! A pool of buffers of one size: each connection uses two while it is open.
+//! A pool of buffers of one size. Each open connection uses two of them.
 
 use bytes::BytesMut;
 use std::cell::RefCell;
@@ -6,12 +6,12 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::{Encoder, Framed, FramedParts};
 
-/// Bytes of one buffer, enough for the head of a request and for nearly every frame and answer.
+/// Size of one buffer, sufficient for the head of a request and for nearly every frame and answer.
 pub const BUFFER_BYTES: usize = 16 * 1024;
-/// Free buffers that are kept for reuse: 4 MiB in all.
+/// Maximum number of free buffers that are kept for reuse: 4 MiB in total.
 const MAX_FREE_BUFFERS: usize = 256;
 
-/// The free buffers; clones share them.
+/// The free buffers. Clones refer to the same buffers.
 #[derive(Clone, Debug, Default)]
 pub struct BufferPool(Rc<RefCell<Vec<BytesMut>>>);
 
@@ -23,17 +23,18 @@
             .unwrap_or_else(|| BytesMut::with_capacity(BUFFER_BYTES))
     }
 
-    /// Keeps a buffer for reuse. One that grew for a large message is freed, or in time all would be large.
+    /// Keeps a buffer for reuse. A buffer that grew for a large message is freed; otherwise all buffers would
+    /// eventually be large.
     fn release(&self, mut buffer: BytesMut) {
         buffer.clear();
         let mut free = self.0.borrow_mut();
-        let has_room = free.len() < MAX_FREE_BUFFERS;
-        if has_room && buffer.try_reclaim(BUFFER_BYTES) && buffer.capacity() == BUFFER_BYTES {
+        let below_limit = free.len() < MAX_FREE_BUFFERS;
+        if below_limit && buffer.try_reclaim(BUFFER_BYTES) && buffer.capacity() == BUFFER_BYTES {
             free.push(buffer);
         }
     }
 
-    /// A framed connection that writes messages of type `M`, with two buffers of the pool.
+    /// Creates a framed connection that writes messages of type `M`, with two buffers from the pool.
     pub fn frame<M, T: AsyncRead + AsyncWrite, C: Encoder<M>>(
         &self,
         io: T,
--- a/crates/mixer/src/transport/client_connection.rs
+++ b/crates/mixer/src/transport/client_connection.rs
@@ -1,4 +1,4 @@
-//! Connections of native clients: one task each, one request at a time.
+//! Connections of native clients. Each has its own task, which serves one request at a time.
 
 use super::message_timeout::next_message;
 use super::read_ahead::{read_ahead, HttpConnection, IncomingRequest, ReadAhead};
@@ -15,47 +15,49 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout, Duration, Instant};
 
-/// A request has to be complete within this time of its first byte, or it is answered with 408. The first one on a
-/// connection starts with the connection, so that a client which sends nothing is closed.
+/// A request must be complete within this duration after its first byte, or it is answered with 408. For the first
+/// request of a connection the duration starts when the connection is opened, so that the connection of a client that
+/// sends nothing is closed.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// A response has to be written within this time, or the connection is closed.
+/// A response must be written within this duration, or the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a lingering close reads and discards input.
-const LINGER_TIME: Duration = Duration::from_secs(1);
-/// A command of the driver to a client's task.
+/// Maximum duration for which a lingering close reads and discards input.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// A command from the driver to a client's task.
 pub enum ClientCommand {
-    /// Send the reply to the open request.
+    /// Send a reply to the open request.
     Reply {
         /// The reply.
         reply: Box<Reply>,
-        /// Close the connection after it.
+        /// Whether to close the connection after the reply.
         close: bool,
     },
-    /// Close the connection unless a complete request has arrived on it.
+    /// Close the connection unless a complete request has arrived.
     Close {
-        /// Without lingering, since others need the descriptor.
+        /// Whether to close without lingering, since other connections need the descriptor.
         immediate: bool,
     },
 }
 
-/// Why a connection is no longer served.
+/// The reason why a connection ends.
 enum ConnectionEnd {
-    /// The client closed it.
+    /// The client closed the connection.
     ClientClosed,
-    /// The mixer closes it, lingering so that the last reply is not lost to a reset.
+    /// The mixer closes the connection with a lingering close, so that a reset does not destroy the last reply.
     CloseLingering,
-    /// The mixer closes it without lingering, since others need the descriptor.
+    /// The mixer closes the connection without lingering, since other connections need the descriptor.
     CloseImmediately,
 }
 
-/// The task of one connection: serves it, closes it and reports its end to the reducer.
+/// The task of one connection: serves its requests, closes it and reports its end to the reducer.
 pub async fn serve_client(
     shared: Shared,
     client: ClientId,
     stream: TcpStream,
     commands: mpsc::Receiver<ClientCommand>,
 ) {
-    // A reply must not wait for more to fill a packet.
+    // Without TCP_NODELAY, a reply could be delayed until a packet is full.
     let _ = stream.set_nodelay(true);
     let mut connection = ClientConnection {
         shared: &shared,
@@ -69,7 +71,7 @@
     };
     match connection.serve().await {
         Ok(ConnectionEnd::ClientClosed) => {}
-        Ok(ConnectionEnd::CloseLingering) => connection.linger(LINGER_TIME).await,
+        Ok(ConnectionEnd::CloseLingering) => connection.linger(LINGER_TIMEOUT).await,
         Ok(ConnectionEnd::CloseImmediately) => connection.linger(Duration::ZERO).await,
         Err(e) => {
             tracing::debug!(target: log_targets::CLIENT_CONNECTIONS, client, "client connection failed: {e}")
@@ -85,14 +87,14 @@
     client: ClientId,
     http: HttpConnection,
     commands: mpsc::Receiver<ClientCommand>,
-    /// A request that arrived while the one before was served.
+    /// A request that arrived while the previous one was being served.
     pipelined: Option<IncomingRequest>,
-    /// When the connection was opened, until its first request is awaited.
+    /// When the connection was opened; `None` once the wait for the first request has started.
     opened_at: Option<Instant>,
 }
 
 impl ClientConnection<'_> {
-    /// Serves one request after another until either side ends the connection.
+    /// Serves one request after another until either side closes the connection.
     async fn serve(&mut self) -> io::Result<ConnectionEnd> {
         loop {
             let request = match self.next_request().await? {
@@ -114,7 +116,7 @@
         }
     }
 
-    /// The next request, or how the connection ends without one.
+    /// Returns the next request, or the reason why the connection ends without one.
     async fn next_request(&mut self) -> io::Result<ControlFlow<ConnectionEnd, IncomingRequest>> {
         match self.pipelined.take() {
             Some(request) => Ok(ControlFlow::Continue(request)),
@@ -122,24 +124,25 @@
         }
     }
 
-    /// Waits for a request. The connection ends without one if the client closes it, sends nothing on a new connection,
-    /// or the driver closes it between requests.
+    /// Waits for a request. The connection ends without one if the client closes it, if the client sends nothing on a
+    /// new connection, or if the driver closes it between requests.
     async fn receive_request(&mut self) -> io::Result<ControlFlow<ConnectionEnd, IncomingRequest>> {
         let opened_at = self.opened_at.take();
-        let mut started_at = opened_at.or_else(|| in_request(&self.http).then(Instant::now));
+        let mut started_at =
+            opened_at.or_else(|| has_partial_request(&self.http).then(Instant::now));
         loop {
             tokio::select! {
                 biased;
                 received = next_message(&mut self.http, &mut started_at, REQUEST_TIMEOUT) => match received {
                     Ok(received) => return request_or_end(received),
-                    Err(_) if in_request(&self.http) => {
+                    Err(_) if has_partial_request(&self.http) => {
                         self.http.codec_mut().abandon_request();
                         return Ok(ControlFlow::Continue(Err(RequestError::timed_out())));
                     }
                     Err(_) if opened_at.is_some() => {
                         return Ok(ControlFlow::Break(ConnectionEnd::CloseLingering));
                     }
-                    // A spurious readiness: no request has started.
+                    // A spurious wakeup: no byte of a request has arrived.
                     Err(_) => started_at = None,
                 },
                 command = self.commands.recv() => match command {
@@ -152,8 +155,8 @@
         }
     }
 
-    /// Ends the connection between requests. A request that has arrived completely is served; an incomplete one does not
-    /// keep a descriptor that others need.
+    /// Closes the connection between requests. A complete request that has arrived is served; an incomplete one does
+    /// not keep the connection open, since other connections need the descriptor.
     async fn close_idle(
         &mut self,
         immediate: bool,
@@ -168,14 +171,14 @@
         }))
     }
 
-    /// Passes a request to the reducer. Returns whether the connection may stay open after it; `None` if the driver has
-    /// ended.
+    /// Passes a request to the reducer. Returns whether the connection may stay open after the reply; `None` if the
+    /// driver has ended.
     async fn submit_request(&mut self, request: IncomingRequest) -> Option<bool> {
         let received_at = self.shared.clock.now();
         let keep_alive = request.as_ref().is_ok_and(|request| request.keep_alive);
         let request =
             request.and_then(|request| query_json::parse(&request, &self.shared.query_schema));
-        // After a rejection the connection is closed: the client would only send such a request again.
+        // The connection is closed after an invalid request, as the client would probably send another one.
         let keep_alive = keep_alive && request.is_ok();
         let input = Input::RequestReceived {
             client: self.client,
@@ -185,7 +188,7 @@
         self.shared.send_input(input).await.then_some(keep_alive)
     }
 
-    /// Waits for the reply to the open request and renders it, or returns how the connection ends before.
+    /// Waits for the reply to the open request and renders it, or returns the reason why the connection ends before it.
     async fn await_reply(
         &mut self,
         mut keep_alive: bool,
@@ -198,15 +201,15 @@
                         let close = close || !keep_alive;
                         return Ok(ControlFlow::Continue(query_json::render(&reply, close)));
                     }
-                    // Sent before the reducer knew of the open request, whose reply will close the connection.
+                    // Sent before the reducer processed the open request; the reply to it will close the connection.
                     Some(ClientCommand::Close { .. }) => {}
                     None => return Ok(ControlFlow::Break(ConnectionEnd::CloseLingering)),
                 },
-                // Reading on detects at once when the client closes.
+                // Reading ahead detects immediately that the client closes the connection.
                 received = read_ahead(&mut self.http, self.pipelined.is_some()) => match received? {
                     ReadAhead::Request(request) => self.pipelined = Some(request),
                     ReadAhead::Buffered => {}
-                    // Where the next request begins is no longer known.
+                    // After discarded bytes, the start of the next request is unknown.
                     ReadAhead::Overflow => keep_alive = false,
                     ReadAhead::Closed => return Ok(ControlFlow::Break(ConnectionEnd::ClientClosed)),
                 },
@@ -217,7 +220,7 @@
     /// Writes a response.
     ///
     /// # Errors
-    /// `TimedOut` if the client does not read it in time, or what the socket reports.
+    /// `TimedOut` if the client does not read the response within [`WRITE_TIMEOUT`], and the errors of the socket.
     async fn send_response(&mut self, response: Response) -> io::Result<()> {
         match timeout(WRITE_TIMEOUT, self.http.send(response)).await {
             Ok(sent) => sent,
@@ -225,10 +228,11 @@
         }
     }
 
-    /// A lingering close: shuts the write side down and discards input for up to `max_time`. Closing over unread bytes
-    /// would reset the connection, and the reset can overtake the last reply. A client whose next request crosses the
-    /// shutdown sees the connection's end and can retry elsewhere, as the request was not read.
-    async fn linger(&mut self, max_time: Duration) {
+    /// A lingering close: shuts down the write side and discards input for up to `max_duration`. Closing a socket with
+    /// unread input would reset the connection, and the reset can destroy the last reply before the client reads it. A
+    /// client that sends a request while the connection is being shut down sees its end and can retry elsewhere, since
+    /// the request was not processed.
+    async fn linger(&mut self, max_duration: Duration) {
         if self.http.get_mut().shutdown().await.is_err() {
             return;
         }
@@ -236,19 +240,19 @@
         let remaining_input = copy(self.http.get_mut(), &mut discarded);
         tokio::select! {
             biased;
-            _ = timeout(max_time, remaining_input) => {}
-            // A further command: others need the descriptor.
+            _ = timeout(max_duration, remaining_input) => {}
+            // A further command means that other connections need the descriptor.
             _ = self.commands.recv() => {}
         }
     }
 }
 
-/// Whether part of a request has been read.
-fn in_request(http: &HttpConnection) -> bool {
-    http.codec().in_request() || !http.read_buffer().is_empty()
+/// Whether a request has been read in part.
+fn has_partial_request(http: &HttpConnection) -> bool {
+    http.codec().has_partial_request() || !http.read_buffer().is_empty()
 }
 
-/// The result of a read: a request, or the connection's end by the client.
+/// Converts the result of a read to a request, or to the end of the connection by the client.
 fn request_or_end(
     received: Option<io::Result<IncomingRequest>>,
 ) -> io::Result<ControlFlow<ConnectionEnd, IncomingRequest>> {
--- a/crates/mixer/src/transport/client_listener.rs
+++ b/crates/mixer/src/transport/client_listener.rs
@@ -1,4 +1,4 @@
-//! The listener for native clients.
+//! The listener for clients of the native protocol.
 
 use super::client_connection::serve_client;
 use super::shared::Shared;
@@ -8,15 +8,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout, Duration};
 
-/// The wait after a failed accept (no descriptors left) before the next.
+/// Delay after a failed accept (such as when no descriptors are left) before the next one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// On shutdown the listener is closed once no connection has arrived for this time.
+/// On shutdown, the listener is closed once no connection has arrived for this duration.
 const LAST_ACCEPT_TIMEOUT: Duration = Duration::from_millis(10);
 
 /// Accepts connections until shutdown, keeping at most `max_clients` open.
 ///
-/// Connections that have arrived by shutdown are accepted, too, as far as there is room: closing a listener resets the
-/// connections in its backlog.
+/// Connections that are in the backlog at shutdown are also accepted, up to `max_clients`: closing a listener resets
+/// the connections in its backlog.
 pub async fn listen(shared: Shared, listener: TcpListener, max_clients: usize) {
     accept_until_shutdown(&shared, &listener, max_clients).await;
     accept_backlog(&shared, &listener, max_clients).await;
@@ -27,14 +27,14 @@
 async fn accept_until_shutdown(shared: &Shared, listener: &TcpListener, max_clients: usize) {
     let mut listener_closed = shared.listener_closed.subscribe();
     loop {
-        // Cancellation loses nothing: a connection leaves the backlog only when this completes.
+        // Cancel safe: a connection is removed from the backlog only when the accept completes.
         tokio::select! {
             biased;
             _ = listener_closed.wait_for(|closed| *closed) => return,
             accepted = accept_with_capacity(shared, listener, max_clients) => match accepted {
                 Ok(stream) => start_client(shared, stream).await,
                 Err(e) => {
-                    tracing::warn!(target: log_targets::CLIENT_CONNECTIONS, "accept failed: {e}");
+                    tracing::warn!(target: log_targets::CLIENT_CONNECTIONS, "accepting a client connection failed: {e}");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
@@ -56,12 +56,12 @@
     listener: &TcpListener,
     max_clients: usize,
 ) -> io::Result<TcpStream> {
-    shared.client_capacity(max_clients).await;
+    shared.wait_for_client_capacity(max_clients).await;
     let (stream, _) = listener.accept().await?;
     Ok(stream)
 }
 
-/// Registers a client and starts its task. The reducer knows of the client before the task runs.
+/// Registers a client and starts its task. The reducer is notified of the client before the task runs.
 async fn start_client(shared: &Shared, stream: TcpStream) {
     let (client, commands) = shared.register_client();
     shared.send_input(Input::ClientOpened { client }).await;
--- a/crates/mixer/src/transport/clock.rs
+++ b/crates/mixer/src/transport/clock.rs
@@ -1,36 +1,38 @@
-//! The mixer's clock: Unix time as read at the start, plus the monotonic time since.
+//! The mixer's clock: Unix time as read at the start, plus the monotonic time elapsed since.
 
 use cottonhill_decisions::Nanos;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// A clock that never steps, whose times can be compared with the start times that discovery states.
+/// A clock that is unaffected by adjustments of the system time. Its times can be compared with the start times in
+/// endpoint updates.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started_at: Instant,
-    /// Unix nanoseconds at `started_at`.
-    unix_at_start: Nanos,
+    /// Unix time in nanoseconds at `started_at`.
+    start_unix_ns: Nanos,
 }
 
 impl Clock {
-    /// A clock that reads the system's time once, now.
+    /// Creates a clock; reads the system time once.
     pub fn start() -> Clock {
-        let unix = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
             started_at: Instant::now(),
-            unix_at_start: unix.as_nanos() as Nanos,
+            start_unix_ns: unix_time.as_nanos() as Nanos,
         }
     }
 
-    /// The time in Unix nanoseconds.
+    /// Returns the current Unix time in nanoseconds.
     pub fn now(&self) -> Nanos {
-        self.unix_at_start + self.started_at.elapsed().as_nanos() as Nanos
+        self.start_unix_ns + self.started_at.elapsed().as_nanos() as Nanos
     }
 
-    /// The instant of a time in Unix nanoseconds, for timers; the clock's start for times before it.
-    pub fn instant(&self, unix: Nanos) -> Instant {
-        self.started_at + Duration::from_nanos(unix.saturating_sub(self.unix_at_start))
+    /// Converts a Unix time in nanoseconds to an instant for timers. Times before the clock's start are converted to
+    /// its start.
+    pub fn instant(&self, unix_ns: Nanos) -> Instant {
+        self.started_at + Duration::from_nanos(unix_ns.saturating_sub(self.start_unix_ns))
     }
 }
--- a/crates/mixer/src/transport/discovery_watch.rs
+++ b/crates/mixer/src/transport/discovery_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on discovery: one long response, requested again whenever it ends or falls silent.
+//! The watch on discovery: one streamed response, requested again after it ends or delivers nothing for too long.
 
 use super::buffer_pool::BufferPool;
 use crate::log_targets;
@@ -18,8 +18,9 @@
 
 type WatchConnection = Framed<TcpStream, WatchCodec>;
 
-/// Watches the endpoint list as a serving mixer does, with a buffer pool of its own, and sends what happens as inputs
-/// for the reducer. It starts after version `from_version`, or with a snapshot if that is `None`, and never returns.
+/// Watches the endpoint list like a serving mixer, with a separate buffer pool, and sends the updates and events as
+/// inputs for the reducer. It requests the changes after version `from_version`, or a snapshot if that is `None`. Never
+/// returns.
 pub async fn watch_endpoints(
     updates: mpsc::Sender<Input>,
     policy: WatchPolicy,
@@ -32,24 +33,24 @@
         .await;
 }
 
-/// The watch on one discovery address, over all its connections.
+/// The watch on one discovery address, across successive connections.
 pub(super) struct DiscoveryWatch {
     buffers: BufferPool,
     updates: mpsc::Sender<Input>,
     policy: WatchPolicy,
     address: SocketAddr,
-    /// The version of the last update; `None` if a snapshot has to come first.
+    /// Version of the last update; `None` if the next request is for a snapshot.
     version: Option<u64>,
-    /// The present connection has delivered an update or a heartbeat.
-    received_any: bool,
-    /// The last update was rejected, and the log says so.
+    /// Whether the current connection has delivered an update or a heartbeat.
+    message_received: bool,
+    /// Whether the last update was rejected and this has been logged.
     rejection_logged: bool,
-    /// The last connection ended without delivering anything, and the log says so.
+    /// Whether the last connection ended without delivering anything and this has been logged.
     failure_logged: bool,
 }
 
 impl DiscoveryWatch {
-    /// A watch that starts after version `from_version`, or with a snapshot if that is `None`.
+    /// Creates a watch that requests the changes after version `from_version`, or a snapshot if that is `None`.
     pub(super) fn new(
         buffers: BufferPool,
         updates: mpsc::Sender<Input>,
@@ -63,16 +64,16 @@
             policy,
             address,
             version: from_version,
-            received_any: false,
+            message_received: false,
             rejection_logged: false,
             failure_logged: false,
         }
     }
 
-    /// Keeps the watch up; never returns.
+    /// Runs the watch and reconnects after each failure. Never returns.
     pub(super) async fn run(mut self) {
         loop {
-            self.received_any = false;
+            self.message_received = false;
             let started_at = Instant::now();
             if let Err(error) = self.watch_once().await {
                 let delay = self.connection_ended(started_at, error).await;
@@ -81,14 +82,14 @@
         }
     }
 
-    /// Reports and logs the end of a connection. Returns the delay before the next one.
+    /// Reports and logs the end of a connection. Returns the delay before the next connection.
     async fn connection_ended(&mut self, started_at: Instant, error: io::Error) -> Duration {
-        self.failure_logged &= !self.received_any;
+        self.failure_logged &= !self.message_received;
         let silent = error.kind() == ErrorKind::TimedOut;
         self.send_event(WatchEvent::Ended { silent }).await;
         let delay = self.policy.next_delay(WatchEnd {
             duration: started_at.elapsed(),
-            received: self.received_any,
+            received: self.message_received,
             silent,
             retry_after: retry_after(&error),
         });
@@ -97,22 +98,20 @@
         delay
     }
 
-    /// Logs the first of several failures at a higher level than the ones that follow.
+    /// Logs the end of a connection; repeated failures are logged at a lower level than the first.
     fn log_end(&self, delay: Duration, error: &io::Error) {
         let DiscoveryWatch {
-            address,
-            version: index,
-            ..
+            address, version, ..
         } = self;
         let wait_ms = delay.as_millis();
         if self.failure_logged {
-            tracing::debug!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "endpoint watch failed again: {error}");
+            tracing::debug!(target: log_targets::DISCOVERY_WATCH, %address, index = version, wait_ms, "endpoint watch failed again: {error}");
         } else {
-            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index, wait_ms, "endpoint watch ended: {error}");
+            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index = version, wait_ms, "endpoint watch ended: {error}");
         }
     }
 
-    /// Connects and reads until the connection ends, or until the snapshot that had to come first is here.
+    /// Connects and reads until the connection ends; if a snapshot was requested, until it has arrived.
     async fn watch_once(&mut self) -> io::Result<()> {
         let connecting = TcpStream::connect(self.address);
         let stream = timeout(self.policy.connect_timeout(), connecting)
@@ -134,7 +133,7 @@
         loop {
             let message = self.next_message(connection).await?;
             let update = self.parse_update(message).await?;
-            self.received_any = true;
+            self.message_received = true;
             let Some(update) = update else {
                 self.send_event(WatchEvent::Heartbeat).await;
                 continue;
@@ -146,23 +145,23 @@
         }
     }
 
-    /// The next message, or `TimedOut` if discovery is silent for too long.
+    /// Reads the next message; returns `TimedOut` if discovery sends nothing for too long.
     async fn next_message(
         &self,
         connection: &mut WatchConnection,
     ) -> io::Result<io::Result<Bytes>> {
-        let silence_limit = if self.received_any {
+        let timeout_duration = if self.message_received {
             self.policy.silence_timeout()
         } else {
             self.policy.answer_timeout()
         };
-        timeout(silence_limit, connection.next())
+        timeout(timeout_duration, connection.next())
             .await
             .map_err(|_| ErrorKind::TimedOut)?
             .ok_or(ErrorKind::UnexpectedEof.into())
     }
 
-    /// The update in a message; `None` for a heartbeat.
+    /// Parses the update in a message; `None` for a heartbeat.
     async fn parse_update(
         &mut self,
         message: io::Result<Bytes>,
@@ -192,33 +191,33 @@
         Ok(())
     }
 
-    /// Rejects a delta whose version is below the current one. A snapshot is valid whatever its version: discovery may
-    /// have started anew.
+    /// Rejects a delta whose version is lower than the current one. A snapshot is valid with any version, since
+    /// discovery may have been restarted.
     async fn check_version(&mut self, update: &EndpointUpdate) -> io::Result<()> {
-        let index = update.version;
-        let Some(in_force) = self.version.filter(|current| index < *current) else {
+        let version = update.version;
+        let Some(current_version) = self.version.filter(|current| version < *current) else {
             return Ok(());
         };
         if update.snapshot {
             let address = self.address;
-            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index, in_force, "snapshot with a lower version accepted");
+            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index = version, in_force = current_version, "snapshot with a lower version accepted");
             self.send_event(WatchEvent::VersionRegressed).await;
             return Ok(());
         }
         let reason = format!(
-            "changes up to version {index}, {in_force} is in force: {in_force} or later is valid"
+            "delta to version {version} is older than the current version {current_version}"
         );
         Err(self
             .reject_update(UpdateFault::VersionRegressed, reason)
             .await)
     }
 
-    /// Reports and logs a rejected update. The next request is for a snapshot: after the current version the same
-    /// update would come again, and what it was to change is not known.
+    /// Reports and logs a rejected update. The next request is for a snapshot: a request for the changes after the
+    /// current version would return the same update again, and the changes in the rejected update are unknown.
     async fn reject_update(&mut self, fault: UpdateFault, reason: String) -> io::Error {
-        let (address, in_force) = (self.address, self.version);
+        let (address, current_version) = (self.address, self.version);
         if !self.rejection_logged {
-            tracing::warn!(target: log_targets::DISCOVERY_WATCH, %address, in_force, ?fault, "endpoint update rejected, current list kept: {reason}");
+            tracing::warn!(target: log_targets::DISCOVERY_WATCH, %address, in_force = current_version, ?fault, "endpoint update rejected, current list kept: {reason}");
         }
         self.rejection_logged = true;
         self.version = None;
@@ -231,15 +230,15 @@
     }
 
     async fn send_input(&self, input: Input) {
-        // Fails only when the driver has ended, which ends this task, too.
+        // Fails only if the driver has ended, which also ends this task.
         let _ = self.updates.send(input).await;
     }
 }
 
-/// Why the codec rejected an update.
+/// Extracts the reason why the codec rejected an update.
 ///
 /// # Errors
-/// The same error, if it is not about an update.
+/// The unchanged error if it does not concern an update.
 fn update_error(error: io::Error) -> io::Result<UpdateError> {
     let source = error.get_ref();
     match source.and_then(|source| source.downcast_ref::<UpdateError>()) {
@@ -248,7 +247,7 @@
     }
 }
 
-/// The least wait before the next request, if discovery stated one when it rejected this one.
+/// Returns the minimum delay before the next request, if discovery sent one when it rejected this request.
 fn retry_after(error: &io::Error) -> Option<Duration> {
     let rejected = error.get_ref()?.downcast_ref::<WatchRejected>()?;
     rejected.retry_after
--- a/crates/mixer/src/transport/driver.rs
+++ b/crates/mixer/src/transport/driver.rs
@@ -1,4 +1,5 @@
-//! The driver: passes inputs and timers to the reducer, and the effects that it returns to their performer.
+//! The driver's event loop: passes inputs to the reducer, runs its timers, and passes the returned effects to the
+//! [`EffectPerformer`].
 
 use super::client_listener;
 use super::effects::{start_discovery_watch, EffectPerformer};
@@ -14,15 +15,17 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, sleep_until, Duration, Instant};
 
-/// Inputs that one batch takes at most, so that timers are punctual under load.
+/// Maximum number of inputs in one batch, so that timers are not delayed under load.
 const MAX_BATCH_INPUTS: usize = 256;
-/// The time that the last replies have to be written before the mixer ends.
-const FINAL_FLUSH_TIME: Duration = Duration::from_millis(50);
+/// Delay before the mixer exits, for writing the last replies.
+const FINAL_FLUSH_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves on `listener` until the reducer ends the mixer. Must run inside a `LocalSet`.
+/// Serves clients on `listener` until the reducer returns [`Effect::Exit`]. Must run inside a `LocalSet`.
+///
+/// [`Effect::Exit`]: crate::reducer::Effect::Exit
 ///
 /// # Errors
-/// The socket for datagrams can't be bound.
+/// The UDP socket for datagrams of other mixers can't be bound.
 pub async fn serve(
     reducer: Reducer,
     clock: Clock,
@@ -44,8 +47,8 @@
     ));
     let from_version = Some(reducer.endpoint_list_version());
     let discovery_watch = start_discovery_watch(&shared, addresses.discovery, from_version);
-    for start_front in integrations.fronts {
-        start_front(QueryClient::new(shared.clone()));
+    for start_frontend in integrations.frontends {
+        start_frontend(QueryClient::new(shared.clone()));
     }
     let pending_replies = integrations.recorder.map(PendingReplies::new);
     let driver = Driver {
@@ -63,7 +66,7 @@
     Ok(())
 }
 
-/// The socket for datagrams, if the mixer exchanges any.
+/// Binds the UDP socket for datagrams of other mixers; `None` if the mixer exchanges none.
 async fn open_peer_socket(
     shared: &Shared,
     addresses: &Addresses,
@@ -75,27 +78,27 @@
     Ok(Some(PeerSocket::start(shared, socket, addresses)))
 }
 
-/// Where events arrive, in the order of their precedence.
+/// The receivers of events, in descending order of priority.
 struct EventQueues {
     controls: mpsc::Receiver<Control>,
     updates: mpsc::Receiver<Input>,
     inputs: mpsc::Receiver<Input>,
 }
 
-/// Why the driver woke up.
+/// The event that resumes the driver.
 enum Wakeup {
     Control(Control),
     /// An input from discovery.
     Update(Input),
-    /// Usage records were written that replies are held for.
+    /// Usage records that pending replies wait for have been written.
     RecordsWritten,
     /// Any other input.
     Input(Input),
-    /// A timer of the reducer or of a held reply is due.
+    /// A timer of the reducer, or the deadline of a pending reply, is due.
     TimerDue,
 }
 
-/// The reducer, and what performs its effects.
+/// The state of the event loop: the reducer and the performer of its effects.
 struct Driver {
     reducer: Reducer,
     clock: Clock,
@@ -103,7 +106,7 @@
 }
 
 impl Driver {
-    /// Processes events until the reducer ends the mixer.
+    /// Processes events until the reducer returns `Effect::Exit`.
     async fn run(mut self, mut queues: EventQueues) {
         while !self.effects.exited() {
             match self.next_wakeup(&mut queues).await {
@@ -118,7 +121,7 @@
             }
         }
         self.effects.close_recorder();
-        sleep(FINAL_FLUSH_TIME).await;
+        sleep(FINAL_FLUSH_DELAY).await;
     }
 
     async fn next_wakeup(&mut self, queues: &mut EventQueues) -> Wakeup {
@@ -134,16 +137,17 @@
         }
     }
 
-    /// When the next timer is due, of the reducer or of a held reply. One timer for both, since arming one is costly.
+    /// Returns when the next timer of the reducer or of a pending reply is due. Both use one timer, since arming a
+    /// timer is costly.
     fn next_timer(&self) -> Option<Instant> {
         let reducer_timer = self.reducer.next_due().map(|due| self.clock.instant(due));
         let reply_deadline = self.effects.next_reply_deadline();
         reducer_timer.into_iter().chain(reply_deadline).min()
     }
 
-    /// Applies a batch of the inputs that are ready.
+    /// Applies the inputs that are ready, up to [`MAX_BATCH_INPUTS`], as one batch.
     async fn process_inputs(&mut self, first: Input, inputs: &mut mpsc::Receiver<Input>) {
-        // What other sockets have ready joins the same batch.
+        // Lets the tasks of other sockets queue their inputs for the same batch.
         yield_now().await;
         let now = self.clock.now();
         self.apply(now, first);
@@ -154,19 +158,19 @@
         self.apply(now, Input::ProcessBatch);
     }
 
-    /// Applies a batch of one input.
+    /// Applies one input as a batch.
     fn process_input(&mut self, input: Input) {
         self.apply(self.clock.now(), input);
         self.process_batch();
     }
 
-    /// Ends a batch, and sends the replies that are no longer held.
+    /// Ends a batch, then sends the pending replies that are ready.
     fn process_batch(&mut self) {
         self.apply(self.clock.now(), Input::ProcessBatch);
         self.effects.send_ready_replies();
     }
 
-    /// Applies an input to the reducer and performs the effects.
+    /// Applies an input to the reducer and performs the returned effects.
     fn apply(&mut self, now: Nanos, input: Input) {
         for effect in self.reducer.apply(now, input) {
             self.effects.perform(effect);
@@ -178,7 +182,7 @@
             Control::Terminate => Input::ShutdownRequested,
             Control::Reload(addresses) => {
                 self.effects.reload_peers(addresses.as_ref());
-                // Discovery's address is part of the reducer's state.
+                // The reducer keeps the address of discovery in its state.
                 Input::ConfigReloaded {
                     discovery: addresses.map(|addresses| addresses.discovery),
                 }
--- a/crates/mixer/src/transport/effects.rs
+++ b/crates/mixer/src/transport/effects.rs
@@ -16,7 +16,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
-/// What effects act on: the connections, the watch on discovery, and the replies that are held.
+/// Performs effects on its connections, the watch on discovery, and the pending replies.
 pub(super) struct EffectPerformer {
     shared: Shared,
     leaf_connections: HashMap<ConnectionId, LeafConnectionHandle>,
@@ -28,7 +28,7 @@
 }
 
 impl EffectPerformer {
-    /// Nothing is connected yet and no reply is held.
+    /// Creates a performer without connections to leaf servers.
     pub(super) fn new(
         shared: Shared,
         peers: Option<PeerSocket>,
@@ -45,19 +45,21 @@
         }
     }
 
-    /// Whether the reducer has ended the mixer.
+    /// Whether the reducer has returned [`Effect::Exit`].
     pub(super) fn exited(&self) -> bool {
         self.exited
     }
 
-    /// When the next reply is sent although its usage record is not written; `None` if no reply is held.
+    /// Returns the deadline of the next pending reply: it is sent then even if its usage record is not written. `None`
+    /// if no reply is pending.
     pub(super) fn next_reply_deadline(&self) -> Option<Instant> {
         self.pending_replies
             .as_ref()
             .and_then(PendingReplies::next_deadline)
     }
 
-    /// Returns once usage records were written that replies are held for; never if usage is not recorded.
+    /// Waits until usage records that pending replies wait for have been written; never returns if usage is not
+    /// recorded.
     pub(super) async fn records_written(&mut self) {
         match &mut self.pending_replies {
             Some(pending_replies) => pending_replies.wait_for_records().await,
@@ -65,14 +67,14 @@
         }
     }
 
-    /// Exchanges datagrams with the peers of a new configuration; without one, with those of before.
+    /// Replaces the addresses of the peers by those of a new configuration; without one, they stay as they are.
     pub(super) fn reload_peers(&mut self, addresses: Option<&Addresses>) {
         if let (Some(peers), Some(addresses)) = (&mut self.peers, addresses) {
             peers.set_addresses(&self.shared, addresses);
         }
     }
 
-    /// Performs an effect.
+    /// Performs one effect.
     pub(super) fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Reply {
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Sends a reply, or holds it until its usage record is written.
+    /// Sends a reply, or delays it until its usage record is written.
     fn reply_when_recorded(&mut self, reply: ClientReply) {
         let ready = match &mut self.pending_replies {
             Some(pending_replies) => pending_replies.enqueue(reply),
@@ -138,7 +140,7 @@
         self.command_client(reply.client, command);
     }
 
-    /// Sends the held replies whose records are written, or that were held for long enough.
+    /// Sends the pending replies whose usage records are written or whose deadlines have passed.
     pub(super) fn send_ready_replies(&mut self) {
         while let Some(reply) = self
             .pending_replies
@@ -156,9 +158,9 @@
         self.command_client(client, ClientCommand::Close { immediate });
     }
 
-    /// Hands a command to the task of a client's connection.
+    /// Passes a command to the task of a client's connection.
     fn command_client(&self, client: ClientId, command: ClientCommand) {
-        // The queue is full only if the task waits for a client that does not read; that client loses its reply.
+        // The queue is full only if the client does not read, which blocks the task; this client loses its reply.
         if self.shared.command_client(client, command).is_err() {
             tracing::debug!(target: log_targets::TRANSPORT, client, "command to client dropped, connection closed or blocked");
         }
@@ -194,16 +196,16 @@
         self.exited = true;
     }
 
-    /// Writes the queued usage records, and sends every reply that is still held.
+    /// Writes the queued usage records, then sends all pending replies.
     pub(super) fn close_recorder(&mut self) {
-        let held = self.pending_replies.as_mut().map(PendingReplies::close);
-        for reply in held.unwrap_or_default() {
+        let pending = self.pending_replies.as_mut().map(PendingReplies::close);
+        for reply in pending.unwrap_or_default() {
             self.send_reply(reply);
         }
     }
 }
 
-/// Starts a watch after a version, or with a snapshot first if that is `None`.
+/// Starts a watch for changes after version `from_version`; it requests a snapshot first if that is `None`.
 pub(super) fn start_discovery_watch(
     shared: &Shared,
     address: SocketAddr,
--- a/crates/mixer/src/transport/leaf_connection.rs
+++ b/crates/mixer/src/transport/leaf_connection.rs
@@ -1,4 +1,4 @@
-//! Connections to leaf servers, one task each.
+//! Connections to leaf servers. Each has its own task.
 
 use super::message_timeout::next_message;
 use super::shared::{Shared, MAX_QUEUED_COMMANDS};
@@ -15,21 +15,21 @@
 use tokio::time::{Duration, Instant};
 use tokio_util::codec::Framed;
 
-/// A frame has to be complete within this time of its first byte. Answers are a packet each: the rest of one that was
-/// cut short never arrives, and everything in flight on the connection would wait for it.
+/// A frame must be complete within this duration after its first byte. A leaf server sends each answer as one packet:
+/// the remainder of a truncated answer never arrives, and all calls in flight on the connection would wait for it.
 const FRAME_TIMEOUT: Duration = Duration::from_millis(100);
 
 type FrameConnection = Framed<TcpStream, LeafCodec>;
 
-/// The driver's handle of a connection; dropping it closes the connection.
+/// The driver's handle of a connection. Dropping it closes the connection.
 pub struct LeafConnectionHandle {
     frames: mpsc::Sender<LeafRequest>,
     task: AbortHandle,
 }
 
 impl LeafConnectionHandle {
-    /// Queues a frame. The reducer issues one at a time, so that the queue has room; if it had none, the connection
-    /// would be closed, since a frame must not be lost unnoticed.
+    /// Queues a frame. The queue has capacity because the reducer issues one frame at a time; if it is full
+    /// nevertheless, the connection is closed, since a frame must not be lost silently.
     pub fn write(&self, frame: LeafRequest) {
         if self.frames.try_send(frame).is_err() && !self.is_finished() {
             tracing::error!(target: log_targets::LEAF_CONNECTIONS, "frame queue of a leaf connection is full, connection closed");
@@ -49,7 +49,7 @@
     }
 }
 
-/// Connects to a leaf server in a task of its own, which reports the connection's events to the reducer.
+/// Starts a task that connects to a leaf server and reports the connection's events to the reducer.
 pub fn connect(
     shared: Shared,
     connection: ConnectionId,
@@ -70,10 +70,10 @@
     }
 }
 
-/// Connects, then writes and reads frames until either side ends the connection.
+/// Connects, then writes and reads frames until either side closes the connection.
 ///
 /// # Errors
-/// What the connect or the socket reports.
+/// The errors of connecting to the server and of the socket.
 async fn run_connection(
     shared: &Shared,
     connection: ConnectionId,
@@ -123,7 +123,7 @@
 /// The result of a read.
 enum Received {
     Frame(LeafResponse),
-    /// A spurious readiness: no frame has started.
+    /// A spurious wakeup: no byte of a frame has arrived.
     Nothing,
     /// The leaf server closed the connection.
     End,
--- a/crates/mixer/src/transport/message_timeout.rs
+++ b/crates/mixer/src/transport/message_timeout.rs
@@ -1,4 +1,4 @@
-//! Reading messages that have to be complete in time.
+//! Reading of messages with a time limit for each.
 
 use futures_util::StreamExt;
 use tokio::net::TcpStream;
@@ -6,13 +6,13 @@
 use tokio::time::{timeout_at, Duration, Instant};
 use tokio_util::codec::{Decoder, Framed};
 
-/// Reads the next message of a connection; `None` at its end.
+/// Reads the next message of a connection; `None` if the connection has ended.
 ///
-/// A message has to be complete within `time_limit` of its first byte, however many bytes arrive on the way.
-/// `started_at` is when the message that is being read started. It is kept between calls, so this is cancel safe.
+/// A message must be complete within `time_limit` of its first byte; further bytes don't extend the limit. `started_at`
+/// is when the first byte of the current message arrived. The caller keeps it between calls, so this is cancel safe.
 ///
 /// # Errors
-/// [`Elapsed`] if the message was not complete in time.
+/// [`Elapsed`] if the message is not complete within the time limit.
 pub async fn next_message<C: Decoder>(
     connection: &mut Framed<TcpStream, C>,
     started_at: &mut Option<Instant>,
@@ -22,7 +22,7 @@
         Some(start) => start,
         None => {
             if connection.read_buffer().is_empty() {
-                // An error recurs at the read that follows.
+                // An error is ignored here because the following read returns it again.
                 let _ = connection.get_ref().readable().await;
             }
             *started_at.insert(Instant::now())
--- a/crates/mixer/src/transport/mod.rs
+++ b/crates/mixer/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! Sockets, timers and buffers. Events are passed to the reducer as [`Input`]s, and the [`Effect`]s that it returns
-//! are performed; nothing is decided here.
+//! Sockets, timers and buffers. This module passes events to the reducer as [`Input`]s and performs the [`Effect`]s
+//! that the reducer returns; it makes no decisions itself.
 //!
 //! [`Input`]: crate::reducer::Input
 //! [`Effect`]: crate::reducer::Effect
@@ -28,16 +28,16 @@
 
 use std::net::SocketAddr;
 
-/// The addresses of the services that the mixer uses.
+/// Addresses of discovery and of the other mixers.
 #[derive(Clone, Debug)]
 pub struct Addresses {
-    /// Discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where datagrams of other mixers are received; `None` disables sending, too.
+    /// Address for receiving datagrams of other mixers; `None` disables receiving and sending.
     pub peer_listen: Option<SocketAddr>,
-    /// The other mixers, by their numbers.
+    /// Addresses of the other mixers, indexed by mixer number.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all other mixers.
+    /// Address that reaches all other mixers.
     pub peers_all: Option<SocketAddr>,
 }
 
@@ -45,18 +45,18 @@
 pub enum Control {
     /// Shut down gracefully.
     Terminate,
-    /// Use these addresses from now on; `None` if the new configuration is invalid.
+    /// Replace the addresses by those of a new configuration; `None` if that is invalid.
     Reload(Option<Addresses>),
 }
 
-/// Starts a front of another protocol; called once queries can be sent.
-pub type StartFront = Box<dyn FnOnce(QueryClient)>;
+/// Starts the frontend of another protocol; called once queries can be sent.
+pub type FrontendStarter = Box<dyn FnOnce(QueryClient)>;
 
-/// Optional services around the native front.
+/// Optional components besides the frontend of the native protocol.
 #[derive(Default)]
 pub struct Integrations {
-    /// Where usage records are written; `None` if usage is not recorded.
+    /// Writes usage records; `None` if usage is not recorded.
     pub recorder: Option<Box<dyn Recorder>>,
-    /// Fronts of other protocols.
-    pub fronts: Vec<StartFront>,
+    /// Frontends of other protocols.
+    pub frontends: Vec<FrontendStarter>,
 }
--- a/crates/mixer/src/transport/peers.rs
+++ b/crates/mixer/src/transport/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between the mixers of a fleet. They may be lost: nothing depends on the arrival of one.
+//! UDP datagrams between the mixers of a fleet. Correctness does not depend on their delivery.
 
 use super::buffer_pool::BUFFER_BYTES;
 use super::shared::Shared;
@@ -13,9 +13,9 @@
 /// The addresses of the other mixers.
 #[derive(Clone, Debug)]
 struct PeerAddresses {
-    /// By the mixers' numbers.
+    /// Indexed by mixer number.
     peers: Vec<SocketAddr>,
-    /// Reaches all other mixers.
+    /// Address that reaches all other mixers.
     all: Option<SocketAddr>,
 }
 
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The address of one mixer, or the one that reaches all; `None` if it is not configured.
+    /// Returns the address of one mixer, or the address that reaches all; `None` if it is not configured.
     fn address(&self, peer: Option<u32>) -> Option<SocketAddr> {
         match peer {
             Some(number) => self.peers.get(number as usize).copied(),
@@ -35,13 +35,13 @@
         }
     }
 
-    fn number(&self, address: SocketAddr) -> Option<u32> {
+    fn peer_number(&self, address: SocketAddr) -> Option<u32> {
         let index = self.peers.iter().position(|peer| *peer == address)?;
         Some(index as u32)
     }
 }
 
-/// The socket for datagrams, and the task that receives them.
+/// The UDP socket and the task that receives its datagrams.
 pub struct PeerSocket {
     socket: Rc<UdpSocket>,
     addresses: PeerAddresses,
@@ -49,12 +49,12 @@
 }
 
 impl PeerSocket {
-    /// Starts receiving on a socket.
+    /// Starts receiving datagrams on a socket.
     pub fn start(shared: &Shared, socket: UdpSocket, addresses: &Addresses) -> PeerSocket {
         PeerSocket::start_receiver(shared, Rc::new(socket), addresses)
     }
 
-    /// Replaces the addresses of the other mixers. The socket stays as it is.
+    /// Replaces the addresses of the other mixers; the socket is kept.
     pub fn set_addresses(&mut self, shared: &Shared, addresses: &Addresses) {
         self.receiver.abort();
         *self = PeerSocket::start_receiver(shared, self.socket.clone(), addresses);
@@ -70,27 +70,27 @@
         }
     }
 
-    /// Sends a datagram to one mixer, or to all if `peer` is `None`. It is dropped if the socket's buffer is full or
-    /// the number is unknown.
+    /// Sends a datagram to one mixer, or to all if `peer` is `None`. The datagram is dropped if the socket's buffer is
+    /// full or no address is configured for `peer`.
     pub fn send(&self, peer: Option<u32>, bytes: &[u8]) {
         let Some(address) = self.addresses.address(peer) else {
             return;
         };
         if let Err(e) = self.socket.try_send_to(bytes, address) {
-            tracing::debug!(target: log_targets::PEERS, "datagram not sent: {e}");
+            tracing::debug!(target: log_targets::PEERS, "datagram to {address} not sent: {e}");
         }
     }
 }
 
-/// Passes the datagrams of known mixers to the reducer; those of other senders are dropped.
+/// Passes the datagrams of configured mixers to the reducer; datagrams of other senders are dropped.
 async fn receive(shared: Shared, socket: Rc<UdpSocket>, addresses: PeerAddresses) {
     let mut buffer = [0; BUFFER_BYTES];
     loop {
-        // An error here is about an earlier datagram, to a mixer that is down.
+        // An error reported here concerns an earlier datagram to a mixer that is down.
         let Ok((length, sender)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
-        if let Some(from) = addresses.number(sender) {
+        if let Some(from) = addresses.peer_number(sender) {
             let bytes = buffer[..length].to_vec();
             shared
                 .send_input(Input::DatagramReceived { from, bytes })
--- a/crates/mixer/src/transport/query_client.rs
+++ b/crates/mixer/src/transport/query_client.rs
@@ -1,4 +1,4 @@
-//! Queries from inside the process: fronts of other protocols use the same reducer as native clients do.
+//! Queries from within the process: frontends of other protocols send them to the same reducer as native clients.
 
 use super::client_connection::ClientCommand;
 use super::shared::Shared;
@@ -8,14 +8,13 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::error::TrySendError;
 
-/// Sends queries to the reducer, each as a client of its own. Only for tasks of the mixer's own `LocalSet`.
+/// Sends queries to the reducer, each under a separate client id. May be used only by tasks of the mixer's `LocalSet`.
 #[derive(Clone)]
 pub struct QueryClient {
     shared: Shared,
 }
 
-/// The registration of a client whose one query is open. Dropping it reports to the reducer that the client
-/// disconnected.
+/// The registration of a client with one open query. Dropping it reports to the reducer that the client disconnected.
 struct Registration {
     shared: Shared,
     client: ClientId,
@@ -41,21 +40,22 @@
         QueryClient { shared }
     }
 
-    /// The names of classes and tenants, and the bounds of a query.
+    /// Returns the names of classes and tenants, and limits, for validating queries.
     pub fn query_schema(&self) -> &Rc<QuerySchema> {
         &self.shared.query_schema
     }
 
-    /// The time in Unix nanoseconds, by the mixer's clock.
+    /// Returns the Unix time of the mixer's clock in nanoseconds.
     pub fn now(&self) -> Nanos {
         self.shared.clock.now()
     }
 
-    /// Sends a query that arrived at `received_at` (Unix nanoseconds) and waits for its reply; [`Reply::Failed`] if the
-    /// mixer ends before. Dropping the future cancels the query, as a client that disconnects does.
+    /// Sends a query that arrived at `received_at` (Unix nanoseconds) and waits for its reply. Returns
+    /// [`Reply::Failed`] if the mixer exits first. Dropping the future cancels the query, like the disconnect of a
+    /// client.
     pub async fn send_query(&self, received_at: Nanos, query: QueryRequest) -> Reply {
         let (client, mut commands) = self.shared.register_client();
-        // Until the reply is here or the future is dropped.
+        // Dropped when the reply is returned or the future is dropped.
         let _registration = Registration {
             shared: self.shared.clone(),
             client,
@@ -70,14 +70,14 @@
         loop {
             match commands.recv().await {
                 Some(ClientCommand::Reply { reply, .. }) => return *reply,
-                // Sent before the reducer knew of the query, which is served.
+                // Sent before the reducer processed the query; the query is served nevertheless.
                 Some(ClientCommand::Close { .. }) => {}
                 None => return Reply::Failed,
             }
         }
     }
 
-    /// Returns once the mixer accepts no more connections: it is about to shut down.
+    /// Waits until the mixer accepts no more connections because it is shutting down.
     pub async fn listener_closed(&self) {
         let mut listener_closed = self.shared.listener_closed.subscribe();
         let _ = listener_closed.wait_for(|closed| *closed).await;
--- a/crates/mixer/src/transport/read_ahead.rs
+++ b/crates/mixer/src/transport/read_ahead.rs
@@ -1,4 +1,4 @@
-//! Reads from a client's connection while its request is served.
+//! Reading from a client's connection while its request is being served.
 
 use super::buffer_pool::BUFFER_BYTES;
 use crate::protocol::http::{Request, RequestError, ServerCodec};
@@ -11,30 +11,31 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::Framed;
 
-/// Bytes read at once behind a pipelined request.
+/// Maximum number of bytes read at once after a pipelined request.
 const READ_AHEAD_BYTES: usize = 4 * 1024;
 
-/// A client's connection, as requests and responses.
+/// A client's connection, framed into requests and responses.
 pub(super) type HttpConnection = Framed<TcpStream, ServerCodec>;
 
-/// A request as it arrived, or why it is rejected.
+/// A received request, or the reason why it is rejected.
 pub(super) type IncomingRequest = Result<Request, RequestError>;
 
-/// What arrived behind the request that is being served.
+/// Input that arrived after the request that is being served.
 pub(super) enum ReadAhead {
     /// The next request.
     Request(IncomingRequest),
-    /// Bytes behind a pipelined request.
+    /// Bytes after a pipelined request; they are buffered.
     Buffered,
-    /// More bytes than the connection's buffer takes; they are discarded.
+    /// More bytes than fit in the connection's buffer; they are discarded.
     Overflow,
     /// The client closed the connection.
     Closed,
 }
 
-/// Reads on while a request is served, even behind a pipelined one: nothing else detects that the client closes.
+/// Reads further input while a request is being served, even after a pipelined request: only reading detects that the
+/// client closes the connection.
 ///
-/// Bytes behind a pipelined request are buffered up to the size of the connection's buffer. Cancel safe.
+/// Bytes after a pipelined request are buffered up to the size of the connection's buffer. Cancel safe.
 pub(super) async fn read_ahead(
     http: &mut HttpConnection,
     has_pipelined: bool,
@@ -50,8 +51,8 @@
     http: &mut HttpConnection,
     cx: &mut Context<'_>,
 ) -> Poll<io::Result<ReadAhead>> {
-    // On the stack, so that it does not enlarge the many tasks that wait here. The read yields to other tasks now and
-    // then, however much arrives.
+    // On the stack, since a buffer in the future would enlarge every waiting task. Tokio's cooperative scheduling makes
+    // the read yield to other tasks even under continuous input.
     let mut bytes = [0; READ_AHEAD_BYTES];
     let mut bytes = ReadBuf::new(&mut bytes);
     ready!(Pin::new(http.get_mut()).poll_read(cx, &mut bytes))?;
--- a/crates/mixer/src/transport/shared.rs
+++ b/crates/mixer/src/transport/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of all connections share.
+//! State that the tasks of all connections share.
 
 use super::buffer_pool::BufferPool;
 use super::client_connection::ClientCommand;
@@ -10,40 +10,41 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, watch, Notify};
 
-/// Inputs that may be queued; once the queue is full, sockets are not read.
+/// Capacity of the queue of inputs. Sockets are not read while it is full.
 pub(super) const MAX_QUEUED_INPUTS: usize = 1024;
-/// Inputs from discovery that may be queued. They may be large, and the next one can wait at its socket.
+/// Capacity of the queue of inputs from discovery. It is small because updates may be large; further ones wait in the
+/// socket's receive buffer.
 pub const MAX_QUEUED_UPDATES: usize = 2;
-/// Commands that may be queued at one connection. The reducer issues one frame or reply at a time.
+/// Capacity of the command queue of one connection. The reducer issues one frame or reply at a time.
 pub(super) const MAX_QUEUED_COMMANDS: usize = 4;
 
-/// State that all tasks of the transport share; clones refer to the same state.
+/// State that all tasks of the transport share. Clones refer to the same state.
 #[derive(Clone)]
 pub(super) struct Shared {
     /// The mixer's clock.
     pub clock: Clock,
-    /// How the watch on discovery is kept up.
+    /// Timeouts, delays and limits of the watch on discovery.
     pub watch_policy: WatchPolicy,
-    /// Buffers of the connections.
+    /// Pool of connection buffers.
     pub buffers: BufferPool,
-    /// Inputs for the reducer.
+    /// Queue of inputs for the reducer.
     pub inputs: mpsc::Sender<Input>,
-    /// Inputs from discovery, which do not queue behind the others.
+    /// Queue of inputs from discovery, separate so that they do not wait behind the others.
     pub updates: mpsc::Sender<Input>,
-    /// The names and bounds of the queries that are served.
+    /// Names of classes and tenants, and limits, for validating queries.
     pub query_schema: Rc<QuerySchema>,
-    /// True once no more connections are accepted.
+    /// True once the mixer accepts no more connections.
     pub listener_closed: Rc<watch::Sender<bool>>,
-    /// Where each registered client takes commands.
+    /// Command queues of the registered clients.
     clients: Rc<RefCell<HashMap<ClientId, mpsc::Sender<ClientCommand>>>>,
-    /// Notified whenever a client's connection has ended, as one more may be accepted.
+    /// Notified when a client's connection has ended, so that another one can be accepted.
     client_ended: Rc<Notify>,
-    /// The last client id that was given out.
+    /// The last assigned client id.
     last_client: Rc<Cell<ClientId>>,
 }
 
 impl Shared {
-    /// The state at the start, without clients.
+    /// Creates the state without clients.
     pub fn new(
         clock: Clock,
         watch_policy: WatchPolicy,
@@ -65,12 +66,12 @@
         }
     }
 
-    /// Passes an input to the reducer. False if the driver has ended.
+    /// Queues an input for the reducer. Returns false if the driver has ended.
     pub async fn send_input(&self, input: Input) -> bool {
         self.inputs.send(input).await.is_ok()
     }
 
-    /// Adds a client under a new id; its commands arrive at the receiver.
+    /// Registers a client under a new id and returns the receiver of its commands.
     pub fn register_client(&self) -> (ClientId, mpsc::Receiver<ClientCommand>) {
         self.last_client.set(self.last_client.get() + 1);
         let client = self.last_client.get();
@@ -79,13 +80,13 @@
         (client, receiver)
     }
 
-    /// Removes a client whose connection has ended.
+    /// Unregisters a client whose connection has ended.
     pub fn unregister_client(&self, client: ClientId) {
         self.clients.borrow_mut().remove(&client);
         self.client_ended.notify_one();
     }
 
-    /// Hands a command to a client's task, if the client is still registered.
+    /// Passes a command to a client's task; does nothing if the client is not registered.
     ///
     /// # Errors
     /// The task has ended or its queue is full.
@@ -100,13 +101,13 @@
         }
     }
 
-    /// How many clients are registered.
+    /// Returns the number of registered clients.
     pub fn client_count(&self) -> usize {
         self.clients.borrow().len()
     }
 
-    /// Returns once fewer than `max_clients` clients are registered.
-    pub async fn client_capacity(&self, max_clients: usize) {
+    /// Waits until fewer than `max_clients` clients are registered.
+    pub async fn wait_for_client_capacity(&self, max_clients: usize) {
         while self.client_count() >= max_clients {
             self.client_ended.notified().await;
         }
--- a/crates/mixer/tests/endpoint_update_parsing.rs
+++ b/crates/mixer/tests/endpoint_update_parsing.rs
@@ -166,7 +166,7 @@
         "a snapshot is right without it"
     );
     let error = entries_or_error(&update_with_entry(false, nameless)).unwrap_err();
-    assert!(error.contains("entry 1 of version 43 names nobody"));
+    assert!(error.contains("entry 1 of version 43 has no valid name"));
     check_malformed_updates();
 }
 
--- a/crates/mixer/tests/endpoint_updates.rs
+++ b/crates/mixer/tests/endpoint_updates.rs
@@ -225,7 +225,7 @@
     let logs = CapturedLogs::start();
     let text = r#"{"index":43,"snapshot":true,"endpoints":[{"name":"s-1","address":"here","group":3,"status":"up"}]}"#;
     assert_eq!(parse(text).invalid_entries, 1);
-    logs.assert_one_line("WARN", &["index=43", "s-1", "\"here\" is no IP:PORT"]);
+    logs.assert_one_line("WARN", &["index=43", "s-1", "\"here\" is not IP:PORT"]);
 }
 
 #[test]
@@ -337,7 +337,7 @@
     assert!(error.is_too_large());
     assert_eq!(
         error.to_string(),
-        "131074 entries in version 43, 131072 at most are accepted"
+        "131074 entries in version 43, the limit is 131072"
     );
 }
 
@@ -451,7 +451,7 @@
     let logged = &[
         "TooLarge",
         "in_force=3",
-        "over 5000000 bytes, the most that is accepted",
+        "endpoint update of over 5000000 bytes, which is the limit",
     ];
     check_is_rejected(http_chunk(&endless), "over_bound", logged);
 }
@@ -460,8 +460,8 @@
 fn rejects_delta_whose_version_regressed() {
     let logged = &[
         "VersionRegressed",
-        "changes up to version 2",
-        "3 or later is valid",
+        "delta to version 2",
+        "older than the current version 3",
     ];
     let removal = json!({"name": "s-1", "address": "127.0.0.1:1", "group": 0, "status": "removed"});
     let delta = json!({"index": 2, "snapshot": false, "endpoints": [removal]});
@@ -500,7 +500,7 @@
     check_is_rejected(
         http_chunk(&format!("{without_name}\n")),
         "unreadable",
-        &["Malformed", "entry 0 of version 4 names nobody"],
+        &["Malformed", "entry 0 of version 4 has no valid name"],
     );
 }
 
