--- a/crates/mixer/src/reducer/attempt_results.rs
+++ b/crates/mixer/src/reducer/attempt_results.rs
@@ -1,4 +1,4 @@
-//! Frames from leaf servers, and how attempts and probes end.
+//! Frames from leaf servers, and the end of attempts and probes.
 
 use super::leaf_connection::{AnswerTarget, AttemptId};
 use super::probes::ProbeId;
@@ -26,7 +26,7 @@
                 self.on_probe_answer(now, id, ok, &report);
             }
             LeafResponse::ProtocolError(reason) => {
-                tracing::warn!(target: log_targets::CONNECTIONS, link = id, words = reason, "leaf server reported a protocol error");
+                tracing::warn!(target: log_targets::CONNECTIONS, connection = id, reason, "leaf server reported a protocol error");
             }
             LeafResponse::Malformed(wire_id) => {
                 self.on_malformed_answer(now, id, wire_id.as_deref());
@@ -73,8 +73,9 @@
         }
     }
 
-    /// A leaf server sent an answer that can't be parsed. The server is alive and ran what it answered: that attempt
-    /// has failed. Answers to the others can't be read either, so they are cancelled and the connection is closed.
+    /// Handles an answer that can't be parsed or matches no attempt. The server is alive and has run the attempt that
+    /// it answered, so that attempt fails. The answers to the other attempts can't be read either: these attempts are
+    /// cancelled, and the connection is closed.
     fn on_malformed_answer(&mut self, now: Nanos, id: ConnectionId, wire_id: Option<&str>) {
         let (Some(connection), Some(replica)) =
             (self.connections.get(id), self.connections.replica(id))
@@ -83,12 +84,12 @@
         };
         self.counters.connections.malformed += 1;
         tracing::info!(
-            target: log_targets::CONNECTIONS, link = id,
+            target: log_targets::CONNECTIONS, connection = id,
             replica = replica.0,
             id = wire_id,
             "malformed answer, connection closed"
         );
-        let failed = connection.attempt_of_malformed_answer(wire_id);
+        let failed = connection.attempt_for_malformed_answer(wire_id);
         let in_flight = connection.written_attempts();
         if let Some(failed) = failed {
             self.end_attempt(failed, Outcome::Error, LoadReport::new());
@@ -106,28 +107,29 @@
         self.cancel_attempt(now, AttemptId { part, number }, Outcome::Cancelled);
     }
 
-    /// Ends an attempt from this side. One that was never sent is known not to have run, so it doesn't time out.
+    /// Ends an attempt before it is answered. An attempt that was not sent has not run, so its outcome is `NotSent`
+    /// instead of `TimedOut`.
     pub(super) fn cancel_attempt(&mut self, now: Nanos, id: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.attempts.get(id) else {
             return;
         };
         let connection_id = attempt.connection;
-        let silence_timeout = 2 * self.settings.connect_timeout;
+        let response_timeout = 2 * self.settings.connect_timeout;
         let mut outcome = outcome;
         if let Some(connection) = self.connections.get_mut(connection_id) {
-            let was_silent = connection.is_silent();
-            let was_sent = connection.cancel_attempt(id, now, silence_timeout);
+            let was_unresponsive = connection.is_unresponsive();
+            let was_sent = connection.cancel_attempt(id, now, response_timeout);
             if !was_sent && outcome == Outcome::TimedOut {
                 outcome = Outcome::NotSent;
             }
-            let fell_silent = connection.is_silent() && !was_silent;
-            self.counters.connections.silent += u64::from(fell_silent);
+            let became_unresponsive = connection.is_unresponsive() && !was_unresponsive;
+            self.counters.connections.unresponsive += u64::from(became_unresponsive);
         }
         self.connections.schedule_flush(connection_id);
         self.end_attempt(id, outcome, LoadReport::new());
     }
 
-    /// Ends an attempt that was placed on a connection, once.
+    /// Ends an attempt that was queued on a connection. Does nothing if it has ended already.
     pub(super) fn end_attempt(&mut self, id: AttemptId, outcome: Outcome, report: LoadReport) {
         let Some(attempt) = self.attempts.remove(id) else {
             return;
@@ -136,7 +138,7 @@
             .cancel(attempt.expires_at, Timer::AttemptDeadline(id));
         if outcome.did_not_execute() {
             if let Some(part) = self.queries.part_mut(id.part) {
-                part.forget_sent_attempt(id.number);
+                part.remove_sent_attempt(id.number);
             }
         }
         let replica = attempt.replica;
@@ -150,9 +152,9 @@
         self.report_attempt_ended(id, replica, outcome, report);
     }
 
-    /// Ends an attempt that was not placed on a connection: `NotSent` if it is not allowed, `ConnectFailed` if no
-    /// connection could be opened.
-    pub(super) fn end_unplaced_attempt(
+    /// Ends an attempt that was not queued on a connection: with `NotSent` if it is not allowed, with `ConnectFailed`
+    /// if no connection could be opened.
+    pub(super) fn end_unqueued_attempt(
         &mut self,
         id: AttemptId,
         replica: ReplicaId,
@@ -161,7 +163,7 @@
         self.report_attempt_ended(id, replica, outcome, LoadReport::new());
     }
 
-    /// Counts the outcome and reports it to the coordinator, which waits for every attempt's end.
+    /// Counts the outcome and reports it to the coordinator, which expects an end event for every attempt.
     fn report_attempt_ended(
         &mut self,
         id: AttemptId,
@@ -179,7 +181,7 @@
         });
     }
 
-    /// Ends a probe, once.
+    /// Ends a probe. Does nothing if it has ended already.
     pub(super) fn end_probe(&mut self, now: Nanos, id: ProbeId, outcome: Outcome, report: &str) {
         let Some(probe) = self.probes.remove(&id) else {
             return;
@@ -200,7 +202,7 @@
     }
 }
 
-/// The values of these fields, in their order, from a load report such as `cpu=0.5,queue=3`. Empty if any of them is
+/// Parses the values of these fields, in this order, from a load report such as `cpu=0.5,queue=3`. Empty if a value is
 /// missing or not a finite number.
 fn parse_load_report(text: &str, fields: &[String]) -> LoadReport {
     let mut report = LoadReport::new();
