--- a/crates/mixer/src/protocol/endpoint_updates/message.rs
+++ b/crates/mixer/src/protocol/endpoint_updates/message.rs
@@ -193,18 +193,18 @@
             } = invalid;
             match name {
                 Some(name) => {
-                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index = version, entry, name, "invalid entry in endpoint update: {reason}")
+                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, version, entry, name, "invalid entry in endpoint update: {reason}")
                 }
                 None => {
-                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, index = version, entry, "unnamed entry in endpoint update: {reason}")
+                    tracing::warn!(target: log_targets::ENDPOINT_UPDATES, version, entry, "unnamed entry in endpoint update: {reason}")
                 }
             }
         }
-        let more = self.invalid_count - self.logged_invalid.len();
-        if more > 0 {
+        let unlogged = self.invalid_count - self.logged_invalid.len();
+        if unlogged > 0 {
             tracing::warn!(
-                target: log_targets::ENDPOINT_UPDATES, index = version,
-                more,
+                target: log_targets::ENDPOINT_UPDATES, version,
+                unlogged,
                 "further invalid entries in endpoint update"
             );
         }
--- a/crates/mixer/src/transport/discovery_watch.rs
+++ b/crates/mixer/src/transport/discovery_watch.rs
@@ -103,11 +103,11 @@
         let DiscoveryWatch {
             address, version, ..
         } = self;
-        let wait_ms = delay.as_millis();
+        let delay_ms = delay.as_millis();
         if self.failure_logged {
-            tracing::debug!(target: log_targets::DISCOVERY_WATCH, %address, index = version, wait_ms, "endpoint watch failed again: {error}");
+            tracing::debug!(target: log_targets::DISCOVERY_WATCH, %address, version, delay_ms, "endpoint watch failed again: {error}");
         } else {
-            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index = version, wait_ms, "endpoint watch ended: {error}");
+            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, version, delay_ms, "endpoint watch ended: {error}");
         }
     }
 
@@ -128,7 +128,7 @@
         let from_version = self.version;
         let host = self.address.to_string();
         connection.send(WatchRequest { host, from_version }).await?;
-        tracing::debug!(target: log_targets::DISCOVERY_WATCH, address = %self.address, from = from_version, "endpoint list requested");
+        tracing::debug!(target: log_targets::DISCOVERY_WATCH, address = %self.address, from_version, "endpoint list requested");
         self.send_event(WatchEvent::Requested).await;
         loop {
             let message = self.next_message(connection).await?;
@@ -200,7 +200,7 @@
         };
         if update.snapshot {
             let address = self.address;
-            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, index = version, in_force = current_version, "snapshot with a lower version accepted");
+            tracing::info!(target: log_targets::DISCOVERY_WATCH, %address, version, current_version, "snapshot with a lower version accepted");
             self.send_event(WatchEvent::VersionRegressed).await;
             return Ok(());
         }
@@ -217,7 +217,7 @@
     async fn reject_update(&mut self, fault: UpdateFault, reason: String) -> io::Error {
         let (address, current_version) = (self.address, self.version);
         if !self.rejection_logged {
-            tracing::warn!(target: log_targets::DISCOVERY_WATCH, %address, in_force = current_version, ?fault, "endpoint update rejected, current list kept: {reason}");
+            tracing::warn!(target: log_targets::DISCOVERY_WATCH, %address, current_version, ?fault, "endpoint update rejected, current list kept: {reason}");
         }
         self.rejection_logged = true;
         self.version = None;
--- a/crates/mixer/src/transport/leaf_connection.rs
+++ b/crates/mixer/src/transport/leaf_connection.rs
@@ -58,7 +58,7 @@
     let (frames, frame_queue) = mpsc::channel(MAX_QUEUED_COMMANDS);
     let task = tokio::task::spawn_local(async move {
         if let Err(e) = run_connection(&shared, connection, address, frame_queue).await {
-            tracing::debug!(target: log_targets::LEAF_CONNECTIONS, link = connection, %address, "leaf connection failed: {e}");
+            tracing::debug!(target: log_targets::LEAF_CONNECTIONS, connection, %address, "leaf connection failed: {e}");
         }
         shared
             .send_input(Input::ConnectionClosed { connection })
--- a/crates/mixer/tests/endpoint_updates.rs
+++ b/crates/mixer/tests/endpoint_updates.rs
@@ -200,13 +200,13 @@
         .entries
         .iter()
         .all(|entry| entry.status == Status::Draining && entry.address.is_none()));
-    let logged = logs.matching_lines("WARN", &["index=43", "invalid entry in endpoint update"]);
+    let logged = logs.matching_lines("WARN", &[" version=43", "invalid entry in endpoint update"]);
     assert_eq!(logged.len(), 16);
     logs.assert_one_line(
         "WARN",
         &[
-            "index=43",
-            "more=24",
+            " version=43",
+            "unlogged=24",
             "further invalid entries in endpoint update",
         ],
     );
@@ -225,7 +225,7 @@
     let logs = CapturedLogs::start();
     let text = r#"{"index":43,"snapshot":true,"endpoints":[{"name":"s-1","address":"here","group":3,"status":"up"}]}"#;
     assert_eq!(parse(text).invalid_entries, 1);
-    logs.assert_one_line("WARN", &["index=43", "s-1", "\"here\" is not IP:PORT"]);
+    logs.assert_one_line("WARN", &[" version=43", "s-1", "\"here\" is not IP:PORT"]);
 }
 
 #[test]
@@ -458,7 +458,7 @@
     );
     let logged = &[
         "TooLarge",
-        "in_force=3",
+        "current_version=3",
         "endpoint update of over 5000000 bytes, which is the limit",
     ];
     check_is_rejected(http_chunk(&endless), "over_bound", logged);
@@ -529,8 +529,8 @@
         logs.assert_one_line(
             "INFO",
             &[
-                "index=1",
-                "in_force=3",
+                " version=1",
+                "current_version=3",
                 "snapshot with a lower version accepted",
             ],
         );
