--- a/crates/mixer/tests/captured_logs/mod.rs
+++ b/crates/mixer/tests/captured_logs/mod.rs
@@ -1,4 +1,4 @@
-//! Captures what is logged while a test runs: a line for each event, with its level, then its fields.
+//! Captures the log events of a test, each as a line with the event's level and fields.
 
 use std::fmt::{Debug, Write};
 use std::sync::{Arc, Mutex};
@@ -7,16 +7,16 @@
 use tracing::subscriber::DefaultGuard;
 use tracing::{Event, Metadata, Subscriber};
 
-/// Captures the lines of this thread until it is dropped.
+/// Captures the log lines of this thread until dropped.
 pub struct CapturedLogs {
     lines: Arc<Mutex<Vec<String>>>,
     _guard: DefaultGuard,
 }
 
-/// Keeps every event as a line.
+/// A subscriber that stores every event as a line.
 struct Collector(Arc<Mutex<Vec<String>>>);
 
-/// One event, written field by field.
+/// The line of one event, to which the fields are appended.
 struct Line(String);
 
 impl Visit for Line {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The lines at a level that contain all of these texts.
+    /// The lines of the given level that contain all of the texts.
     pub fn matching_lines(&self, level: &str, texts: &[&str]) -> Vec<String> {
         let matches = |line: &&String| {
             line.starts_with(level) && texts.iter().all(|text| line.contains(text))
@@ -73,7 +73,7 @@
             .collect()
     }
 
-    /// Checks that exactly one line at a level contains all of these texts.
+    /// Asserts that exactly one line of the given level contains all of the texts.
     pub fn assert_one_line(&self, level: &str, texts: &[&str]) {
         let found = self.matching_lines(level, texts);
         assert_eq!(
--- a/crates/mixer/tests/client_connections.rs
+++ b/crates/mixer/tests/client_connections.rs
@@ -1,5 +1,4 @@
-//! Client connections of a whole mixer on real sockets of the loopback, with a leaf server and discovery played by the
-//! test.
+//! Client connections of a complete mixer on loopback sockets. The test implements the leaf server and discovery.
 
 mod harness;
 mod loopback;
@@ -16,12 +15,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, Duration, Instant};
 
-/// Few, so that a test can use up all that are for clients.
+/// Few enough that a test can exhaust those for clients.
 const DESCRIPTORS: usize = 40;
-/// Bytes of a frame's length.
+/// The size of the length before a frame, in bytes.
 const FRAME_HEADER_BYTES: usize = 4;
 
-/// Discovery: ends the first watch without a word, answers each later one with a snapshot and leaves it open.
+/// Discovery: closes the first watch without a response; responds to each later watch with a snapshot and keeps it
+/// open.
 async fn serve_discovery(listener: TcpListener, leaf: SocketAddr) {
     let mut open_watches = Vec::new();
     drop(listener.accept().await);
@@ -32,8 +32,8 @@
     }
 }
 
-/// A leaf server: answers each part with its own id as the value; on its first connection, one whose id begins with
-/// `cut` only to the middle.
+/// A leaf server: answers each part with the part's id as the value. On the first connection, the answers to parts
+/// whose id starts with `cut` are truncated to half of their frame.
 async fn serve_leaf(listener: TcpListener) {
     let mut is_first = true;
     loop {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Runs `client` against a mixer at its address.
+/// Runs `client` with the address of a mixer.
 fn run_against_mixer<F: Future<Output = ()>>(
     clock: TestClock,
     settings_text: &str,
@@ -81,7 +81,8 @@
     });
 }
 
-/// Waits until the mixer has an endpoint list; a paused clock has to be moved on for that.
+/// Waits until the mixer has an endpoint list. With a paused clock, `poll_interval` must be above zero for the clock to
+/// advance.
 async fn wait_until_ready(mixer: SocketAddr, poll_interval: Duration) {
     while !http_get(mixer, "/-/ready").await.has_status(200) {
         tokio::task::yield_now().await;
@@ -108,19 +109,19 @@
             stream.write_all(&[byte]).await.unwrap();
             tokio::task::yield_now().await;
         }
-        let answer_to = |request_id: &str| {
+        let expected_body = |request_id: &str| {
             format!("{{\"complete\":true,\"hits\":[{{\"shard\":3,\"doc\":\"{request_id}.3\"}}]}}")
         };
-        assert_eq!(read_response(&mut stream).await.body, answer_to("a1"));
-        // The next two arrive together: each still gets its own answer, in order.
+        assert_eq!(read_response(&mut stream).await.body, expected_body("a1"));
+        // Two queries that arrive together each get their own answer, in order.
         let two_queries = query_text("a2", "") + &query_text("a3", "Connection: close\r\n");
         send_text(&mut stream, &two_queries).await;
-        assert_eq!(read_response(&mut stream).await.body, answer_to("a2"));
-        assert_eq!(read_response(&mut stream).await.body, answer_to("a3"));
+        assert_eq!(read_response(&mut stream).await.body, expected_body("a2"));
+        assert_eq!(read_response(&mut stream).await.body, expected_body("a3"));
         assert_eq!(
             stream.read(&mut [0]).await.unwrap(),
             0,
-            "closed, as requested"
+            "closed, as requested by the last request"
         );
     });
 }
@@ -160,12 +161,13 @@
 fn closes_silent_client_and_times_out_slow_request() {
     run_against_mixer(TestClock::Paused, SETTINGS, |mixer| async move {
         wait_until_ready(mixer, Duration::from_millis(1)).await;
-        let began = Instant::now();
+        let started = Instant::now();
         let mut silent = connect(mixer).await;
         assert_eq!(silent.read(&mut [0]).await.unwrap(), 0);
-        assert_elapsed_ms(began, 2000..2500);
-        // No byte buys more time, on a new connection or on one that was served before.
-        let began = Instant::now();
+        assert_elapsed_ms(started, 2000..2500);
+        // Further bytes do not extend the time limit of a request, neither on a new connection nor on one that was
+        // served before.
+        let started = Instant::now();
         let mut stream = connect(mixer).await;
         send_text(&mut stream, &query_text("slow", "")).await;
         assert!(read_response(&mut stream).await.has_status(200));
@@ -182,10 +184,10 @@
         let mut status_line = [0; 12];
         tokio::select! {
             read = reading.read_exact(&mut status_line) => drop(read.unwrap()),
-            () = send_slowly => panic!("never answered"),
+            () = send_slowly => panic!("no response to the slow request"),
         }
         assert_eq!(&status_line, b"HTTP/1.1 408");
-        assert_elapsed_ms(began, 2000..3000);
+        assert_elapsed_ms(started, 2000..3000);
     });
 }
 
@@ -193,11 +195,11 @@
 fn incomplete_requests_do_not_block_other_clients() {
     run_against_mixer(TestClock::Paused, SETTINGS, |mixer| async move {
         wait_until_ready(mixer, Duration::from_millis(1)).await;
-        let began = Instant::now();
+        let started = Instant::now();
         let mut incomplete_requests = Vec::new();
         for _ in 0..2 * DESCRIPTORS {
             let mut stream = connect(mixer).await;
-            // It may have been closed by now, which is as well.
+            // The mixer may have closed the connection already, which is allowed.
             let _ = stream
                 .write_all(b"POST /lookup HTTP/1.1\r\nContent-Length: 90\r\n\r\n{")
                 .await;
@@ -206,7 +208,7 @@
         let mut stream = connect(mixer).await;
         send_text(&mut stream, &query_text("good", "")).await;
         assert!(read_response(&mut stream).await.has_status(200));
-        assert_elapsed_ms(began, 0..1000);
+        assert_elapsed_ms(started, 0..1000);
     });
 }
 
@@ -214,24 +216,25 @@
 fn does_not_wait_for_truncated_answer() {
     run_against_mixer(TestClock::Paused, SETTINGS, |mixer| async move {
         wait_until_ready(mixer, Duration::from_millis(1)).await;
-        let began = Instant::now();
+        let started = Instant::now();
         let mut stream = connect(mixer).await;
         send_text(&mut stream, &query_text("cut1", "")).await;
         let response = read_response(&mut stream).await;
         assert!(response.body.contains("\"doc\":\"cut1.3\""), "{response:?}");
-        assert_elapsed_ms(began, 0..300);
+        assert_elapsed_ms(started, 0..300);
     });
 }
 
-/// The first watch ends without a word. Where updates are pushed, the endpoint list is in force soon all the same.
+/// Discovery closes the first watch without a response. With pushed updates, the endpoint list is nevertheless in force
+/// within the drain grace.
 #[test]
 fn reconnects_to_pushed_discovery_within_drain_grace() {
     let settings_text = SETTINGS.replace("replicas_of_me=1", "replicas_of_me=300")
         + "discovery=pushed\nguarantees.stop_sending_within_ns=250000000\n";
     run_against_mixer(TestClock::Paused, &settings_text, |mixer| async move {
-        let began = Instant::now();
+        let started = Instant::now();
         wait_until_ready(mixer, Duration::from_millis(1)).await;
-        let elapsed = began.elapsed();
+        let elapsed = started.elapsed();
         assert!(elapsed < Duration::from_millis(250), "{elapsed:?}");
     });
 }
--- a/crates/mixer/tests/client_disconnect.rs
+++ b/crates/mixer/tests/client_disconnect.rs
@@ -1,4 +1,5 @@
-//! Clients that disconnect: no attempt begins for them later than a tenth of a second, wherever their query was.
+//! Disconnected clients: regardless of the state of their query, no attempt starts later than 100 ms after the
+//! disconnect.
 
 mod harness;
 
@@ -6,8 +7,8 @@
 use cottonhill_mixer::reducer::Input;
 use harness::{deployments, Harness};
 
-/// An attempt for a client that has disconnected may not begin later than this.
-const MAX_BEGIN_AFTER_DISCONNECT_MS: u64 = 100;
+/// No attempt for a client may start later than this after the client has disconnected.
+const MAX_START_AFTER_DISCONNECT_MS: u64 = 100;
 
 #[test]
 fn disconnect_before_first_endpoint_update_sends_nothing() {
@@ -38,21 +39,21 @@
         assert_eq!(
             harness.call_count(),
             calls_before,
-            "the connection is open and free, and no client is there to be answered"
+            "no call for a disconnected client, though the connection is open and has free streams"
         );
     }
 }
 
-/// When the client disconnects and when its connection to the leaf server opens.
+/// The order in which the client disconnects and the connection to the leaf server opens.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Order {
-    /// In one batch, the disconnect first.
+    /// Both in one batch, the disconnect first.
     DisconnectThenOpen,
-    /// In one batch, the opening first.
+    /// Both in one batch, the opening first.
     OpenThenDisconnect,
-    /// The opening after all that may begin has begun.
+    /// The opening later than [`MAX_START_AFTER_DISCONNECT_MS`] after the disconnect.
     OpenLongAfterDisconnect,
-    /// The disconnect in the batch after the opening.
+    /// The disconnect in the batch after that of the opening.
     DisconnectAfterOpen,
 }
 
@@ -84,25 +85,25 @@
         Order::OpenThenDisconnect => harness.apply_batch([opened, disconnected]),
         Order::OpenLongAfterDisconnect => {
             harness.apply(disconnected);
-            harness.advance_ms(MAX_BEGIN_AFTER_DISCONNECT_MS + 1);
+            harness.advance_ms(MAX_START_AFTER_DISCONNECT_MS + 1);
             if harness.connections.contains_key(&connection) {
                 harness.apply(opened);
             }
         }
         Order::DisconnectAfterOpen => {
             harness.apply(opened);
-            assert!(harness.call_count() > 0, "the client was there");
+            assert!(harness.call_count() > 0, "the client was still connected");
             harness.apply(disconnected);
             return;
         }
     }
-    // In one batch, a call that the socket was given before the client was seen to disconnect is in time.
-    let calls_at_once = harness.call_count();
+    // In one batch, a call that was passed to the socket before the disconnect was processed is allowed.
+    let calls_in_batch = harness.call_count();
     harness.advance_ms(1000);
-    assert_eq!(harness.call_count(), calls_at_once, "{order:?}");
+    assert_eq!(harness.call_count(), calls_in_batch, "{order:?}");
     let may_call = order == Order::OpenThenDisconnect;
     assert!(
-        may_call || calls_at_once == 0,
+        may_call || calls_in_batch == 0,
         "{order:?}: {:?}",
         harness.frames
     );
@@ -118,14 +119,15 @@
             harness.open_all_connections();
             let connection = harness.only_connection();
             if attempt_timed_out {
-                // The attempt is given up before its client disconnects; its frame is still at the socket.
+                // The attempt is cancelled before its client disconnects; its frame was passed to the socket and is
+                // not written yet.
                 harness.advance_ms(90);
             }
             harness.disconnect_client(client);
-            harness.advance_ms(MAX_BEGIN_AFTER_DISCONNECT_MS - 1);
+            harness.advance_ms(MAX_START_AFTER_DISCONNECT_MS - 1);
             assert!(
                 !harness.connections.contains_key(&connection),
-                "the call may begin at any moment"
+                "the first byte of the call might be written at any moment"
             );
             assert_eq!(harness.reducer.counters().connections.write_stalled, 1);
         }
@@ -154,11 +156,11 @@
         let client = harness.send_query(0, &[1.0]);
         harness.open_all_connections();
         let connection = harness.only_connection();
-        // One attempt has failed and the next waits for a connection, as the client disconnects.
+        // When the client disconnects, one attempt has failed and the next one waits for a connection.
         harness.answer_oldest_part(connection, PartStatus::Busy);
         harness.disconnect_client(client);
         let calls_before = harness.call_count();
-        harness.advance_ms(MAX_BEGIN_AFTER_DISCONNECT_MS);
+        harness.advance_ms(MAX_START_AFTER_DISCONNECT_MS);
         harness.open_all_connections();
         harness.advance_ms(1000);
         harness.open_all_connections();
--- a/crates/mixer/tests/codec_robustness.rs
+++ b/crates/mixer/tests/codec_robustness.rs
@@ -1,4 +1,4 @@
-//! No bytes from outside break a codec.
+//! Codecs must not panic on any received bytes.
 
 mod decoding;
 
@@ -11,8 +11,8 @@
 use proptest::test_runner::RngSeed;
 use tokio_util::codec::Decoder;
 
-/// Well-formed beginnings, after which anything may come.
-const BEGINNINGS: [&str; 4] = [
+/// Well-formed prefixes of a message, which are followed by arbitrary bytes.
+const PREFIXES: [&str; 4] = [
     "",
     "POST /checkout HTTP/1.1\r\n",
     "POST /checkout HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -25,15 +25,15 @@
     })]
 
     #[test]
-    fn arbitrary_bytes_do_not_break_codecs(
-        beginning in 0usize..4,
+    fn codecs_do_not_panic_on_arbitrary_bytes(
+        prefix in 0usize..4,
         noise in prop::collection::vec(any::<u8>(), 0..200),
         piece_sizes in prop::collection::vec(1usize..40, 1..4),
     ) {
-        let bytes = [BEGINNINGS[beginning].as_bytes(), &noise].concat();
+        let bytes = [PREFIXES[prefix].as_bytes(), &noise].concat();
         decode_in_pieces(&mut ServerCodec::default(), &bytes, &piece_sizes);
         decode_while_possible(&mut WatchCodec::default(), &bytes);
-        // What is left after an object, as the beginning of another response.
+        // Each object is decoded with a new codec, as if the remaining bytes were the start of another response.
         let mut buffer = BytesMut::from(&bytes[..]);
         while let Ok(Some(_)) = WatchCodec::default().decode(&mut buffer) {}
         let length = (noise.len() as u32).to_be_bytes();
--- a/crates/mixer/tests/config.rs
+++ b/crates/mixer/tests/config.rs
@@ -1,9 +1,9 @@
-//! The configuration file of a mixer.
+//! Parsing of a mixer's configuration file.
 
 use cottonhill_mixer::config::{Config, ConfigError};
 use serde_json::{json, Value};
 
-/// Settings with one class.
+/// Settings with one class of this name.
 fn settings_json(class: &str) -> Value {
     json!({
         "classes": [{"name": class, "aim_ns": 2, "give_up_ns": 6, "semantics": "read_like"}],
@@ -44,7 +44,7 @@
     assert!(parse_with_settings(&invalid).is_err());
 }
 
-/// The memory limit of a configuration file with these limits.
+/// The memory limit that a configuration file with these limits sets.
 fn configured_memory_limit(limits: &Value) -> Option<usize> {
     let file = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
         "seed": "8c1f", "limits": limits, "settings": settings_json("a")});
--- a/crates/mixer/tests/descriptor_budget.rs
+++ b/crates/mixer/tests/descriptor_budget.rs
@@ -1,15 +1,16 @@
-//! The descriptor budget: how it is shared out, and which idle clients are closed when it runs out.
+//! The descriptor budget: its division between clients and leaf servers, and the choice of idle clients that are closed
+//! when it is exhausted.
 
 mod harness;
 
 use cottonhill_mixer::reducer::{ClientId, Effect, Input};
 use harness::{Harness, START};
 
-/// Descriptors that the mixer keeps for itself: its listener, discovery and others.
+/// Descriptors reserved for the mixer's listener, discovery and others.
 const OWN_DESCRIPTORS: usize = 20;
 
 #[test]
-fn shares_few_descriptors_between_clients_and_leaf_servers() {
+fn divides_descriptors_between_clients_and_leaf_servers() {
     for descriptors in [64, 100, 187, 1024] {
         let mut harness = Harness::with_one_replica_per_shard(512, descriptors);
         let clients = harness.reducer.max_clients();
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn idle_clients_are_closed_one_for_each_client_over_the_limit() {
+fn two_idle_clients_are_closed_for_each_client_over_the_limit() {
     let mut harness = Harness::new(1);
     let connect = |client| harness.reducer.apply(START, Input::ClientOpened { client });
     let effects: Vec<Effect> = (1..=470).flat_map(connect).collect();
@@ -42,12 +43,12 @@
         .collect();
     assert_eq!(
         effects, oldest_closed,
-        "of 1,024 descriptors 460 are for clients, and two are closed for each that is too many"
+        "460 of 1,024 descriptors are for clients, and two clients are closed for each one over the limit"
     );
 }
 
-/// Clients that connect by hundreds and send nothing are closed before those that have sent queries, even if these
-/// have been idle for longer.
+/// Clients that connect in large numbers and send nothing are closed before clients that have sent queries, even if the
+/// latter have been idle for longer.
 #[test]
 fn clients_without_a_request_are_closed_first() {
     let mut harness = Harness::new(1);
@@ -65,18 +66,18 @@
     client
 }
 
-/// Some clients send one query and keep their connection for good.
+/// Clients may send one query and then keep an idle connection open.
 #[test]
 fn clients_idle_for_two_seconds_are_closed_before_the_limit_is_reached() {
     let mut harness = Harness::new(1);
-    let early: Vec<ClientId> = (0..300).map(|_| serve_one_query(&mut harness)).collect();
+    let older: Vec<ClientId> = (0..300).map(|_| serve_one_query(&mut harness)).collect();
     assert!(harness.closed_clients.is_empty());
     harness.advance_ms(2000);
-    let late: Vec<ClientId> = (0..150).map(|_| serve_one_query(&mut harness)).collect();
+    let newer: Vec<ClientId> = (0..150).map(|_| serve_one_query(&mut harness)).collect();
     let is_closed = |client: &ClientId| harness.closed_clients.contains(client);
     assert!(
-        early[..70].iter().all(is_closed),
+        older[..70].iter().all(is_closed),
         "down to half of the limit"
     );
-    assert!(!late.iter().any(is_closed));
+    assert!(!newer.iter().any(is_closed));
 }
--- a/crates/mixer/tests/discovery_switch.rs
+++ b/crates/mixer/tests/discovery_switch.rs
@@ -1,11 +1,11 @@
-//! Two events that meet in the reducer as endpoints drain or discovery is switched: both orders, in one batch.
+//! Races in the reducer while endpoints drain or discovery is switched: two events in one batch, in either order.
 
 mod harness;
 
 use cottonhill_mixer::reducer::Input;
 use harness::{address, deployments, discovery_switched, listed, Harness, MS};
 
-/// The events in one order or the other.
+/// The events in this order, or swapped.
 fn ordered<T>(first: T, second: T, swapped: bool) -> [T; 2] {
     if swapped {
         [second, first]
@@ -14,9 +14,10 @@
     }
 }
 
-/// A reload switches discovery as the old one announces a drain; the new one is behind and has yet to hear of it.
+/// A reload switches discovery at the moment at which the old address announces a drain. The new address lags behind
+/// and still lists the endpoint as up; the drain must nevertheless take effect.
 #[test]
-fn drain_racing_discovery_switch_holds_in_either_order() {
+fn drain_racing_discovery_switch_takes_effect_in_either_order() {
     for settings_text in deployments() {
         for swapped in [false, true] {
             check_drain_racing_discovery_switch(&settings_text, swapped);
@@ -30,9 +31,17 @@
     let drain = harness.next_update(false, &[listed(1, "draining")]);
     let drain = Input::EndpointsUpdated(drain);
     harness.apply_batch(ordered(drain, discovery_switched(), swapped));
-    assert_eq!(harness.watches.len(), 1, "switched to once");
+    assert_eq!(
+        harness.watches.len(),
+        1,
+        "one watch is requested at the new address"
+    );
     if !settings_text.contains("on_request") {
-        assert_eq!(harness.watches, [None], "versions are each discovery's own");
+        assert_eq!(
+            harness.watches,
+            [None],
+            "a snapshot is requested, as versions of two discovery addresses are not comparable"
+        );
         harness.send_snapshot(&[listed(1, "up"), listed(2, "up")]);
     }
     let client = harness.send_query(1, &[0.5, 0.5]);
@@ -46,20 +55,20 @@
     assert!(harness.is_answered_completely(client));
 }
 
-/// A connection opens at the moment at which its endpoint is announced as leaving: a call that its socket was given
-/// before the update was applied is in time, one after it is not.
+/// A connection opens at the moment at which its endpoint is announced as draining or removed. A call that was passed
+/// to the socket before the update was applied is allowed; no call may follow it.
 #[test]
-fn connection_opened_as_its_endpoint_drains_gets_nothing_after_the_update() {
+fn connection_opened_as_its_endpoint_drains_gets_no_call_after_update() {
     for settings_text in deployments() {
         for status in ["draining", "removed"] {
             for swapped in [false, true] {
-                check_connection_opened_as_endpoint_leaves(&settings_text, status, swapped);
+                check_connection_opened_as_endpoint_drains(&settings_text, status, swapped);
             }
         }
     }
 }
 
-fn check_connection_opened_as_endpoint_leaves(settings_text: &str, status: &str, swapped: bool) {
+fn check_connection_opened_as_endpoint_drains(settings_text: &str, status: &str, swapped: bool) {
     let mut harness = Harness::with_settings(settings_text, 1);
     let client = harness.send_query(1, &[0.5, 0.5]);
     let connection = harness.first_connection();
@@ -68,21 +77,21 @@
     let update = Input::EndpointsUpdated(update);
     harness.apply_batch(ordered(update, opened, swapped));
     harness.announce_status(&address(1), status);
-    let calls_at_once = harness.call_count();
-    assert_eq!(calls_at_once > 0, swapped, "{status}");
+    let calls_in_batch = harness.call_count();
+    assert_eq!(calls_in_batch > 0, swapped, "{status}");
     harness.advance_ms(3000);
     assert_eq!(
         harness.call_count(),
-        calls_at_once,
+        calls_in_batch,
         "{status}, swapped {swapped}"
     );
     harness.advance_ms(4000);
     assert_eq!(harness.replies[&client].len(), 1);
 }
 
-/// A connection opens in the very batch in which it times out.
+/// A connection opens in the same batch in which its connect timeout expires.
 #[test]
-fn connection_opened_at_connect_timeout_serves_or_is_closed() {
+fn connection_opened_at_connect_timeout_is_used_or_closed() {
     for settings_text in deployments() {
         for swapped in [false, true] {
             check_connection_opened_at_timeout(&settings_text, swapped);
@@ -105,7 +114,7 @@
     assert_eq!(
         harness.connections.contains_key(&connection),
         !swapped,
-        "opened in time, or closed"
+        "kept if the opening is processed before the timeout, else closed"
     );
     harness.serve_all();
     harness.advance_ms(7000);
--- a/crates/mixer/tests/endpoint_draining.rs
+++ b/crates/mixer/tests/endpoint_draining.rs
@@ -1,5 +1,5 @@
-//! Endpoints that drain or are removed: what discovery announces is obeyed at once, whatever waits, and whatever
-//! discovery does meanwhile.
+//! Draining and removed endpoints: an announcement takes effect immediately, regardless of waiting queries and queued
+//! or stalled calls, and also while discovery is silent or switched.
 
 mod harness;
 
@@ -23,7 +23,7 @@
         assert_eq!(
             harness.called_addresses(),
             vec![address(2); 2],
-            "at once, and not to the one that drains"
+            "called immediately, but not at the draining endpoint"
         );
         harness.answer_all_parts();
         assert!(harness.is_answered_completely(client));
@@ -42,14 +42,14 @@
 fn check_serves_from_cached_list(settings_text: &str) {
     let mut harness = Harness::with_cached_list(settings_text, 2, 1024);
     let client = harness.send_query(1, &[0.5, 0.5]);
-    let impatient = harness.connect_client();
-    harness.send_query_from(impatient, 1, &[1.0], 300);
+    let client_with_short_timeout = harness.connect_client();
+    harness.send_query_from(client_with_short_timeout, 1, &[1.0], 300);
     harness.advance_ms(999);
     assert!(!harness.is_ready() && harness.connections.is_empty());
     assert_eq!(
-        harness.replies[&impatient].len(),
+        harness.replies[&client_with_short_timeout].len(),
         1,
-        "answered within its timeout all the same"
+        "answered within its timeout although no endpoint list is in force"
     );
     harness.advance_ms(2);
     assert!(harness.is_ready());
@@ -67,7 +67,7 @@
     assert_eq!(
         harness.watches,
         [None],
-        "versions are each discovery's own: a snapshot comes first"
+        "a snapshot is requested first, as versions of two discovery addresses are not comparable"
     );
     let all_up = [1, 2, 3, 4].map(|replica| listed(replica, "up"));
     harness.send_snapshot(&all_up);
@@ -103,7 +103,7 @@
     harness.serve_all();
     assert!(
         harness.is_answered_completely(client),
-        "by then it is believed: {:?}",
+        "the update is accepted once discovery has caught up: {:?}",
         harness.last_reply(client)
     );
 }
@@ -124,7 +124,7 @@
     harness.advance_ms(DRAIN_GRACE / MS);
     assert!(
         !harness.connections.contains_key(&stalled),
-        "the call may begin at any moment"
+        "the first byte of the call might be written at any moment"
     );
     harness.writes_stalled = false;
     harness.serve_all();
@@ -148,7 +148,7 @@
     harness.open_all_connections();
     assert!(
         !harness.connections.contains_key(&old),
-        "the replica is not there any more"
+        "the replica has left this address"
     );
     harness.answer_all_parts();
     harness.advance_ms(500);
@@ -185,30 +185,30 @@
     }
 }
 
-/// Applies a random step; `dice` picks the connection, the replica and what happens to them.
-fn apply_random_step(harness: &mut Harness, kind: u8, dice: u64, duration_ms: u64) {
+/// Applies a random step; `random_value` selects the connection and the replica, and the parameters of the step.
+fn apply_random_step(harness: &mut Harness, kind: u8, random_value: u64, duration_ms: u64) {
     let connections: Vec<ConnectionId> = harness.connections.keys().copied().collect();
     let connection = connections
-        .get(dice as usize % connections.len().max(1))
+        .get(random_value as usize % connections.len().max(1))
         .copied();
-    let replica = 1 + dice % 4;
+    let replica = 1 + random_value % 4;
     match (kind, connection) {
         (0..=2, _) => {
-            harness.send_query((dice % 2) as u16, &[0.5, 0.3, 0.2]);
+            harness.send_query((random_value % 2) as u16, &[0.5, 0.3, 0.2]);
         }
         (3, Some(connection)) => harness.open_connection(connection),
         (4..=6, Some(connection)) => harness.complete_write(connection),
         (7, Some(connection)) => {
-            let status = [PartStatus::Ok, PartStatus::Busy][dice as usize % 2];
+            let status = [PartStatus::Ok, PartStatus::Busy][random_value as usize % 2];
             harness.answer_oldest_part(connection, status);
         }
         (8, Some(connection)) => harness.reset_connection(connection),
         (9, _) => {
-            let status = ["draining", "removed"][dice as usize / 4 % 2];
+            let status = ["draining", "removed"][random_value as usize / 4 % 2];
             harness.update_endpoint(replica, status);
         }
         (10, _) => harness.update_started_endpoint(replica, "up"),
-        (11, _) => harness.move_endpoint(replica, replica + 1000 * (dice / 4 % 2)),
+        (11, _) => harness.move_endpoint(replica, replica + 1000 * (random_value / 4 % 2)),
         _ => harness.advance_ms(duration_ms),
     }
 }
@@ -216,16 +216,16 @@
 proptest! {
     #![proptest_config(config(400))]
 
-    /// `Harness::complete_write` checks each first byte against what was announced, `Harness::connect_to_leaf` each
-    /// connection and `Harness::write_frame` each frame.
+    /// The harness checks each first byte against the announced statuses in `Harness::complete_write`, each connection
+    /// in `Harness::connect_to_leaf` and each frame in `Harness::write_frame`.
     #[test]
-    fn no_first_byte_is_written_after_drain_grace(
+    fn no_call_starts_after_drain_grace(
         steps in prop::collection::vec((0u8..14, any::<u64>(), 1u64..300), 1..80),
     ) {
         let mut harness = Harness::new(4);
         harness.writes_stalled = true;
-        for (kind, dice, duration_ms) in steps {
-            apply_random_step(&mut harness, kind, dice, duration_ms);
+        for (kind, random_value, duration_ms) in steps {
+            apply_random_step(&mut harness, kind, random_value, duration_ms);
         }
         harness.writes_stalled = false;
         harness.advance_ms(20_000);
--- a/crates/mixer/tests/endpoint_update_parsing.rs
+++ b/crates/mixer/tests/endpoint_update_parsing.rs
@@ -1,4 +1,4 @@
-//! Endpoint updates as bytes of a watch: in any layout, split anywhere, malformed.
+//! Decoding of the endpoint updates in a watch's response: in any layout, split at any byte, and malformed.
 
 mod decoding;
 
@@ -9,7 +9,7 @@
 use serde_json::{json, Value};
 use tokio_util::codec::Decoder;
 
-/// A watch's response: each text in one chunk.
+/// A watch's response with each text in a chunk of its own.
 fn watch_response(texts: &[&str]) -> Vec<u8> {
     let chunks: String = texts
         .iter()
@@ -26,8 +26,8 @@
         .collect()
 }
 
-/// The updates in a watch's response of this text, or what is wrong with it.
-fn try_read_updates(text: &str) -> Result<Vec<EndpointUpdate>, String> {
+/// The updates in a watch's response with this text, or the error.
+fn read_updates_or_error(text: &str) -> Result<Vec<EndpointUpdate>, String> {
     let mut codec = WatchCodec::default();
     let mut buffer = BytesMut::from(&watch_response(&[text])[..]);
     let mut updates = Vec::new();
@@ -37,7 +37,7 @@
     Ok(updates)
 }
 
-/// A snapshot of so many endpoints, the even ones draining.
+/// A snapshot of this many endpoints, of which every second is draining.
 fn snapshot_of(endpoints: usize) -> Value {
     let entry = |i: usize| {
         let status = if i.is_multiple_of(2) {
@@ -57,7 +57,7 @@
     serde_json::to_string_pretty(update).unwrap()
 }
 
-/// A response with two updates, laid out in one way.
+/// A response with two updates in one layout.
 struct Layout {
     name: &'static str,
     response: Vec<u8>,
@@ -73,7 +73,7 @@
     many_chunks.push(&second_text);
     vec![
         Layout {
-            name: "a line each, with heartbeats",
+            name: "one line per update, with heartbeats",
             response: watch_response(&["\n", &first_line, "\n\n", &second_line]),
         },
         Layout {
@@ -85,7 +85,7 @@
             response: watch_response(&[&(first_indented.clone() + &second_text)]),
         },
         Layout {
-            name: "one over many chunks",
+            name: "one update in many chunks",
             response: watch_response(&many_chunks),
         },
     ]
@@ -128,9 +128,9 @@
     }
 }
 
-/// Names and statuses of the first update, or what is wrong with the text.
+/// The names and statuses of the entries in the first update, or the error.
 fn entries_or_error(text: &str) -> Result<Vec<(String, Status)>, String> {
-    let updates = try_read_updates(text)?;
+    let updates = read_updates_or_error(text)?;
     Ok(updates[0]
         .entries
         .iter()
@@ -138,14 +138,14 @@
         .collect())
 }
 
-/// An update of version 43 with a valid entry and this one.
+/// An update of version 43 with a valid entry, followed by this one.
 fn update_with_entry(snapshot: bool, entry: &str) -> String {
     let valid = r#"{"name":"s-1","address":"10.1.0.1:7070","group":3,"status":"up"}"#;
     format!("{{\"index\":43,\"snapshot\":{snapshot},\"endpoints\":[{valid},{entry}]}}\n")
 }
 
 #[test]
-fn names_malformed_update_and_contains_invalid_entry() {
+fn describes_malformed_update_and_treats_invalid_entry_as_draining() {
     let valid_entry = ("s-1".to_string(), Status::Up);
     let invalid_entry = ("s-2".to_string(), Status::Draining);
     for entry in [
@@ -163,7 +163,7 @@
     assert_eq!(
         entries_or_error(&update_with_entry(true, nameless)),
         Ok(vec![valid_entry]),
-        "a snapshot is right without it"
+        "a snapshot is accepted without the entry"
     );
     let error = entries_or_error(&update_with_entry(false, nameless)).unwrap_err();
     assert!(error.contains("entry 1 of version 43 has no valid name"));
--- a/crates/mixer/tests/endpoint_updates.rs
+++ b/crates/mixer/tests/endpoint_updates.rs
@@ -1,5 +1,5 @@
-//! Endpoint updates of the size to plan for, and updates that are wrong: the endpoint list in force stays, the fault is
-//! logged and counted.
+//! Endpoint updates of the planned size, and faulty updates: the fault is logged and counted, and after a rejected
+//! update the current endpoint list stays in force.
 
 mod captured_logs;
 mod harness;
@@ -27,16 +27,16 @@
 use tokio_util::codec::Decoder;
 
 const DESCRIPTORS: usize = 40;
-/// Endpoints of the largest fleet to plan for.
+/// The number of endpoints in the largest fleet that is planned for.
 const PLANNED_ENDPOINTS: usize = 110_000;
-/// Memory that a process may use for the planned list, bytes.
+/// The memory limit of a process that has to accept the planned list, in bytes.
 const PLANNED_MEMORY: usize = 64_000_000;
-/// Memory that the mixer of the tests on sockets may use, so that an update may take 5 MB.
+/// The memory limit of the mixer in the tests on sockets, in bytes: a quarter of it, 5 MB, is the limit for an update.
 const MEMORY_LIMIT: usize = 20_000_000;
 
-// ---- The size to plan for -------------------------------------------------------------------------------
+// ---- Updates of the planned size -------------------------------------------------------------------------
 
-/// An entry of the size that is usual: 132 bytes with the comma after it.
+/// An entry of typical size: 132 bytes with the comma after it.
 fn entry_text(server: usize) -> String {
     let (group, [_, a, b, c]) = (server / 3, (server as u32).to_be_bytes());
     format!(
@@ -62,7 +62,7 @@
     endpoint_updates::parse(text.as_bytes()).unwrap().unwrap()
 }
 
-/// The JSON objects that a watch's response contains, read in pieces of 16 KiB.
+/// The JSON objects in a watch's response that is read in pieces of 16 KiB.
 fn decode_objects(response: &str, max_update_bytes: usize) -> Vec<Bytes> {
     let mut codec = WatchCodec::new(max_update_bytes);
     let mut buffer = BytesMut::new();
@@ -86,7 +86,7 @@
     let max_update_bytes = endpoint_updates::max_update_bytes(PLANNED_MEMORY);
     assert!(
         text.len() <= max_update_bytes,
-        "accepted where the process may use 64 MB: {max_update_bytes}"
+        "the limit under a memory limit of 64 MB is {max_update_bytes}"
     );
     let response = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
@@ -104,28 +104,28 @@
 }
 
 #[test]
-fn large_object_shares_its_memory_with_nothing() {
+fn large_object_does_not_share_its_buffer() {
     let snapshot = snapshot_of(1000);
     for after in ["", "\n", "\n{\"index\":44"] {
         let mut objects = JsonObjectSplitter::default();
         objects
             .buffer()
             .extend_from_slice((snapshot.clone() + after).as_bytes());
-        let object = objects.next_object().expect("a whole snapshot");
+        let object = objects.next_object().expect("a complete snapshot");
         assert_eq!(object.len(), snapshot.len());
         assert!(
             object.is_unique(),
-            "its memory goes with it, {} bytes after it or not",
+            "its buffer is not shared with the {} bytes after it",
             after.len()
         );
         objects.buffer().extend_from_slice(b"}");
-        let next = objects.next_object().expect("what follows is read on");
+        let next = objects.next_object().expect("the next object");
         assert_eq!(next, after.trim().to_string() + "}");
     }
 }
 
 #[test]
-fn size_limit_admits_planned_list_indented_and_grown() {
+fn size_limit_accepts_indented_list_of_planned_and_maximum_size() {
     let snapshot: Value = serde_json::from_str(&snapshot_of(1000)).unwrap();
     let bytes_per_entry = serde_json::to_string_pretty(&snapshot)
         .unwrap()
@@ -137,7 +137,7 @@
     );
     assert!(
         bytes_per_entry * MAX_ENTRIES <= MAX_UPDATE_BYTES,
-        "and as many as are accepted at all"
+        "{bytes_per_entry} bytes an entry, with as many entries as are accepted"
     );
     assert_eq!(
         endpoint_updates::max_update_bytes(48_000_000),
@@ -151,7 +151,7 @@
     assert_eq!(
         endpoint_updates::max_update_bytes(1),
         4096 * 1024,
-        "never less than updates could have before there was a limit"
+        "at least 4 MiB regardless of the memory limit, as before that limit was introduced"
     );
 }
 
@@ -188,7 +188,7 @@
     );
 }
 
-// ---- Entries that are wrong -----------------------------------------------------------------------------
+// ---- Faulty entries -------------------------------------------------------------------------------------
 
 #[test]
 fn counts_invalid_entries_and_logs_the_first_ones() {
@@ -255,16 +255,16 @@
     }
 }
 
-/// Updates a replica that is not listed to this status, serves a query, removes the replica again, and returns how
-/// much state is kept after a while.
-fn retained_entries_after_update_of_unknown(status: Option<&str>) -> usize {
-    let unknown = u64::from(status.is_some());
+/// Applies a delta that gives an unlisted replica this status, if any, serves a query, removes the replica again, and
+/// returns the size of the retained state after 60 s.
+fn retained_entries_after_update_of_unlisted(status: Option<&str>) -> usize {
+    let unlisted = u64::from(status.is_some());
     let mut harness = Harness::new(1);
     let update: Vec<ListedEndpoint> = status.iter().map(|status| listed(9, status)).collect();
     harness.send_delta(&update);
     assert_eq!(
         harness.reducer.counters().update_faults.unlisted_removals,
-        unknown
+        unlisted
     );
     let client = harness.send_query(1, &[1.0]);
     harness.serve_all();
@@ -272,7 +272,7 @@
     assert_eq!(
         harness.connections.len(),
         1,
-        "no connection to the unknown one"
+        "no connection to the unlisted replica"
     );
     let removal: Vec<ListedEndpoint> = status.iter().map(|_| listed(9, "removed")).collect();
     harness.send_delta(&removal);
@@ -281,18 +281,18 @@
     harness.advance_ms(60_000);
     assert_eq!(
         harness.reducer.counters().update_faults.unlisted_removals,
-        unknown,
-        "known by the second update"
+        unlisted,
+        "the replica is known at the second update"
     );
     harness.reducer.retained_entries()
 }
 
 #[test]
-fn removal_of_unknown_endpoint_changes_nothing() {
-    let without_update = retained_entries_after_update_of_unknown(None);
+fn removal_of_unlisted_endpoint_changes_nothing() {
+    let without_update = retained_entries_after_update_of_unlisted(None);
     for status in ["removed", "draining"] {
         let logs = CapturedLogs::start();
-        let after_update = retained_entries_after_update_of_unknown(Some(status));
+        let after_update = retained_entries_after_update_of_unlisted(Some(status));
         assert_eq!(after_update, without_update);
         logs.assert_one_line(
             "INFO",
@@ -309,12 +309,12 @@
     assert_eq!(
         harness.reducer.counters().update_faults.unlisted_removals,
         0,
-        "a snapshot names the endpoints that drain"
+        "a snapshot may list draining endpoints that were not listed before"
     );
 }
 
 #[test]
-fn removal_of_unknown_endpoint_survives_discovery_switch() {
+fn removal_of_unlisted_endpoint_is_retained_after_discovery_switch() {
     let mut harness = Harness::new(1);
     harness.send_delta(&[listed(9, "removed")]);
     harness.announce_status(&address(9), "removed");
@@ -329,7 +329,7 @@
     );
 }
 
-// ---- Updates that are rejected --------------------------------------------------------------------------
+// ---- Rejected updates -----------------------------------------------------------------------------------
 
 #[test]
 fn rejects_update_with_too_many_entries() {
@@ -349,9 +349,9 @@
     );
 }
 
-/// A request to discovery, and the stream to answer it on.
+/// A request to discovery, and the stream for the response.
 struct DiscoveryRequest {
-    /// The method and the path.
+    /// The method and the path of the request.
     line: String,
     stream: TcpStream,
 }
@@ -390,7 +390,7 @@
     }
 }
 
-/// Runs `test` against a mixer that has applied a snapshot of version 3 from the watch that is given to it.
+/// Runs `test` with a mixer that has applied a snapshot of version 3, and with the watch that sent it.
 fn with_snapshot_applied<F: Future<Output = ()>>(
     test: impl FnOnce(RunningMixer, TcpStream, CapturedLogs) -> F,
 ) {
@@ -412,33 +412,36 @@
     });
 }
 
-/// Sends an update that has to be rejected on the watch, and checks that the endpoint list in force stays, that the
-/// fault is counted and that a snapshot is requested next and applied.
+/// Sends an update that must be rejected on the watch. Checks that the current endpoint list stays in force, that the
+/// fault is logged and counted, and that a snapshot is requested next and applied.
 fn check_is_rejected(update: String, counter: &'static str, logged: &'static [&'static str]) {
     with_snapshot_applied(|mixer, mut watch, logs| async move {
-        // The mixer may end the connection before all is written.
+        // The mixer may close the connection before the update is written completely.
         let _ = watch.write_all(update.as_bytes()).await;
         let mut next = DiscoveryRequest::accept(&mixer.discovery).await;
-        assert_eq!(next.line, "GET /api/targets", "a snapshot comes first");
-        check_only_this_fault_is_counted(&get_stats(mixer.address).await, counter);
+        assert_eq!(
+            next.line, "GET /api/targets",
+            "a snapshot is requested first"
+        );
+        check_only_fault_counted(&get_stats(mixer.address).await, counter);
         assert!(
             query_is_answered(mixer.address, "kept").await,
-            "the endpoint list in force stays"
+            "the current endpoint list stays in force"
         );
         logs.assert_one_line("WARN", logged);
         let unused_leaf = mixer.leaf.local_addr().unwrap();
         send_text(&mut next.stream, &watch_response(2, unused_leaf, "up")).await;
-        let after_snapshot = DiscoveryRequest::accept(&mixer.discovery).await;
+        let watch_after_snapshot = DiscoveryRequest::accept(&mixer.discovery).await;
         assert_eq!(
-            after_snapshot.line, "GET /api/targets?watch=1&from=2",
-            "a snapshot is right whatever its version"
+            watch_after_snapshot.line, "GET /api/targets?watch=1&from=2",
+            "a snapshot is accepted regardless of its version"
         );
         assert_eq!(get_stats(mixer.address).await["list"], 2);
     });
 }
 
-/// Version 3 is in force, from the one update that was applied, and this counter alone is 1.
-fn check_only_this_fault_is_counted(stats: &Value, counter: &str) {
+/// Checks that version 3 is in force, that one update was applied, and that of the fault counters only this one is 1.
+fn check_only_fault_counted(stats: &Value, counter: &str) {
     assert_eq!(
         (&stats["list"], &stats["lists"]),
         (&json!(3), &json!(1)),
@@ -465,7 +468,7 @@
 }
 
 #[test]
-fn rejects_delta_whose_version_regressed() {
+fn rejects_delta_with_lower_version_than_current_list() {
     let logged = &[
         "VersionRegressed",
         "delta to version 2",
@@ -536,7 +539,7 @@
         );
         assert!(
             !query_is_answered(mixer.address, "gone").await,
-            "an endpoint that it leaves out is gone at once"
+            "an endpoint that the snapshot does not list is removed immediately"
         );
     });
 }
--- a/crates/mixer/tests/event_ordering.rs
+++ b/crates/mixer/tests/event_ordering.rs
@@ -1,5 +1,5 @@
-//! Two events that meet on a connection, on real sockets of the loopback. Discovery and the leaf server are played by
-//! the test, which holds back its bytes, its accept or its close: the order of events does not depend on a sleep.
+//! Races between two events on a connection, on loopback sockets. The test implements discovery and the leaf server and
+//! delays their bytes, accept or close, so that the order of the events does not depend on a sleep.
 
 mod harness;
 mod loopback;
@@ -19,48 +19,49 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep, timeout, Duration, Instant};
 
-/// No test takes as long; it bounds one that would hang.
+/// Time limits for a hanging test; no other test takes as long.
 const REAL_TIME_LIMIT: Duration = Duration::from_secs(30);
 const PAUSED_TIME_LIMIT: Duration = Duration::from_secs(3000);
-/// For how long the leaf server waits for a connection that must not come.
+/// How long the leaf server waits for a connection that must not be opened.
 const NO_CONNECTION_WAIT: Duration = Duration::from_secs(5);
 const DESCRIPTORS: usize = 1024;
 
-/// How discovery answers requests at present.
+/// How discovery responds to requests at present.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DiscoveryMode {
-    /// With a snapshot in which the leaf server has this status.
+    /// Responds with a snapshot in which the leaf server has this status.
     Snapshot(&'static str),
-    /// Not before the mode changes.
+    /// Responds after the mode has changed, according to the new mode.
     Hold,
-    /// Never.
+    /// Never responds.
     Silent,
+    /// Closes the connection.
     Reset,
-    /// With a 503.
+    /// Responds with status 503.
     Reject,
 }
 
-/// A mixer, and what the test plays around it.
-struct Stage {
+/// A mixer with the discovery and the leaf server of the test.
+struct Fixture {
     mixer: SocketAddr,
     control: mpsc::Sender<Control>,
     leaf: TcpListener,
     discovery_mode: Cell<DiscoveryMode>,
     discovery_mode_changed: Notify,
-    /// Requests that discovery has had.
+    /// The number of requests that discovery has accepted.
     discovery_requests: Cell<usize>,
-    /// Watches that discovery has answered with a snapshot.
+    /// The watches to which discovery has responded with a snapshot.
     watches: RefCell<Vec<TcpStream>>,
-    /// Requests that are never answered.
+    /// The requests that never get a response, kept open.
     unanswered: RefCell<Vec<TcpStream>>,
 }
 
-/// Runs `test` against a mixer.
+/// Runs `test` with a mixer and this discovery mode.
 fn run_against_mixer<F: Future<Output = ()>>(
     clock: TestClock,
     settings_text: &str,
     discovery_mode: DiscoveryMode,
-    test: impl FnOnce(Rc<Stage>) -> F,
+    test: impl FnOnce(Rc<Fixture>) -> F,
 ) {
     let options = MixerOptions::new(settings_text, DESCRIPTORS, clock);
     let time_limit = match clock {
@@ -68,7 +69,7 @@
         TestClock::Paused => PAUSED_TIME_LIMIT,
     };
     loopback::run_mixer(options, |mixer| async move {
-        // The mixer may exit while the test goes on.
+        // `serving` is not awaited: the mixer may exit before the test ends.
         let RunningMixer {
             address,
             control,
@@ -76,7 +77,7 @@
             leaf,
             serving: _,
         } = mixer;
-        let stage = Rc::new(Stage {
+        let fixture = Rc::new(Fixture {
             mixer: address,
             control,
             leaf,
@@ -86,37 +87,39 @@
             watches: RefCell::default(),
             unanswered: RefCell::default(),
         });
-        tokio::task::spawn_local(serve_discovery(discovery, stage.clone()));
-        timeout(time_limit, test(stage)).await.expect("in time");
+        tokio::task::spawn_local(serve_discovery(discovery, fixture.clone()));
+        timeout(time_limit, test(fixture))
+            .await
+            .expect("the test ends within its time limit");
     });
 }
 
-async fn serve_discovery(listener: TcpListener, stage: Rc<Stage>) {
-    let leaf = stage.leaf.local_addr().unwrap();
+async fn serve_discovery(listener: TcpListener, fixture: Rc<Fixture>) {
+    let leaf = fixture.leaf.local_addr().unwrap();
     for request in 1.. {
         let (mut stream, _) = listener.accept().await.unwrap();
-        stage.discovery_requests.set(request);
-        while stage.discovery_mode.get() == DiscoveryMode::Hold {
-            stage.discovery_mode_changed.notified().await;
+        fixture.discovery_requests.set(request);
+        while fixture.discovery_mode.get() == DiscoveryMode::Hold {
+            fixture.discovery_mode_changed.notified().await;
         }
-        match stage.discovery_mode.get() {
+        match fixture.discovery_mode.get() {
             DiscoveryMode::Snapshot(status) => {
                 let response = watch_response(request, leaf, status);
                 if stream.write_all(response.as_bytes()).await.is_ok() {
-                    stage.watches.borrow_mut().push(stream);
+                    fixture.watches.borrow_mut().push(stream);
                 }
             }
             DiscoveryMode::Reject => {
                 let response = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 60\r\nContent-Length: 0\r\n\r\n";
                 let _ = stream.write_all(response.as_bytes()).await;
             }
-            DiscoveryMode::Silent => stage.unanswered.borrow_mut().push(stream),
+            DiscoveryMode::Silent => fixture.unanswered.borrow_mut().push(stream),
             DiscoveryMode::Reset | DiscoveryMode::Hold => {}
         }
     }
 }
 
-impl Stage {
+impl Fixture {
     fn set_discovery_mode(&self, mode: DiscoveryMode) {
         self.discovery_mode.set(mode);
         self.discovery_mode_changed.notify_waiters();
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Waits until a counter of the mixer has this value.
+    /// Waits until a counter of the mixer's statistics has this value.
     async fn wait_for_counter(&self, counter: &str, value: u64) {
         loop {
             let stats = get_stats(self.mixer).await;
@@ -151,17 +154,17 @@
         stream
     }
 
-    /// Whether the mixer connects to the leaf server within some seconds.
+    /// Whether the mixer connects to the leaf server within [`NO_CONNECTION_WAIT`].
     async fn mixer_connects_to_leaf(&self) -> bool {
         let accepted = timeout(NO_CONNECTION_WAIT, self.leaf.accept()).await;
         accepted.is_ok()
     }
 }
 
-/// The id of the first part of the next call at a leaf server.
+/// Reads frames at a leaf server up to the next call; returns the id of its first part.
 async fn read_call(stream: &mut TcpStream) -> String {
     loop {
-        let frame = read_frame(stream).await.expect("a frame");
+        let frame = read_frame(stream).await.expect("a complete frame");
         if frame.starts_with('Q') {
             return first_part_id(&frame).to_string();
         }
@@ -175,19 +178,20 @@
         TestClock::Real,
         SETTINGS,
         discovery_mode,
-        |stage| async move {
-            stage.wait_until_ready().await;
+        |fixture| async move {
+            fixture.wait_until_ready().await;
             let socket = TcpSocket::new_v4().unwrap();
             socket.set_recv_buffer_size(4096).unwrap();
-            let mut client = socket.connect(stage.mixer).await.unwrap();
+            let mut client = socket.connect(fixture.mixer).await.unwrap();
             send_text(&mut client, &query_text("one", "Connection: close\r\n")).await;
-            let mut leaf = stage.accept_at_leaf().await;
+            let mut leaf = fixture.accept_at_leaf().await;
             assert_eq!(read_call(&mut leaf).await, "one.3");
             let value = "v".repeat(60_000);
             leaf.write_all(&answer_frame("one.3", &value))
                 .await
                 .unwrap();
-            // The response has begun and waits for its reader: nothing of this is read before its end.
+            // The response has started and blocks until the client reads it. Until it is complete, the mixer does not
+            // read the bytes that are sent here.
             let mut response = vec![0; 12];
             client.read_exact(&mut response).await.unwrap();
             let unread = query_text("two", "") + &"x".repeat(1_000);
@@ -195,7 +199,7 @@
             client
                 .read_to_end(&mut response)
                 .await
-                .expect("an end, not a reset");
+                .expect("the connection is closed without a reset");
             let response = String::from_utf8(response).unwrap();
             assert!(
                 response.starts_with("HTTP/1.1 200") && response.ends_with("\"}]}"),
@@ -207,7 +211,8 @@
     );
 }
 
-/// The client sends further bytes early, a whole request or more than is kept, and then closes.
+/// The client sends further bytes before the response, a complete request or more bytes than are buffered, and then
+/// disconnects.
 #[test]
 fn sends_nothing_for_client_that_pipelined_and_disconnected() {
     for extra_bytes in [0, 100, 100_000] {
@@ -215,23 +220,23 @@
             TestClock::Real,
             SETTINGS,
             DiscoveryMode::Hold,
-            |stage| async move {
-                let mut client = stage.connect_client().await;
+            |fixture| async move {
+                let mut client = fixture.connect_client().await;
                 let two_queries = query_text("one", "") + &query_text("two", "");
                 send_text(&mut client, &two_queries).await;
                 send_text(&mut client, &"x".repeat(extra_bytes)).await;
                 drop(client);
-                // Before the first endpoint update nothing was sent.
-                stage.wait_for_counter("/answered/client_gone", 1).await;
-                stage.set_discovery_mode(DiscoveryMode::Snapshot("up"));
-                stage.wait_until_ready().await;
-                let mut other = stage.connect_client().await;
+                // No call was sent so far, as there was no endpoint update.
+                fixture.wait_for_counter("/answered/client_gone", 1).await;
+                fixture.set_discovery_mode(DiscoveryMode::Snapshot("up"));
+                fixture.wait_until_ready().await;
+                let mut other = fixture.connect_client().await;
                 send_text(&mut other, &query_text("three", "")).await;
-                let mut leaf = stage.accept_at_leaf().await;
+                let mut leaf = fixture.accept_at_leaf().await;
                 assert_eq!(
                     read_call(&mut leaf).await,
                     "three.3",
-                    "with {extra_bytes} bytes behind"
+                    "with {extra_bytes} extra bytes"
                 );
                 leaf.write_all(&answer_frame("three.3", "doc"))
                     .await
@@ -249,11 +254,11 @@
         TestClock::Real,
         SETTINGS,
         discovery_mode,
-        |stage| async move {
-            stage.wait_until_ready().await;
-            let mut client = stage.connect_client().await;
+        |fixture| async move {
+            fixture.wait_until_ready().await;
+            let mut client = fixture.connect_client().await;
             send_text(&mut client, &query_text("one", "")).await;
-            let mut leaf = stage.accept_at_leaf().await;
+            let mut leaf = fixture.accept_at_leaf().await;
             assert_eq!(read_call(&mut leaf).await, "one.3");
             for request_id in ["two", "three", "four"] {
                 for bytes in query_text(request_id, "").as_bytes().chunks(7) {
@@ -280,43 +285,53 @@
         TestClock::Paused,
         SETTINGS,
         discovery_mode,
-        |stage| async move {
-            stage.wait_until_ready().await;
-            let mut idle = stage.connect_client().await;
+        |fixture| async move {
+            fixture.wait_until_ready().await;
+            let mut idle = fixture.connect_client().await;
             send_text(&mut idle, "GET /-/ready HTTP/1.1\r\n\r\n").await;
             read_response(&mut idle).await;
-            let mut incomplete = stage.connect_client().await;
+            let mut incomplete = fixture.connect_client().await;
             send_text(&mut incomplete, &query_text("half", "")[..40]).await;
-            stage.control.send(Control::Terminate).await.unwrap();
+            fixture.control.send(Control::Terminate).await.unwrap();
             for client in [&mut idle, &mut incomplete] {
-                assert_eq!(client.read(&mut [0]).await.expect("an end, not a reset"), 0);
+                assert_eq!(
+                    client
+                        .read(&mut [0])
+                        .await
+                        .expect("the connection is closed without a reset"),
+                    0
+                );
             }
             for _ in 0..20 {
                 idle.write_all(query_text("late", "").as_bytes())
                     .await
-                    .expect("not reset");
-                incomplete.write_all(b"xxxx").await.expect("not reset");
+                    .expect("the connection is not reset");
+                incomplete
+                    .write_all(b"xxxx")
+                    .await
+                    .expect("the connection is not reset");
                 tokio::task::yield_now().await;
             }
             drop((idle, incomplete));
             assert!(
-                !stage.mixer_connects_to_leaf().await,
-                "nothing of it was forwarded"
+                !fixture.mixer_connects_to_leaf().await,
+                "no part of the requests was forwarded"
             );
         },
     );
 }
 
-/// What happens to an answer's connection after its last byte.
+/// What happens to the connection after the last byte of a truncated answer.
 #[derive(Clone, Copy, Debug)]
 enum ConnectionEnd {
     Shutdown,
     Reset,
-    /// It stays open.
+    /// The connection stays open.
     Hang,
 }
 
-/// What is cut short, however it then ends, is no answer; and a part that may have executed is not sent again.
+/// A truncated answer must not be forwarded, regardless of how its connection ends. A part that may have executed must
+/// not be sent again.
 #[test]
 fn truncated_answer_is_neither_forwarded_nor_retried_for_non_idempotent_class() {
     let complete_length = answer_frame("cut.3", "document").len();
@@ -338,15 +353,15 @@
         TestClock::Paused,
         &settings_text,
         discovery_mode,
-        |stage| async move {
-            stage.wait_until_ready().await;
-            let mut client = stage.connect_client().await;
+        |fixture| async move {
+            fixture.wait_until_ready().await;
+            let mut client = fixture.connect_client().await;
             send_text(&mut client, &query_text("cut", "")).await;
-            let mut leaf = stage.accept_at_leaf().await;
+            let mut leaf = fixture.accept_at_leaf().await;
             assert_eq!(read_call(&mut leaf).await, "cut.3");
             let answer = answer_frame("cut.3", "document");
             leaf.write_all(&answer[..length]).await.unwrap();
-            let kept_open = match end {
+            let open_leaf = match end {
                 ConnectionEnd::Shutdown => {
                     leaf.shutdown().await.unwrap();
                     Some(leaf)
@@ -360,33 +375,33 @@
             let response = read_response(&mut client).await;
             assert!(
                 response.has_status(504),
-                "cut at {length}, then {end:?}: {response:?}"
+                "truncated at {length}, then {end:?}: {response:?}"
             );
             assert!(
-                !stage.mixer_connects_to_leaf().await,
-                "cut at {length}, then {end:?}: sent again"
+                !fixture.mixer_connects_to_leaf().await,
+                "truncated at {length}, then {end:?}: sent again"
             );
-            drop(kept_open);
+            drop(open_leaf);
         },
     );
 }
 
-/// A discovery that all share fails for a minute, in one way, and is back with an endpoint that drains: the mixer has
-/// that within 6 s, as one of three or of three hundred.
+/// A discovery service that is shared by all mixers fails for a minute and then announces a draining endpoint. The
+/// mixer must apply this within 6 s, in a fleet of 3 and of 300 mixers.
 #[test]
-fn polled_discovery_recovers_in_time_after_any_failure() {
+fn recovers_within_6_s_after_any_failure_of_polled_discovery() {
     for mixers in [3, 300] {
         for failure in [
             DiscoveryMode::Reset,
             DiscoveryMode::Reject,
             DiscoveryMode::Silent,
         ] {
-            check_polled_discovery_recovers(mixers, failure);
+            check_recovers_after_failure(mixers, failure);
         }
     }
 }
 
-fn check_polled_discovery_recovers(mixers: u32, failure: DiscoveryMode) {
+fn check_recovers_after_failure(mixers: u32, failure: DiscoveryMode) {
     let settings_text = SETTINGS.replace("replicas_of_me=1", &format!("replicas_of_me={mixers}"))
         + "discovery=on_request\nguarantees.ask_within_ns=30000000000\n";
     let discovery_mode = DiscoveryMode::Snapshot("up");
@@ -394,39 +409,39 @@
         TestClock::Paused,
         &settings_text,
         discovery_mode,
-        |stage| async move {
-            stage.wait_until_ready().await;
-            stage.set_discovery_mode(failure);
-            stage.watches.borrow_mut().clear();
+        |fixture| async move {
+            fixture.wait_until_ready().await;
+            fixture.set_discovery_mode(failure);
+            fixture.watches.borrow_mut().clear();
             sleep(Duration::from_secs(60)).await;
-            // It is back right after a request that fails all the same.
-            let requests = stage.discovery_requests.get();
-            while stage.discovery_requests.get() == requests {
+            // Discovery recovers right after the start of a request that still fails, which is the worst case.
+            let requests = fixture.discovery_requests.get();
+            while fixture.discovery_requests.get() == requests {
                 sleep(Duration::from_millis(1)).await;
             }
-            let back_since = Instant::now();
-            stage.set_discovery_mode(DiscoveryMode::Snapshot("draining"));
-            while stage.watches.borrow().is_empty() {
+            let recovered_at = Instant::now();
+            fixture.set_discovery_mode(DiscoveryMode::Snapshot("draining"));
+            while fixture.watches.borrow().is_empty() {
                 sleep(Duration::from_millis(10)).await;
             }
-            // The drain is in force once the endpoint list has this version.
-            while !stats_show_list_version(&stage, stage.discovery_requests.get()).await {
+            // The drain is in force when the endpoint list has the version of the last response.
+            while !endpoint_list_has_version(&fixture, fixture.discovery_requests.get()).await {
                 sleep(Duration::from_millis(10)).await;
             }
-            let recovery = back_since.elapsed();
+            let recovery_time = recovered_at.elapsed();
             assert!(
-                recovery <= Duration::from_secs(6),
-                "{failure:?}, one of {mixers}: {recovery:?}"
+                recovery_time <= Duration::from_secs(6),
+                "{failure:?}, {mixers} mixers: {recovery_time:?}"
             );
             assert!(
                 requests <= 60,
-                "{failure:?}, one of {mixers}: {requests} requests in a minute"
+                "{failure:?}, {mixers} mixers: {requests} requests in a minute"
             );
         },
     );
 }
 
-async fn stats_show_list_version(stage: &Stage, version: usize) -> bool {
-    let stats: HttpResponse = http_get(stage.mixer, "/-/stats").await;
+async fn endpoint_list_has_version(fixture: &Fixture, version: usize) -> bool {
+    let stats: HttpResponse = http_get(fixture.mixer, "/-/stats").await;
     stats.body.contains(&format!("\"list\": {version}"))
 }
--- a/crates/mixer/tests/golden.rs
+++ b/crates/mixer/tests/golden.rs
@@ -1,8 +1,8 @@
-//! Characterization test of the mixer's outer edge. A fixed seed drives the codecs and the reducer through requests,
-//! answers, endpoint updates, drains, reloads and a shutdown on the four deployments of the harness. Everything that
-//! leaves (time, connection, bytes) is compared with a recorded transcript in `tests/golden/`.
+//! Characterization test of the mixer's output. A fixed seed drives the codecs and the reducer through requests,
+//! answers, endpoint updates, drains, reloads and a shutdown, with the settings of the harness's four deployments. All
+//! output (time, connection, bytes) is compared with a recorded transcript in `tests/golden/`.
 //!
-//! The transcripts name wire bytes only. `UPDATE_GOLDEN=1` rewrites them; a commit that does so says why.
+//! The transcripts contain wire bytes only. `UPDATE_GOLDEN=1` rewrites them; a commit that does so states the reason.
 
 mod harness;
 mod simulation;
@@ -24,18 +24,21 @@
         .zip(transcript.lines())
         .position(|(golden, line)| golden != line);
     if let Some(line) = different {
-        let (golden, got) = (golden.lines().nth(line), transcript.lines().nth(line));
-        panic!("{name}:{}: expected {golden:?}, got {got:?}", line + 1);
+        let (golden, actual) = (golden.lines().nth(line), transcript.lines().nth(line));
+        panic!(
+            "{name}:{}: expected {golden:?}, actual {actual:?}",
+            line + 1
+        );
     }
     assert_eq!(
         golden.len(),
         transcript.len(),
-        "{name}: one transcript is longer"
+        "{name}: the transcripts differ in length"
     );
 }
 
 #[test]
-fn transcripts_of_four_deployments_are_as_recorded() {
+fn transcripts_of_four_deployments_match_golden_files() {
     let names = [
         "push.txt",
         "poll.txt",
--- a/crates/mixer/tests/graceful_shutdown.rs
+++ b/crates/mixer/tests/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: after SIGTERM the mixer serves for a grace, then closes idle clients, finishes what it accepted
-//! and exits before SIGKILL may come.
+//! Graceful shutdown: after SIGTERM the mixer serves during a grace period, then closes idle clients, answers the
+//! accepted queries and exits before SIGKILL is due.
 
 mod harness;
 
@@ -7,16 +7,16 @@
 use cottonhill_mixer::reducer::Input;
 use harness::{deployments, Harness};
 
-/// For how long after SIGTERM clients may still connect.
+/// How long after SIGTERM clients may still connect.
 const GRACE_MS: u64 = 700;
-/// The longest deadline that counts for the time of SIGKILL.
+/// The maximum deadline in the calculation of the time of SIGKILL.
 const MAX_COUNTED_DEADLINE_MS: u64 = 3000;
 
-/// SIGKILL follows 0.7 s after the longest deadline, which counts as 3 s where it is longer.
+/// SIGKILL follows SIGTERM after 0.7 s plus the longest deadline, of which at most 3 s count.
 #[test]
-fn answers_all_accepted_queries_before_kill() {
+fn answers_all_accepted_queries_before_sigkill() {
     for settings_text in deployments() {
-        // Late answers earn, so a query waits to the end of its time.
+        // Answers after the latency objective have a value here, so a query stays open until its deadline.
         let settings_text = settings_text + "classes.0.late_value=0.9\nclasses.1.late_value=0.9\n";
         let longest_deadline_ms = if settings_text.contains("_ns=600000000\n") {
             600
@@ -29,17 +29,17 @@
     }
 }
 
-fn check_all_are_answered(settings_text: &str, class: u16, kill_after_ms: u64) {
+fn check_all_are_answered(settings_text: &str, class: u16, sigkill_after_ms: u64) {
     let mut harness = Harness::with_settings(settings_text, 1);
-    let before = harness.connect_client();
-    harness.send_query_from(before, class, &[0.7, 0.3], 6000);
+    let client_before = harness.connect_client();
+    harness.send_query_from(client_before, class, &[0.7, 0.3], 6000);
     harness.open_all_connections();
     harness.apply(Input::ShutdownRequested);
     harness.advance_ms(GRACE_MS);
-    let during = harness.connect_client();
-    harness.send_query_from(during, class, &[0.7, 0.3], 6000);
-    harness.advance_ms(kill_after_ms - 50 - GRACE_MS);
-    for client in [before, during] {
+    let client_during_grace = harness.connect_client();
+    harness.send_query_from(client_during_grace, class, &[0.7, 0.3], 6000);
+    harness.advance_ms(sigkill_after_ms - 50 - GRACE_MS);
+    for client in [client_before, client_during_grace] {
         assert_eq!(
             harness.replies[&client].len(),
             1,
@@ -47,7 +47,7 @@
         );
         assert!(
             !matches!(harness.last_reply(client), Some(Reply::Answer { .. })),
-            "the leaf server answered nothing"
+            "the leaf server has not answered"
         );
     }
     assert!(harness.has_exited);
@@ -65,18 +65,18 @@
         harness.is_listening && harness.closed_clients.is_empty(),
         "clients may still connect for 0.7 s"
     );
-    let late = harness.send_query(1, &[1.0]);
+    let client_during_grace = harness.send_query(1, &[1.0]);
     harness.advance_ms(100);
     assert!(!harness.is_listening);
     assert_eq!(harness.closed_clients, [idle]);
     assert!(!harness.has_exited, "a query is still open");
     harness.answer_all_parts();
-    assert!(harness.is_answered_completely(late));
+    assert!(harness.is_answered_completely(client_during_grace));
     assert!(harness.has_exited);
 }
 
 #[test]
-fn exits_before_kill_deadline() {
+fn exits_before_sigkill() {
     let mut harness = Harness::new(1);
     harness.apply(Input::ShutdownRequested);
     harness.advance_ms(690);
@@ -86,7 +86,7 @@
     assert_eq!(
         harness.replies[&client].len(),
         1,
-        "SIGKILL may come 6.7 s after SIGTERM"
+        "SIGKILL is due 6.7 s after SIGTERM"
     );
     assert!(harness.has_exited);
 }
--- a/crates/mixer/tests/harness/clients.rs
+++ b/crates/mixer/tests/harness/clients.rs
@@ -1,11 +1,11 @@
-//! What clients send, and whether they are answered.
+//! Requests of clients, and the replies to them.
 
 use super::{Harness, DEFAULT_TIMEOUT_MS, MS};
 use bytes::Bytes;
 use cottonhill_mixer::protocol::query_json::{ClientRequest, PartRequest, QueryRequest, Reply};
 use cottonhill_mixer::reducer::{ClientId, Input};
 
-/// Parts with these weights, at the shards 0, 1, ...
+/// Parts with these weights, on shards 0, 1, ...
 fn parts_of_weights(weights: &[f64]) -> Vec<PartRequest> {
     weights
         .iter()
@@ -26,7 +26,7 @@
     }]
 }
 
-/// A query of class 1 with a timeout of 5 s and the whole weight on shard 0.
+/// A query of class 1 with a timeout of 5 s and one part, on shard 0.
 pub fn query_request(request_id: &str) -> QueryRequest {
     QueryRequest {
         request_id: request_id.to_string(),
@@ -53,17 +53,17 @@
         self.apply(Input::ClientClosed { client });
     }
 
-    /// Disconnects one of the clients that ever connected, unless it has been already.
-    pub fn disconnect_random_client(&mut self, dice: u64) {
+    /// Disconnects one of the clients that have connected so far, unless it is disconnected already.
+    pub fn disconnect_random_client(&mut self, random_value: u64) {
         if self.last_client > 0 {
-            let client = 1 + dice % self.last_client;
+            let client = 1 + random_value % self.last_client;
             if !self.disconnected_clients.contains(&client) {
                 self.disconnect_client(client);
             }
         }
     }
 
-    /// A new client sends a query with parts of these weights, at the shards 0, 1, ...
+    /// Sends a query from a new client, with parts of these weights on shards 0, 1, ...
     pub fn send_query(&mut self, class: u16, weights: &[f64]) -> ClientId {
         let client = self.connect_client();
         self.send_query_from(client, class, weights, DEFAULT_TIMEOUT_MS);
@@ -96,7 +96,7 @@
         self.apply(request);
     }
 
-    /// A query with parts of these weights that is yet to be applied.
+    /// The input of a query with parts of these weights; the caller applies it.
     pub fn query_input(&mut self, client: ClientId, class: u16, weights: &[f64]) -> Input {
         let query = QueryRequest {
             class,
@@ -106,7 +106,7 @@
         self.request_received(client, query)
     }
 
-    /// A client that connects and sends a query of one shard, yet to be applied.
+    /// The inputs of a client that connects and sends a query to one shard; the caller applies them.
     pub fn new_client_inputs(&mut self, client: ClientId, shard: u32) -> [Input; 2] {
         [
             Input::ClientOpened { client },
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Asks whether the mixer is ready, as a load balancer does.
+    /// Sends a readiness request, as a load balancer does.
     pub fn is_ready(&mut self) -> bool {
         let client = self.connect_client();
         self.apply(Input::RequestReceived {
@@ -161,7 +161,7 @@
     pub fn is_rejected_with_retry_after(&self, client: ClientId) -> bool {
         matches!(
             self.last_reply(client),
-            Some(Reply::Rejected { retry_after: Some(after) }) if (1..=500 * MS).contains(after)
+            Some(Reply::Rejected { retry_after: Some(delay) }) if (1..=500 * MS).contains(delay)
         )
     }
 }
--- a/crates/mixer/tests/harness/discovery.rs
+++ b/crates/mixer/tests/harness/discovery.rs
@@ -1,4 +1,4 @@
-//! What discovery announces.
+//! Endpoint updates of discovery.
 
 use super::{address, Harness, MS};
 use cottonhill_decisions::Nanos;
@@ -9,12 +9,12 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ListedEndpoint<'a> {
     pub replica: u64,
-    /// As on the wire.
+    /// The status as written on the wire.
     pub status: &'a str,
     pub started: Nanos,
 }
 
-/// An entry of a replica that has long been running.
+/// An entry of a replica that started long ago.
 pub fn listed(replica: u64, status: &str) -> ListedEndpoint<'_> {
     ListedEndpoint {
         replica,
@@ -23,7 +23,7 @@
     }
 }
 
-/// What discovery last said of an address.
+/// The last announced status of an address.
 pub(super) struct AnnouncedStatus {
     pub(super) status: String,
     pub(super) since: Nanos,
@@ -70,13 +70,13 @@
 }
 
 impl Harness {
-    /// Notes what discovery says of an address, for the checks on what is written there.
+    /// Records the announced status of an address, against which connections and frames are checked.
     pub fn announce_status(&mut self, address: &str, status: &str) {
-        let leaving = self
+        let not_up = self
             .announced
             .get_mut(address)
             .filter(|announced| !announced.is_up() && status != "up");
-        if let Some(announced) = leaving {
+        if let Some(announced) = not_up {
             announced.status = status.to_string();
             return;
         }
@@ -87,12 +87,12 @@
         self.announced.insert(address.to_string(), announced);
     }
 
-    /// A delta with one endpoint, which has long been running.
+    /// Applies a delta with one endpoint that started long ago.
     pub fn update_endpoint(&mut self, replica: u64, status: &str) {
         self.update_listed_endpoint(listed(replica, status));
     }
 
-    /// A delta with one endpoint that has started now.
+    /// Applies a delta with one endpoint that has just started.
     pub fn update_started_endpoint(&mut self, replica: u64, status: &str) {
         let started = self.now;
         self.update_listed_endpoint(ListedEndpoint {
@@ -106,12 +106,12 @@
         self.send_delta(&[endpoint]);
     }
 
-    /// Applies a delta without noting the status of its endpoints.
+    /// Applies a delta without recording the status of its endpoints.
     pub fn send_delta(&mut self, endpoints: &[ListedEndpoint]) {
         self.send_update(false, endpoints);
     }
 
-    /// Applies a snapshot without noting the status of its endpoints.
+    /// Applies a snapshot without recording the status of its endpoints.
     pub fn send_snapshot(&mut self, endpoints: &[ListedEndpoint]) {
         self.send_update(true, endpoints);
     }
@@ -121,24 +121,24 @@
         self.apply(Input::EndpointsUpdated(update));
     }
 
-    /// An update of the next version that is yet to be applied.
+    /// An update of the next version; the caller applies it.
     pub fn next_update(&mut self, snapshot: bool, endpoints: &[ListedEndpoint]) -> EndpointUpdate {
         self.list_version += 1;
         endpoint_update(self.list_version, snapshot, endpoints)
     }
 
-    /// A replica is listed as up at the address that another one would have.
-    pub fn move_endpoint(&mut self, replica: u64, new_place: u64) {
-        for old_place in [replica, replica + 1000] {
-            if self.announced.contains_key(&address(old_place)) {
-                self.announce_status(&address(old_place), "left");
+    /// Applies a delta that lists a replica as up at the address of another replica number.
+    pub fn move_endpoint(&mut self, replica: u64, new_number: u64) {
+        for old_number in [replica, replica + 1000] {
+            if self.announced.contains_key(&address(old_number)) {
+                self.announce_status(&address(old_number), "left");
             }
         }
-        self.announce_status(&address(new_place), "up");
+        self.announce_status(&address(new_number), "up");
         self.list_version += 1;
         let entry = serde_json::json!({
             "name": format!("s-{replica}"),
-            "address": address(new_place),
+            "address": address(new_number),
             "zone": "north",
             "group": 0,
             "status": "up",
@@ -148,7 +148,7 @@
         self.apply(Input::EndpointsUpdated(update));
     }
 
-    /// The configuration is reloaded with another discovery address.
+    /// Reloads the configuration with another discovery address.
     pub fn switch_discovery(&mut self) {
         self.apply(discovery_switched());
     }
--- a/crates/mixer/tests/harness/leaf_servers.rs
+++ b/crates/mixer/tests/harness/leaf_servers.rs
@@ -1,4 +1,4 @@
-//! What leaf servers get, and what they answer.
+//! Calls to leaf servers, and their answers.
 
 use super::{Harness, LeafSocket, SentFrame};
 use bytes::Bytes;
@@ -38,7 +38,7 @@
         self.frames.iter().map(parts).sum()
     }
 
-    /// The addresses that calls were written to, in order; empty where the connection is closed.
+    /// The addresses that calls were written to, in order; an empty string if the connection is closed by now.
     pub fn called_addresses(&self) -> Vec<String> {
         let address = |connection| {
             let socket: Option<&LeafSocket> = self.connections.get(&connection);
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Opens the socket; the input that has yet to report it to the reducer.
+    /// Opens the socket and returns the input that reports it to the reducer; the caller applies it.
     pub fn connection_opened_input(&mut self, connection: ConnectionId) -> Input {
         self.connections
             .get_mut(&connection)
@@ -73,16 +73,16 @@
     }
 
     pub fn reset_connection(&mut self, connection: ConnectionId) {
-        self.forget_connection(connection);
+        self.remove_connection(connection);
         self.apply(Input::ConnectionClosed { connection });
     }
 
-    pub(super) fn forget_connection(&mut self, connection: ConnectionId) {
+    pub(super) fn remove_connection(&mut self, connection: ConnectionId) {
         self.connections.remove(&connection);
         self.in_flight.remove(&connection);
     }
 
-    /// The leaf server answers the oldest part in flight on a connection, if there is any.
+    /// Answers the oldest part in flight on a connection, if there is any.
     pub fn answer_oldest_part(&mut self, connection: ConnectionId, status: PartStatus) {
         let in_flight = self.in_flight.entry(connection).or_default();
         if !in_flight.is_empty() {
@@ -120,7 +120,7 @@
             .map(|(connection, _)| *connection)
     }
 
-    /// The leaf server sends a malformed frame, with or without the id of the oldest part in flight.
+    /// Receives a malformed frame from the leaf server, with or without the id of the oldest part in flight.
     pub fn send_malformed_frame(&mut self, connection: ConnectionId, with_id: bool) {
         let id = self
             .in_flight
--- a/crates/mixer/tests/harness/mod.rs
+++ b/crates/mixer/tests/harness/mod.rs
@@ -1,14 +1,14 @@
-//! A reducer that tests drive with inputs in place of sockets. It carries the effects out as sockets would, and checks
-//! at each step what must hold at every one.
+//! A harness that drives a reducer with inputs and performs its effects as sockets would. It checks the invariants of
+//! connections and frames at each effect.
 
-#![allow(dead_code)] // Each test file uses its own part of it.
+#![allow(dead_code)] // Each test file uses a different part.
 
 mod clients;
 mod discovery;
 mod leaf_servers;
 mod settings_texts;
 
-#[allow(unused_imports)] // Each test file uses its own part of it.
+#[allow(unused_imports)] // Each test file uses a different part.
 pub use {
     clients::query_request,
     discovery::{discovery_switched, listed, ListedEndpoint},
@@ -24,77 +24,77 @@
 use discovery::{endpoint_update, update_from_json, AnnouncedStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One millisecond, ns.
+/// One millisecond in nanoseconds.
 pub const MS: Nanos = 1_000_000;
-/// When a test begins, on the reducer's clock.
+/// The time at the start of a test, on the reducer's clock.
 pub const START: Nanos = 1_000_000 * MS;
-/// For how long after a drain is announced calls may still begin.
+/// How long calls may still start after a drain was announced.
 pub const DRAIN_GRACE: Nanos = 250 * MS;
-/// How long a client waits unless a test states something else.
+/// The timeout of a client's query unless a test sets another one.
 pub const DEFAULT_TIMEOUT_MS: u64 = 5000;
-/// As the settings have it.
+/// The value of `limits.streams_per_conn` in [`SETTINGS`].
 const STREAMS_PER_CONNECTION: usize = 4;
 const DEFAULT_DESCRIPTORS: usize = 1024;
 const SEED: u64 = 7;
 
-/// A reply and when it was sent.
+/// A reply and the time at which it was sent.
 #[derive(Debug)]
 pub struct SentReply {
-    pub at: Nanos,
+    pub sent_at: Nanos,
     pub reply: Reply,
 }
 
-/// A connection to a leaf server, as its socket sees it.
+/// The simulated socket of a connection to a leaf server.
 #[derive(Debug)]
 pub struct LeafSocket {
     pub address: String,
     pub is_open: bool,
 }
 
-/// A frame that was given to the socket of a connection.
+/// A frame that was passed to the socket of a connection.
 #[derive(Debug)]
 pub struct SentFrame {
     pub connection: ConnectionId,
     pub frame: LeafRequest,
 }
 
-/// A reducer under test, the sockets around it, and all that has left it.
+/// A reducer under test, its simulated sockets, and a record of its effects.
 pub struct Harness {
     pub reducer: Reducer,
     pub now: Nanos,
-    /// By client, in the order sent.
+    /// The replies to each client, in the order in which they were sent.
     pub replies: BTreeMap<ClientId, Vec<SentReply>>,
     pub disconnected_clients: BTreeSet<ClientId>,
     pub connections: BTreeMap<ConnectionId, LeafSocket>,
-    /// All frames that were given to sockets, in order.
+    /// All frames that were passed to sockets, in order.
     pub frames: Vec<SentFrame>,
-    /// Ids of the parts in flight at each connection, oldest first.
+    /// The ids of the parts in flight on each connection, oldest first.
     pub in_flight: BTreeMap<ConnectionId, Vec<String>>,
-    /// Clients that the reducer closed.
+    /// The clients whose connections the reducer closed.
     pub closed_clients: Vec<ClientId>,
     pub is_listening: bool,
     pub has_exited: bool,
-    /// No socket takes a frame before [`Harness::complete_write`].
+    /// Whether a write completes only when the test calls [`Harness::complete_write`].
     pub writes_stalled: bool,
-    /// The versions that the requested watches continue from.
+    /// The version from which each requested watch resumes.
     pub watches: Vec<Option<u64>>,
     pub usage_records: Vec<UsageRecord>,
     pub watermarks: Vec<Watermark>,
-    /// What discovery last said, by address.
+    /// The last announced status of each address.
     announced: BTreeMap<String, AnnouncedStatus>,
-    /// Connections whose socket has been given a frame that it has not taken yet.
+    /// The connections with an incomplete write.
     writing: BTreeSet<ConnectionId>,
     last_client: ClientId,
     list_version: u64,
 }
 
-/// Where a replica listens.
+/// The address at which a replica listens.
 pub fn address(replica: u64) -> String {
     format!("127.0.{}.{}:7070", replica / 256, replica % 256)
 }
 
 impl Harness {
-    /// With so many ready replicas in one cell.
+    /// Creates a harness with this number of ready replicas in one cell.
     pub fn new(replicas: u64) -> Harness {
         Harness::with_settings(SETTINGS, replicas)
     }
@@ -105,7 +105,7 @@
         harness
     }
 
-    /// With an endpoint list that was cached before a restart, and no update from discovery yet.
+    /// Creates a harness with an endpoint list that was cached before a restart, and without an update from discovery.
     pub fn with_cached_list(settings_text: &str, replicas: u64, descriptors: usize) -> Harness {
         let endpoints: Vec<_> = (1..=replicas).map(|r| listed(r, "up")).collect();
         let reducer = Reducer::new(
@@ -142,7 +142,7 @@
         harness
     }
 
-    /// With as many cells as shards, so that each shard is held by one replica alone.
+    /// Creates a harness with one cell per shard, so that each shard is served by exactly one replica.
     pub fn with_one_replica_per_shard(shards: u64, descriptors: usize) -> Harness {
         let settings_text = SETTINGS
             .replace("extra.places=1", &format!("extra.places={shards}"))
@@ -167,14 +167,14 @@
     }
 }
 
-/// Batches, effects and time.
+/// Batches, effects and the clock.
 impl Harness {
-    /// Applies one input and the batch after it.
+    /// Applies one input and processes the batch.
     pub fn apply(&mut self, input: Input) {
         self.apply_batch([input]);
     }
 
-    /// Applies what came in at one moment, in this order, and the one batch after it.
+    /// Applies inputs that arrive at the same time, in this order, and processes them as one batch.
     pub fn apply_batch(&mut self, inputs: impl IntoIterator<Item = Input>) {
         let mut effects = Vec::new();
         for input in inputs.into_iter().chain([Input::ProcessBatch]) {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Lets time pass, with a batch whenever one is due.
+    /// Advances the clock and processes a batch whenever one is due.
     pub fn advance_ms(&mut self, duration_ms: u64) {
         let end = self.now + duration_ms * MS;
         while let Some(due) = self.reducer.next_due().filter(|due| *due <= end) {
@@ -213,7 +213,7 @@
                 address,
             } => self.connect_to_leaf(connection, address.to_string()),
             Effect::WriteFrame { connection, frame } => self.write_frame(connection, frame),
-            Effect::CloseConnection { connection } => self.forget_connection(connection),
+            Effect::CloseConnection { connection } => self.remove_connection(connection),
             Effect::WatchEndpoints { from_version, .. } => self.watches.push(from_version),
             Effect::SendDatagram { .. } => {}
             Effect::CloseListener => {
@@ -225,9 +225,9 @@
     }
 
     fn send_reply(&mut self, client: ClientId, reply: Reply, close: bool) {
-        let at = self.now;
+        let sent_at = self.now;
         let replies = self.replies.entry(client).or_default();
-        replies.push(SentReply { at, reply });
+        replies.push(SentReply { sent_at, reply });
         if close {
             self.apply(Input::ClientClosed { client });
         }
@@ -236,7 +236,7 @@
     fn connect_to_leaf(&mut self, connection: ConnectionId, address: String) {
         assert!(
             self.announced[&address].is_up(),
-            "no new connection to what drains or is gone"
+            "connection opened to an endpoint that is draining or removed"
         );
         let socket = LeafSocket {
             address,
@@ -249,14 +249,17 @@
         let socket = &self.connections[&connection];
         assert!(
             socket.is_open,
-            "nothing is written before the connection is open"
+            "frame written before the connection is open"
+        );
+        assert!(
+            self.writing.insert(connection),
+            "frame written while another write is incomplete"
         );
-        assert!(self.writing.insert(connection), "one frame at a time");
         match &frame {
             LeafRequest::Call(parts) => {
                 assert!(
                     self.announced[&socket.address].is_up(),
-                    "nothing new goes to what drains or is gone"
+                    "call written to an endpoint that is draining or removed"
                 );
                 self.add_in_flight(connection, parts);
             }
@@ -276,16 +279,19 @@
         let in_flight = self.in_flight.entry(connection).or_default();
         for part in parts {
             let id = part.id.to_string();
-            assert!(!in_flight.contains(&id), "{id} is in flight there");
+            assert!(
+                !in_flight.contains(&id),
+                "{id} is already in flight on this connection"
+            );
             in_flight.push(id);
         }
         assert!(
             in_flight.len() <= STREAMS_PER_CONNECTION,
-            "no more than streams_per_conn"
+            "more parts in flight than streams_per_conn"
         );
     }
 
-    /// A socket takes the frame that it was given, from its first byte to its last.
+    /// Completes the write of the frame that was passed to the socket, from its first byte to its last.
     pub fn complete_write(&mut self, connection: ConnectionId) {
         let Some(socket) = self
             .connections
@@ -301,10 +307,10 @@
             .iter()
             .rfind(|sent| sent.connection == connection)
             .is_some_and(|sent| matches!(sent.frame, LeafRequest::Call(_)));
-        let is_late = !announced.is_up() && self.now > announced.since + DRAIN_GRACE;
+        let is_after_grace = !announced.is_up() && self.now > announced.since + DRAIN_GRACE;
         assert!(
-            !is_call || !is_late,
-            "a first byte {} ms after {address} was announced as {}",
+            !is_call || !is_after_grace,
+            "first byte of a call {} ms after {address} was announced as {}",
             (self.now - announced.since) / MS,
             announced.status
         );
--- a/crates/mixer/tests/harness/settings_texts.rs
+++ b/crates/mixer/tests/harness/settings_texts.rs
@@ -1,6 +1,6 @@
-//! Settings as the platform gives them to mixers.
+//! Settings of mixers in the wire format.
 
-/// Settings as a real deployment has them: class 0 accepts partial answers, class 1 needs every part.
+/// Settings of a typical deployment: class 0 accepts partial answers, class 1 requires every part.
 pub const SETTINGS: &str = "classes.count=2\nclasses.0.name=report\nclasses.0.aim_ns=2000000000\n\
 classes.0.give_up_ns=5000000000\nclasses.0.semantics=read_like\nclasses.1.name=lookup\n\
 classes.1.aim_ns=2000000000\nclasses.1.give_up_ns=6000000000\nclasses.1.semantics=read_like\n\
@@ -10,8 +10,8 @@
 limits.connect_timeout_ns=250000000\nlimits.conn_idle_ns=30000000000\nlimits.open_cap=60\n\
 limits.max_retry_after_ns=500000000\nlocalities=north,south\nguarantees.stop_sending_within_ns=250000000\n";
 
-/// The settings of four deployments: as above; polling discovery, without cancellation; with short times; with many
-/// shards and a non-idempotent class.
+/// The settings of four deployments: [`SETTINGS`]; polled discovery without cancellation; short deadlines; many shards
+/// and a non-idempotent class.
 pub fn deployments() -> [String; 4] {
     let polling = SETTINGS
         .replace("limits.cancelling=true", "limits.cancelling=false")
@@ -34,7 +34,7 @@
     ]
 }
 
-/// Class 1 must not be executed twice.
+/// [`SETTINGS`] with class 1 as non-idempotent: its parts must not be executed twice.
 pub fn non_idempotent_settings() -> String {
     SETTINGS.replace(
         "classes.1.semantics=read_like",
--- a/crates/mixer/tests/http.rs
+++ b/crates/mixer/tests/http.rs
@@ -1,4 +1,4 @@
-//! HTTP as bytes: requests of clients, responses to them, and the responses of discovery.
+//! Decoding and encoding of HTTP: requests of clients, the responses to them, and the responses of discovery.
 
 mod decoding;
 
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// A query in two parts, of shards 3 and 2.
+/// A query of two parts, on shards 3 and 2.
 const QUERY: &str =
     "{\"shards\":[{\"shard\":3,\"weight\":0.5,\"cost\":9000},{\"shard\":2,\"weight\":0.5}],\
 \"q\":\"c41e77d0\"}";
@@ -41,7 +41,7 @@
     )
 }
 
-/// A well-formed query.
+/// A request with a well-formed query.
 fn post_query(extra_headers: &str) -> String {
     post("/checkout", extra_headers, QUERY)
 }
@@ -146,11 +146,11 @@
 }
 
 fn check_too_large_requests() {
-    let stated = format!(
+    let large_body = format!(
         "POST /checkout HTTP/1.1\r\nContent-Length: {}\r\n\r\n",
         MAX_BODY_BYTES + 1
     );
-    assert_eq!(error_status(&stated), 413);
+    assert_eq!(error_status(&large_body), 413);
     let full_chunk = format!("10000\r\n{}\r\n1\r\n", "x".repeat(MAX_BODY_BYTES));
     let chunked = CHUNKED_HEAD.to_string() + &full_chunk + "x";
     assert_eq!(error_status(&chunked), 413);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn keeps_connection_alive_unless_told_to_close() {
+fn keeps_connection_alive_unless_request_implies_close() {
     let keeps_alive = |text: &str| decode_request(text).unwrap().keep_alive;
     assert!(keeps_alive(&post_query("")));
     assert!(!keeps_alive(&post_query("Connection: close\r\n")));
@@ -201,21 +201,21 @@
     assert!(wrong_method.contains("Allow: POST\r\n"));
 }
 
-/// The Retry-After of a watch that discovery rejects with this header.
+/// The decoded Retry-After of a watch that discovery rejects with this header.
 fn retry_after_of_rejected_watch(header: &str) -> Option<Duration> {
     let response = format!("HTTP/1.1 503 Busy\r\n{header}Content-Length: 0\r\n\r\n");
     let error = WatchCodec::default()
         .decode(&mut BytesMut::from(response.as_str()))
-        .expect_err("no watch");
+        .expect_err("a rejected watch");
     let rejected = error
         .get_ref()
         .and_then(|cause| cause.downcast_ref::<WatchRejected>())
-        .expect("rejected");
+        .expect("the cause is a WatchRejected");
     assert_eq!(rejected.status, 503);
     rejected.retry_after
 }
 
-/// An overloaded discovery says when to retry; what it says in another form, or not at all, is no error.
+/// An overloaded discovery states when to retry, in seconds. A missing header or one in another form is not an error.
 #[test]
 fn rejected_watch_carries_retry_after() {
     assert_eq!(
--- a/crates/mixer/tests/idempotency_window.rs
+++ b/crates/mixer/tests/idempotency_window.rs
@@ -1,4 +1,4 @@
-//! Retries under an idempotency key: none is sent after the window in which leaf servers deduplicate it.
+//! Retries with an idempotency key: none is sent after the window in which leaf servers deduplicate it.
 
 mod harness;
 
@@ -15,18 +15,22 @@
 }
 
 #[test]
-fn retry_waiting_past_idempotency_window_is_never_sent() {
+fn retry_queued_until_idempotency_window_ends_is_never_sent() {
     for (opens_after_ms, is_sent) in [(90, true), (110, false)] {
         let mut harness = Harness::with_settings(&keyed_settings(), 2);
         let client = harness.send_query(0, &[1.0]);
         harness.open_all_connections();
         let first = harness.only_connection();
         harness.reset_connection(first);
-        assert_eq!(harness.call_count(), 1, "it may have executed");
+        assert_eq!(
+            harness.call_count(),
+            1,
+            "the first attempt may have executed"
+        );
         assert_eq!(
             harness.connections.len(),
             1,
-            "and is retried on a connection that has yet to open"
+            "the retry waits for a connection to open"
         );
         harness.advance_ms(opens_after_ms);
         harness.open_all_connections();
@@ -39,13 +43,13 @@
         assert_eq!(
             harness.replies[&client].len(),
             1,
-            "and its client is answered all the same"
+            "the client gets exactly one reply in either case"
         );
     }
 }
 
 #[test]
-fn rejected_attempt_opens_no_idempotency_window() {
+fn rejected_attempt_does_not_start_idempotency_window() {
     let mut harness = Harness::with_settings(&keyed_settings(), 2);
     harness.send_query(0, &[1.0]);
     harness.open_all_connections();
@@ -53,11 +57,15 @@
     harness.answer_oldest_part(first, PartStatus::Busy);
     harness.advance_ms(150);
     harness.open_all_connections();
-    assert_eq!(harness.call_count(), 2, "what was rejected did not execute");
+    assert_eq!(
+        harness.call_count(),
+        2,
+        "a rejected attempt has not executed"
+    );
 }
 
 #[test]
-fn retry_stalled_past_idempotency_window_closes_its_connection() {
+fn retry_stalled_until_idempotency_window_ends_closes_its_connection() {
     let mut harness = Harness::with_settings(&keyed_settings(), 2);
     harness.send_query(0, &[1.0]);
     harness.open_all_connections();
--- a/crates/mixer/tests/leaf_calls.rs
+++ b/crates/mixer/tests/leaf_calls.rs
@@ -1,5 +1,5 @@
-//! Calls to leaf servers: which connection they use, what connection losses and malformed answers mean for them, and
-//! when connections are closed.
+//! Calls to leaf servers: the choice of the connection, the effect of connection losses and malformed answers on
+//! attempts, and the closing of connections.
 
 mod harness;
 
@@ -25,7 +25,7 @@
     assert_eq!(
         harness.connections.len(),
         2,
-        "four streams on one connection"
+        "a connection has four streams"
     );
 }
 
@@ -54,31 +54,31 @@
     assert_eq!(
         harness.called_parts(),
         0,
-        "its first byte would break the drain rule"
+        "the first byte would follow the announcement of the drain"
     );
     assert_eq!(harness.reducer.counters().attempt_outcomes.not_sent, 1);
 }
 
-/// Attempts that ended as unreachable and as broken.
-fn unreachable_and_broken(harness: &Harness) -> (u64, u64) {
+/// The numbers of attempts that ended with a failed connect and with a connection reset.
+fn connect_failures_and_resets(harness: &Harness) -> (u64, u64) {
     let ended = &harness.reducer.counters().attempt_outcomes;
     (ended.connect_failed, ended.connection_reset)
 }
 
 #[test]
-fn connection_loss_before_write_counts_as_unreachable_and_after_as_broken() {
+fn connection_loss_counts_as_connect_failure_before_write_and_as_reset_after() {
     let mut harness = Harness::new(1);
     harness.send_query(1, &[1.0]);
     let connection = harness.first_connection();
     harness.reset_connection(connection);
-    assert_eq!(unreachable_and_broken(&harness), (1, 0));
+    assert_eq!(connect_failures_and_resets(&harness), (1, 0));
 
     let mut harness = Harness::new(1);
     harness.send_query(1, &[1.0]);
     harness.open_all_connections();
     let connection = harness.first_connection();
     harness.reset_connection(connection);
-    assert_eq!(unreachable_and_broken(&harness), (0, 1));
+    assert_eq!(connect_failures_and_resets(&harness), (0, 1));
 }
 
 #[test]
@@ -87,12 +87,12 @@
     let client = harness.send_query(1, &[1.0]);
     harness.open_all_connections();
     let old = harness.first_connection();
-    // The only replica answers nothing until the client's time is up.
+    // The only replica does not answer before the client's timeout.
     harness.advance_ms(6000);
     assert!(harness.last_reply(client).is_some());
     assert!(
         !harness.connections.contains_key(&old),
-        "closed, since nothing else is in flight on it"
+        "closed, as no other part is in flight on it"
     );
     harness.send_query(1, &[1.0]);
     assert!(
@@ -100,7 +100,7 @@
             .connections
             .keys()
             .all(|connection| *connection > old),
-        "a new one shows at once whether the replica is reachable"
+        "a new connection shows immediately whether the replica is reachable"
     );
 }
 
@@ -114,7 +114,7 @@
     harness.advance_ms(6000);
     assert!(
         !harness.connections.contains_key(&old),
-        "its machine has vanished with the buffer full"
+        "the peer is unreachable while the send buffer is full"
     );
 }
 
@@ -128,12 +128,16 @@
     let effects = harness
         .reducer
         .apply(START + 2100 * MS, Input::FrameWritten { connection });
-    assert_eq!(effects, [], "it expired at the latency objective of 2 s");
+    assert_eq!(
+        effects,
+        [],
+        "the attempt expired at the latency objective of 2 s"
+    );
     assert_eq!(harness.reducer.counters().attempt_outcomes.not_sent, 1);
 }
 
 #[test]
-fn late_answer_to_cancelled_attempt_is_ignored() {
+fn answer_to_cancelled_attempt_is_ignored() {
     let mut harness = Harness::new(1);
     let client = harness.send_query(1, &[1.0]);
     harness.open_all_connections();
@@ -145,7 +149,7 @@
     assert_eq!(harness.reducer.counters().attempt_outcomes.ok, 0);
     assert!(
         harness.replies[&client].is_empty(),
-        "no client is there to be answered"
+        "the client is disconnected"
     );
 }
 
@@ -161,7 +165,7 @@
 }
 
 #[test]
-fn malformed_answer_fails_its_attempt_and_retries_the_others_at_once() {
+fn malformed_answer_fails_its_attempt_and_others_are_retried_immediately() {
     for with_id in [true, false] {
         let mut harness = Harness::new(2);
         let client = harness.send_query(1, &[0.25; 4]);
@@ -181,18 +185,18 @@
         );
         assert!(
             !harness.connections.contains_key(&connection),
-            "where its next frame begins is not known"
+            "the start of the next frame is unknown"
         );
         harness.serve_all();
         assert!(harness.is_answered_completely(client));
-        assert_eq!(harness.now, START, "nothing was waited for");
+        assert_eq!(harness.now, START, "the retries do not wait");
     }
 }
 
-/// The socket may have taken the call to its last byte and not have said so yet: a non-idempotent part must not be
-/// retried for that.
+/// When a connection is closed, its socket may have written a call completely without having reported it yet. The call
+/// counts as possibly executed, so that a non-idempotent part is not retried.
 #[test]
-fn call_at_closed_socket_may_have_executed() {
+fn unreported_call_on_closed_connection_may_have_executed() {
     let mut harness = Harness::new(1);
     harness.send_query(1, &[1.0]);
     harness.open_all_connections();
@@ -221,6 +225,6 @@
     assert_eq!(
         harness.reducer.counters().attempt_outcomes.error,
         1,
-        "the one that was in flight has failed"
+        "the part in flight has failed"
     );
 }
--- a/crates/mixer/tests/leaf_connection.rs
+++ b/crates/mixer/tests/leaf_connection.rs
@@ -1,5 +1,5 @@
-//! A model of the states of one connection to a leaf server, against which random steps are checked; and the whole
-//! reducer under random steps, against the promises that it must keep.
+//! Random steps on one connection to a leaf server, compared with a model of its states; and random steps on the
+//! complete reducer, checked against its invariants.
 
 mod harness;
 
@@ -25,7 +25,7 @@
     }
 }
 
-// ---- One connection against its model -------------------------------------------------------------------
+// ---- One connection compared with its model -------------------------------------------------------------
 
 #[derive(Clone, Debug)]
 enum Step {
@@ -33,10 +33,10 @@
     Open,
     TakeFrame,
     CompleteWrite,
-    /// An answer comes for the attempt of this index.
+    /// An answer to the attempt with this index arrives.
     Answer(usize),
-    /// The attempt of this index is dropped.
-    DropAttempt(usize),
+    /// The attempt with this index is cancelled.
+    CancelAttempt(usize),
     QueueProbe,
     AnswerProbe,
 }
@@ -48,7 +48,7 @@
         4 => Just(Step::TakeFrame),
         4 => Just(Step::CompleteWrite),
         2 => (0usize..8).prop_map(Step::Answer),
-        2 => (0usize..8).prop_map(Step::DropAttempt),
+        2 => (0usize..8).prop_map(Step::CancelAttempt),
         1 => Just(Step::QueueProbe),
         1 => Just(Step::AnswerProbe),
     ]
@@ -61,7 +61,7 @@
     Written,
 }
 
-/// The plain model: the state of each attempt, and the frames that have yet to be written, in order.
+/// The model: the state of each attempt, and the frames that are not written yet, in order.
 #[derive(Default)]
 struct Model {
     is_open: bool,
@@ -72,7 +72,7 @@
 }
 
 impl Model {
-    /// The attempt of this index, modulo the number of attempts.
+    /// The attempt with this index, modulo the number of attempts.
     fn attempt_at(&self, index: usize) -> Option<AttemptId> {
         let attempts = self.attempts.len();
         if attempts == 0 {
@@ -107,7 +107,7 @@
     QueuedFrame::Call(vec![CallAttempt { attempt, wire_id }])
 }
 
-/// A connection and its model, to which the same steps are applied.
+/// A connection and its model. The same steps are applied to both.
 struct Comparison {
     connection: LeafConnection,
     model: Model,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Applies the step of this number.
+    /// Applies the step with this number.
     fn apply(&mut self, number: u64, step: Step) -> Checked {
         let now = number * MS;
         match step {
@@ -140,9 +140,9 @@
                     self.answer(attempt)?;
                 }
             }
-            Step::DropAttempt(index) => {
+            Step::CancelAttempt(index) => {
                 if let Some(attempt) = self.model.attempt_at(index) {
-                    self.drop_attempt(attempt, now)?;
+                    self.cancel_attempt(attempt, now)?;
                 }
             }
             Step::QueueProbe => {
@@ -218,21 +218,28 @@
         Ok(())
     }
 
-    fn drop_attempt(&mut self, attempt: AttemptId, now: u64) -> Checked {
+    fn cancel_attempt(&mut self, attempt: AttemptId, now: u64) -> Checked {
         let id = wire_id(attempt);
-        let began = self.model.attempts.remove(&attempt) != Some(AttemptState::Waiting);
-        prop_assert_eq!(self.connection.cancel_attempt(attempt, now, MS), began);
-        let began_again = self.connection.cancel_attempt(attempt, now, MS);
-        prop_assert!(!began_again, "it is over");
-        let expected = if began {
+        let may_have_run = self.model.attempts.remove(&attempt) != Some(AttemptState::Waiting);
+        prop_assert_eq!(
+            self.connection.cancel_attempt(attempt, now, MS),
+            may_have_run
+        );
+        let may_have_run_again = self.connection.cancel_attempt(attempt, now, MS);
+        prop_assert!(!may_have_run_again, "a second cancellation has no effect");
+        let expected = if may_have_run {
             AnswerTarget::Finished
         } else {
             AnswerTarget::Unknown
         };
-        let answered = self.connection.on_answer(&id);
-        prop_assert_eq!(answered, expected, "its answer may cross the cancellation");
+        let target = self.connection.on_answer(&id);
+        prop_assert_eq!(
+            target,
+            expected,
+            "the answer may arrive after the cancellation"
+        );
         let queued_frames = &mut self.model.queued_frames;
-        if began {
+        if may_have_run {
             queued_frames.push_back(QueuedFrame::Cancel(id));
         } else {
             queued_frames.retain(|frame| *frame != call(attempt));
@@ -258,7 +265,7 @@
         Ok(())
     }
 
-    /// Ends the connection: each attempt ends with it.
+    /// Ends the connection and checks that each of its attempts is reported as interrupted.
     fn check_end(self) -> Checked {
         let mut ended = self.connection.into_interrupted().attempts;
         ended.sort();
@@ -276,10 +283,11 @@
     }
 }
 
-// ---- The whole reducer ----------------------------------------------------------------------------------
+// ---- The complete reducer -------------------------------------------------------------------------------
 
-/// Applies a random step; `dice` picks the connection, the replica or client and what happens to them.
-fn apply_random_step(harness: &mut Harness, kind: u8, dice: u64, duration_ms: u64) {
+/// Applies a random step; `random_value` selects the connection, the replica or the client, and the parameters of the
+/// step.
+fn apply_random_step(harness: &mut Harness, kind: u8, random_value: u64, duration_ms: u64) {
     const PART_STATUSES: [PartStatus; 4] = [
         PartStatus::Ok,
         PartStatus::Ok,
@@ -288,23 +296,25 @@
     ];
     let connections: Vec<ConnectionId> = harness.connections.keys().copied().collect();
     let connection = connections
-        .get(dice as usize % connections.len().max(1))
+        .get(random_value as usize % connections.len().max(1))
         .copied();
     match (kind, connection) {
         (0..=2, _) => {
-            harness.send_query((dice % 3) as u16 % 2, &[0.5, 0.3, 0.2]);
+            harness.send_query((random_value % 3) as u16 % 2, &[0.5, 0.3, 0.2]);
         }
         (3..=4, Some(connection)) => harness.open_connection(connection),
         (5..=6, Some(connection)) => {
-            harness.answer_oldest_part(connection, PART_STATUSES[dice as usize % 4]);
+            harness.answer_oldest_part(connection, PART_STATUSES[random_value as usize % 4]);
         }
         (7, Some(connection)) => harness.reset_connection(connection),
         (8, _) => {
-            let status = ["up", "draining", "removed"][dice as usize / 4 % 3];
-            harness.update_started_endpoint(1 + dice % 4, status);
+            let status = ["up", "draining", "removed"][random_value as usize / 4 % 3];
+            harness.update_started_endpoint(1 + random_value % 4, status);
+        }
+        (9, _) => harness.disconnect_random_client(random_value),
+        (10, Some(connection)) => {
+            harness.send_malformed_frame(connection, random_value.is_multiple_of(2))
         }
-        (9, _) => harness.disconnect_random_client(dice),
-        (10, Some(connection)) => harness.send_malformed_frame(connection, dice.is_multiple_of(2)),
         _ => harness.advance_ms(duration_ms),
     }
 }
@@ -318,14 +328,14 @@
         );
     }
     let counters = harness.reducer.counters().clone();
-    let by_outcome = &counters.attempt_outcomes;
-    let outcome_known = by_outcome.ok
-        + by_outcome.error
-        + by_outcome.rejected
-        + by_outcome.connect_failed
-        + by_outcome.not_sent;
+    let outcomes = &counters.attempt_outcomes;
+    let with_known_outcome = outcomes.ok
+        + outcomes.error
+        + outcomes.rejected
+        + outcomes.connect_failed
+        + outcomes.not_sent;
     let ended =
-        outcome_known + by_outcome.timed_out + by_outcome.connection_reset + by_outcome.cancelled;
+        with_known_outcome + outcomes.timed_out + outcomes.connection_reset + outcomes.cancelled;
     prop_assert_eq!(ended, counters.sent.attempts, "each attempt ends once");
     prop_assert_eq!(&counters.faults, &Default::default());
     let is_empty_call =
@@ -355,8 +365,8 @@
         steps in prop::collection::vec((0u8..12, any::<u64>(), 1u64..400), 1..80),
     ) {
         let mut harness = Harness::new(4);
-        for (kind, dice, duration_ms) in steps {
-            apply_random_step(&mut harness, kind, dice, duration_ms);
+        for (kind, random_value, duration_ms) in steps {
+            apply_random_step(&mut harness, kind, random_value, duration_ms);
         }
         harness.advance_ms(20_000);
         check_every_query_and_attempt_ended(&harness)?;
--- a/crates/mixer/tests/leaf_frames.rs
+++ b/crates/mixer/tests/leaf_frames.rs
@@ -1,4 +1,4 @@
-//! Frames between mixer and leaf servers as bytes: as specified, split anywhere, malformed.
+//! Encoding and decoding of the frames between mixer and leaf servers: as specified, split at any byte, and malformed.
 
 mod decoding;
 
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn reports_malformed_leaf_frames_with_part_id_where_known() {
+fn reports_malformed_leaf_frames_with_part_id_if_known() {
     for text in [
         "A9b1f.3  1840 -\n5be2",
         "A9b1f.3 ? 1 -\n5be2",
@@ -79,7 +79,7 @@
         let frames = decode(&leaf_frame(text));
         assert_eq!(frames, [malformed(Some("9b1f.3"))], "{text}");
     }
-    // A letter or length that no frame has is seen before the rest has come.
+    // An invalid length or frame type is reported before the frame is complete.
     for start in [
         "\0\0\0\x36\x01",
         "\0\0\0\0A",
@@ -89,11 +89,11 @@
     ] {
         assert_eq!(decode(start.as_bytes()), [malformed(None)], "{start:?}");
     }
-    check_nothing_is_read_after_malformed_frame();
+    check_nothing_is_decoded_after_malformed_frame();
     check_abandoned_frames();
 }
 
-fn check_nothing_is_read_after_malformed_frame() {
+fn check_nothing_is_decoded_after_malformed_frame() {
     let bytes = [
         leaf_frame("A9b1f.3 ok 1840 nan\n5be2"),
         b"\x8f\x9cx noise".to_vec(),
@@ -104,7 +104,11 @@
     assert!(
         matches!(&frames[0], LeafResponse::Answer { status: PartStatus::Ok, report, .. } if report == "nan")
     );
-    assert_eq!(frames[1..], [malformed(None)], "nothing is read after it");
+    assert_eq!(
+        frames[1..],
+        [malformed(None)],
+        "nothing is decoded after a malformed frame"
+    );
 }
 
 fn check_abandoned_frames() {
@@ -116,6 +120,6 @@
     assert_eq!(
         codec.abandon_frame(b"\0\0\0\x36A9b1f"),
         malformed(None),
-        "the id may go on"
+        "the id may be incomplete"
     );
 }
--- a/crates/mixer/tests/loopback/mod.rs
+++ b/crates/mixer/tests/loopback/mod.rs
@@ -1,7 +1,7 @@
-//! A whole mixer on real sockets of the loopback, and what its clients, discovery and leaf servers send there. How
-//! discovery and the leaf server behave is for each test to play.
+//! A complete mixer on loopback sockets, with helpers for its clients, discovery and leaf servers. Each test implements
+//! the behavior of discovery and of the leaf server.
 
-#![allow(dead_code)] // Each test file uses its own part of it.
+#![allow(dead_code)] // Each test file uses a different part.
 
 use cottonhill_mixer::protocol::query_json::QuerySchema;
 use cottonhill_mixer::reducer::Reducer;
@@ -15,26 +15,26 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-/// As small as the system allows, so that a large response waits for its reader.
+/// The smallest size that the system allows, so that a large response blocks until the client reads it.
 const SEND_BUFFER_BYTES: u32 = 4096;
 const LISTEN_BACKLOG: u32 = 1024;
 const SEED: u64 = 7;
 
-/// The clock of a test's runtime.
+/// The clock of the test's runtime.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum TestClock {
     Real,
-    /// Stands still while any task can run, and else goes on to the next timer.
+    /// Advances to the next timer when no task can run, and only then.
     Paused,
 }
 
-/// How a mixer is run for a test.
+/// Options of a mixer under test.
 #[derive(Clone, Copy, Debug)]
 pub struct MixerOptions<'a> {
     pub settings_text: &'a str,
     pub descriptors: usize,
     pub clock: TestClock,
-    /// Bytes of memory that the process may use, where that is limited.
+    /// The memory limit of the process in bytes, if it has one.
     pub memory_limit: Option<usize>,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// A running mixer, where it looks for discovery, and its one leaf server.
+/// A running mixer, the listener of its discovery and that of its one leaf server.
 pub struct RunningMixer {
     pub address: SocketAddr,
     pub serving: JoinHandle<io::Result<()>>,
@@ -58,7 +58,7 @@
     pub leaf: TcpListener,
 }
 
-/// Runs `test` against a mixer.
+/// Runs `test` with a new mixer.
 pub fn run_mixer<F: Future<Output = ()>>(
     options: MixerOptions,
     test: impl FnOnce(RunningMixer) -> F,
@@ -130,7 +130,7 @@
 
 // ---- Clients --------------------------------------------------------------------------------------------
 
-/// An HTTP response as its client reads it.
+/// An HTTP response as read by the client.
 #[derive(Debug)]
 pub struct HttpResponse {
     pub head: String,
@@ -171,7 +171,7 @@
 pub async fn read_head(stream: &mut TcpStream) -> String {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
-        head.push(stream.read_u8().await.expect("a head"));
+        head.push(stream.read_u8().await.expect("the complete head"));
     }
     String::from_utf8(head).unwrap()
 }
@@ -186,7 +186,7 @@
     http_get(mixer, "/-/stats").await.json()
 }
 
-/// A query of the class `lookup` with one part, at shard 3.
+/// A query of the class `lookup` with one part, on shard 3.
 pub fn query_text(request_id: &str, extra_headers: &str) -> String {
     let body = "{\"shards\":[{\"shard\":3,\"weight\":1.0}],\"q\":\"c41e\"}";
     let length = body.len();
@@ -198,7 +198,7 @@
 
 // ---- Leaf servers ---------------------------------------------------------------------------------------
 
-/// The next frame that a leaf server gets, without its length.
+/// Reads the next frame at a leaf server; returns it without its length.
 pub async fn read_frame(stream: &mut TcpStream) -> io::Result<String> {
     let length = stream.read_u32().await?;
     let mut frame = vec![0; length as usize];
@@ -206,12 +206,12 @@
     Ok(String::from_utf8(frame).expect("a text frame"))
 }
 
-/// Of a call, or of a cancellation, the id of its first part.
+/// The id of the first part of a call or cancellation.
 pub fn first_part_id(frame: &str) -> &str {
     frame[1..].split(' ').next().unwrap()
 }
 
-/// The frame with which a leaf server answers a part, with its length.
+/// The frame of a leaf server's answer to a part, including its length.
 pub fn answer_frame(id: &str, value: &str) -> Vec<u8> {
     let text = format!("A{id} ok 1 -\n{value}");
     let mut frame = (text.len() as u32).to_be_bytes().to_vec();
@@ -221,7 +221,7 @@
 
 // ---- Discovery ------------------------------------------------------------------------------------------
 
-/// The beginning of a watch's response: its head, and a snapshot with one leaf server.
+/// The start of a watch's response: the head, and a snapshot with one leaf server.
 pub fn watch_response(version: usize, leaf: SocketAddr, status: &str) -> String {
     let update = format!(
         "{{\"index\":{version},\"snapshot\":true,\"endpoints\":[{{\"name\":\"s-1\",\"address\":\"{leaf}\",\
--- a/crates/mixer/tests/open_part_limit.rs
+++ b/crates/mixer/tests/open_part_limit.rs
@@ -1,4 +1,4 @@
-//! The limit of open parts: queries over it are rejected at once, and parts that have ended free it.
+//! The limit on open parts: queries over the limit are rejected immediately, and ended parts no longer count.
 
 mod harness;
 
@@ -6,7 +6,7 @@
 use cottonhill_mixer::reducer::ClientId;
 use harness::Harness;
 
-/// A query of five parts; the limit is 60 parts.
+/// The weights of a query of five parts; the limit is 60 parts.
 const FIVE_PARTS: [f64; 5] = [0.2; 5];
 
 fn send_queries(harness: &mut Harness, count: usize) -> Vec<ClientId> {
@@ -32,19 +32,23 @@
 }
 
 #[test]
-fn answered_parts_free_open_part_limit() {
+fn answered_parts_do_not_count_towards_open_part_limit() {
     let mut harness = Harness::new(3);
     send_queries(&mut harness, 10);
     harness.open_all_connections();
     let connection = *harness.in_flight.keys().next().unwrap();
     harness.answer_oldest_part(connection, PartStatus::Ok);
     let client = harness.send_query(1, &FIVE_PARTS);
-    assert_eq!(harness.last_reply(client), None, "59 are open, 60 may be");
+    assert_eq!(
+        harness.last_reply(client),
+        None,
+        "59 parts are open of at most 60"
+    );
     let client = harness.send_query(1, &FIVE_PARTS);
     assert!(harness.is_rejected_with_retry_after(client));
 }
 
-/// Sends a query of which so many parts are answered before its client disconnects.
+/// Sends a query whose client disconnects after `answered_parts` of its parts were answered.
 fn send_abandoned_query(harness: &mut Harness, answered_parts: usize) {
     let client = harness.send_query(1, &FIVE_PARTS);
     harness.open_all_connections();
@@ -61,7 +65,7 @@
 }
 
 #[test]
-fn ended_queries_free_open_part_limit() {
+fn ended_queries_do_not_count_towards_open_part_limit() {
     let mut harness = Harness::new(3);
     let answered = harness.send_query(1, &FIVE_PARTS);
     harness.serve_all();
--- a/crates/mixer/tests/pending_replies.rs
+++ b/crates/mixer/tests/pending_replies.rs
@@ -1,4 +1,4 @@
-//! Replies that wait for their usage record, with a log whose writer moves only when the test says so.
+//! Replies that wait until their usage record is written, with a log whose writer the test controls.
 
 use cottonhill_mixer::protocol::query_json::Reply;
 use cottonhill_mixer::reducer::usage::{QueryOutcome, UsageRecord, Watermark};
@@ -9,15 +9,15 @@
 use tokio::sync::watch;
 use tokio::time::{Duration, Instant};
 
-/// For how long a reply waits for its record.
+/// How long a reply waits for its record to be written.
 const MAX_WRITE_DELAY: Duration = Duration::from_millis(5);
 
-/// A log whose writer moves only when the test says so.
+/// A usage log whose records count as written only when the test says so.
 struct ManualRecorder {
     accepts_records: bool,
-    /// The sequence number of the last record that is written.
+    /// The sequence number of the last written record.
     written: watch::Sender<u64>,
-    /// Replies that were sent without their record.
+    /// The number of replies that were sent before their record was written.
     unrecorded: Rc<Cell<u32>>,
 }
 
@@ -62,14 +62,14 @@
     }
 }
 
-/// Records a query and enqueues its reply; whether the reply is sent at once.
+/// Records a query and enqueues its reply; returns whether the reply may be sent immediately.
 fn record_and_enqueue(pending: &mut PendingReplies, sequence: u64) -> bool {
     pending.record(usage_record(sequence));
     let reply = client_reply(sequence, Reply::Failed);
     pending.enqueue(reply).is_some()
 }
 
-/// The client of the next reply that may be sent, and whether its connection is closed after it.
+/// The client of the next reply that may be sent, and whether its connection is closed after that.
 fn pop_ready(pending: &mut PendingReplies) -> Option<(ClientId, bool)> {
     pending.pop_ready().map(|ready| (ready.client, ready.close))
 }
@@ -87,7 +87,7 @@
     for sequence in 1..=3 {
         assert!(!record_and_enqueue(&mut pending, sequence));
     }
-    // What answers no query has nothing to wait for.
+    // A reply to a request that is not a query does not wait.
     let readiness = client_reply(9, Reply::Ready(true));
     assert!(pending.enqueue(readiness).is_some());
     assert!(pending.pop_ready().is_none());
@@ -97,11 +97,11 @@
     assert_eq!(pop_ready(&mut pending), Some((1, false)));
     assert_eq!(pop_ready(&mut pending), Some((2, true)));
     assert!(pending.pop_ready().is_none());
-    let began = Instant::now();
+    let started = Instant::now();
     tokio::time::sleep_until(pending.next_deadline().unwrap()).await;
     assert_eq!(pending.pop_ready().map(|ready| ready.client), Some(3));
-    assert_eq!((began.elapsed(), unrecorded.get()), (MAX_WRITE_DELAY, 1));
-    // The writer has stalled: nothing waits until it moves.
+    assert_eq!((started.elapsed(), unrecorded.get()), (MAX_WRITE_DELAY, 1));
+    // The writer has stalled: until it makes progress, no reply waits.
     assert!(record_and_enqueue(&mut pending, 4));
     assert_eq!(unrecorded.get(), 2);
     written.send_replace(4);
--- a/crates/mixer/tests/reducer.rs
+++ b/crates/mixer/tests/reducer.rs
@@ -1,4 +1,4 @@
-//! The reducer as a whole: how queries are answered and rejected, which endpoints they go to, and what state is kept.
+//! The reducer: answers to queries and rejections, the choice of endpoints, and the size of the retained state.
 
 mod harness;
 
@@ -7,7 +7,7 @@
 use cottonhill_mixer::reducer::Input;
 use harness::{query_request, Harness, MS, START};
 
-const MOVED_ADDRESS: &str = "127.0.0.9:7070";
+const NEW_ADDRESS: &str = "127.0.0.9:7070";
 
 #[test]
 fn answers_query_completely_with_values_as_received() {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn rejects_query_without_endpoints_at_once_with_retry_after() {
+fn rejects_query_immediately_with_retry_after_if_no_endpoint_is_listed() {
     let mut harness = Harness::new(1);
     harness.update_endpoint(1, "removed");
     let client = harness.send_query(1, &[1.0]);
@@ -35,11 +35,11 @@
         "{:?}",
         harness.last_reply(client)
     );
-    assert_eq!(harness.replies[&client][0].at, START);
+    assert_eq!(harness.replies[&client][0].sent_at, START);
 }
 
 #[test]
-fn rejects_query_without_time_left_and_sends_nothing() {
+fn rejects_query_with_too_short_timeout_and_sends_nothing() {
     let mut harness = Harness::new(1);
     let client = harness.connect_client();
     harness.send_query_from(client, 1, &[1.0], 5);
@@ -52,7 +52,7 @@
     let mut harness = Harness::new(2);
     let client = harness.send_query(0, &[0.5, 0.5]);
     harness.advance_ms(10_000);
-    assert!(harness.replies[&client][0].at < START + 5000 * MS);
+    assert!(harness.replies[&client][0].sent_at < START + 5000 * MS);
     assert_eq!(harness.reducer.counters().faults.deadline_reached, 0);
 }
 
@@ -71,16 +71,20 @@
     assert_eq!(
         harness.called_parts(),
         1,
-        "its parts would have the same ids"
+        "the parts of both queries would have the same ids"
     );
     harness.answer_all_parts();
     harness.send_request(other, query_request(&same_request_id));
-    assert_eq!(harness.called_parts(), 2, "the first is over");
+    assert_eq!(
+        harness.called_parts(),
+        2,
+        "the id is free again once the first query has ended"
+    );
 }
 
-/// Replicas, clients and queries of ever new names, all day long.
+/// Each replica, client and query has a new name; the retained state must not grow with those that have ended.
 #[test]
-fn retained_state_does_not_grow_with_past_names() {
+fn retained_state_does_not_grow_with_ended_replicas_clients_and_queries() {
     let mut harness = Harness::new(1);
     let mut retained_entries = Vec::new();
     let mut replica = 1;
@@ -105,7 +109,7 @@
     assert_eq!(harness.reducer.counters().replies.complete, 400);
 }
 
-/// A snapshot with replica 2 alone, at this address.
+/// A snapshot with only replica 2, at this address.
 fn snapshot_of_replica_2(address: &str) -> Input {
     let entry = serde_json::json!({"name": "s-2", "address": address, "group": 0, "status": "up"});
     let update = serde_json::json!({"index": 9, "snapshot": true, "endpoints": [entry]});
@@ -129,12 +133,12 @@
 }
 
 #[test]
-fn replica_that_moved_is_called_at_its_new_address() {
+fn replica_whose_address_changed_is_called_at_new_address() {
     let mut harness = Harness::new(2);
     harness.send_query(1, &[0.5, 0.5]);
     harness.serve_all();
-    harness.announce_status(MOVED_ADDRESS, "up");
-    harness.apply(snapshot_of_replica_2(MOVED_ADDRESS));
+    harness.announce_status(NEW_ADDRESS, "up");
+    harness.apply(snapshot_of_replica_2(NEW_ADDRESS));
     let frames_before = harness.frames.len();
     harness.send_query(1, &[1.0]);
     harness.open_all_connections();
@@ -142,5 +146,5 @@
         .iter()
         .map(|sent| harness.connections[&sent.connection].address.as_str())
         .collect();
-    assert_eq!(addresses, [MOVED_ADDRESS]);
+    assert_eq!(addresses, [NEW_ADDRESS]);
 }
--- a/crates/mixer/tests/replicas.rs
+++ b/crates/mixer/tests/replicas.rs
@@ -1,4 +1,5 @@
-//! The mixer's replicas against a full scan of all of them, and what an update costs by counts.
+//! Compares the mixer's incremental updates of its replicas with a full scan of them, and checks the cost of an update
+//! in visited entries and bytes.
 
 mod harness;
 
@@ -20,7 +21,7 @@
 
 /// The zones of the settings.
 const ZONES: [&str; 2] = ["north", "south"];
-/// Ids between two queries: a query's id is followed by those of its parts.
+/// The distance between the ids of two queries: a query's id is followed by the ids of its parts.
 const IDS_PER_QUERY: u64 = 10;
 const PARTS_PER_QUERY: u32 = 4;
 
@@ -33,54 +34,54 @@
     status: EndpointStatus,
     connections: Vec<ConnectionId>,
     started: Nanos,
-    gone_since: Option<Nanos>,
+    removed_since: Option<Nanos>,
 }
 
 impl ExpectedReplica {
-    fn is_leaving(&self) -> bool {
+    fn is_not_ready(&self) -> bool {
         self.status != EndpointStatus::Ready
     }
 
-    /// Whether it is still remembered.
+    /// Whether the replica's record is retained.
     fn is_retained(&self, now: Nanos) -> bool {
-        let is_recent = |gone_since: Nanos| now < gone_since + MAX_UPDATE_LAG;
-        self.gone_since.is_none_or(is_recent) || !self.connections.is_empty()
+        let is_recent = |removed_since: Nanos| now < removed_since + MAX_UPDATE_LAG;
+        self.removed_since.is_none_or(is_recent) || !self.connections.is_empty()
     }
 }
 
-/// Every rule of endpoint updates, by a scan of all that is known for each update.
+/// Implements all rules of endpoint updates by a scan of all known replicas at each update.
 #[derive(Debug, Default)]
 struct Oracle {
     ids: BTreeMap<String, ReplicaId>,
     replicas: BTreeMap<ReplicaId, ExpectedReplica>,
     last_id: u64,
-    /// Until then discovery may be behind the one before it.
+    /// Until then, updates from the new discovery address may lag behind those from the previous one.
     stale_until: Nanos,
 }
 
 struct ExpectedChange {
     kind: EndpointUpdateKind,
     endpoints: Vec<Endpoint>,
-    /// Every replica that may get nothing new, whether or not it may have before.
-    leaving: BTreeSet<ReplicaId>,
-    /// Those of them that were leaving before.
-    leaving_before: BTreeSet<ReplicaId>,
-    /// Connections to addresses that their replica has left.
+    /// All replicas to which no new attempt may be sent.
+    not_ready: BTreeSet<ReplicaId>,
+    /// All replicas to which no new attempt was allowed before the update.
+    not_ready_before: BTreeSet<ReplicaId>,
+    /// Connections to an address that their replica no longer has.
     stale_connections: Vec<ConnectionId>,
     duplicate_entries: u64,
-    unknown_entries: u64,
+    unlisted_removals: u64,
 }
 
 impl Oracle {
     fn update(&mut self, now: Nanos, update: &EndpointUpdate) -> ExpectedChange {
-        self.forget_removed(now);
-        let leaving_before = self.leaving();
+        self.evict_removed(now);
+        let not_ready_before = self.not_ready();
         let mut stale_connections = Vec::new();
-        let mut unknown_entries = 0;
+        let mut unlisted_removals = 0;
         let mut names = BTreeSet::new();
         let mut endpoints = Vec::new();
         for entry in &update.entries {
-            unknown_entries += u64::from(self.removes_unknown(entry, update.snapshot));
+            unlisted_removals += u64::from(self.is_unlisted_removal(entry, update.snapshot));
             if let Some(endpoint) = self.update_entry(now, entry, &mut stale_connections) {
                 endpoints.push(endpoint);
                 names.insert(entry.name.clone());
@@ -94,16 +95,16 @@
         };
         ExpectedChange {
             kind,
-            leaving: self.leaving(),
-            leaving_before,
+            not_ready: self.not_ready(),
+            not_ready_before,
             stale_connections,
             duplicate_entries: (endpoints.len() - names.len()) as u64,
-            unknown_entries,
+            unlisted_removals,
             endpoints,
         }
     }
 
-    fn forget_removed(&mut self, now: Nanos) {
+    fn evict_removed(&mut self, now: Nanos) {
         self.replicas.retain(|_, replica| replica.is_retained(now));
         let replicas = &self.replicas;
         self.ids.retain(|_, id| replicas.contains_key(id));
@@ -114,25 +115,25 @@
         for (id, replica) in &mut self.replicas {
             if !listed.contains(id) {
                 replica.status = EndpointStatus::Removed;
-                replica.gone_since.get_or_insert(now);
+                replica.removed_since.get_or_insert(now);
             }
         }
     }
 
-    /// Whether an entry takes away an endpoint that is not known.
-    fn removes_unknown(&self, entry: &EndpointEntry, snapshot: bool) -> bool {
-        let takes_away = match entry.status {
+    /// Whether an entry removes or drains an endpoint that is not known.
+    fn is_unlisted_removal(&self, entry: &EndpointEntry, snapshot: bool) -> bool {
+        let is_removal = match entry.status {
             Status::Up => false,
             Status::Draining => !snapshot,
             Status::Removed => true,
         };
-        takes_away && !self.ids.contains_key(&*entry.name)
+        is_removal && !self.ids.contains_key(&*entry.name)
     }
 
-    fn leaving(&self) -> BTreeSet<ReplicaId> {
+    fn not_ready(&self) -> BTreeSet<ReplicaId> {
         self.replicas
             .iter()
-            .filter(|(_, replica)| replica.is_leaving())
+            .filter(|(_, replica)| replica.is_not_ready())
             .map(|(id, _)| *id)
             .collect()
     }
@@ -143,13 +144,13 @@
 
     fn status_of(&self, now: Nanos, entry: &EndpointEntry) -> EndpointStatus {
         let started = entry.started_ms * MS;
-        let leaving = self
+        let known_not_ready = self
             .known(&entry.name)
-            .filter(|known| known.is_leaving() && started <= known.started)
+            .filter(|known| known.is_not_ready() && started <= known.started)
             .filter(|_| now < self.stale_until);
         match entry.status {
             Status::Up if entry.address.is_some() => {
-                leaving.map_or(EndpointStatus::Ready, |known| known.status)
+                known_not_ready.map_or(EndpointStatus::Ready, |known| known.status)
             }
             Status::Up | Status::Draining => EndpointStatus::Draining,
             Status::Removed => EndpointStatus::Removed,
@@ -164,7 +165,7 @@
         })
     }
 
-    /// None where an entry of an unknown endpoint states no address.
+    /// `None` if the endpoint is unknown and its entry has no valid address.
     fn update_entry(
         &mut self,
         now: Nanos,
@@ -184,13 +185,13 @@
             status,
             connections: Vec::new(),
             started,
-            gone_since: None,
+            removed_since: None,
         });
         if replica.address != address {
             stale_connections.append(&mut replica.connections);
         }
-        let is_gone = status == EndpointStatus::Removed;
-        replica.gone_since = is_gone.then(|| replica.gone_since.unwrap_or(now));
+        let is_removed = status == EndpointStatus::Removed;
+        replica.removed_since = is_removed.then(|| replica.removed_since.unwrap_or(now));
         replica.address = address;
         replica.zone = zone;
         replica.status = status;
@@ -205,8 +206,8 @@
     }
 }
 
-/// What a coordinator knows of a replica by endpoint updates alone, and how often it dropped what it had learned of it
-/// since it had started anew.
+/// The state of a replica in a coordinator as far as endpoint updates determine it, and how often the coordinator
+/// discarded the replica's statistics because it had restarted.
 #[derive(Clone, Debug, PartialEq)]
 struct KnownReplica {
     cell: u16,
@@ -216,7 +217,7 @@
     restarts: u32,
 }
 
-/// What a coordinator knows by endpoint updates alone.
+/// The state of a coordinator as far as endpoint updates determine it.
 #[derive(Debug, Default, PartialEq)]
 struct CoordinatorView(BTreeMap<ReplicaId, KnownReplica>);
 
@@ -232,8 +233,8 @@
     }
 
     fn update_endpoint(&mut self, endpoint: &Endpoint) {
-        // Of those gone it keeps what it has yet to end, which no update changes; of others there is nothing learned
-        // that a new start could drop.
+        // Of a removed replica the coordinator retains only the attempts in flight, which no update changes. A removed
+        // replica without attempts in flight has no statistics left that a restart could discard.
         if endpoint.status == EndpointStatus::Removed {
             self.0.remove(&endpoint.replica);
             return;
@@ -256,14 +257,14 @@
     }
 }
 
-// ---- Both side by side ----------------------------------------------------------------------------------
+// ---- Comparison with the oracle -------------------------------------------------------------------------
 
 /// A random entry of an endpoint update.
 #[derive(Clone, Copy, Debug)]
 struct RandomEntry {
     name: u8,
-    /// The last byte but one of the address; 0 where that is invalid.
-    place: u8,
+    /// The last byte of the address; 0 for an invalid address.
+    address_byte: u8,
     zone: u8,
     status: u8,
     started_ms: u8,
@@ -271,18 +272,20 @@
 
 impl RandomEntry {
     fn to_json(self) -> serde_json::Value {
-        let RandomEntry { name, place, .. } = self;
-        let address = if place == 0 {
+        let RandomEntry {
+            name, address_byte, ..
+        } = self;
+        let address = if address_byte == 0 {
             "nowhere".into()
         } else {
-            format!("127.0.{name}.{place}:7070")
+            format!("127.0.{name}.{address_byte}:7070")
         };
         let zone = ["north", "south", "attic"][usize::from(self.zone % 3)];
         let status = ["up", "up", "draining", "removed"][usize::from(self.status % 4)];
         serde_json::json!({
             "name": format!("s-{name}"),
             "address": address,
-            "group": (name + place) % 3,
+            "group": (name + address_byte) % 3,
             "zone": zone,
             "status": status,
             "since_ms": self.started_ms,
@@ -296,7 +299,7 @@
     connection: ConnectionId,
 }
 
-/// The replicas and their oracle, each with a coordinator that gets the updates.
+/// The replicas and their oracle, each with a coordinator that receives the updates.
 struct Comparison {
     now: Nanos,
     replicas: Replicas,
@@ -305,7 +308,7 @@
     oracle_coordinator: Coordinator,
     view: CoordinatorView,
     oracle_view: CoordinatorView,
-    /// Ends of attempts for the next batch of both coordinators.
+    /// The attempt ends in the next batch of both coordinators.
     ended_attempts: Vec<Event>,
     connections: Vec<OpenConnection>,
     last_id: u64,
@@ -339,7 +342,7 @@
             Step::Delta(entries) => self.update(false, &entries),
             Step::Snapshot(entries) => self.update(true, &entries),
             Step::Connect(name) => self.connect(name),
-            Step::Disconnect(dice) => self.disconnect(dice),
+            Step::Disconnect(random_value) => self.disconnect(random_value),
             Step::SwitchDiscovery => self.switch_discovery(),
             Step::AdvanceMs(duration_ms) => self.now += duration_ms * MS,
         }
@@ -365,7 +368,7 @@
         self.oracle_view.update(expected.kind, &expected.endpoints);
         assert_eq!(
             self.view, self.oracle_view,
-            "what the coordinators know of the replicas"
+            "both updates must result in the same coordinator state"
         );
         let updated = Event::EndpointsUpdated {
             kind: EndpointUpdateKind::Delta,
@@ -382,29 +385,29 @@
         assert_eq!(change.stale_connections, expected.stale_connections);
         assert_eq!(
             (change.duplicate_entries, change.unlisted_removals),
-            (expected.duplicate_entries, expected.unknown_entries)
+            (expected.duplicate_entries, expected.unlisted_removals)
         );
-        let leaving: BTreeSet<ReplicaId> = change.not_ready.iter().copied().collect();
+        let not_ready: BTreeSet<ReplicaId> = change.not_ready.iter().copied().collect();
         assert!(
-            leaving.is_subset(&expected.leaving),
-            "{leaving:?}, {:?}",
-            expected.leaving
+            not_ready.is_subset(&expected.not_ready),
+            "{not_ready:?}, {:?}",
+            expected.not_ready
         );
-        let newly_leaving: BTreeSet<ReplicaId> = expected
-            .leaving
-            .difference(&expected.leaving_before)
+        let newly_not_ready: BTreeSet<ReplicaId> = expected
+            .not_ready
+            .difference(&expected.not_ready_before)
             .copied()
             .collect();
         assert!(
-            newly_leaving.is_subset(&leaving),
-            "{newly_leaving:?} leave now, {leaving:?} are withdrawn"
+            newly_not_ready.is_subset(&not_ready),
+            "{newly_not_ready:?} are no longer ready, but the update reports {not_ready:?}"
         );
     }
 
     fn compare_replicas(&self) {
         let expected = &self.oracle.replicas;
         assert_eq!(self.replicas.len(), expected.len());
-        let any_ready = expected.values().any(|replica| !replica.is_leaving());
+        let any_ready = expected.values().any(|replica| !replica.is_not_ready());
         assert_eq!(self.replicas.has_ready(), any_ready);
         for name in (0..4).map(|name| format!("s-{name}")) {
             assert_eq!(
@@ -428,7 +431,7 @@
         }
     }
 
-    /// Both coordinators get the update, each in its form, and a query. They must decide alike.
+    /// Sends each coordinator its form of the update, and both the same query. Their decisions must be equal.
     fn compare_decisions(&mut self, updated: Event, oracle_updated: Event) {
         let mut other_events = std::mem::take(&mut self.ended_attempts);
         other_events.extend(self.next_query());
@@ -444,7 +447,7 @@
         assert_eq!(
             self.coordinator.retained_entries(),
             self.oracle_coordinator.retained_entries(),
-            "the same is kept"
+            "both coordinators must retain the same number of entries"
         );
         self.end_attempts(&actions);
     }
@@ -472,7 +475,7 @@
         std::iter::once(query).chain(parts).collect()
     }
 
-    /// Each part that was sent ends, by its id in one way or another.
+    /// Ends each attempt that was sent, with an outcome that depends on the part's id.
     fn end_attempts(&mut self, actions: &[Action]) {
         const OUTCOMES: [Outcome; 4] = [
             Outcome::Ok,
@@ -513,11 +516,11 @@
         });
     }
 
-    fn disconnect(&mut self, dice: u8) {
+    fn disconnect(&mut self, random_value: u8) {
         if self.connections.is_empty() {
             return;
         }
-        let index = usize::from(dice) % self.connections.len();
+        let index = usize::from(random_value) % self.connections.len();
         let OpenConnection {
             replica,
             connection,
@@ -541,25 +544,25 @@
 enum Step {
     Delta(Vec<RandomEntry>),
     Snapshot(Vec<RandomEntry>),
-    /// A connection to the replica of this name.
+    /// Connects to the replica with this name.
     Connect(u8),
-    /// The end of some connection.
+    /// Closes the open connection with this index, modulo their number.
     Disconnect(u8),
     SwitchDiscovery,
     AdvanceMs(u64),
 }
 
 fn any_entry() -> impl Strategy<Value = RandomEntry> {
-    let place = prop_oneof![1 => Just(0u8), 9 => 1u8..3];
-    (0u8..4, place, 0u8..3, 0u8..4, 0u8..3).prop_map(|(name, place, zone, status, started_ms)| {
-        RandomEntry {
+    let address_byte = prop_oneof![1 => Just(0u8), 9 => 1u8..3];
+    (0u8..4, address_byte, 0u8..3, 0u8..4, 0u8..3).prop_map(
+        |(name, address_byte, zone, status, started_ms)| RandomEntry {
             name,
-            place,
+            address_byte,
             zone,
             status,
             started_ms,
-        }
-    })
+        },
+    )
 }
 
 fn any_steps() -> impl Strategy<Value = Vec<Step>> {
@@ -586,7 +589,8 @@
 proptest! {
     #![proptest_config(config(600))]
 
-    /// Names that return, addresses that move, connections that outlive their replica, discovery at a new address.
+    /// The steps include names that are listed again, changed addresses, connections that outlive their replica, and
+    /// switches to another discovery address.
     #[test]
     fn incremental_updates_match_full_scan(steps in any_steps()) {
         let mut comparison = Comparison::new();
@@ -596,7 +600,7 @@
     }
 }
 
-// ---- Costs, by counts and sizes -------------------------------------------------------------------------
+// ---- Cost in visited entries and bytes ------------------------------------------------------------------
 
 fn entry_text(server: u64, status: &str) -> String {
     let (group, [_, a, b, c]) = (server / 3 % 1000, (server as u32).to_be_bytes());
@@ -618,23 +622,23 @@
     servers.map(|server| entry_text(server, "up")).collect()
 }
 
-fn fleet_of(servers: u64) -> Replicas {
+fn replicas_of_fleet(servers: u64) -> Replicas {
     let mut replicas = Replicas::new(vec!["north".into()]);
     replicas.apply_update(0, endpoint_update(1, true, &up_entries(0..servers)));
     replicas
 }
 
-/// Entries that an operation visits.
+/// The number of entries that an operation visits.
 fn entries_visited(replicas: &mut Replicas, operation: impl FnOnce(&mut Replicas)) -> u64 {
     let before = replicas.visited_records();
     operation(replicas);
     replicas.visited_records() - before
 }
 
-/// Entries that are visited for a delta of one entry, for a removal and its eviction, and for a snapshot that changes
-/// nothing.
+/// The numbers of entries visited by a delta of one entry, by a removal and the later eviction of its record, and by a
+/// snapshot that changes nothing.
 fn entries_visited_by_updates(servers: u64) -> [u64; 3] {
-    let mut replicas = fleet_of(servers);
+    let mut replicas = replicas_of_fleet(servers);
     let by_delta = entries_visited(&mut replicas, |replicas| {
         let drain = endpoint_update(2, false, &[entry_text(1, "draining")]);
         let change = replicas.apply_update(MS, drain);
@@ -666,11 +670,11 @@
     assert_eq!(
         entries_visited_by_updates(30_000),
         [1, 2, 2 * 29_999],
-        "a snapshot is walked twice at the most"
+        "a snapshot visits each entry at most twice"
     );
 }
 
-/// How the table's slab stores a replica.
+/// The layout in which the table's slab stores a replica.
 #[allow(dead_code)]
 enum StoredReplica {
     Vacant(usize),
@@ -683,12 +687,12 @@
     assert_eq!(
         size_of::<Option<Replica>>(),
         size_of::<Replica>(),
-        "an empty slot costs no more"
+        "an empty slot takes no additional space"
     );
     assert_eq!(
         size_of::<StoredReplica>(),
         size_of::<Replica>(),
-        "a free slot keeps the next one in a replica's space"
+        "the index of the next free slot fits in the space of a replica"
     );
     assert!(
         size_of::<EndpointEntry>() <= 64,
@@ -698,13 +702,13 @@
     let update = endpoint_update(1, true, &up_entries(1..3));
     assert!(
         std::sync::Arc::ptr_eq(&update.entries[0].zone, &update.entries[1].zone),
-        "a zone's name once"
+        "the name of a zone is stored once"
     );
 }
 
 #[test]
-fn snapshot_is_applied_as_its_changes() {
-    let mut replicas = fleet_of(100);
+fn snapshot_is_applied_as_difference_from_current_list() {
+    let mut replicas = replicas_of_fleet(100);
     let mut entries = up_entries(0..99);
     entries[5] = entry_text(5, "draining");
     entries.push(entry_text(100, "up"));
--- a/crates/mixer/tests/simulation/mod.rs
+++ b/crates/mixer/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A mixer without sockets: a fixed seed draws clients, leaf servers and discovery around the reducer and the codecs, and all that
-//! leaves the mixer is written to a transcript.
+//! A mixer without sockets. A seeded random generator simulates clients, leaf servers and discovery around the reducer
+//! and the codecs; the mixer's output is written to a transcript.
 
 use crate::harness::{address, MS, START};
 use bytes::BytesMut;
@@ -18,21 +18,21 @@
 const REPLICAS: u64 = 6;
 const DESCRIPTORS: usize = 120;
 
-/// A connection to a leaf server as the simulated sockets see it.
+/// A simulated connection to a leaf server.
 struct Connection {
     address: String,
     open: bool,
     codec: LeafCodec,
-    /// Part ids that were sent and have not been answered.
+    /// The ids of the parts that were sent and are not answered yet.
     in_flight: Vec<String>,
-    /// Probes that were sent and have not been answered.
+    /// The number of probes that were sent and are not answered yet.
     probes: usize,
 }
 
-/// The reducer, simulated sockets around it, and the transcript of all that leaves.
+/// The reducer, its simulated sockets and the transcript of the mixer's output.
 pub struct Simulation {
-    state: Reducer,
-    names: QuerySchema,
+    reducer: Reducer,
+    schema: QuerySchema,
     now: u64,
     random: fastrand::Rng,
     clients: Vec<ClientId>,
@@ -40,28 +40,37 @@
     connections: BTreeMap<ConnectionId, Connection>,
     version: u64,
     transcript: String,
-    exited: bool,
+    has_exited: bool,
 }
 
 impl Simulation {
-    /// A mixer with these settings that has a cached endpoint list.
+    /// Creates a mixer that has these settings and a cached endpoint list.
     pub fn new(settings_text: &str, seed: u64) -> Simulation {
-        let site = settings::parse_mixer(settings_text).expect("settings of the sockets");
-        let names = QuerySchema {
-            classes: site.classes.clone(),
-            tenants: site.tenants.clone(),
-            default_timeouts: site.deadlines.clone(),
-            minimum_coverages: site.minimum_coverages.clone(),
-            shards: site.shards,
+        let mixer_settings = settings::parse_mixer(settings_text).expect("valid mixer settings");
+        let schema = QuerySchema {
+            classes: mixer_settings.classes.clone(),
+            tenants: mixer_settings.tenants.clone(),
+            default_timeouts: mixer_settings.deadlines.clone(),
+            minimum_coverages: mixer_settings.minimum_coverages.clone(),
+            shards: mixer_settings.shards,
         };
-        let settings = settings::parse_decisions(settings_text).expect("settings of the decisions");
-        let known = endpoint_update(1, true, (1..=REPLICAS).map(|replica| (replica, "up", 0)));
-        let known = endpoint_updates::parse(known.as_bytes())
-            .expect("a list")
-            .expect("a message");
+        let decision_settings =
+            settings::parse_decisions(settings_text).expect("valid decision settings");
+        let cached_list =
+            endpoint_update(1, true, (1..=REPLICAS).map(|replica| (replica, "up", 0)));
+        let cached_list = endpoint_updates::parse(cached_list.as_bytes())
+            .expect("a well-formed update")
+            .expect("an update");
         Simulation {
-            state: Reducer::new(START, site, settings, seed, &known, DESCRIPTORS),
-            names,
+            reducer: Reducer::new(
+                START,
+                mixer_settings,
+                decision_settings,
+                seed,
+                &cached_list,
+                DESCRIPTORS,
+            ),
+            schema,
             now: START,
             random: fastrand::Rng::with_seed(seed),
             clients: Vec::new(),
@@ -69,7 +78,7 @@
             connections: BTreeMap::new(),
             version: 1,
             transcript: String::new(),
-            exited: false,
+            has_exited: false,
         }
     }
 
@@ -81,12 +90,12 @@
             elapsed / MS,
             elapsed % MS
         )
-        .expect("a string takes it");
+        .expect("writing to a string does not fail");
     }
 
     fn apply(&mut self, input: Input) {
-        let mut effects = self.state.apply(self.now, input);
-        effects.extend(self.state.apply(self.now, Input::ProcessBatch));
+        let mut effects = self.reducer.apply(self.now, input);
+        effects.extend(self.reducer.apply(self.now, Input::ProcessBatch));
         for effect in effects {
             self.perform(effect);
         }
@@ -120,9 +129,9 @@
             }
             Effect::WatchEndpoints {
                 address,
-                from_version: from,
+                from_version,
             } => {
-                self.record(format_args!("watch {address} from {from:?}"));
+                self.record(format_args!("watch {address} from {from_version:?}"));
             }
             Effect::CloseListener => {
                 self.record(format_args!("listener closed"));
@@ -130,7 +139,7 @@
             }
             Effect::Exit(_) => {
                 self.record(format_args!("exit"));
-                self.exited = true;
+                self.has_exited = true;
             }
             Effect::RecordUsage(_) | Effect::RecordWatermark(_) => {
                 self.record(format_args!("usage record"))
@@ -178,15 +187,15 @@
             "leaf {id} ({address}) <- {}",
             bytes.escape_ascii()
         ));
-        // One frame in ten is held up by the socket until the connection ends.
+        // The writes of one frame in ten stall until the connection ends.
         if self.random.u32(..10) > 0 {
             self.apply(Input::FrameWritten { connection: id });
         }
     }
 
     fn close_client(&mut self, client: ClientId) {
-        if let Some(at) = self.clients.iter().position(|other| *other == client) {
-            self.clients.remove(at);
+        if let Some(index) = self.clients.iter().position(|other| *other == client) {
+            self.clients.remove(index);
             self.apply(Input::ClientClosed { client });
         }
     }
@@ -199,7 +208,7 @@
         });
     }
 
-    /// A client sends a request, well-formed or not.
+    /// Sends a well-formed or malformed request from a client.
     fn send_request(&mut self) {
         if self.clients.is_empty() || self.random.u32(..4) == 0 {
             self.connect_client();
@@ -207,11 +216,11 @@
         let Some(&client) = self.random.choice(&self.clients) else {
             return;
         };
-        let mut bytes = BytesMut::from(self.request().as_bytes());
+        let mut bytes = BytesMut::from(self.random_request().as_bytes());
         let Ok(Some(decoded)) = ServerCodec::default().decode(&mut bytes) else {
             return;
         };
-        let request = decoded.and_then(|request| query_json::parse(&request, &self.names));
+        let request = decoded.and_then(|request| query_json::parse(&request, &self.schema));
         self.apply(Input::RequestReceived {
             client,
             received_at: self.now,
@@ -219,9 +228,9 @@
         });
     }
 
-    fn request(&mut self) -> String {
-        let class = self.random.usize(..self.names.classes.len());
-        let class = self.names.classes[class].clone();
+    fn random_request(&mut self) -> String {
+        let class = self.random.usize(..self.schema.classes.len());
+        let class = self.schema.classes[class].clone();
         let id = self.random.u32(..100_000);
         match self.random.u32(..40) {
             0 => return "GET /-/ready HTTP/1.1\r\n\r\n".into(),
@@ -253,7 +262,8 @@
         )
     }
 
-    /// A leaf server sends one frame: an answer, an error, a rejection, a probe's answer or garbage.
+    /// Receives one frame from a leaf server: an answer, an error, a rejection, an answer to a probe or garbage. Opens
+    /// the connection first, or closes it.
     fn receive_from_leaf(&mut self) {
         let ids: Vec<ConnectionId> = self.connections.keys().copied().collect();
         let Some(&id) = self.random.choice(&ids) else {
@@ -285,12 +295,12 @@
             return;
         } else {
             let id = connection.in_flight.remove(0);
-            let end = match choice {
+            let status = match choice {
                 2..4 => "err",
                 4..7 => "busy",
                 _ => "ok",
             };
-            format!("A{id} {end} - -\ndoc").into_bytes()
+            format!("A{id} {status} - -\ndoc").into_bytes()
         };
         let mut bytes = BytesMut::from(&(body.len() as u32).to_be_bytes()[..]);
         bytes.extend_from_slice(&body);
@@ -332,13 +342,13 @@
         }
     }
 
-    /// Time passes; the reducer gets a batch whenever one is due.
+    /// Advances the clock and processes a batch whenever one is due.
     fn advance(&mut self, duration: u64) {
         let end = self.now + duration;
         while let Some(due) = self
-            .state
+            .reducer
             .next_due()
-            .filter(|due| *due <= end && !self.exited)
+            .filter(|due| *due <= end && !self.has_exited)
         {
             self.now = self.now.max(due);
             self.apply(Input::ProcessBatch);
@@ -369,7 +379,7 @@
         }
     }
 
-    /// Plays the whole simulation, shutdown included; returns the transcript.
+    /// Runs all steps and the shutdown; returns the transcript.
     pub fn run(mut self) -> String {
         self.advance(20 * MS);
         self.receive_endpoint_update();
@@ -378,12 +388,12 @@
         }
         self.apply(Input::ShutdownRequested);
         for _ in 0..STEPS / 4 {
-            if !self.exited {
+            if !self.has_exited {
                 self.step();
             }
         }
         self.advance(20_000 * MS);
-        assert!(self.exited, "the mixer exits after SIGTERM");
+        assert!(self.has_exited, "the mixer exits after SIGTERM");
         self.transcript
     }
 }
--- a/crates/mixer/tests/usage_records.rs
+++ b/crates/mixer/tests/usage_records.rs
@@ -1,4 +1,5 @@
-//! The reducer's part in the ledger: one usage record for each query that ends, and watermarks that hold.
+//! The reducer's output to the ledger: one usage record for each ended query, and watermarks that no later record
+//! contradicts.
 
 mod harness;
 
@@ -11,7 +12,7 @@
 use harness::{query_request, Harness, MS, START};
 
 const QUERY_TEXT: &[u8] = b"text";
-/// The watermark follows the clock at this distance, ns.
+/// The delay of the watermark behind the clock, in nanoseconds.
 const WATERMARK_DELAY: u64 = 100 * MS;
 
 fn recording_harness(replicas: u64) -> Harness {
@@ -20,7 +21,7 @@
     harness
 }
 
-/// A query of two parts; marked as a client's retry where it has an idempotency key.
+/// A query of two parts; marked as a client's retry if it has an idempotency key.
 fn two_part_query(request_id: &str, timeout_ms: u64, key: Option<&str>) -> QueryRequest {
     let part = |shard| PartRequest {
         shard,
@@ -53,12 +54,13 @@
     let mut harness = recording_harness(2);
     harness.send_query(1, &[0.5, 0.5]);
     harness.serve_all();
-    // Disconnected before the answer.
+    // The client disconnects before the answer.
     let client = harness.send_query(1, &[1.0]);
     harness.apply(Input::ClientClosed { client });
-    // Rejected before any decision: no time left, and too many open parts.
+    // Queries that are rejected before any decision: one with a timeout that is too short, and those over the limit of
+    // open parts.
     send_two_part_query(&mut harness, "late", 1, None);
-    let many: Vec<ClientId> = (0..30)
+    let queries: Vec<ClientId> = (0..30)
         .map(|_| harness.send_query(1, &[0.5, 0.5]))
         .collect();
     let rejected = harness
@@ -69,11 +71,11 @@
     assert_eq!(
         rejected,
         1 + 10,
-        "20 queries of two parts each are all that may be open"
+        "at most 20 queries of two parts each may be open"
     );
-    // Failed or rejected once their time is up: none is left without a record.
+    // The open queries fail or are rejected when they time out, and each of them has a record.
     harness.advance_ms(7000);
-    assert_eq!(harness.usage_records.len(), 3 + many.len());
+    assert_eq!(harness.usage_records.len(), 3 + queries.len());
     let first = &harness.usage_records[0];
     assert_eq!(
         (first.outcome, first.parts, first.attempts, first.arrived_at),
@@ -93,7 +95,11 @@
         .map(|record| record.sequence)
         .collect();
     let records = sequence.len() as u64;
-    assert_eq!(sequence, (1..=records).collect::<Vec<_>>(), "without a gap");
+    assert_eq!(
+        sequence,
+        (1..=records).collect::<Vec<_>>(),
+        "sequence numbers without gaps"
+    );
     let counters = harness.reducer.counters();
     assert_eq!(counters.usage_records, records);
     assert_eq!(
@@ -127,7 +133,8 @@
     harness.watermarks.last().expect("a watermark")
 }
 
-/// What a watermark calls complete stays so: whatever arrives later counts as later, and what is open holds it back.
+/// No record may follow a watermark that covers the record's arrival time: a query that was received before the
+/// watermark but processed after it is recorded with the watermark's time, and an open query blocks the watermark.
 #[test]
 fn no_record_contradicts_earlier_watermark() {
     let mut harness = recording_harness(1);
@@ -135,11 +142,15 @@
     let client = harness.send_query(1, &[1.0]);
     let received_at = harness.now;
     harness.advance_ms(1000);
-    let held_back = last_watermark(&harness);
+    let blocked_watermark = last_watermark(&harness);
     assert_eq!(
-        (held_back.complete_until, held_back.sequence, held_back.last),
+        (
+            blocked_watermark.complete_until,
+            blocked_watermark.sequence,
+            blocked_watermark.last
+        ),
         (received_at, 0, false),
-        "an open query holds it back"
+        "an open query blocks the watermark"
     );
     harness.serve_all();
     assert!(harness.last_reply(client).is_some());
@@ -153,11 +164,11 @@
     harness.advance_ms(7000);
     assert!(
         harness.has_exited && last_watermark(&harness).last,
-        "the last watermark says that nothing follows"
+        "the last watermark is marked as such"
     );
 }
 
-/// The query has waited for its batch since before the last watermark.
+/// Sends a query that was received before the last watermark and is processed only now.
 fn send_query_received_before_watermark(harness: &mut Harness) {
     let client = harness.connect_client();
     let query = QueryRequest {
@@ -197,7 +208,7 @@
     assert_eq!(
         keys[0],
         key_from_content("lookup", parts.into_iter(), QUERY_TEXT),
-        "parts in any order"
+        "the key does not depend on the order of the parts"
     );
     assert_eq!(
         (keys[0], keys[2]),
@@ -208,11 +219,11 @@
             && !is_client_key(keys[0])
             && harness.usage_records[2].key_from_client
     );
-    let others = [
+    let other_keys = [
         key_from_content("report", parts.into_iter(), QUERY_TEXT),
         key_from_content("lookup", parts.into_iter(), b"test"),
         key_from_content("lookup", [(1, 0.5), (2, 0.5)].into_iter(), QUERY_TEXT),
         key_from_idempotency_key("lookup", "K"),
     ];
-    assert!(others.iter().all(|other| !keys.contains(other)));
+    assert!(other_keys.iter().all(|other| !keys.contains(other)));
 }
--- a/crates/mixer/tests/watch_policy.rs
+++ b/crates/mixer/tests/watch_policy.rs
@@ -1,35 +1,35 @@
-//! How soon a mixer is back on the endpoint list after discovery failed it, and what that asks of a discovery that all
-//! mixers share.
+//! The time within which a mixer has a current endpoint list after a failure of discovery, and the resulting request
+//! rate at a discovery service that all mixers share.
 
 use cottonhill_mixer::reducer::watch_policy::{WatchEnd, WatchMode, WatchPolicy, STALENESS_BOUND};
 use std::time::Duration;
 
 const FLEET_SIZES: [u32; 8] = [1, 3, 100, 279, 320, 350, 777, 1024];
-/// The connection is refused at once.
+/// The connection is refused immediately.
 const REFUSED: WatchEnd = WatchEnd {
     duration: Duration::ZERO,
     received: false,
     timed_out: false,
     retry_after: None,
 };
-/// A watch that has served for a minute is reset.
+/// A watch is reset after a minute.
 const RESET: WatchEnd = WatchEnd {
     duration: Duration::from_secs(60),
     received: true,
     timed_out: false,
     retry_after: None,
 };
-/// A watch that has served for a minute falls silent.
+/// A watch stalls after a minute and times out.
 const SILENT: WatchEnd = WatchEnd {
     timed_out: true,
     ..RESET
 };
-/// To connect and to be answered, where nothing is wrong any more.
+/// The time to connect to a recovered discovery and receive its response.
 const RECOVERY_TIME: Duration = Duration::from_millis(1_500);
-/// The longest wait before a retry that leaves time to recover within the staleness bound.
-const MAX_WAIT: Duration = Duration::from_millis(4_500);
-const HALF_OF_MAX_WAIT: Duration = Duration::from_millis(2_250);
-/// For how long discovery fails.
+/// The longest delay of a retry that leaves [`RECOVERY_TIME`] within the staleness bound.
+const MAX_DELAY: Duration = Duration::from_millis(4_500);
+const HALF_OF_MAX_DELAY: Duration = Duration::from_millis(2_250);
+/// Durations of a discovery failure.
 const TWO_MINUTES: Duration = Duration::from_secs(120);
 const ONE_MINUTE: Duration = Duration::from_secs(60);
 
@@ -40,9 +40,9 @@
 /// How a request to discovery fails.
 #[derive(Clone, Copy, Debug)]
 enum Failure {
-    /// At once: refused or reset.
+    /// Refused or reset immediately.
     Refused,
-    /// Rejected, with this Retry-After.
+    /// Rejected with this Retry-After.
     Rejected(Duration),
     /// The connection never opens.
     NoConnection,
@@ -87,24 +87,25 @@
     WatchMode::Push { drain_grace }
 }
 
-/// The times at which requests begin that fail one after another, after a watch was reset at 0. `failure` is given the
-/// number of the request, from 1.
+/// The start times of consecutive failing requests after a watch was reset at time 0. `failure` is called with the
+/// number of the request, starting at 1.
 fn request_times(
     mut policy: WatchPolicy,
     failure: impl Fn(usize) -> Failure,
     until: Duration,
 ) -> Vec<Duration> {
-    let mut at = policy.next_delay(RESET);
+    let mut started_at = policy.next_delay(RESET);
     let mut times = Vec::new();
-    while at < until {
-        times.push(at);
+    while started_at < until {
+        times.push(started_at);
         let end = watch_end(&policy, failure(times.len()));
-        at += end.duration + policy.next_delay(end);
+        started_at += end.duration + policy.next_delay(end);
     }
     times
 }
 
-/// Discovery comes back right after a request began that fails all the same: the next one succeeds.
+/// Checks the worst case: discovery recovers right after the start of a request that still fails, and the next request
+/// succeeds.
 fn assert_recovers_in_time(times: &[Duration], context: &str) {
     let failed = [Duration::ZERO].into_iter().chain(times.iter().copied());
     for (failed_at, next) in failed.zip(times) {
@@ -127,7 +128,7 @@
             }
         }
     }
-    // One after another in any order.
+    // Different failures in sequence.
     for seed in 0..200u64 {
         let mixed = |n: usize| FAILURES[(seed as usize + n * 5 + n / 3) % FAILURES.len()];
         let policy = WatchPolicy::new(poll(Some(ms(10_000))), seed, 300);
@@ -141,7 +142,8 @@
     }
 }
 
-/// The most requests of a fleet in one second, while they fail from 0 s on, counted from the second given on.
+/// The maximum number of requests of a fleet in one second, while all requests fail from 0 s on. Only seconds that
+/// start at `from_second` or later are counted.
 fn max_requests_per_second(mixers: u32, failure: Failure, from_second: u64) -> usize {
     let times_ms: Vec<u64> = (0..u64::from(mixers))
         .map(|seed| WatchPolicy::new(poll(Some(ms(10_000))), seed, mixers))
@@ -157,10 +159,11 @@
         .unwrap()
 }
 
-/// The staleness bound pulls against a service that all share: the requests are spread over all of the time that it
-/// leaves and no further. [The figures](../../../docs/design/acceptance.md) of 300 mixers.
+/// The staleness bound limits how far the retries of a fleet can be spread to protect the shared discovery service:
+/// they must be spread over all of the time that the bound leaves. [Acceptance](../../../docs/design/acceptance.md) has
+/// the figures of 300 mixers.
 #[test]
-fn fleet_spreads_polls_after_losing_discovery_together() {
+fn fleet_spreads_retries_after_simultaneous_loss_of_discovery() {
     for mixers in [100u32, 300, 350, 1024] {
         for failure in [
             Failure::Refused,
@@ -169,8 +172,9 @@
         ] {
             let at_first = max_requests_per_second(mixers, failure, 0);
             let later = max_requests_per_second(mixers, failure, 5);
-            eprintln!("{mixers} mixers, {failure:?}: {at_first} requests in a second at first, {later} later");
-            // A wait is 3.4 s on average, 4.5 s at the most, so a second sees 0.30 of them; the rest is chance.
+            eprintln!("{mixers} mixers, {failure:?}: at most {at_first} requests per second, {later} after 5 s");
+            // A delay is 3.4 s on average and at most 4.5 s, so one second contains 0.30 requests per mixer. The limit
+            // allows for random variation.
             let mean = 0.3 * f64::from(mixers);
             let limit = (1.15 * mean + 4.0 * mean.sqrt()) as usize;
             assert!(
@@ -181,16 +185,16 @@
     }
     assert!(
         max_requests_per_second(3, Failure::Refused, 0) <= 3 * 14,
-        "a small fleet does not hammer it either"
+        "a small fleet does not overload discovery either"
     );
 }
 
 #[test]
-fn small_fleet_reconnects_soon_and_backs_off_on_failures() {
+fn small_fleet_reconnects_quickly_and_large_fleet_backs_off() {
     let mut small_fleet = WatchPolicy::new(poll(None), 1, 3);
     assert!(
         small_fleet.next_delay(RESET) <= ms(150),
-        "three do not overload anything"
+        "three mixers do not overload discovery, so they retry almost immediately"
     );
     let mut large_fleet = WatchPolicy::new(poll(None), 1, 100);
     for _ in 0..10 {
@@ -198,22 +202,22 @@
     }
     for _ in 0..50 {
         assert!(
-            large_fleet.next_delay(REFUSED) >= HALF_OF_MAX_WAIT,
-            "half of the time there is, at the least"
+            large_fleet.next_delay(REFUSED) >= HALF_OF_MAX_DELAY,
+            "after repeated failures, at least half of the maximum delay"
         );
     }
-    let soon = (0..50)
+    let short_delays = (0..50)
         .map(|seed| WatchPolicy::new(poll(None), seed, 100).next_delay(RESET))
-        .filter(|delay| *delay < HALF_OF_MAX_WAIT)
+        .filter(|delay| *delay < HALF_OF_MAX_DELAY)
         .count();
     assert!(
-        (15..=35).contains(&soon),
-        "anything from none up where it is the first failure"
+        (15..=35).contains(&short_delays),
+        "after the first failure, the delay is random from zero up: {short_delays} of 50 are short"
     );
 }
 
-/// The waits of 50 mixers of a fleet of 100 after a rejection with this Retry-After.
-fn waits_after_rejection(retry_after: Duration) -> Vec<Duration> {
+/// The delays of 50 mixers of a fleet of 100 after a rejection with this Retry-After.
+fn delays_after_rejection(retry_after: Duration) -> Vec<Duration> {
     let rejected = WatchEnd {
         retry_after: Some(retry_after),
         ..REFUSED
@@ -223,27 +227,30 @@
         .collect()
 }
 
-fn are_spread_by_a_second(waits: &[Duration]) -> bool {
-    *waits.iter().max().unwrap() > *waits.iter().min().unwrap() + ms(1_000)
+fn differ_by_more_than_a_second(delays: &[Duration]) -> bool {
+    *delays.iter().max().unwrap() > *delays.iter().min().unwrap() + ms(1_000)
 }
 
 #[test]
 fn honors_retry_after_within_staleness_bound() {
-    let waits = waits_after_rejection(ms(2_000));
+    let delays = delays_after_rejection(ms(2_000));
     assert!(
-        waits
+        delays
             .iter()
-            .all(|wait| (ms(2_000)..=MAX_WAIT).contains(wait)),
-        "{waits:?}"
+            .all(|delay| (ms(2_000)..=MAX_DELAY).contains(delay)),
+        "{delays:?}"
     );
-    assert!(are_spread_by_a_second(&waits), "and not all at once");
-    let waits = waits_after_rejection(ms(86_400_000));
-    assert!(waits.iter().all(|wait| *wait <= MAX_WAIT), "{waits:?}");
-    assert!(are_spread_by_a_second(&waits), "{waits:?}");
+    assert!(
+        differ_by_more_than_a_second(&delays),
+        "the requests are spread over time: {delays:?}"
+    );
+    let delays = delays_after_rejection(ms(86_400_000));
+    assert!(delays.iter().all(|delay| *delay <= MAX_DELAY), "{delays:?}");
+    assert!(differ_by_more_than_a_second(&delays), "{delays:?}");
 }
 
-/// The least wait after a refused connection.
-const MIN_REFUSED_WAIT: Duration = Duration::from_millis(25);
+/// The minimum delay after a refused connection.
+const MIN_DELAY_AFTER_REFUSAL: Duration = Duration::from_millis(25);
 
 #[test]
 fn push_watch_reconnects_within_drain_grace() {
@@ -253,10 +260,10 @@
         }
     }
     for drain_grace in [Duration::ZERO, ms(3_600_000)] {
-        let wait = WatchPolicy::new(push(drain_grace), 1, 3).next_delay(REFUSED);
+        let delay = WatchPolicy::new(push(drain_grace), 1, 3).next_delay(REFUSED);
         assert!(
-            (MIN_REFUSED_WAIT..=ms(500)).contains(&wait),
-            "grace of {drain_grace:?}: {wait:?}"
+            (MIN_DELAY_AFTER_REFUSAL..=ms(500)).contains(&delay),
+            "drain grace of {drain_grace:?}: {delay:?}"
         );
     }
 }
@@ -275,18 +282,18 @@
         );
     }
     for _ in 0..50 {
-        let wait = policy.next_delay(REFUSED);
+        let delay = policy.next_delay(REFUSED);
         assert!(
-            wait <= drain_grace / 4,
-            "{mixers} mixers: {wait:?} of {drain_grace:?}"
+            delay <= drain_grace / 4,
+            "{mixers} mixers: {delay:?} of {drain_grace:?}"
         );
         assert!(
-            wait >= MIN_REFUSED_WAIT,
-            "an agent that refuses at once is not hammered: {wait:?}"
+            delay >= MIN_DELAY_AFTER_REFUSAL,
+            "an agent that refuses connections is not overloaded: {delay:?}"
         );
         assert!(
-            wait + policy.connect_timeout() < drain_grace,
-            "and found again in time when it returns"
+            delay + policy.connect_timeout() < drain_grace,
+            "a recovered agent is reached within the drain grace"
         );
     }
 }
@@ -298,8 +305,8 @@
             for seed in 0..20 {
                 let mut policy = WatchPolicy::new(mode, seed, mixers);
                 for _ in 0..3 {
-                    let wait = policy.next_delay(SILENT);
-                    let answered_after = policy.heartbeat_timeout() + wait + RECOVERY_TIME;
+                    let delay = policy.next_delay(SILENT);
+                    let answered_after = policy.heartbeat_timeout() + delay + RECOVERY_TIME;
                     assert!(
                         answered_after <= STALENESS_BOUND,
                         "{mode:?}, {mixers} mixers: answered after {answered_after:?}"
