--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// A setting that takes effect at a start.
+/// A setting that takes effect only at a start.
 const fn restart_key(
     name: &'static str,
     kind: Kind,
@@ -233,8 +233,10 @@
 pub struct UsageLogSettings {
     pub directory: PathBuf,
     pub segment_bytes: u64,
+    /// Size limit of the log.
     pub max_bytes: u64,
     pub queue_capacity: usize,
+    /// How long an answer waits until its record is written.
     pub max_write_delay: Duration,
     pub watermark_interval: Duration,
     pub listen: Option<SocketAddr>,
@@ -256,7 +258,7 @@
             return match listen {
                 Some(_) => Err(problem(
                     "listen",
-                    "there is no log to collect without 'directory'",
+                    "requires 'directory': there is no log to collect",
                 )),
                 None => Ok(None),
             };
@@ -266,17 +268,17 @@
             values.bytes("keep").unwrap_or(1 << 30),
         );
         if segment_bytes < 4096 {
-            return Err(problem("segment", "has to be 4KiB at least"));
+            return Err(problem("segment", "must be at least 4KiB"));
         }
         if max_bytes < 2 * segment_bytes {
             return Err(problem(
                 "keep",
-                "has to be twice 'segment' at least, or no segment could ever be closed",
+                "must be at least twice 'segment', or no segment can ever be closed",
             ));
         }
         let watermark_interval = values.time("mark").unwrap_or(Duration::from_millis(500));
         if watermark_interval < Duration::from_millis(10) {
-            return Err(problem("mark", "has to be 10ms at least"));
+            return Err(problem("mark", "must be at least 10ms"));
         }
         Ok(Some(UsageLogSettings {
             directory,
@@ -322,10 +324,12 @@
 pub struct LedgerSettings {
     pub store: Option<PathBuf>,
     pub retry_delay: Duration,
+    /// Collection from a member is restarted if no message arrives within this time.
     pub silence_timeout: Duration,
     pub calendar: Calendar,
     pub horizon_ms: i64,
     pub skew_ms: i64,
+    /// How long closing a period waits for members whose records are incomplete.
     pub grace_ms: i64,
     pub members: BTreeMap<String, MemberSettings>,
     pub prices: BTreeMap<String, ClassPrice>,
@@ -346,7 +350,7 @@
                 PERIODS.name,
                 "",
                 "zone",
-                &format!("there is no time zone '{zone}'; use a name as in Asia/Colombo"),
+                &format!("unknown time zone '{zone}'; use an IANA name such as Asia/Colombo"),
             )
         })?;
         let ms = |key: &str| periods.time(key).unwrap_or_default().as_millis() as i64;
@@ -356,7 +360,7 @@
             _ => PeriodLength::FixedMs(ms("every")),
         };
         if matches!(period_length, PeriodLength::FixedMs(length) if length < 1000) {
-            return Err(settings.problem(PERIODS.name, "", "every", "has to be 1s at least"));
+            return Err(settings.problem(PERIODS.name, "", "every", "must be at least 1s"));
         }
         let mut members = BTreeMap::new();
         for name in settings.names(MEMBER.name) {
@@ -371,7 +375,7 @@
                             MEMBER.name,
                             name,
                             key,
-                            "has to be a time as in 2026-12-01T00:00:00Z",
+                            "must be a timestamp such as 2026-12-01T00:00:00Z",
                         )
                     }),
             };
@@ -380,12 +384,7 @@
             };
             let (from_ms, until_ms) = (timestamp("from", i64::MIN)?, timestamp("until", i64::MAX)?);
             if from_ms >= until_ms {
-                return Err(settings.problem(
-                    MEMBER.name,
-                    name,
-                    "until",
-                    "does not come after 'from'",
-                ));
+                return Err(settings.problem(MEMBER.name, name, "until", "must be after 'from'"));
             }
             members.insert(
                 name.to_string(),
@@ -424,7 +423,7 @@
         let export = settings.of(schema, EXPORT.name, "");
         let url = export.text("url").map(str::to_string);
         if url.as_ref().is_some_and(|url| !url.starts_with("http://")) {
-            return Err(settings.problem(EXPORT.name, "", "url", "has to begin with http://"));
+            return Err(settings.problem(EXPORT.name, "", "url", "must start with http://"));
         }
         let settlement = settings.of(schema, SETTLEMENT.name, "");
         let duration = |key: &str| settlement.time(key).unwrap_or(Duration::from_millis(200));
--- a/crates/ledger/src/settle.rs
+++ b/crates/ledger/src/settle.rs
@@ -35,8 +35,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberProgress {
     pub member: String,
-    /// All records of arrivals before this time (Unix milliseconds) are in the store; none if no record or watermark of
-    /// the member has been collected.
+    /// All records of arrivals before this time (Unix milliseconds) are in the store; none if no batch of the member
+    /// has been collected.
     pub watermark_ms: Option<i64>,
 }
 
@@ -51,12 +51,12 @@
     Incomplete(Vec<String>),
 }
 
-/// Whether `period` may close at `now`, given its members. `grace` is in milliseconds.
+/// Whether `period` may close at `now_ms` (Unix milliseconds), given its members.
 pub fn close_decision(
     period: Period,
     bounds: Bounds,
-    grace: i64,
-    now: i64,
+    grace_ms: i64,
+    now_ms: i64,
     members: &[MemberProgress],
 ) -> CloseDecision {
     let (_, until) = bounds.arrival_range(period);
@@ -70,12 +70,12 @@
         .filter(incomplete)
         .map(|member| member.member.clone())
         .collect();
-    if now < until {
+    if now_ms < until {
         // A mixer whose clock is ahead must not close a period in which other mixers still accept queries.
         CloseDecision::Wait(missing)
     } else if missing.is_empty() {
         CloseDecision::Complete
-    } else if now >= until.saturating_add(grace) {
+    } else if now_ms >= until.saturating_add(grace_ms) {
         CloseDecision::Incomplete(missing)
     } else {
         CloseDecision::Wait(missing)
@@ -109,7 +109,8 @@
     period: Period,
     /// The time from which an attempt may belong to the next period, and the time up to which a retry may belong to
     /// this one (Unix milliseconds).
-    edge: (i64, i64),
+    boundary: (i64, i64),
+    /// Attempts that the previous period has counted.
     joined_earlier: BTreeSet<RecordId>,
     joiner: Joiner,
     settled: SettledPeriod,
@@ -129,7 +130,7 @@
         );
         PeriodSettler {
             period,
-            edge: (near, far),
+            boundary: (near, far),
             joined_earlier: before.joined_attempts,
             joiner,
             settled: SettledPeriod::default(),
@@ -142,11 +143,11 @@
                 joiner,
                 settled,
                 period,
-                edge,
+                boundary,
                 ..
             } = self;
             joiner.push(attempt, &mut |billed| {
-                settled.count(*period, *edge, &billed)
+                settled.count(*period, *boundary, &billed)
             });
         }
     }
@@ -156,10 +157,10 @@
             joiner,
             settled,
             period,
-            edge,
+            boundary,
             ..
         } = &mut self;
-        joiner.finish(&mut |billed| settled.count(*period, *edge, &billed));
+        joiner.finish(&mut |billed| settled.count(*period, *boundary, &billed));
         self.settled
     }
 }
--- a/crates/ledger/src/store/closing.rs
+++ b/crates/ledger/src/store/closing.rs
@@ -29,7 +29,7 @@
 }
 
 /// A line of a statement, with ids in place of names.
-struct NumberedLine {
+struct LineWithIds {
     period: Period,
     adjusts: bool,
     /// Tenant and class.
@@ -43,8 +43,8 @@
 /// Names by their ids in the store.
 type Names = HashMap<u32, String>;
 
-fn name(names: &Names, number: u32) -> String {
-    names.get(&number).cloned().unwrap_or_default()
+fn name(names: &Names, id: u32) -> String {
+    names.get(&id).cloned().unwrap_or_default()
 }
 
 impl Store {
@@ -140,9 +140,9 @@
     }
 }
 
-impl NumberedLine {
+impl LineWithIds {
     fn named(self, names: &Names) -> StatementLine {
-        let NumberedLine {
+        let LineWithIds {
             period: line_period,
             adjusts,
             key: (tenant, class),
@@ -203,7 +203,7 @@
     closing: Period,
     bounds: Bounds,
     names: &Names,
-) -> Result<Vec<NumberedLine>> {
+) -> Result<Vec<LineWithIds>> {
     let mut lines = Vec::new();
     while let Some((earlier, prices)) = next_changed_period(db, closing.start)? {
         let (current, changed) = settle(db, earlier, bounds)?;
@@ -225,7 +225,7 @@
                 .map_or(0, |counts| amount(counts, price.unwrap_or_default()));
             let difference = due - amounts.get(&key).copied().unwrap_or_default();
             let unpriced = price.is_none();
-            lines.push(NumberedLine {
+            lines.push(LineWithIds {
                 period: earlier,
                 adjusts: true,
                 key,
@@ -244,14 +244,14 @@
     period: Period,
     parameters: &CloseParameters,
     names: &Names,
-) -> Result<Vec<NumberedLine>> {
+) -> Result<Vec<LineWithIds>> {
     let (own, _) = settle(db, period, parameters.bounds)?;
     mark_settled(db, period)?;
     let line = |(key, counts): (&(u32, u32), &Counts)| {
         let price = parameters.prices.get(&name(names, key.1)).copied();
         let amount = amount(counts, price.unwrap_or_default());
         let unpriced = price.is_none();
-        NumberedLine {
+        LineWithIds {
             period,
             adjusts: false,
             key: *key,
@@ -263,8 +263,8 @@
     Ok(own.iter().map(line).collect())
 }
 
-fn insert_lines(db: &Connection, period: Period, lines: &[NumberedLine]) -> Result<()> {
-    for NumberedLine {
+fn insert_lines(db: &Connection, period: Period, lines: &[LineWithIds]) -> Result<()> {
+    for LineWithIds {
         period: line_period,
         key: (tenant, class),
         counts,
--- a/crates/ledger/src/store/corrections.rs
+++ b/crates/ledger/src/store/corrections.rs
@@ -39,7 +39,7 @@
         )?;
         if added == 0 {
             return Err(Error::InvalidRequest(format!(
-                "there is a correction {id} already"
+                "correction {id} already exists"
             )));
         }
         let document = closed.map(|hash| Document::from_correction(correction, period, &hash));
--- a/crates/ledger/src/store/ingest.rs
+++ b/crates/ledger/src/store/ingest.rs
@@ -33,12 +33,12 @@
 struct RunProgress {
     sequence: i64,
     /// The watermark: all records of arrivals before this time (Unix milliseconds) are stored.
-    complete: i64,
+    watermark_ms: i64,
     /// The sequence of the last watermark.
-    marked: i64,
+    confirmed_sequence: i64,
     ended: bool,
     /// Records missing in the sequence.
-    lost: i64,
+    lost_records: i64,
 }
 
 impl RunProgress {
@@ -48,18 +48,18 @@
         let progress = db.query_row(stored, params![member, incarnation], |row| {
             Ok(RunProgress {
                 sequence: row.get(0)?,
-                complete: row.get(1)?,
-                marked: row.get(2)?,
+                watermark_ms: row.get(1)?,
+                confirmed_sequence: row.get(2)?,
                 ended: row.get(3)?,
-                lost: row.get(4)?,
+                lost_records: row.get(4)?,
             })
         });
         let new = RunProgress {
             sequence: 0,
-            complete: i64::MIN,
-            marked: 0,
+            watermark_ms: i64::MIN,
+            confirmed_sequence: 0,
             ended: false,
-            lost: 0,
+            lost_records: 0,
         };
         Ok(progress.optional()?.unwrap_or(new))
     }
@@ -67,14 +67,22 @@
     fn write(&self, db: &Connection, (member, incarnation): (u32, i64)) -> Result<()> {
         let RunProgress {
             sequence,
-            complete,
-            marked,
+            watermark_ms,
+            confirmed_sequence,
             ended,
-            lost,
+            lost_records,
         } = self;
         db.execute(
             "INSERT OR REPLACE INTO position VALUES (?, ?, ?, ?, ?, ?, ?)",
-            params![member, incarnation, sequence, complete, marked, ended, lost],
+            params![
+                member,
+                incarnation,
+                sequence,
+                watermark_ms,
+                confirmed_sequence,
+                ended,
+                lost_records
+            ],
         )?;
         Ok(())
     }
@@ -82,7 +90,7 @@
     /// Counts a new record: it either leaves a gap of missing records before it, or fills part of an earlier gap.
     fn apply_record(&mut self, sequence: i64) {
         let expected = self.sequence + 1;
-        self.lost += if sequence >= expected {
+        self.lost_records += if sequence >= expected {
             sequence - expected
         } else {
             -1
@@ -90,13 +98,13 @@
         self.sequence = self.sequence.max(sequence);
     }
 
-    fn apply_watermark(&mut self, mark: &Mark) {
-        let sequence = mark.sequence as i64;
-        self.lost += (sequence - self.sequence).max(0);
+    fn apply_watermark(&mut self, watermark: &Mark) {
+        let sequence = watermark.sequence as i64;
+        self.lost_records += (sequence - self.sequence).max(0);
         self.sequence = self.sequence.max(sequence);
-        self.marked = self.marked.max(sequence);
-        self.complete = self.complete.max(mark.complete_ms as i64);
-        self.ended |= mark.end;
+        self.confirmed_sequence = self.confirmed_sequence.max(sequence);
+        self.watermark_ms = self.watermark_ms.max(watermark.complete_ms as i64);
+        self.ended |= watermark.end;
     }
 }
 
@@ -119,8 +127,9 @@
         let run = (names.member, header.incarnation as i64);
         let transaction = self.begin()?;
         insert_damage(&transaction, names.member, &batch.damage)?;
-        let closed = "SELECT coalesce(max(end), ?) FROM period";
-        let closed: i64 = transaction.query_row(closed, [i64::MIN], |row| row.get(0))?;
+        let closed_until = "SELECT coalesce(max(end), ?) FROM period";
+        let closed_until: i64 =
+            transaction.query_row(closed_until, [i64::MIN], |row| row.get(0))?;
         let mut progress = RunProgress::read(&transaction, run)?;
         let unconfirmed = unconfirmed_runs(&transaction, Some(names.member))?;
         let mut ingested = Ingested::default();
@@ -137,20 +146,20 @@
                         }
                         ingested.new += 1;
                         progress.apply_record(record.sequence as i64);
-                        let at = record.arrived_ms as i64;
+                        let arrived_ms = record.arrived_ms as i64;
                         // Settling a closed period has included retries for some time after its end.
-                        if at < closed.saturating_add(bounds.lookahead_ms()) {
+                        if arrived_ms < closed_until.saturating_add(bounds.lookahead_ms()) {
                             ingested.late += 1;
                             mark_periods_of_late_record(
                                 &transaction,
-                                at,
-                                at < closed,
+                                arrived_ms,
+                                arrived_ms < closed_until,
                                 calendar,
                                 bounds,
                             )?;
                         }
                     }
-                    Some(What::Mark(mark)) => progress.apply_watermark(mark),
+                    Some(What::Mark(watermark)) => progress.apply_watermark(watermark),
                     None => {}
                 }
             }
@@ -230,29 +239,30 @@
 }
 
 /// Marks the closed periods that a late record concerns, so that they are settled again. Inserts a period if the record
-/// is from a time before the first one.
+/// is from a closed time without a period. `closed` is whether the arrival precedes the end of the last period.
 fn mark_periods_of_late_record(
     db: &Connection,
-    at: i64,
+    arrived_ms: i64,
     closed: bool,
     calendar: &Calendar,
     bounds: Bounds,
 ) -> Result<()> {
     db.prepare_cached("UPDATE period SET dirty = 1 WHERE start - ?2 <= ?1 AND end + ?3 > ?1")?
-        .execute([at, bounds.skew_ms, bounds.lookahead_ms()])?;
+        .execute([arrived_ms, bounds.skew_ms, bounds.lookahead_ms()])?;
     let covering = "SELECT count(*) FROM period WHERE start <= ? AND end > ?";
     let covering: i64 = db
         .prepare_cached(covering)?
-        .query_row([at, at], |row| row.get(0))?;
+        .query_row([arrived_ms, arrived_ms], |row| row.get(0))?;
     if closed && covering == 0 {
-        let period = calendar.period_at(at);
+        let period = calendar.period_at(arrived_ms);
         // Clipped to its neighbours, in case the calendar has changed since.
         let after = "SELECT min(start) FROM period WHERE start > ?";
-        let after: Option<i64> = db.query_row(after, [at], |row| row.get(0))?;
-        let before: Option<i64> =
-            db.query_row("SELECT max(end) FROM period WHERE end <= ?", [at], |row| {
-                row.get(0)
-            })?;
+        let after: Option<i64> = db.query_row(after, [arrived_ms], |row| row.get(0))?;
+        let before: Option<i64> = db.query_row(
+            "SELECT max(end) FROM period WHERE end <= ?",
+            [arrived_ms],
+            |row| row.get(0),
+        )?;
         let start = period.start.max(before.unwrap_or(i64::MIN));
         let end = period.end.min(after.unwrap_or(i64::MAX));
         db.execute("INSERT INTO period VALUES (?, ?, '{}', 1)", [start, end])?;
--- a/crates/ledger/tests/joining.rs
+++ b/crates/ledger/tests/joining.rs
@@ -43,11 +43,11 @@
     attempts.sort_by_key(ClientAttempt::id);
     let mut uses = Vec::new();
     let mut joiner = Joiner::new(SKEW, HORIZON);
-    for it in attempts {
-        joiner.push(it, &mut |it| uses.push(it));
+    for attempt in attempts {
+        joiner.push(attempt, &mut |joined| uses.push(joined));
     }
-    joiner.finish(&mut |it| uses.push(it));
-    uses.sort_by_key(|it| it.first().id());
+    joiner.finish(&mut |joined| uses.push(joined));
+    uses.sort_by_key(|joined| joined.first().id());
     uses
 }
 
@@ -56,24 +56,28 @@
     attempts.sort_by_key(ClientAttempt::id);
     let mut uses: Vec<Vec<ClientAttempt>> = attempts
         .iter()
-        .filter(|it| !it.client_retry && !it.key_from_client)
-        .map(|it| vec![*it])
+        .filter(|attempt| !attempt.client_retry && !attempt.key_from_client)
+        .map(|attempt| vec![*attempt])
         .collect();
     for retry in attempts
         .iter()
-        .filter(|it| it.client_retry || it.key_from_client)
+        .filter(|attempt| attempt.client_retry || attempt.key_from_client)
     {
-        let same = |it: &ClientAttempt| {
-            (it.tenant, it.class, it.key, it.key_from_client)
-                == (retry.tenant, retry.class, retry.key, retry.key_from_client)
+        let same = |attempt: &ClientAttempt| {
+            (
+                attempt.tenant,
+                attempt.class,
+                attempt.key,
+                attempt.key_from_client,
+            ) == (retry.tenant, retry.class, retry.key, retry.key_from_client)
         };
         let window = if retry.key_from_client {
             HORIZON
         } else {
             WINDOW
         };
-        let fits = |it: &&mut Vec<ClientAttempt>| {
-            let (first, last) = (it[0], it[it.len() - 1]);
+        let fits = |joined: &&mut Vec<ClientAttempt>| {
+            let (first, last) = (joined[0], joined[joined.len() - 1]);
             let open = retry.key_from_client
                 || last.delivery_uncertain
                 || !matches!(last.outcome, Outcome::Complete | Outcome::Partial(_));
@@ -82,28 +86,28 @@
                 && last.arrived_ms <= retry.arrived_ms + SKEW
                 && open
         };
-        let rank = |it: &&mut Vec<ClientAttempt>| {
-            let last = it[it.len() - 1];
+        let rank = |joined: &&mut Vec<ClientAttempt>| {
+            let last = joined[joined.len() - 1];
             let answered = !retry.key_from_client
                 && matches!(last.outcome, Outcome::Complete | Outcome::Partial(_));
             (
                 answered,
                 last.arrived_ms > retry.arrived_ms,
                 if retry.key_from_client {
-                    it[0].id()
+                    joined[0].id()
                 } else {
                     last.id()
                 },
             )
         };
         match uses.iter_mut().filter(fits).min_by_key(rank) {
-            Some(it) => it.push(*retry),
+            Some(joined) => joined.push(*retry),
             None => uses.push(vec![*retry]),
         }
     }
     let mut ids: Vec<Vec<RecordId>> = uses
         .iter()
-        .map(|it| it.iter().map(ClientAttempt::id).collect())
+        .map(|joined| joined.iter().map(ClientAttempt::id).collect())
         .collect();
     ids.sort();
     ids
@@ -112,7 +116,7 @@
 fn ids(uses: &[Use]) -> Vec<Vec<RecordId>> {
     let mut ids: Vec<Vec<RecordId>> = uses
         .iter()
-        .map(|it| it.attempts.iter().map(ClientAttempt::id).collect())
+        .map(|joined| joined.attempts.iter().map(ClientAttempt::id).collect())
         .collect();
     ids.sort();
     ids
@@ -167,12 +171,12 @@
     let (from, until) = BOUNDS.arrival_range(period);
     let mut seen: Vec<ClientAttempt> = attempts
         .iter()
-        .filter(|it| (from..until).contains(&it.arrived_ms))
+        .filter(|attempt| (from..until).contains(&attempt.arrived_ms))
         .copied()
         .collect();
     seen.sort_by_key(ClientAttempt::id);
     let mut settler = PeriodSettler::new(period, BOUNDS, before.clone());
-    seen.into_iter().for_each(|it| settler.push(it));
+    seen.into_iter().for_each(|attempt| settler.push(attempt));
     let settled = settler.finish();
     (settled.lines, settled.carry_forward)
 }
@@ -198,23 +202,23 @@
     fn streaming_joins_each_attempt_once_like_the_naive_model(attempts in attempts()) {
         let uses = join(attempts.clone());
         prop_assert_eq!(ids(&uses), naive(attempts.clone()));
-        let all: BTreeSet<RecordId> = uses.iter().flat_map(|it| it.attempts.iter().map(ClientAttempt::id)).collect();
-        prop_assert_eq!(all.len(), uses.iter().map(|it| it.attempts.len()).sum::<usize>());
+        let all: BTreeSet<RecordId> = uses.iter().flat_map(|joined| joined.attempts.iter().map(ClientAttempt::id)).collect();
+        prop_assert_eq!(all.len(), uses.iter().map(|joined| joined.attempts.len()).sum::<usize>());
         prop_assert_eq!(all.len(), attempts.len());
     }
 
     #[test]
     fn settling_period_by_period_equals_joining_all_attempts(attempts in attempts()) {
         let mut expected: BTreeMap<i64, Lines> = BTreeMap::new();
-        for it in join(attempts.clone()) {
-            let (at, key) = (it.first().arrived_ms, (it.first().tenant, it.first().class));
-            expected.entry(at.div_euclid(PERIOD)).or_default().entry(key).or_default().add(&it);
+        for joined in join(attempts.clone()) {
+            let (at, key) = (joined.first().arrived_ms, (joined.first().tenant, joined.first().class));
+            expected.entry(at.div_euclid(PERIOD)).or_default().entry(key).or_default().add(&joined);
         }
-        let mut carried = CarryForward::default();
+        let mut carry_forward = CarryForward::default();
         for n in 0..4 {
-            let (lines, next) = settle(&attempts, period(n), &carried);
+            let (lines, next) = settle(&attempts, period(n), &carry_forward);
             prop_assert_eq!(lines, expected.remove(&n).unwrap_or_default(), "period {}", n);
-            carried = next;
+            carry_forward = next;
         }
         prop_assert!(expected.is_empty());
     }
@@ -223,21 +227,21 @@
     /// all records, in any order.
     #[test]
     fn adjustments_account_for_late_records(attempts in attempts(), late in any::<u64>()) {
-        let on_time: Vec<ClientAttempt> = attempts.iter().filter(|it| late >> (it.sequence % 64) & 1 == 0).copied().collect();
+        let on_time: Vec<ClientAttempt> = attempts.iter().filter(|attempt| late >> (attempt.sequence % 64) & 1 == 0).copied().collect();
         let mut billed: Vec<Lines> = Vec::new();
-        let mut carried = CarryForward::default();
+        let mut carry_forward = CarryForward::default();
         for n in 0..4 {
-            let (lines, next) = settle(&on_time, period(n), &carried);
+            let (lines, next) = settle(&on_time, period(n), &carry_forward);
             billed.push(lines);
-            carried = next;
+            carry_forward = next;
         }
-        let mut carried = CarryForward::default();
+        let mut carry_forward = CarryForward::default();
         for n in 0..4 {
-            let (now, next) = settle(&attempts, period(n), &carried);
-            let adjusted = adjustments(&now, &billed[n as usize]);
+            let (current, next) = settle(&attempts, period(n), &carry_forward);
+            let adjusted = adjustments(&current, &billed[n as usize]);
             let both = billed[n as usize].values().chain(adjusted.values()).copied();
-            prop_assert_eq!(total(both), total(now.values().copied()));
-            carried = next;
+            prop_assert_eq!(total(both), total(current.values().copied()));
+            carry_forward = next;
         }
     }
 }
@@ -248,9 +252,9 @@
         client_retry: true,
         ..attempt(at, sequence)
     };
-    let answered = |it: ClientAttempt| ClientAttempt {
+    let answered = |attempt: ClientAttempt| ClientAttempt {
         outcome: Outcome::Complete,
-        ..it
+        ..attempt
     };
     // Two clients with the same request at the same time are two uses, each with its retry.
     let uses = join(vec![
@@ -262,7 +266,7 @@
     assert_eq!(uses.len(), 2);
     assert!(uses
         .iter()
-        .all(|it| it.outcome == Outcome::Complete && it.attempts.len() == 2));
+        .all(|joined| joined.outcome == Outcome::Complete && joined.attempts.len() == 2));
     assert!(
         !uses[0].ambiguous.is_empty(),
         "the retry had two candidates, which is reported"
@@ -274,11 +278,11 @@
     let uses = join(vec![answered(attempt(0, 1)), answered(retry(30, 2))]);
     assert_eq!((uses.len(), uses[1].ambiguous.len()), (2, 1));
     // Unless its mixer crashed, so that delivery of the answer is uncertain.
-    let died = ClientAttempt {
+    let crashed = ClientAttempt {
         delivery_uncertain: true,
         ..answered(attempt(0, 1))
     };
-    assert_eq!(join(vec![died, answered(retry(30, 2))]).len(), 1);
+    assert_eq!(join(vec![crashed, answered(retry(30, 2))]).len(), 1);
     // After the class's give-up time a retry is not joined.
     assert_eq!(join(vec![attempt(0, 1), retry(WINDOW + SKEW, 2)]).len(), 1);
     assert_eq!(
@@ -314,7 +318,7 @@
     let uses = join(attempts);
     assert_eq!(
         uses.iter()
-            .map(|it| (it.attempts.len(), it.outcome))
+            .map(|joined| (joined.attempts.len(), joined.outcome))
             .collect::<Vec<_>>(),
         [(3, Outcome::Complete), (1, Outcome::Complete)]
     );
--- a/crates/ledger/tests/log.rs
+++ b/crates/ledger/tests/log.rs
@@ -88,7 +88,7 @@
             batch
                 .damage
                 .into_iter()
-                .map(|it| (it.segment, it.from, it.to)),
+                .map(|damage| (damage.segment, damage.from, damage.to)),
         );
     }
     (records, damage)
@@ -115,8 +115,8 @@
         let (records, damage) = read_all(folder.path(), Position::default(), 100);
         let old: Vec<u64> = records
             .iter()
-            .filter(|it| it.0 == segment.incarnation && kept > 0)
-            .map(|it| it.1)
+            .filter(|record| record.0 == segment.incarnation && kept > 0)
+            .map(|record| record.1)
             .collect();
         if length >= start {
             assert_eq!(old, (1..=kept).collect::<Vec<_>>(), "cut at {length}");
@@ -127,14 +127,14 @@
                 .iter()
                 .rev()
                 .take(2)
-                .map(|it| it.1)
+                .map(|record| record.1)
                 .collect::<Vec<_>>(),
             [2, 1]
         );
         for later in log::list_segments(folder.path())
             .unwrap()
             .iter()
-            .filter(|it| it.path != segment.path)
+            .filter(|other| other.path != segment.path)
         {
             fs::remove_file(&later.path).unwrap();
         }
@@ -170,8 +170,8 @@
             let (records, damage) = read_all(folder.path(), Position::default(), 3);
             let old: Vec<u64> = records
                 .iter()
-                .filter(|it| it.0 == segment.incarnation)
-                .map(|it| it.1)
+                .filter(|record| record.0 == segment.incarnation)
+                .map(|record| record.1)
                 .collect();
             assert_eq!(
                 old,
@@ -209,7 +209,7 @@
     write_log(folder.path(), 1024, 100);
     assert!(
         log::list_segments(folder.path()).unwrap().len() > 4,
-        "it rotates"
+        "the log rotates segments"
     );
     let (all, damage) = read_all(folder.path(), Position::default(), 7);
     assert_eq!((all.len(), damage.len()), (300, 0));
@@ -281,7 +281,7 @@
     );
     let (records, damage) = read_all(folder.path(), Position::default(), 100);
     assert_eq!(
-        records.iter().map(|it| it.1).collect::<Vec<_>>(),
+        records.iter().map(|record| record.1).collect::<Vec<_>>(),
         [1, 2, 3, 10, 11, 12]
     );
     assert!(
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -162,28 +162,28 @@
 #[test]
 fn duplicate_records_in_any_order_and_after_a_crash_change_nothing() {
     let mut store = TestStore::new();
-    let one = batch(
+    let first = batch(
         1,
         vec![
             What::Record(answered(1, FIRST, 2)),
             rejected(2, FIRST + 5, 4),
         ],
     );
-    let two = batch(
+    let second = batch(
         1,
         vec![
             retry(answered(3, FIRST + 60, 4)),
             watermark(3, FIRST + 5000, false),
         ],
     );
-    assert_eq!(store.ingest("n0", &one).new, 2);
+    assert_eq!(store.ingest("n0", &first).new, 2);
     // A crash between ingestion and acknowledgement: the batch is sent again.
     store.crash();
     assert_eq!(
         (
-            store.ingest("n0", &one).duplicates,
-            store.ingest("n0", &two).new,
-            store.ingest("n0", &one).duplicates
+            store.ingest("n0", &first).duplicates,
+            store.ingest("n0", &second).new,
+            store.ingest("n0", &first).duplicates
         ),
         (2, 1, 2)
     );
