--- a/crates/ledger/tests/log.rs
+++ b/crates/ledger/tests/log.rs
@@ -49,7 +49,12 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .build()
             .unwrap();
-        runtime.block_on(async { written.wait_for(|upto| *upto >= sequence).await.unwrap() });
+        runtime.block_on(async {
+            written
+                .wait_for(|written| *written >= sequence)
+                .await
+                .unwrap()
+        });
     }
 }
 
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -32,7 +32,7 @@
     }
 }
 
-struct TestStore {
+struct Fixture {
     _folder: tempfile::TempDir,
     path: PathBuf,
     store: Store,
@@ -40,8 +40,8 @@
     allowances: BTreeMap<String, u64>,
 }
 
-impl TestStore {
-    fn new() -> TestStore {
+impl Fixture {
+    fn new() -> Fixture {
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("ledger.sqlite");
         let store = Store::open(&path).unwrap();
@@ -52,7 +52,7 @@
                 partial: 7,
             },
         )]);
-        TestStore {
+        Fixture {
             _folder: folder,
             path,
             store,
@@ -74,7 +74,7 @@
 
     fn close(&mut self, n: i64, missing: &[&str]) -> Statement {
         let missing: Vec<String> = missing.iter().map(|name| name.to_string()).collect();
-        let terms = CloseParameters {
+        let parameters = CloseParameters {
             bounds: BOUNDS,
             prices: &self.prices,
             allowances: &self.allowances,
@@ -82,7 +82,7 @@
             missing: &missing,
             now: FIRST + 100 * PERIOD,
         };
-        self.store.close(period(n), &terms).unwrap()
+        self.store.close(period(n), &parameters).unwrap()
     }
 
     fn assert_consistent(&self) {
@@ -161,7 +161,7 @@
 
 #[test]
 fn duplicate_records_in_any_order_and_after_a_crash_change_nothing() {
-    let mut store = TestStore::new();
+    let mut fixture = Fixture::new();
     let first = batch(
         1,
         vec![
@@ -176,25 +176,25 @@
             watermark(3, FIRST + 5000, false),
         ],
     );
-    assert_eq!(store.ingest("n0", &first).new, 2);
+    assert_eq!(fixture.ingest("n0", &first).new, 2);
     // A crash between ingestion and acknowledgement: the batch is sent again.
-    store.crash();
+    fixture.crash();
     assert_eq!(
         (
-            store.ingest("n0", &first).duplicates,
-            store.ingest("n0", &second).new,
-            store.ingest("n0", &first).duplicates
+            fixture.ingest("n0", &first).duplicates,
+            fixture.ingest("n0", &second).new,
+            fixture.ingest("n0", &first).duplicates
         ),
         (2, 1, 2)
     );
     assert_eq!(
-        store.store.position("n0").unwrap(),
+        fixture.store.position("n0").unwrap(),
         Position {
             incarnation: 1,
             sequence: 3
         }
     );
-    let statement = store.close(0, &[]);
+    let statement = fixture.close(0, &[]);
     assert_eq!(
         (
             uses(&statement, false),
@@ -203,7 +203,7 @@
         ),
         (2, 20, 3)
     );
-    assert_eq!(store.store.member_statuses().unwrap()[0].lost_records, 0);
+    assert_eq!(fixture.store.member_statuses().unwrap()[0].lost_records, 0);
     assert!(
         (
             statement.tenants[0].above_allowance,
@@ -211,12 +211,12 @@
         ) == (1, 2),
         "one use above the allowance of one"
     );
-    store.assert_consistent();
+    fixture.assert_consistent();
 }
 
 #[test]
 fn late_records_adjust_the_next_statement_and_keep_the_closed_one() {
-    let mut store = TestStore::new();
+    let mut fixture = Fixture::new();
     // A retry at the start of one period whose first attempt, at the end of the period before, is not yet collected.
     let orphan = batch(
         1,
@@ -225,8 +225,8 @@
             watermark(1, FIRST + 9000, false),
         ],
     );
-    store.ingest("n0", &orphan);
-    let empty = store.close(0, &["n1"]);
+    fixture.ingest("n0", &orphan);
+    let empty = fixture.close(0, &["n1"]);
     assert_eq!(
         (
             uses(&empty, false),
@@ -235,11 +235,11 @@
         ),
         (0, true, None)
     );
-    let first = store.close(1, &["n1"]);
+    let first = fixture.close(1, &["n1"]);
     assert_eq!((uses(&first, false), first.total), (1, 10));
-    let before = store.store.statements().unwrap();
+    let before = fixture.store.statements().unwrap();
     // The missing member delivers the first attempt: one use, in the period of the first attempt.
-    let late = store.ingest(
+    let late = fixture.ingest(
         "n1",
         &batch(
             7,
@@ -250,7 +250,7 @@
         ),
     );
     assert_eq!(late.late, 1);
-    let next = store.close(2, &[]);
+    let next = fixture.close(2, &[]);
     let lines: Vec<(String, i64, i64)> = next
         .lines
         .iter()
@@ -261,41 +261,41 @@
         [(period(0).name(), 1, 10), (period(1).name(), -1, -10)]
     );
     assert_eq!(
-        store.store.statements().unwrap()[..2],
+        fixture.store.statements().unwrap()[..2],
         before[..],
         "byte for byte"
     );
-    store.assert_consistent();
+    fixture.assert_consistent();
 }
 
 #[test]
 fn a_late_record_from_before_the_first_period_is_not_lost() {
-    let mut store = TestStore::new();
-    store.ingest(
+    let mut fixture = Fixture::new();
+    fixture.ingest(
         "n0",
         &batch(1, vec![What::Record(answered(1, FIRST + 10, 2))]),
     );
-    store.close(0, &[]);
-    store.ingest(
+    fixture.close(0, &[]);
+    fixture.ingest(
         "n0",
         &batch(
             1,
             vec![What::Record(answered(2, FIRST - 5 * PERIOD + 10, 4))],
         ),
     );
-    let next = store.close(1, &[]);
+    let next = fixture.close(1, &[]);
     assert_eq!(
         (uses(&next, true), next.lines[0].period.clone()),
         (1, period(-5).name())
     );
-    store.assert_consistent();
+    fixture.assert_consistent();
 }
 
 #[test]
 fn clock_skew_and_a_clock_set_back_count_each_use_once() {
-    let mut store = TestStore::new();
+    let mut fixture = Fixture::new();
     // The clock of n1 is behind: its retry seems to precede the first attempt, across the end of the period.
-    store.ingest(
+    fixture.ingest(
         "n0",
         &batch(
             1,
@@ -305,7 +305,7 @@
             ],
         ),
     );
-    store.ingest(
+    fixture.ingest(
         "n1",
         &batch(
             1,
@@ -315,8 +315,8 @@
             ],
         ),
     );
-    assert_eq!(uses(&store.close(0, &[]), false), 0);
-    let first = store.close(1, &[]);
+    assert_eq!(uses(&fixture.close(0, &[]), false), 0);
+    let first = fixture.close(1, &[]);
     assert_eq!(
         (
             uses(&first, false),
@@ -326,7 +326,7 @@
         (1, 1, 2)
     );
     // A restart sets a clock back: its records are late, and counted nevertheless.
-    store.ingest(
+    fixture.ingest(
         "n0",
         &batch(
             2,
@@ -337,27 +337,27 @@
         ),
     );
     assert_eq!(
-        store.store.member_statuses().unwrap()[0].watermark_ms,
+        fixture.store.member_statuses().unwrap()[0].watermark_ms,
         FIRST + 900,
         "the watermark of the latest run applies"
     );
-    let second = store.close(2, &[]);
+    let second = fixture.close(2, &[]);
     assert_eq!(
         (uses(&second, true), second.lines[0].period.clone()),
         (1, period(0).name())
     );
-    store.assert_consistent();
+    fixture.assert_consistent();
 }
 
 #[test]
 fn an_answer_right_before_a_mixer_crash_accepts_a_retry() {
-    let mut store = TestStore::new();
+    let mut fixture = Fixture::new();
     let last = vec![
         watermark(0, FIRST, false),
         What::Record(answered(1, FIRST + 10, 4)),
     ];
-    store.ingest("n0", &batch(1, last));
-    store.ingest(
+    fixture.ingest("n0", &batch(1, last));
+    fixture.ingest(
         "n1",
         &batch(
             1,
@@ -368,24 +368,24 @@
         ),
     );
     // The mixer may still be running: its answer and the retry are two uses.
-    let first = store.close(0, &["n0"]);
+    let first = fixture.close(0, &["n0"]);
     assert_eq!(
         (uses(&first, false), first.lines[0].counts.ambiguous),
         (2, 1)
     );
     // A new run without a final watermark of the old one: the retry joins the answered attempt.
-    store.ingest("n0", &batch(2, vec![watermark(0, FIRST + 5000, false)]));
-    let next = store.close(1, &[]);
+    fixture.ingest("n0", &batch(2, vec![watermark(0, FIRST + 5000, false)]));
+    let next = fixture.close(1, &[]);
     assert_eq!(
         (uses(&next, true), next.total, next.members[0].crashed_runs),
         (-1, -10, 1)
     );
-    store.assert_consistent();
+    fixture.assert_consistent();
 }
 
 #[test]
 fn statements_report_gaps_crashes_and_damage_and_keep_uses_of_a_removed_tenant() {
-    let mut store = TestStore::new();
+    let mut fixture = Fixture::new();
     let mut records = batch(
         1,
         vec![
@@ -398,8 +398,8 @@
         from: 3,
         to: 9,
     });
-    store.ingest("n0", &records);
-    store.ingest("n0", &batch(1, vec![watermark(7, FIRST + 10, false)]));
+    fixture.ingest("n0", &records);
+    fixture.ingest("n0", &batch(1, vec![watermark(7, FIRST + 10, false)]));
     // The settings of the next run have one tenant less.
     let next = Batch {
         header: header(2, &["u"]),
@@ -408,8 +408,8 @@
         }],
         damage: Vec::new(),
     };
-    store.ingest("n0", &next);
-    let statement = store.close(0, &["n1"]);
+    fixture.ingest("n0", &next);
+    let statement = fixture.close(0, &["n1"]);
     let member = &statement.members[0];
     assert_eq!(
         (
@@ -429,8 +429,8 @@
 
 #[test]
 fn a_correction_is_part_of_an_open_statement_or_a_document_that_names_a_closed_one() {
-    let mut store = TestStore::new();
-    store.ingest("n0", &batch(1, vec![What::Record(answered(1, FIRST, 2))]));
+    let mut fixture = Fixture::new();
+    fixture.ingest("n0", &batch(1, vec![What::Record(answered(1, FIRST, 2))]));
     let correction = |id: &str, amount| CorrectionLine {
         id: id.into(),
         tenant: "t".into(),
@@ -438,19 +438,19 @@
         reason: "r".into(),
         author: "a".into(),
     };
-    assert!(store
+    assert!(fixture
         .store
         .correct(&correction("early", -3), period(0), FIRST)
         .unwrap()
         .is_none());
-    let statement = store.close(0, &[]);
+    let statement = fixture.close(0, &[]);
     assert_eq!((statement.total, statement.corrections.len()), (7, 1));
-    let credit = store
+    let credit = fixture
         .store
         .correct(&correction("late", -4), period(0), FIRST)
         .unwrap()
         .unwrap();
-    let (_, hash, _) = store.store.statements().unwrap().remove(0);
+    let (_, hash, _) = fixture.store.statements().unwrap().remove(0);
     assert_eq!(
         (
             credit.kind.as_str(),
@@ -464,7 +464,7 @@
         Document::from_statement(&statement)[0].id
     );
     assert_eq!(
-        store
+        fixture
             .store
             .correct(&correction("more", 4), period(0), FIRST)
             .unwrap()
@@ -473,24 +473,24 @@
         "debit"
     );
     assert!(
-        store
+        fixture
             .store
             .correct(&correction("late", -4), period(0), FIRST)
             .is_err(),
         "correction ids are unique"
     );
-    assert_eq!(store.store.outbox(false, false).unwrap().len(), 3);
-    store.assert_consistent();
+    assert_eq!(fixture.store.outbox(false, false).unwrap().len(), 3);
+    fixture.assert_consistent();
 }
 
 /// Crashes between closing and export, and between an export and its record in the outbox: the same document is sent
 /// again.
 #[test]
 fn a_document_survives_crashes_under_one_id_with_the_same_bytes() {
-    let mut store = TestStore::new();
-    store.ingest("n0", &batch(1, vec![What::Record(answered(1, FIRST, 2))]));
-    store.close(0, &[]);
-    store.crash();
+    let mut fixture = Fixture::new();
+    fixture.ingest("n0", &batch(1, vec![What::Record(answered(1, FIRST, 2))]));
+    fixture.close(0, &[]);
+    fixture.crash();
     let folder = tempfile::tempdir().unwrap();
     let target = ExportSettings {
         folder: Some(folder.path().into()),
@@ -498,17 +498,17 @@
         timeout: Duration::from_secs(1),
         retry_delay: Duration::from_millis(1),
     };
-    let unsent = store.store.outbox(true, false).unwrap();
+    let unsent = fixture.store.outbox(true, false).unwrap();
     assert_eq!(export::send(&target, &unsent[0]), (true, false, None));
     let bytes =
         |folder: &Path| std::fs::read(folder.join(format!("{}.json", unsent[0].id))).unwrap();
     let first = bytes(folder.path());
     // The document was sent, and the process crashed before the delivery was recorded.
-    store.crash();
-    let again = store.store.outbox(true, false).unwrap();
+    fixture.crash();
+    let again = fixture.store.outbox(true, false).unwrap();
     assert_eq!(again, unsent);
     assert_eq!(export::send(&target, &again[0]), (true, false, None));
-    store
+    fixture
         .store
         .record_delivery(&again[0].id, true, false, None, FIRST)
         .unwrap();
@@ -519,7 +519,7 @@
         ),
         (first, 1)
     );
-    assert!(store.store.outbox(true, false).unwrap().is_empty());
+    assert!(fixture.store.outbox(true, false).unwrap().is_empty());
     let base = Duration::from_millis(10);
     assert_eq!(
         [1, 2, 7, 99].map(|n| export::retry_delay(base, n).as_millis()),
@@ -549,27 +549,27 @@
         ),
     ];
     for (sql, found) in tampering {
-        let mut store = TestStore::new();
-        store.ingest("n0", &batch(1, vec![What::Record(answered(1, FIRST, 2))]));
-        store.close(0, &[]);
-        store.close(1, &[]);
-        store.assert_consistent();
-        rusqlite::Connection::open(&store.path)
+        let mut fixture = Fixture::new();
+        fixture.ingest("n0", &batch(1, vec![What::Record(answered(1, FIRST, 2))]));
+        fixture.close(0, &[]);
+        fixture.close(1, &[]);
+        fixture.assert_consistent();
+        rusqlite::Connection::open(&fixture.path)
             .unwrap()
             .execute(sql, [])
             .unwrap();
-        let (_, problems) = store.store.verify(BOUNDS).unwrap();
+        let (_, problems) = fixture.store.verify(BOUNDS).unwrap();
         assert!(
             problems.iter().any(|line| line.contains(found)),
             "{sql}: {problems:?}"
         );
     }
-    let store = TestStore::new();
-    rusqlite::Connection::open(&store.path)
+    let fixture = Fixture::new();
+    rusqlite::Connection::open(&fixture.path)
         .unwrap()
         .pragma_update(None, "user_version", 99)
         .unwrap();
-    assert!(Store::open(&store.path)
+    assert!(Store::open(&fixture.path)
         .err()
         .unwrap()
         .to_string()
@@ -587,7 +587,7 @@
         records in prop::collection::vec((0i64..3 * PERIOD, 0u64..4, any::<bool>(), 0i32..5, 0u8..8, 0u8..4), 1..60),
         ends in any::<u64>(), marks in any::<u64>(),
     ) {
-        let mut store = TestStore::new();
+        let mut fixture = Fixture::new();
         let (mut sent, mut run) = ([0u64; 2], [1u64; 2]);
         let mut delivery: Vec<(u8, usize, u64, Vec<What>)> = Vec::new();
         for (n, (at, key, repeat, outcome, choice, step)) in records.iter().enumerate() {
@@ -614,24 +614,24 @@
         for n in 0..4u8 {
             for (i, (step, member, run, what)) in delivery.iter().enumerate() {
                 if *step == n || (*step < n && i % 3 == 0) {
-                    store.ingest(["n0", "n1"][*member], &batch(*run, what.clone()));
+                    fixture.ingest(["n0", "n1"][*member], &batch(*run, what.clone()));
                 }
             }
-            store.crash();
-            store.close(i64::from(n), &[]);
+            fixture.crash();
+            fixture.close(i64::from(n), &[]);
         }
         // One more period, for records that are late for the last one.
-        store.close(4, &[]);
-        store.assert_consistent();
+        fixture.close(4, &[]);
+        fixture.assert_consistent();
         let mut billed = Counts::default();
-        for (statement, ..) in store.store.statements().unwrap() {
+        for (statement, ..) in fixture.store.statements().unwrap() {
             for line in &statement.lines {
                 billed += line.counts;
             }
         }
         let mut all = Counts::default();
         let mut joiner = cottonhill_ledger::join::Joiner::new(BOUNDS.skew_ms, BOUNDS.horizon_ms);
-        for attempt in store.store.client_attempts(i64::MIN, i64::MAX).unwrap() {
+        for attempt in fixture.store.client_attempts(i64::MIN, i64::MAX).unwrap() {
             joiner.push(attempt, &mut |joined| all.add(&joined));
         }
         joiner.finish(&mut |joined| all.add(&joined));
