--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -1,7 +1,7 @@
 //! The ledger's sections of the settings file, and the settings read from them.
 
 use crate::period::{Calendar, PeriodLength};
-use cottonhill_ini::{Key, Kind, Problems, Schema, Section, Settings};
+use cottonhill_ini::{Key, Kind, Schema, Section, Settings, SettingsErrors};
 use jiff::tz::TimeZone;
 use jiff::Timestamp;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
         name,
         kind,
         default,
-        live: false,
+        reloadable: false,
         doc,
     }
 }
@@ -36,7 +36,7 @@
         name,
         kind,
         default,
-        live: true,
+        reloadable: true,
         doc,
     }
 }
@@ -69,19 +69,19 @@
         ),
         restart_key(
             "queue",
-            Kind::Count(16, 1_000_000),
+            Kind::Integer(16, 1_000_000),
             Some("8192"),
             "Capacity of the queue between mixer and log writer, in records.",
         ),
         restart_key(
             "stall",
-            Kind::Time,
+            Kind::Duration,
             Some("5ms"),
             "How long an answer waits until its record is written; after that it is sent without.",
         ),
         restart_key(
             "mark",
-            Kind::Time,
+            Kind::Duration,
             Some("500ms"),
             "Interval of the watermarks that state up to when the log is complete.",
         ),
@@ -107,13 +107,13 @@
         ),
         live_key(
             "again",
-            Kind::Time,
+            Kind::Duration,
             Some("200ms"),
             "Delay before collection from a failed member is retried; it doubles up to 32 times this value.",
         ),
         live_key(
             "silent",
-            Kind::Time,
+            Kind::Duration,
             Some("5s"),
             "Collection from a member is restarted if it sends nothing for this time.",
         ),
@@ -125,16 +125,16 @@
     name: "periods",
     named: false,
     keys: &[
-        restart_key("every", Kind::TimeOr(&["daily", "monthly"]), Some("monthly"), "Length of a billing period."),
+        restart_key("every", Kind::DurationOr(&["daily", "monthly"]), Some("monthly"), "Length of a billing period."),
         restart_key("zone", Kind::Text, Some("UTC"), "Time zone of daily and monthly periods, by its IANA name."),
         live_key(
             "horizon",
-            Kind::Time,
+            Kind::Duration,
             Some("30s"),
             "The longest time after a first attempt that a retry may arrive: at least the longest give-up time of a class.",
         ),
-        live_key("skew", Kind::Time, Some("2s"), "The largest difference between the clocks of two mixers."),
-        live_key("grace", Kind::Time, Some("1h"), "How long closing a period waits for members whose records are incomplete."),
+        live_key("skew", Kind::Duration, Some("2s"), "The largest difference between the clocks of two mixers."),
+        live_key("grace", Kind::Duration, Some("1h"), "How long closing a period waits for members whose records are incomplete."),
     ],
 };
 
@@ -171,13 +171,13 @@
     keys: &[
         live_key(
             "whole",
-            Kind::Count(0, MAX_AMOUNT),
+            Kind::Integer(0, MAX_AMOUNT),
             None,
             "Price of a complete answer of this class, in micro-units.",
         ),
         live_key(
             "partial",
-            Kind::Count(0, MAX_AMOUNT),
+            Kind::Integer(0, MAX_AMOUNT),
             None,
             "Price of a partial answer, multiplied by its coverage; that of a complete answer if unset.",
         ),
@@ -190,7 +190,7 @@
     named: true,
     keys: &[live_key(
         "allowance",
-        Kind::Count(0, MAX_AMOUNT),
+        Kind::Integer(0, MAX_AMOUNT),
         None,
         "Answered uses in a period above which further ones are listed separately.",
     )],
@@ -215,13 +215,13 @@
         ),
         live_key(
             "timeout",
-            Kind::Time,
+            Kind::Duration,
             Some("5s"),
             "Timeout of posting one document.",
         ),
         live_key(
             "again",
-            Kind::Time,
+            Kind::Duration,
             Some("500ms"),
             "Delay before a failed document is sent again; it doubles up to 64 times this value.",
         ),
@@ -250,10 +250,10 @@
     pub fn read(
         settings: &Settings,
         schema: &Schema,
-    ) -> Result<Option<UsageLogSettings>, Problems> {
-        let values = settings.of(schema, USAGE.name, "");
+    ) -> Result<Option<UsageLogSettings>, SettingsErrors> {
+        let values = settings.section(schema, USAGE.name, "");
         let listen = values.address("listen");
-        let problem = |key: &str, why: &str| settings.problem(USAGE.name, "", key, why);
+        let problem = |key: &str, why: &str| settings.value_error(USAGE.name, "", key, why);
         let Some(directory) = values.text("directory").map(PathBuf::from) else {
             return match listen {
                 Some(_) => Err(problem(
@@ -276,7 +276,9 @@
                 "must be at least twice 'segment', or no segment can ever be closed",
             ));
         }
-        let watermark_interval = values.time("mark").unwrap_or(Duration::from_millis(500));
+        let watermark_interval = values
+            .duration("mark")
+            .unwrap_or(Duration::from_millis(500));
         if watermark_interval < Duration::from_millis(10) {
             return Err(problem("mark", "must be at least 10ms"));
         }
@@ -284,8 +286,8 @@
             directory,
             segment_bytes,
             max_bytes,
-            queue_capacity: values.count("queue").unwrap_or(8192) as usize,
-            max_write_delay: values.time("stall").unwrap_or(Duration::from_millis(5)),
+            queue_capacity: values.integer("queue").unwrap_or(8192) as usize,
+            max_write_delay: values.duration("stall").unwrap_or(Duration::from_millis(5)),
             watermark_interval,
             listen,
         }))
@@ -342,36 +344,36 @@
     ///
     /// # Errors
     /// Values that contradict each other, or that the schema cannot check.
-    pub fn read(settings: &Settings, schema: &Schema) -> Result<LedgerSettings, Problems> {
-        let periods = settings.of(schema, PERIODS.name, "");
+    pub fn read(settings: &Settings, schema: &Schema) -> Result<LedgerSettings, SettingsErrors> {
+        let periods = settings.section(schema, PERIODS.name, "");
         let zone = periods.text("zone").unwrap_or("UTC");
         let zone = TimeZone::get(zone).map_err(|_| {
-            settings.problem(
+            settings.value_error(
                 PERIODS.name,
                 "",
                 "zone",
                 &format!("unknown time zone '{zone}'; use an IANA name such as Asia/Colombo"),
             )
         })?;
-        let ms = |key: &str| periods.time(key).unwrap_or_default().as_millis() as i64;
+        let ms = |key: &str| periods.duration(key).unwrap_or_default().as_millis() as i64;
         let period_length = match periods.text("every").unwrap_or("monthly") {
             "daily" => PeriodLength::Day(zone),
             "monthly" => PeriodLength::Month(zone),
             _ => PeriodLength::FixedMs(ms("every")),
         };
         if matches!(period_length, PeriodLength::FixedMs(length) if length < 1000) {
-            return Err(settings.problem(PERIODS.name, "", "every", "must be at least 1s"));
+            return Err(settings.value_error(PERIODS.name, "", "every", "must be at least 1s"));
         }
         let mut members = BTreeMap::new();
-        for name in settings.names(MEMBER.name) {
-            let values = settings.of(schema, MEMBER.name, name);
+        for name in settings.section_names(MEMBER.name) {
+            let values = settings.section(schema, MEMBER.name, name);
             let timestamp = |key: &'static str, default: i64| match values.text(key) {
                 None => Ok(default),
                 Some(text) => text
                     .parse::<Timestamp>()
                     .map(Timestamp::as_millisecond)
                     .map_err(|_| {
-                        settings.problem(
+                        settings.value_error(
                             MEMBER.name,
                             name,
                             key,
@@ -380,11 +382,16 @@
                     }),
             };
             let Some(address) = values.address("address") else {
-                return Err(settings.problem(MEMBER.name, name, "address", "is missing"));
+                return Err(settings.value_error(MEMBER.name, name, "address", "is missing"));
             };
             let (from_ms, until_ms) = (timestamp("from", i64::MIN)?, timestamp("until", i64::MAX)?);
             if from_ms >= until_ms {
-                return Err(settings.problem(MEMBER.name, name, "until", "must be after 'from'"));
+                return Err(settings.value_error(
+                    MEMBER.name,
+                    name,
+                    "until",
+                    "must be after 'from'",
+                ));
             }
             members.insert(
                 name.to_string(),
@@ -396,37 +403,43 @@
             );
         }
         let mut prices = BTreeMap::new();
-        for name in settings.names(PRICE.name) {
-            let values = settings.of(schema, PRICE.name, name);
-            let Some(complete) = values.count("whole") else {
-                return Err(settings.problem(PRICE.name, name, "whole", "is missing"));
+        for name in settings.section_names(PRICE.name) {
+            let values = settings.section(schema, PRICE.name, name);
+            let Some(complete) = values.integer("whole") else {
+                return Err(settings.value_error(PRICE.name, name, "whole", "is missing"));
             };
             prices.insert(
                 name.to_string(),
                 ClassPrice {
                     complete,
-                    partial: values.count("partial").unwrap_or(complete),
+                    partial: values.integer("partial").unwrap_or(complete),
                 },
             );
         }
         let allowance = |name: &&str| {
             Some((
                 name.to_string(),
-                settings.of(schema, TENANT.name, name).count("allowance")?,
+                settings
+                    .section(schema, TENANT.name, name)
+                    .integer("allowance")?,
             ))
         };
         let allowances = settings
-            .names(TENANT.name)
+            .section_names(TENANT.name)
             .iter()
             .filter_map(allowance)
             .collect();
-        let export = settings.of(schema, EXPORT.name, "");
+        let export = settings.section(schema, EXPORT.name, "");
         let url = export.text("url").map(str::to_string);
         if url.as_ref().is_some_and(|url| !url.starts_with("http://")) {
-            return Err(settings.problem(EXPORT.name, "", "url", "must start with http://"));
+            return Err(settings.value_error(EXPORT.name, "", "url", "must start with http://"));
         }
-        let settlement = settings.of(schema, SETTLEMENT.name, "");
-        let duration = |key: &str| settlement.time(key).unwrap_or(Duration::from_millis(200));
+        let settlement = settings.section(schema, SETTLEMENT.name, "");
+        let duration = |key: &str| {
+            settlement
+                .duration(key)
+                .unwrap_or(Duration::from_millis(200))
+        };
         Ok(LedgerSettings {
             store: settlement.text("store").map(PathBuf::from),
             retry_delay: duration("again"),
@@ -441,8 +454,10 @@
             export: ExportSettings {
                 folder: export.text("folder").map(PathBuf::from),
                 url,
-                timeout: export.time("timeout").unwrap_or(Duration::from_secs(5)),
-                retry_delay: export.time("again").unwrap_or(Duration::from_millis(500)),
+                timeout: export.duration("timeout").unwrap_or(Duration::from_secs(5)),
+                retry_delay: export
+                    .duration("again")
+                    .unwrap_or(Duration::from_millis(500)),
             },
         })
     }
