--- a/crates/cottonhill/src/mixer/mod.rs
+++ b/crates/cottonhill/src/mixer/mod.rs
@@ -100,7 +100,7 @@
         reducer.limit_memory(memory_limit);
     }
     if let Some(usage_log) = usage_log {
-        reducer.record_usage(usage_log.mark.as_nanos() as u64);
+        reducer.enable_usage_recording(usage_log.mark.as_nanos() as u64);
     }
     reducer
 }
--- a/crates/mixer/src/reducer/discovery.rs
+++ b/crates/mixer/src/reducer/discovery.rs
@@ -94,7 +94,7 @@
             kind: EndpointUpdateKind::Delta,
             endpoints: changes.endpoints,
         });
-        // Attempts that wait for a draining or removed replica, or for the former address of a replica, are never sent.
+        // Unsent attempts at a draining or removed replica, or at the former address of a replica, are withdrawn.
         for replica in changes.not_ready {
             tracing::debug!(target: log_targets::CONNECTIONS, replica = replica.0, version, "replica announced as draining or removed");
             for connection in self.replicas.connections(replica).to_vec() {
--- a/crates/mixer/src/reducer/leaf_connection/frame_queue.rs
+++ b/crates/mixer/src/reducer/leaf_connection/frame_queue.rs
@@ -8,7 +8,7 @@
 /// only a frame that is still queued can be dropped.
 #[derive(Debug)]
 pub(super) struct FrameQueue {
-    waiting: VecDeque<QueuedFrame>,
+    queued: VecDeque<QueuedFrame>,
     /// The frame that is being written to the socket.
     writing: Option<QueuedFrame>,
     /// When the last frame was passed to the socket.
@@ -19,7 +19,7 @@
     /// Creates an empty queue.
     pub(super) fn new(now: Nanos) -> FrameQueue {
         FrameQueue {
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             writing: None,
             write_started_at: now,
         }
@@ -27,12 +27,12 @@
 
     /// Whether no frame is queued or being written.
     pub(super) fn is_empty(&self) -> bool {
-        self.waiting.is_empty() && self.writing.is_none()
+        self.queued.is_empty() && self.writing.is_none()
     }
 
     /// Queues a frame.
     pub(super) fn push(&mut self, frame: QueuedFrame) {
-        self.waiting.push_back(frame);
+        self.queued.push_back(frame);
     }
 
     /// Queues an attempt: in the last frame of the queue, if `join_last_call` is set and that is a call with fewer than
@@ -43,7 +43,7 @@
         join_last_call: bool,
         max_parts_per_call: usize,
     ) {
-        match self.waiting.back_mut() {
+        match self.queued.back_mut() {
             Some(QueuedFrame::Call(call)) if join_last_call && call.len() < max_parts_per_call => {
                 call.push(entry);
             }
@@ -56,7 +56,7 @@
         if self.writing.is_some() {
             return None;
         }
-        self.writing = self.waiting.pop_front();
+        self.writing = self.queued.pop_front();
         self.write_started_at = now;
         self.writing.clone()
     }
@@ -68,7 +68,7 @@
 
     /// The probes that are queued or being written.
     pub(super) fn probes(&self) -> impl Iterator<Item = ProbeId> + '_ {
-        self.waiting
+        self.queued
             .iter()
             .chain(&self.writing)
             .filter_map(|frame| match frame {
@@ -78,30 +78,30 @@
     }
 
     /// Removes a queued probe.
-    pub(super) fn remove_waiting_probe(&mut self, probe: ProbeId) {
-        self.waiting
+    pub(super) fn remove_queued_probe(&mut self, probe: ProbeId) {
+        self.queued
             .retain(|frame| *frame != QueuedFrame::Probe(probe));
     }
 
     /// Removes an attempt from the queued calls; returns whether it was in one.
-    pub(super) fn remove_waiting_attempt(&mut self, attempt: AttemptId) -> bool {
-        let mut was_waiting = false;
-        for frame in &mut self.waiting {
+    pub(super) fn remove_queued_attempt(&mut self, attempt: AttemptId) -> bool {
+        let mut was_queued = false;
+        for frame in &mut self.queued {
             if let QueuedFrame::Call(call) = frame {
                 let before = call.len();
                 call.retain(|entry| entry.attempt != attempt);
-                was_waiting |= call.len() < before;
+                was_queued |= call.len() < before;
             }
         }
-        self.waiting
+        self.queued
             .retain(|frame| !matches!(frame, QueuedFrame::Call(call) if call.is_empty()));
-        was_waiting
+        was_queued
     }
 
     /// The queued attempts, in the order in which they would be written.
-    pub(super) fn waiting_attempts(&self) -> Vec<AttemptId> {
+    pub(super) fn queued_attempts(&self) -> Vec<AttemptId> {
         let mut attempts = Vec::new();
-        for frame in &self.waiting {
+        for frame in &self.queued {
             if let QueuedFrame::Call(call) = frame {
                 attempts.extend(call.iter().map(|entry| entry.attempt));
             }
--- a/crates/mixer/src/reducer/leaf_connection/mod.rs
+++ b/crates/mixer/src/reducer/leaf_connection/mod.rs
@@ -227,7 +227,7 @@
 
     /// Cancels a probe. If its answer is still received, it is not attributed to the next probe.
     pub fn cancel_probe(&mut self, probe: ProbeId) {
-        self.queue.remove_waiting_probe(probe);
+        self.queue.remove_queued_probe(probe);
         for written in &mut self.probes {
             if *written == Some(probe) {
                 *written = None;
@@ -247,10 +247,10 @@
         let Some(removed) = self.attempts.remove(attempt) else {
             return false;
         };
-        if self.queue.remove_waiting_attempt(attempt) {
+        if self.queue.remove_queued_attempt(attempt) {
             return false;
         }
-        self.attempts.remember_finished(removed.wire_id.clone());
+        self.attempts.retain_finished_id(removed.wire_id.clone());
         self.queue.push(QueuedFrame::Cancel(removed.wire_id));
         if let Some(write_started_at) = removed.write_started_at {
             let nothing_received = self.last_received_at <= write_started_at;
@@ -262,7 +262,7 @@
 
     /// The attempts that have not been passed to the socket, in queue order.
     pub fn unsent_attempts(&self) -> Vec<AttemptId> {
-        self.queue.waiting_attempts()
+        self.queue.queued_attempts()
     }
 
     /// Whether a call with this part is being written.
--- a/crates/mixer/src/reducer/leaf_connection/open_attempts.rs
+++ b/crates/mixer/src/reducer/leaf_connection/open_attempts.rs
@@ -89,7 +89,7 @@
             Some((wire_id, open)) if open.written => {
                 let (wire_id, attempt) = (wire_id.clone(), open.attempt);
                 self.attempts.remove(&wire_id);
-                self.remember_finished(wire_id);
+                self.retain_finished_id(wire_id);
                 AnswerTarget::InFlight(attempt)
             }
             _ if self.finished.iter().any(|finished| **finished == *wire_id) => {
@@ -100,7 +100,7 @@
     }
 
     /// Retains the id of a finished attempt, since a delayed answer may still name it.
-    pub(super) fn remember_finished(&mut self, wire_id: Rc<str>) {
+    pub(super) fn retain_finished_id(&mut self, wire_id: Rc<str>) {
         if self.finished.len() == MAX_FINISHED_IDS {
             self.finished.pop_front();
         }
--- a/crates/mixer/src/reducer/mod.rs
+++ b/crates/mixer/src/reducer/mod.rs
@@ -66,7 +66,7 @@
     coordinator: Coordinator,
     /// The events to pass to the coordinator with the next batch.
     events: Vec<Event>,
-    /// The effects of the input that is being applied.
+    /// The effects that the current or next call of [`Reducer::apply`] returns.
     effects: Vec<Effect>,
     counters: Counters,
     ids: IdSequence,
--- a/crates/mixer/src/reducer/query_completion.rs
+++ b/crates/mixer/src/reducer/query_completion.rs
@@ -52,8 +52,8 @@
     fn cancel_unsent_attempts(&mut self, now: Nanos, part: RequestId) {
         let mut unsent = Vec::new();
         for (id, attempt) in self.attempts.for_part(part) {
-            let waiting = self.connections.unsent_attempts(attempt.connection);
-            if waiting.contains(&id) {
+            let unsent_on_connection = self.connections.unsent_attempts(attempt.connection);
+            if unsent_on_connection.contains(&id) {
                 unsent.push(id);
             }
         }
--- a/crates/mixer/src/reducer/usage_recorder.rs
+++ b/crates/mixer/src/reducer/usage_recorder.rs
@@ -63,7 +63,7 @@
 
 impl Reducer {
     /// Enables usage recording, with a watermark every `watermark_interval` nanoseconds.
-    pub fn record_usage(&mut self, watermark_interval: Nanos) {
+    pub fn enable_usage_recording(&mut self, watermark_interval: Nanos) {
         self.usage = Some(UsageRecorder::new(watermark_interval));
         self.timers.set(0, Timer::WatermarkDue);
     }
--- a/crates/mixer/src/reducer/watch_policy.rs
+++ b/crates/mixer/src/reducer/watch_policy.rs
@@ -37,7 +37,7 @@
     /// Its duration, from the start of the connect.
     pub duration: Duration,
     /// An update or a heartbeat was received on it.
-    pub received: bool,
+    pub received_any: bool,
     /// It timed out: no connection was established, or no update or heartbeat was received, in time.
     pub timed_out: bool,
     /// The service's `Retry-After`.
@@ -141,7 +141,7 @@
             WatchMode::Poll { .. } => {
                 let limit = max_poll_delay(retry_interval, ended).min(retry_interval);
                 self.backoff
-                    .next_delay(ended.received, ended.retry_after, limit)
+                    .next_delay(ended.received_any, ended.retry_after, limit)
             }
         }
     }
@@ -149,7 +149,7 @@
 
 /// The longest delay after which the next request still meets the staleness bound.
 fn max_poll_delay(retry_interval: Duration, ended: WatchEnd) -> Duration {
-    match (ended.received, ended.timed_out) {
+    match (ended.received_any, ended.timed_out) {
         // The staleness is measured from the last message of the watch.
         (true, true) => STALENESS_BOUND - HEARTBEAT_TIMEOUT - RESERVED_REQUEST_TIME,
         (true, false) => retry_interval,
--- a/crates/mixer/src/transport/discovery_watch.rs
+++ b/crates/mixer/src/transport/discovery_watch.rs
@@ -88,7 +88,7 @@
         self.send_event(WatchEvent::Ended { timed_out }).await;
         let delay = self.policy.next_delay(WatchEnd {
             duration: started_at.elapsed(),
-            received: self.received_any,
+            received_any: self.received_any,
             timed_out,
             retry_after: retry_after(&error),
         });
--- a/crates/mixer/tests/usage_records.rs
+++ b/crates/mixer/tests/usage_records.rs
@@ -16,7 +16,7 @@
 
 fn recording_harness(replicas: u64) -> Harness {
     let mut harness = Harness::new(replicas);
-    harness.reducer.record_usage(WATERMARK_DELAY);
+    harness.reducer.enable_usage_recording(WATERMARK_DELAY);
     harness
 }
 
--- a/crates/mixer/tests/watch_policy.rs
+++ b/crates/mixer/tests/watch_policy.rs
@@ -8,14 +8,14 @@
 /// The connection is refused at once.
 const REFUSED: WatchEnd = WatchEnd {
     duration: Duration::ZERO,
-    received: false,
+    received_any: false,
     timed_out: false,
     retry_after: None,
 };
 /// A watch that has served for a minute is reset.
 const RESET: WatchEnd = WatchEnd {
     duration: Duration::from_secs(60),
-    received: true,
+    received_any: true,
     timed_out: false,
     retry_after: None,
 };
