--- a/crates/mixer/src/reducer/entry_resolver.rs
+++ b/crates/mixer/src/reducer/entry_resolver.rs
@@ -61,7 +61,7 @@
                 .retained_status(now, replica, started_at)
                 .unwrap_or(EndpointStatus::Ready),
             Status::Up | Status::Draining => EndpointStatus::Draining,
-            Status::Removed => EndpointStatus::Gone,
+            Status::Removed => EndpointStatus::Removed,
         };
         let address = entry
             .address
