--- a/crates/mixer/src/transport/discovery_watch.rs
+++ b/crates/mixer/src/transport/discovery_watch.rs
@@ -89,7 +89,7 @@
         self.send_event(WatchEvent::Ended { timed_out }).await;
         let delay = self.policy.next_delay(WatchEnd {
             duration: started_at.elapsed(),
-            received: self.message_received,
+            received_any: self.message_received,
             timed_out,
             retry_after: retry_after(&error),
         });
