--- a/crates/cottonhill/src/commands/check.rs
+++ b/crates/cottonhill/src/commands/check.rs
@@ -8,7 +8,7 @@
 use cottonhill_ini::{Origin, Settings};
 use cottonhill_ledger::settings::{Ledger, UsageLog};
 use cottonhill_mixer::config::Config;
-use cottonhill_opensearch::index::Front;
+use cottonhill_opensearch::index::FrontSettings;
 use std::path::Path;
 
 /// When a running program takes up a changed value.
@@ -53,7 +53,7 @@
 fn validate(settings: &Settings) -> Result<(), CommandError> {
     UsageLog::read(settings, &SCHEMA)?;
     Ledger::read(settings, &SCHEMA)?;
-    Front::read(settings, &SCHEMA)?;
+    FrontSettings::read(settings, &SCHEMA)?;
     Ok(())
 }
 
--- a/crates/cottonhill/src/mixer/fronts.rs
+++ b/crates/cottonhill/src/mixer/fronts.rs
@@ -7,8 +7,8 @@
 use cottonhill_ini::Settings;
 use cottonhill_mixer::transport::StartFront;
 use cottonhill_opensearch::front;
-use cottonhill_opensearch::index::Front;
-use cottonhill_opensearch::tls::{Files, Tls};
+use cottonhill_opensearch::index::FrontSettings;
+use cottonhill_opensearch::tls::{Tls, TlsFiles};
 use std::rc::Rc;
 
 /// The fronts that are on.
@@ -25,7 +25,7 @@
 /// # Errors
 /// Settings or a certificate that can't be used, or an address that can't be bound.
 pub async fn open(settings: &Settings) -> Result<Fronts, CommandError> {
-    let Some(opensearch) = Front::read(settings, &SCHEMA)? else {
+    let Some(opensearch) = FrontSettings::read(settings, &SCHEMA)? else {
         return Ok(Fronts::default());
     };
     let tls = opensearch.tls.clone().map(load_tls).transpose()?;
@@ -47,7 +47,7 @@
     })
 }
 
-fn load_tls(files: Files) -> Result<Rc<Tls>, ConfigurationError> {
+fn load_tls(files: TlsFiles) -> Result<Rc<Tls>, ConfigurationError> {
     Tls::load(files)
         .map(Rc::new)
         .map_err(|error| ConfigurationError::InvalidCertificate(error.to_string()))
--- a/crates/cottonhill/tests/commands.rs
+++ b/crates/cottonhill/tests/commands.rs
@@ -43,7 +43,7 @@
     (
         "[opensearch]\nlisten = 127.0.0.1:1\ntenant-by = network\n[index a]\nclass = c\nshards = 0\n\
          [network x]\ntenant = t\nprefixes = 10.0.0.0/8\n[network y]\ntenant = t\nprefixes = 10.1.0.0/16\n",
-        "12: [network y] prefixes: 10.1.0.0/16 lies in a network of 't' already",
+        "12: [network y] prefixes: 10.1.0.0/16 is inside a network of 't' already",
     ),
     ("level = info\n", "1: 'level' is not in any section"),
 ];
--- a/crates/opensearch/src/dsl/aggregation.rs
+++ b/crates/opensearch/src/dsl/aggregation.rs
@@ -1,4 +1,4 @@
-//! Aggregations over the documents that match.
+//! Aggregations over the matching documents.
 
 use super::object::object;
 use super::query::Field;
@@ -8,11 +8,12 @@
 #[serde(deny_unknown_fields)]
 pub struct TermsAggregation {
     pub field: String,
-    #[serde(default = "ten")]
+    /// The number of buckets to return.
+    #[serde(default = "default_terms_size")]
     pub size: u64,
 }
 
-fn ten() -> u64 {
+fn default_terms_size() -> u64 {
     10
 }
 
@@ -27,7 +28,7 @@
 #[serde(deny_unknown_fields)]
 pub struct DateHistogram {
     pub field: String,
-    /// As in `1d` or `30m`.
+    /// A duration, as in `1d` or `30m`.
     pub fixed_interval: String,
 }
 
--- a/crates/opensearch/src/dsl/check.rs
+++ b/crates/opensearch/src/dsl/check.rs
@@ -1,53 +1,53 @@
-//! The bounds of a search, and what contradicts itself in one.
+//! The limits of a search, and the rejection of contradictory ones.
 
 use super::aggregation::Aggregation;
 use super::query::Query;
 use super::search::Search;
-use super::{duration_ms, Problem};
+use super::{duration_ms, SearchError};
 use serde_json::Value;
 
-/// The deepest that clauses may stand in each other.
-pub const MOST_DEPTH: usize = 20;
-/// The most clauses of a search, and the most values of one.
-pub const MOST_CLAUSES: usize = 1024;
-/// The most that `from + size` may be.
-pub const MOST_WINDOW: u64 = 10_000;
+/// The deepest nesting of query clauses.
+pub const MAX_DEPTH: usize = 20;
+/// The most query clauses of a search, and the most values of one clause.
+pub const MAX_CLAUSES: usize = 1024;
+/// The largest sum of `from` and `size`.
+pub const MAX_RESULT_WINDOW: u64 = 10_000;
 /// The most aggregations of a search.
-pub const MOST_AGGREGATIONS: usize = 64;
-/// The most buckets asked of an aggregation.
-pub const MOST_BUCKETS: u64 = 10_000;
-/// The most keys to sort by.
-const MOST_SORT_KEYS: usize = 16;
+pub const MAX_AGGREGATIONS: usize = 64;
+/// The most buckets that an aggregation may request.
+pub const MAX_BUCKETS: u64 = 10_000;
+/// The most sort keys of a search.
+const MAX_SORT_KEYS: usize = 16;
 
 impl Search {
-    /// Whether it asks for no more than it may, and for nothing that contradicts itself.
+    /// Checks that the search keeps within all limits and does not contradict itself.
     ///
     /// # Errors
-    /// What it should not ask for.
-    pub fn check(&self) -> Result<(), Problem> {
+    /// The first value that exceeds a limit or contradicts another.
+    pub fn check(&self) -> Result<(), SearchError> {
         let window = self.from().saturating_add(self.size());
-        if window > MOST_WINDOW {
-            return Err(too_much(
+        if window > MAX_RESULT_WINDOW {
+            return Err(limit_exceeded(
                 "from",
-                format!("from + size is {window}, and {MOST_WINDOW} at most"),
+                format!("from + size is {window}, and {MAX_RESULT_WINDOW} at most"),
             ));
         }
         if let Some(after) = &self.search_after {
             self.check_search_after(after)?;
         }
-        if self.sort.len() > MOST_SORT_KEYS {
-            return Err(too_much(
+        if self.sort.len() > MAX_SORT_KEYS {
+            return Err(limit_exceeded(
                 "sort",
-                format!("has more than {MOST_SORT_KEYS} keys"),
+                format!("has more than {MAX_SORT_KEYS} keys"),
             ));
         }
         if let Some(text) = &self.timeout {
-            duration_ms(text).ok_or_else(|| problem("timeout", "is no time as in 500ms or 2s"))?;
+            duration_ms(text).ok_or_else(|| invalid("timeout", "is no time as in 500ms or 2s"))?;
         }
-        if self.aggs.len() > MOST_AGGREGATIONS {
-            return Err(too_much(
+        if self.aggs.len() > MAX_AGGREGATIONS {
+            return Err(limit_exceeded(
                 "aggs",
-                format!("are more than {MOST_AGGREGATIONS}"),
+                format!("are more than {MAX_AGGREGATIONS}"),
             ));
         }
         for (name, aggregation) in &self.aggs {
@@ -56,133 +56,134 @@
         let mut clauses = 0;
         self.query
             .as_ref()
-            .map_or(Ok(()), |query| count(query, 1, &mut clauses))
+            .map_or(Ok(()), |query| check_clauses(query, 1, &mut clauses))
     }
 
-    fn check_search_after(&self, after: &[Value]) -> Result<(), Problem> {
+    fn check_search_after(&self, after: &[Value]) -> Result<(), SearchError> {
         if self.sort.is_empty() {
-            return Err(problem("search_after", "needs a sort"));
+            return Err(invalid("search_after", "needs a sort"));
         }
         if after.len() != self.sort.len() {
-            return Err(problem(
+            return Err(invalid(
                 "search_after",
                 "has to have a value for each key of the sort",
             ));
         }
         if self.from() > 0 {
-            return Err(problem("from", "has to be 0 with search_after"));
+            return Err(invalid("from", "has to be 0 with search_after"));
         }
         if after
             .iter()
             .any(|value| value.is_object() || value.is_array())
         {
-            return Err(problem("search_after", "takes plain values only"));
+            return Err(invalid("search_after", "takes plain values only"));
         }
         Ok(())
     }
 }
 
-fn check_aggregation(path: &str, aggregation: &Aggregation) -> Result<(), Problem> {
+fn check_aggregation(path: &str, aggregation: &Aggregation) -> Result<(), SearchError> {
     match aggregation {
-        Aggregation::Terms(it) if it.size == 0 || it.size > MOST_BUCKETS => Err(too_much(
-            path,
-            format!("size has to be from 1 to {MOST_BUCKETS}"),
-        )),
-        Aggregation::Histogram(it) if !(it.interval > 0.0 && it.interval.is_finite()) => {
-            Err(problem(path, "interval has to be above 0"))
+        Aggregation::Terms(terms) if terms.size == 0 || terms.size > MAX_BUCKETS => Err(
+            limit_exceeded(path, format!("size has to be from 1 to {MAX_BUCKETS}")),
+        ),
+        Aggregation::Histogram(histogram)
+            if !(histogram.interval > 0.0 && histogram.interval.is_finite()) =>
+        {
+            Err(invalid(path, "interval has to be above 0"))
         }
-        Aggregation::DateHistogram(it)
-            if duration_ms(&it.fixed_interval).is_none_or(|ms| ms == 0) =>
+        Aggregation::DateHistogram(histogram)
+            if duration_ms(&histogram.fixed_interval).is_none_or(|ms| ms == 0) =>
         {
-            Err(problem(path, "fixed_interval is no time as in 1d or 30m"))
+            Err(invalid(path, "fixed_interval is no time as in 1d or 30m"))
         }
         _ => Ok(()),
     }
 }
 
-/// Checks the depth of a body before it is parsed, as the parser goes down as deep as the body is. Each clause may take
-/// two brackets, and a few stand around them.
-pub(super) fn check_depth(body: &[u8]) -> Result<(), Problem> {
-    if depth(body) > 2 * MOST_DEPTH + 8 {
-        return Err(too_much(
+/// Checks the nesting depth of a body before it is parsed, since the parser recurses as deep as the body is nested. A
+/// clause may need two brackets; the 8 more are for the brackets around the clauses.
+pub(super) fn check_depth(body: &[u8]) -> Result<(), SearchError> {
+    if bracket_depth(body) > 2 * MAX_DEPTH + 8 {
+        return Err(limit_exceeded(
             "query",
-            format!("clauses are more than {MOST_DEPTH} deep"),
+            format!("clauses are more than {MAX_DEPTH} deep"),
         ));
     }
     Ok(())
 }
 
-fn problem(path: &str, reason: &str) -> Problem {
-    Problem {
+fn invalid(path: &str, reason: &str) -> SearchError {
+    SearchError {
         path: path.into(),
         reason: reason.into(),
-        too_much: false,
+        exceeds_limit: false,
     }
 }
 
-fn too_much(path: &str, reason: String) -> Problem {
-    Problem {
+fn limit_exceeded(path: &str, reason: String) -> SearchError {
+    SearchError {
         path: path.into(),
         reason,
-        too_much: true,
+        exceeds_limit: true,
     }
 }
 
-/// How deep brackets stand in each other, outside of texts.
-fn depth(body: &[u8]) -> usize {
-    let (mut depth, mut most, mut text, mut escaped) = (0usize, 0, false, false);
+/// The nesting depth of the brackets outside of strings.
+fn bracket_depth(body: &[u8]) -> usize {
+    let (mut depth, mut max_depth, mut in_string, mut escaped) = (0usize, 0, false, false);
     for byte in body {
         match byte {
             _ if escaped => escaped = false,
-            b'\\' if text => escaped = true,
-            b'"' => text = !text,
-            b'{' | b'[' if !text => {
+            b'\\' if in_string => escaped = true,
+            b'"' => in_string = !in_string,
+            b'{' | b'[' if !in_string => {
                 depth += 1;
-                most = most.max(depth);
+                max_depth = max_depth.max(depth);
             }
-            b'}' | b']' if !text => depth = depth.saturating_sub(1),
+            b'}' | b']' if !in_string => depth = depth.saturating_sub(1),
             _ => {}
         }
     }
-    most
+    max_depth
 }
 
-/// Counts the clauses of a query into `clauses`, and checks their depth and their values.
-fn count(query: &Query, depth: usize, clauses: &mut usize) -> Result<(), Problem> {
+/// Adds the clauses of a query to `clauses`, and checks their count, depth and values.
+fn check_clauses(query: &Query, depth: usize, clauses: &mut usize) -> Result<(), SearchError> {
     *clauses += 1;
-    if depth > MOST_DEPTH {
-        return Err(too_much(
+    if depth > MAX_DEPTH {
+        return Err(limit_exceeded(
             "query",
-            format!("clauses are more than {MOST_DEPTH} deep"),
+            format!("clauses are more than {MAX_DEPTH} deep"),
         ));
     }
-    if *clauses > MOST_CLAUSES {
-        return Err(too_much(
+    if *clauses > MAX_CLAUSES {
+        return Err(limit_exceeded(
             "query",
-            format!("has more than {MOST_CLAUSES} clauses"),
+            format!("has more than {MAX_CLAUSES} clauses"),
         ));
     }
     let values = match query {
-        Query::Terms(it) => it.what.len(),
-        Query::Ids(it) => it.values.len(),
-        Query::MultiMatch(it) => it.fields.len(),
+        Query::Terms(terms) => terms.value.len(),
+        Query::Ids(ids) => ids.values.len(),
+        Query::MultiMatch(multi_match) => multi_match.fields.len(),
         _ => 0,
     };
-    if values > MOST_CLAUSES {
-        return Err(too_much(
+    if values > MAX_CLAUSES {
+        return Err(limit_exceeded(
             "query",
-            format!("a clause has more than {MOST_CLAUSES} values"),
+            format!("a clause has more than {MAX_CLAUSES} values"),
         ));
     }
     match query {
-        Query::Bool(it) => {
-            let all = [&it.must, &it.filter, &it.should, &it.must_not];
+        Query::Bool(bool) => {
+            let all = [&bool.must, &bool.filter, &bool.should, &bool.must_not];
             all.iter()
                 .flat_map(|clauses| &clauses.0)
-                .try_for_each(|query| count(query, depth + 1, clauses))
+                .try_for_each(|query| check_clauses(query, depth + 1, clauses))
         }
-        Query::ConstantScore(it) => count(&it.filter, depth + 1, clauses),
-        Query::FunctionScore(it) => count(&it.query, depth + 1, clauses),
+        Query::ConstantScore(score) => check_clauses(&score.filter, depth + 1, clauses),
+        Query::FunctionScore(score) => check_clauses(&score.query, depth + 1, clauses),
         _ => Ok(()),
     }
 }
--- a/crates/opensearch/src/dsl/mod.rs
+++ b/crates/opensearch/src/dsl/mod.rs
@@ -1,5 +1,5 @@
-//! The query language, parsed once into a typed tree. What is not known is rejected by its path; depth, clauses and
-//! numbers are bounded, so that a search costs no more than its size lets it.
+//! The query language, parsed once into a typed tree. Unknown fields are rejected with their path. Depth, clause counts
+//! and sizes are bounded, so that the cost of a search is bounded by the size of its body.
 
 mod aggregation;
 mod check;
@@ -9,30 +9,30 @@
 mod sort;
 
 pub use aggregation::{Aggregation, DateHistogram, Histogram, TermsAggregation};
-pub use check::{MOST_AGGREGATIONS, MOST_BUCKETS, MOST_CLAUSES, MOST_DEPTH, MOST_WINDOW};
-pub use object::Of;
+pub use check::{MAX_AGGREGATIONS, MAX_BUCKETS, MAX_CLAUSES, MAX_DEPTH, MAX_RESULT_WINDOW};
+pub use object::FieldClause;
 pub use query::{
-    Bool, Clauses, ConstantScore, Empty, Field, FunctionScore, Ids, Match, MultiMatch, Operator,
+    Bool, Clauses, ConstantScore, Field, FunctionScore, Ids, Match, MatchAll, MultiMatch, Operator,
     Prefix, Query, Range, Scalar, Term,
 };
-pub use search::{Search, Source, SourceBoth, Track};
+pub use search::{Search, Source, SourceFilter, TrackTotalHits};
 pub use sort::{Order, SortKey};
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use serde_json::Value;
 
-/// Why a search can't be taken: where in it, and what is wrong there.
+/// The reason for which a search is rejected, with the path of the invalid part.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("[{path}] {reason}")]
-pub struct Problem {
+pub struct SearchError {
     pub path: String,
     pub reason: String,
-    /// It could be read, and asks for too much.
-    pub too_much: bool,
+    /// Whether the search is well-formed but exceeds a limit.
+    pub exceeds_limit: bool,
 }
 
-/// A time with its unit, in milliseconds.
+/// Parses a duration with its unit, as in `500ms` or `1d`, into milliseconds.
 pub fn duration_ms(text: &str) -> Option<u64> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit) = text.split_at(digits);
@@ -47,7 +47,7 @@
     number.parse::<u64>().ok()?.checked_mul(factor)
 }
 
-/// One hit as a shard gives it. Its document is passed on as it is.
+/// One hit of a shard's answer. Its document is passed on unparsed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Hit {
     #[serde(rename = "_id")]
@@ -56,6 +56,7 @@
     pub score: Option<f64>,
     #[serde(rename = "_source", default, skip_serializing_if = "Option::is_none")]
     pub source: Option<Box<RawValue>>,
+    /// The sort values, one for each key of the search's sort.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub sort: Vec<Value>,
 }
--- a/crates/opensearch/src/dsl/object.rs
+++ b/crates/opensearch/src/dsl/object.rs
@@ -1,4 +1,4 @@
-//! Objects of a fixed form, read strictly.
+//! Strict deserialization of objects of a fixed form.
 
 use serde::de::{self, Deserializer, MapAccess, Visitor};
 use serde::ser::{SerializeMap, Serializer};
@@ -6,54 +6,55 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-/// One field with what is asked of it, as in `{"FIELD": ...}`.
+/// A clause on one field, as in `{"FIELD": VALUE}`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Of<T> {
+pub struct FieldClause<T> {
     pub field: String,
-    pub what: T,
+    pub value: T,
 }
 
-impl<T: Serialize> Serialize for Of<T> {
+impl<T: Serialize> Serialize for FieldClause<T> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut map = serializer.serialize_map(Some(1))?;
-        map.serialize_entry(&self.field, &self.what)?;
+        map.serialize_entry(&self.field, &self.value)?;
         map.end()
     }
 }
 
-impl<'de, T: Deserialize<'de>> Deserialize<'de> for Of<T> {
+impl<'de, T: Deserialize<'de>> Deserialize<'de> for FieldClause<T> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct One<T>(PhantomData<T>);
-        impl<'de, T: Deserialize<'de>> Visitor<'de> for One<T> {
-            type Value = Of<T>;
+        struct FieldClauseVisitor<T>(PhantomData<T>);
+        impl<'de, T: Deserialize<'de>> Visitor<'de> for FieldClauseVisitor<T> {
+            type Value = FieldClause<T>;
 
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
                 f.write_str("an object with one field")
             }
 
-            fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Of<T>, A::Error> {
-                let (field, what) = map
+            fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<FieldClause<T>, A::Error> {
+                let (field, value) = map
                     .next_entry()?
                     .ok_or_else(|| de::Error::invalid_length(0, &self))?;
                 match map.next_key::<String>()? {
-                    None => Ok(Of { field, what }),
+                    None => Ok(FieldClause { field, value }),
                     Some(other) => Err(de::Error::custom(format!(
                         "one field is expected, and [{other}] is another"
                     ))),
                 }
             }
         }
-        deserializer.deserialize_map(One(PhantomData))
+        deserializer.deserialize_map(FieldClauseVisitor(PhantomData))
     }
 }
 
-/// An object and nothing else: an array would pass for one, its items for the fields in their order.
+/// A value that has to be an object: a derived `Deserialize` would also accept an array, with its items as the fields in
+/// their order.
 pub(super) struct Object<T>(pub(super) T);
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for Object<T> {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct Only<T>(PhantomData<T>);
-        impl<'de, T: Deserialize<'de>> Visitor<'de> for Only<T> {
+        struct ObjectVisitor<T>(PhantomData<T>);
+        impl<'de, T: Deserialize<'de>> Visitor<'de> for ObjectVisitor<T> {
             type Value = Object<T>;
 
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -64,22 +65,24 @@
                 T::deserialize(de::value::MapAccessDeserializer::new(map)).map(Object)
             }
         }
-        deserializer.deserialize_map(Only(PhantomData))
+        deserializer.deserialize_map(ObjectVisitor(PhantomData))
     }
 }
 
+/// For `deserialize_with`: see [`Object`].
 pub(super) fn object<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
     deserializer: D,
 ) -> Result<T, D::Error> {
     Object::deserialize(deserializer).map(|object| object.0)
 }
 
-pub(super) fn of_object<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
+/// For `deserialize_with`: a field clause whose value has to be an object.
+pub(super) fn field_clause_object<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
     deserializer: D,
-) -> Result<Of<T>, D::Error> {
-    let Of { field, what } = Of::<Object<T>>::deserialize(deserializer)?;
-    Ok(Of {
+) -> Result<FieldClause<T>, D::Error> {
+    let FieldClause { field, value } = FieldClause::<Object<T>>::deserialize(deserializer)?;
+    Ok(FieldClause {
         field,
-        what: what.0,
+        value: value.0,
     })
 }
--- a/crates/opensearch/src/dsl/query.rs
+++ b/crates/opensearch/src/dsl/query.rs
@@ -1,56 +1,56 @@
 //! Query clauses.
 
-use super::object::{object, of_object, Of};
+use super::object::{field_clause_object, object, FieldClause};
 use serde::de::{self, Deserializer, MapAccess, Visitor};
 use serde::{Deserialize, Serialize};
 use serde_json::{Number, Value};
 use std::fmt;
 
-/// A plain value to compare with.
+/// A scalar to compare with.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Scalar {
-    Flag(bool),
+    Boolean(bool),
     Number(Number),
     Text(String),
 }
 
-/// Either the value alone or an object that holds it: both are written in the field.
-macro_rules! short_or_long {
-    ($name:ident, $key:literal, $field:ident: $type:ty, { $($more:ident: $of:ty),* $(,)? }) => {
+/// A clause that is either a scalar or an object with the scalar and its options: clients send both forms.
+macro_rules! scalar_or_object {
+    ($name:ident, $key:literal, $field:ident: $type:ty, { $($option:ident: $option_type:ty),* $(,)? }) => {
         #[derive(Clone, Debug, PartialEq, Serialize)]
         pub struct $name {
             #[serde(rename = $key)]
             pub $field: $type,
-            $(#[serde(skip_serializing_if = "Option::is_none")] pub $more: Option<$of>,)*
+            $(#[serde(skip_serializing_if = "Option::is_none")] pub $option: Option<$option_type>,)*
         }
 
         impl<'de> Deserialize<'de> for $name {
             fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
                 #[derive(Deserialize)]
                 #[serde(deny_unknown_fields)]
-                struct Long {
+                struct ObjectForm {
                     #[serde(rename = $key)]
                     $field: $type,
-                    $(#[serde(default)] $more: Option<$of>,)*
+                    $(#[serde(default)] $option: Option<$option_type>,)*
                 }
-                // An object is the long form; its own errors are what the client should see.
+                // An untagged enum would hide the errors of the object form from the client.
                 let value = Value::deserialize(deserializer)?;
                 if value.is_object() {
-                    let Long { $field, $($more),* } = serde_json::from_value(value).map_err(de::Error::custom)?;
-                    Ok($name { $field, $($more),* })
+                    let ObjectForm { $field, $($option),* } = serde_json::from_value(value).map_err(de::Error::custom)?;
+                    Ok($name { $field, $($option),* })
                 } else {
                     let $field = serde_json::from_value(value).map_err(de::Error::custom)?;
-                    Ok($name { $field, $($more: None),* })
+                    Ok($name { $field, $($option: None),* })
                 }
             }
         }
     };
 }
 
-short_or_long!(Match, "query", query: Scalar, { operator: Operator, boost: f64 });
-short_or_long!(Term, "value", value: Scalar, { boost: f64 });
-short_or_long!(Prefix, "value", value: String, { boost: f64 });
+scalar_or_object!(Match, "query", query: Scalar, { operator: Operator, boost: f64 });
+scalar_or_object!(Term, "value", value: Scalar, { boost: f64 });
+scalar_or_object!(Prefix, "value", value: String, { boost: f64 });
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -63,7 +63,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Empty {
+pub struct MatchAll {
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub boost: Option<f64>,
 }
@@ -102,15 +102,15 @@
     pub values: Vec<String>,
 }
 
-/// One clause, or several.
+/// One clause or an array of clauses.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 #[serde(transparent)]
 pub struct Clauses(pub Vec<Query>);
 
 impl<'de> Deserialize<'de> for Clauses {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
-        struct OneOrMore;
-        impl<'de> Visitor<'de> for OneOrMore {
+        struct ClausesVisitor;
+        impl<'de> Visitor<'de> for ClausesVisitor {
             type Value = Clauses;
 
             fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -123,10 +123,10 @@
 
             fn visit_map<A: MapAccess<'de>>(self, map: A) -> Result<Clauses, A::Error> {
                 Query::deserialize(de::value::MapAccessDeserializer::new(map))
-                    .map(|one| Clauses(vec![one]))
+                    .map(|clause| Clauses(vec![clause]))
             }
         }
-        deserializer.deserialize_any(OneOrMore)
+        deserializer.deserialize_any(ClausesVisitor)
     }
 }
 
@@ -161,7 +161,7 @@
     pub boost: Option<f64>,
 }
 
-/// As far as it is plain: a query whose score is multiplied.
+/// The `function_score` clause with a weight as its only function: it multiplies the score of the query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FunctionScore {
@@ -176,19 +176,19 @@
 #[serde(rename_all = "snake_case")]
 pub enum Query {
     #[serde(deserialize_with = "object")]
-    MatchAll(Empty),
-    Match(Of<Match>),
+    MatchAll(MatchAll),
+    Match(FieldClause<Match>),
     #[serde(deserialize_with = "object")]
     MultiMatch(MultiMatch),
-    Term(Of<Term>),
-    Terms(Of<Vec<Scalar>>),
-    #[serde(deserialize_with = "of_object")]
-    Range(Of<Range>),
+    Term(FieldClause<Term>),
+    Terms(FieldClause<Vec<Scalar>>),
+    #[serde(deserialize_with = "field_clause_object")]
+    Range(FieldClause<Range>),
     #[serde(deserialize_with = "object")]
     Exists(Field),
     #[serde(deserialize_with = "object")]
     Ids(Ids),
-    Prefix(Of<Prefix>),
+    Prefix(FieldClause<Prefix>),
     #[serde(deserialize_with = "object")]
     Bool(Box<Bool>),
     #[serde(deserialize_with = "object")]
--- a/crates/opensearch/src/dsl/search.rs
+++ b/crates/opensearch/src/dsl/search.rs
@@ -1,45 +1,49 @@
-//! A whole search: its body read, and what each shard is asked for it.
+//! The search request: the parser of its body, and the search that each shard receives for it.
 
 use super::aggregation::Aggregation;
-use super::check::{check_depth, MOST_BUCKETS};
+use super::check::{check_depth, MAX_BUCKETS};
 use super::object::Object;
 use super::query::Query;
 use super::sort::SortKey;
-use super::Problem;
+use super::SearchError;
 use serde::de::{self, DeserializeOwned, Deserializer};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The size of a page where the search states none.
+/// The size of a page if the search does not set one.
 const DEFAULT_SIZE: u64 = 10;
 
-/// Which parts of a document are wanted.
+/// The `_source` option: the parts of a document to return.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Source {
-    All(bool),
-    One(String),
-    Some(Vec<String>),
-    Both(SourceBoth),
+    Enabled(bool),
+    Pattern(String),
+    Patterns(Vec<String>),
+    Filter(SourceFilter),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct SourceBoth {
+pub struct SourceFilter {
     pub includes: Vec<String>,
     pub excludes: Vec<String>,
 }
 
-/// Whether hits are counted, and up to where.
+/// The `track_total_hits` option: whether hits are counted, or up to which count. The error text that clients receive
+/// names the enum `Track`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(untagged)]
-pub enum Track {
-    Flag(bool),
+#[serde(
+    untagged,
+    expecting = "data did not match any variant of untagged enum Track"
+)]
+pub enum TrackTotalHits {
+    Enabled(bool),
     UpTo(u64),
 }
 
-/// A search as its body states it.
+/// A search request, as in the body of `_search`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Search {
@@ -59,7 +63,7 @@
     #[serde(rename = "_source", skip_serializing_if = "Option::is_none")]
     pub source: Option<Source>,
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub track_total_hits: Option<Track>,
+    pub track_total_hits: Option<TrackTotalHits>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub min_score: Option<f64>,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -81,60 +85,60 @@
 }
 
 impl Search {
-    /// Reads a search; an empty body asks for everything.
+    /// Parses and checks a search; an empty body matches all documents.
     ///
     /// # Errors
-    /// What can't be read or asks for too much, by its path.
-    pub fn read(body: &[u8]) -> Result<Search, Problem> {
+    /// The path of the part that is malformed, exceeds a limit or contradicts another.
+    pub fn parse(body: &[u8]) -> Result<Search, SearchError> {
         if body.trim_ascii().is_empty() {
             return Ok(Search::default());
         }
         check_depth(body)?;
         let mut reader = serde_json::Deserializer::from_slice(body);
         let Object(search): Object<Search> = serde_path_to_error::deserialize(&mut reader)
-            .map_err(|e| Problem {
+            .map_err(|e| SearchError {
                 path: e.path().to_string(),
                 reason: e.into_inner().to_string(),
-                too_much: false,
+                exceeds_limit: false,
             })?;
-        reader.end().map_err(|e| Problem {
+        reader.end().map_err(|e| SearchError {
             path: ".".into(),
             reason: e.to_string(),
-            too_much: false,
+            exceeds_limit: false,
         })?;
         search.check()?;
         Ok(search)
     }
 
-    /// How many hits are skipped before the page.
+    /// The number of hits before the page.
     pub fn from(&self) -> u64 {
         self.from.unwrap_or(0)
     }
 
-    /// How many hits the page has at the most.
+    /// The most hits of the page.
     pub fn size(&self) -> u64 {
         self.size.unwrap_or(DEFAULT_SIZE)
     }
 
-    /// Hits are ranked by their score alone.
-    pub fn by_score(&self) -> bool {
+    /// Whether hits are sorted by their score alone.
+    pub fn sorted_by_score(&self) -> bool {
         self.sort.is_empty()
     }
 
-    /// What each shard is asked: its own best hits up to the end of the page, and what can be reduced.
+    /// The search for each shard: its top hits up to the end of the page, and aggregations that can be reduced.
     pub fn for_shards(&self) -> Search {
         let mut shard = self.clone();
         shard.size = Some(self.from() + self.size());
         shard.from = None;
-        // The mixer keeps the time.
+        // The mixer enforces the timeout.
         shard.timeout = None;
         for aggregation in shard.aggs.values_mut() {
             match aggregation {
-                // An average of averages is none: count and sum are.
+                // Averages of shards cannot be merged; their counts and sums can.
                 Aggregation::Avg(field) => *aggregation = Aggregation::Stats(field.clone()),
-                // What is just below the top in one shard may be in it over all.
-                Aggregation::Terms(it) => {
-                    it.size = (it.size + it.size / 2 + 10).min(2 * MOST_BUCKETS)
+                // A term just below the top of one shard may be in the top of all shards together.
+                Aggregation::Terms(terms) => {
+                    terms.size = (terms.size + terms.size / 2 + 10).min(2 * MAX_BUCKETS)
                 }
                 _ => {}
             }
--- a/crates/opensearch/src/dsl/sort.rs
+++ b/crates/opensearch/src/dsl/sort.rs
@@ -1,6 +1,6 @@
-//! The order of hits.
+//! The sort keys of a search.
 
-use super::object::Of;
+use super::object::FieldClause;
 use serde::de::{self, Deserializer};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -13,19 +13,19 @@
     Desc,
 }
 
-/// One key to sort by; `_score` is one, too.
+/// One sort key: a field, or `_score`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-#[serde(into = "Of<Order>")]
+#[serde(into = "FieldClause<Order>")]
 pub struct SortKey {
     pub field: String,
     pub order: Order,
 }
 
-impl From<SortKey> for Of<Order> {
-    fn from(key: SortKey) -> Of<Order> {
-        Of {
+impl From<SortKey> for FieldClause<Order> {
+    fn from(key: SortKey) -> FieldClause<Order> {
+        FieldClause {
             field: key.field,
-            what: key.order,
+            value: key.order,
         }
     }
 }
@@ -34,12 +34,12 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
         #[serde(deny_unknown_fields)]
-        struct Long {
+        struct ObjectForm {
             #[serde(default)]
             order: Option<Order>,
         }
         let value = Value::deserialize(deserializer)?;
-        let natural = |field: &str| {
+        let default_order = |field: &str| {
             if field == "_score" {
                 Order::Desc
             } else {
@@ -47,16 +47,16 @@
             }
         };
         if let Value::String(field) = value {
-            let order = natural(&field);
+            let order = default_order(&field);
             return Ok(SortKey { field, order });
         }
-        let Of { field, what }: Of<Value> =
+        let FieldClause { field, value }: FieldClause<Value> =
             serde_json::from_value(value).map_err(de::Error::custom)?;
-        let order = if what.is_object() {
-            let Long { order } = serde_json::from_value(what).map_err(de::Error::custom)?;
-            order.unwrap_or_else(|| natural(&field))
+        let order = if value.is_object() {
+            let ObjectForm { order } = serde_json::from_value(value).map_err(de::Error::custom)?;
+            order.unwrap_or_else(|| default_order(&field))
         } else {
-            serde_json::from_value(what).map_err(de::Error::custom)?
+            serde_json::from_value(value).map_err(de::Error::custom)?
         };
         Ok(SortKey { field, order })
     }
--- a/crates/opensearch/src/front/mod.rs
+++ b/crates/opensearch/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The listener: HTTP/1.1 in, one query to the reducer for each search, one answer out.
+//! The HTTP/1.1 listener. Each search becomes one query to the reducer and one response.
 
 mod multi;
 mod parameters;
@@ -6,7 +6,7 @@
 mod route;
 mod search;
 
-use crate::index::Front;
+use crate::index::FrontSettings;
 use crate::tls::{self, Tls};
 use cottonhill_mixer::transport::QueryClient;
 use hyper::service::service_fn;
@@ -22,42 +22,48 @@
 use tokio::sync::Semaphore;
 use tokio::time::timeout;
 
-/// After a failed accept (no descriptors left) before the next.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
-/// A TLS handshake is over within this, or its connection is closed.
-const HANDSHAKE: Duration = Duration::from_secs(2);
-/// Bytes of a connection's buffer, and so of the largest head.
-const MOST_BUFFER: usize = 64 * 1024;
+/// The delay after a failed accept, for example for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// A connection is closed if its TLS handshake takes longer.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The size of a connection's read buffer, and so of the largest request head.
+const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
 struct Context {
-    front: Front,
+    front: FrontSettings,
     queries: QueryClient,
-    /// Begins the names of this run's queries: leaf servers must never see one of another mixer or run again.
-    run: String,
-    last: Cell<u64>,
+    /// A random id of this process, the prefix of its request ids: leaf servers must never see the same request id from
+    /// two mixers or from two runs of one.
+    instance_id: String,
+    last_request_number: Cell<u64>,
 }
 
-/// Serves on `listener` until the mixer stops; in the mixer's own `LocalSet`.
-pub fn start(front: Front, tls: Option<Rc<Tls>>, listener: TcpListener, queries: QueryClient) {
-    let run = format!("os{:016x}", rand::random::<u64>());
-    let room = Arc::new(Semaphore::new(front.connections));
+/// Serves on `listener` until the mixer stops. Has to be called within the mixer's `LocalSet`.
+pub fn start(
+    front: FrontSettings,
+    tls: Option<Rc<Tls>>,
+    listener: TcpListener,
+    queries: QueryClient,
+) {
+    let instance_id = format!("os{:016x}", rand::random::<u64>());
+    let permits = Arc::new(Semaphore::new(front.max_connections));
     let context = Rc::new(Context {
         front,
         queries,
-        run,
-        last: Cell::new(0),
+        instance_id,
+        last_request_number: Cell::new(0),
     });
     tokio::task::spawn_local(async move {
         loop {
-            let Ok(place) = room.clone().acquire_owned().await else {
+            let Ok(permit) = permits.clone().acquire_owned().await else {
                 return;
             };
             let (stream, peer) = tokio::select! {
                 accepted = listener.accept() => match accepted {
                     Ok(accepted) => accepted,
                     Err(e) => {
-                        tracing::warn!(error = %e, "accept");
-                        tokio::time::sleep(ACCEPT_AGAIN).await;
+                        tracing::warn!(error = %e, "failed to accept a connection");
+                        tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                         continue;
                     }
                 },
@@ -68,64 +74,72 @@
                 let _ = stream.set_nodelay(true);
                 let peer = Peer {
                     address: peer.ip(),
-                    name: None,
+                    certificate_name: None,
                 };
                 match tls {
-                    None => attend(&context, stream, peer).await,
-                    Some(tls) => attend_tls(&context, &tls, stream, peer).await,
+                    None => serve_connection(&context, stream, peer).await,
+                    Some(tls) => serve_tls_connection(&context, &tls, stream, peer).await,
                 }
-                drop(place);
+                drop(permit);
             });
         }
     });
 }
 
-/// Who is at the other end of a connection.
+/// The peer of a connection.
 #[derive(Clone)]
 struct Peer {
     address: IpAddr,
-    /// The common name in its certificate.
-    name: Option<String>,
+    /// The common name of its certificate.
+    certificate_name: Option<String>,
 }
 
-async fn attend_tls(context: &Rc<Context>, tls: &Tls, stream: TcpStream, peer: Peer) {
-    match timeout(HANDSHAKE, tls.acceptor().accept(stream)).await {
+async fn serve_tls_connection(context: &Rc<Context>, tls: &Tls, stream: TcpStream, peer: Peer) {
+    match timeout(HANDSHAKE_TIMEOUT, tls.acceptor().accept(stream)).await {
         Ok(Ok(stream)) => {
             let certificates = stream.get_ref().1.peer_certificates();
-            let name = certificates
+            let certificate_name = certificates
                 .and_then(|all| all.first())
                 .and_then(tls::common_name);
-            attend(context, stream, Peer { name, ..peer }).await;
+            serve_connection(
+                context,
+                stream,
+                Peer {
+                    certificate_name,
+                    ..peer
+                },
+            )
+            .await;
         }
-        Ok(Err(e)) => tracing::debug!(address = %peer.address, error = %e, "TLS handshake"),
-        Err(_) => tracing::debug!(address = %peer.address, "TLS handshake took too long"),
+        Ok(Err(e)) => tracing::debug!(address = %peer.address, error = %e, "TLS handshake failed"),
+        Err(_) => tracing::debug!(address = %peer.address, "TLS handshake timed out"),
     }
 }
 
-async fn attend<S: AsyncRead + AsyncWrite + Unpin + 'static>(
+async fn serve_connection<S: AsyncRead + AsyncWrite + Unpin + 'static>(
     context: &Rc<Context>,
     stream: S,
     peer: Peer,
 ) {
-    let answer = service_fn(|request| {
+    let service = service_fn(|request| {
         let (context, peer) = (context.clone(), peer.clone());
         async move { Ok::<_, Infallible>(request::handle(&context, peer, request).await) }
     });
     let mut builder = hyper::server::conn::http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        .header_read_timeout(context.front.idle)
-        .max_buf_size(MOST_BUFFER);
-    let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), answer));
-    let ended = tokio::select! {
-        ended = connection.as_mut() => ended,
+        .header_read_timeout(context.front.idle_timeout)
+        .max_buf_size(MAX_BUFFER_BYTES);
+    let mut connection = std::pin::pin!(builder.serve_connection(TokioIo::new(stream), service));
+    let result = tokio::select! {
+        result = connection.as_mut() => result,
         () = context.queries.listener_closed() => {
-            // Open requests are answered; then the connection ends.
+            // Requests in flight are answered before the connection closes.
             connection.as_mut().graceful_shutdown();
             connection.await
         }
     };
-    if let Err(e) = ended {
-        tracing::debug!(error = %e, "search connection");
+    if let Err(e) = result {
+        tracing::debug!(error = %e, "search connection failed");
     }
 }
--- a/crates/opensearch/src/front/multi.rs
+++ b/crates/opensearch/src/front/multi.rs
@@ -1,10 +1,10 @@
 //! `_msearch`: several searches in one request.
 
-use super::parameters::{read_parameters, Parameters};
-use super::request::Caller;
+use super::parameters::{parse_parameters, Parameters};
+use super::request::Client;
 use super::search::search;
 use super::Context;
-use crate::shape::{self, Answer};
+use crate::response::{self, RestResponse};
 use bytes::Bytes;
 use serde::Deserialize;
 use serde_json::Value;
@@ -12,14 +12,16 @@
 use std::time::Instant;
 use tokio::task::JoinSet;
 
-/// Searches of one `_msearch`, and those of them that are asked at once.
-const MOST_SEARCHES: usize = 256;
-const AT_ONCE: usize = 8;
+/// The most searches of one `_msearch`.
+const MAX_SEARCHES: usize = 256;
+/// The most searches of one `_msearch` that run at the same time.
+const MAX_CONCURRENT_SEARCHES: usize = 8;
 
-/// The line before each search of an `_msearch`.
+/// The header line before the body of each search of an `_msearch`. The error text that clients receive names the struct
+/// `Line`.
 #[derive(Debug, Default, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-struct Line {
+#[serde(deny_unknown_fields, default, expecting = "struct Line")]
+struct SearchHeader {
     index: Option<Value>,
     preference: Option<String>,
     allow_partial_search_results: Option<bool>,
@@ -27,17 +29,17 @@
     search_type: Option<String>,
 }
 
-/// Searches one after another on their lines, asked a few at a time and answered in their order. One that can't be
-/// read is answered with its error; it does not touch the others.
+/// Runs the searches of an `_msearch`, up to [`MAX_CONCURRENT_SEARCHES`] at the same time, and returns their responses in
+/// the order of the searches. An invalid search has an error as its response; the others run regardless.
 pub(super) async fn msearch(
     context: &Rc<Context>,
-    arrived: u64,
+    received_at: u64,
     index: Option<&str>,
-    caller: &Caller,
+    client: &Client,
     parameters: &Parameters,
     body: &Bytes,
-) -> Result<Vec<u8>, Answer> {
-    let began = Instant::now();
+) -> Result<Vec<u8>, RestResponse> {
+    let started_at = Instant::now();
     let mut lines: Vec<&[u8]> = body
         .split(|byte| *byte == b'\n')
         .map(<[u8]>::trim_ascii)
@@ -47,98 +49,104 @@
     }
     if lines.is_empty() || lines.len() % 2 == 1 {
         let reason = "a search has two lines, each ended by a newline";
-        return Err(shape::error(400, "illegal_argument_exception", reason));
+        return Err(response::error(400, "illegal_argument_exception", reason));
     }
-    if lines.len() / 2 > MOST_SEARCHES {
+    if lines.len() / 2 > MAX_SEARCHES {
         let reason = format!(
-            "{} searches at once, and {MOST_SEARCHES} at most",
+            "{} searches at once, and {MAX_SEARCHES} at most",
             lines.len() / 2
         );
-        return Err(shape::error(400, "illegal_argument_exception", &reason));
+        return Err(response::error(400, "illegal_argument_exception", &reason));
     }
-    let mut answers: Vec<Vec<u8>> = vec![Vec::new(); lines.len() / 2];
-    // Dropped with the connection, they have all left.
-    let mut open = JoinSet::new();
-    let done = |at: Result<(usize, Result<Vec<u8>, Answer>), _>, answers: &mut Vec<Vec<u8>>| {
-        if let Ok((at, answer)) = at {
-            answers[at] = answer_of(answer);
+    let mut responses: Vec<Vec<u8>> = vec![Vec::new(); lines.len() / 2];
+    // The set is dropped with the connection, which aborts the searches still running.
+    let mut searches = JoinSet::new();
+    let store = |result: Result<(usize, Result<Vec<u8>, RestResponse>), _>,
+                 responses: &mut Vec<Vec<u8>>| {
+        if let Ok((index, response)) = result {
+            responses[index] = response_item(response);
         }
     };
-    for (at, pair) in lines.chunks(2).enumerate() {
-        while open.len() >= AT_ONCE {
-            if let Some(ended) = open.join_next().await {
-                done(ended, &mut answers);
+    for (search_index, pair) in lines.chunks(2).enumerate() {
+        while searches.len() >= MAX_CONCURRENT_SEARCHES {
+            if let Some(finished) = searches.join_next().await {
+                store(finished, &mut responses);
             }
         }
-        let (line, body) = (pair[0].to_vec(), body.slice_ref(pair[1]));
-        let (context, caller, mut parameters) =
-            (context.clone(), caller.clone(), parameters.clone());
+        let (header, body) = (pair[0].to_vec(), body.slice_ref(pair[1]));
+        let (context, client, mut parameters) =
+            (context.clone(), client.clone(), parameters.clone());
         let index = index.map(str::to_string);
-        open.spawn_local(async move {
-            let asked = async {
-                let line: Line = if line.is_empty() {
-                    Line::default()
+        searches.spawn_local(async move {
+            let response = async {
+                let header: SearchHeader = if header.is_empty() {
+                    SearchHeader::default()
                 } else {
-                    let read = serde_json::from_slice(&line);
-                    read.map_err(|e| {
-                        shape::error(
+                    let parsed = serde_json::from_slice(&header);
+                    parsed.map_err(|e| {
+                        response::error(
                             400,
                             "parsing_exception",
                             &format!("the line before it: {e}"),
                         )
                     })?
                 };
-                let named = line.index.as_ref().and_then(|index| match index {
+                let header_index = header.index.as_ref().and_then(|index| match index {
                     Value::String(name) => Some(name.as_str()),
                     Value::Array(names) if names.len() == 1 => names[0].as_str(),
                     _ => None,
                 });
-                if line.index.is_some() && named.is_none() {
-                    return Err(shape::error(
+                if header.index.is_some() && header_index.is_none() {
+                    return Err(response::error(
                         400,
                         "illegal_argument_exception",
                         "one search goes to one index here",
                     ));
                 }
-                if line.routing.is_some()
-                    || line
+                if header.routing.is_some()
+                    || header
                         .search_type
                         .is_some_and(|kind| kind != "query_then_fetch")
                 {
                     let reason = "neither routing nor another search_type is supported here";
-                    return Err(shape::error(400, "illegal_argument_exception", reason));
+                    return Err(response::error(400, "illegal_argument_exception", reason));
                 }
-                if let Some(preference) = line.preference {
-                    parameters.only =
-                        read_parameters("/_msearch", Some(&format!("preference={preference}")))?
-                            .only;
+                if let Some(preference) = header.preference {
+                    parameters.preferred_shards =
+                        parse_parameters("/_msearch", Some(&format!("preference={preference}")))?
+                            .preferred_shards;
                 }
-                parameters.partial = line.allow_partial_search_results.or(parameters.partial);
-                let name = named.or(index.as_deref()).unwrap_or("_all");
-                search(&context, arrived, name, &caller, &parameters, &body).await
+                parameters.allow_partial_results = header
+                    .allow_partial_search_results
+                    .or(parameters.allow_partial_results);
+                let name = header_index.or(index.as_deref()).unwrap_or("_all");
+                search(&context, received_at, name, &client, &parameters, &body).await
             };
-            (at, asked.await)
+            (search_index, response.await)
         });
     }
-    while let Some(ended) = open.join_next().await {
-        done(ended, &mut answers);
+    while let Some(finished) = searches.join_next().await {
+        store(finished, &mut responses);
     }
-    let mut body =
-        format!("{{\"took\":{},\"responses\":[", began.elapsed().as_millis()).into_bytes();
-    body.extend(answers.join(&b','));
+    let mut body = format!(
+        "{{\"took\":{},\"responses\":[",
+        started_at.elapsed().as_millis()
+    )
+    .into_bytes();
+    body.extend(responses.join(&b','));
     body.extend_from_slice(b"]}");
     Ok(body)
 }
 
-/// One answer of several: with its status in it.
-fn answer_of(answer: Result<Vec<u8>, Answer>) -> Vec<u8> {
-    match answer {
+/// One item of the `responses` array, with its status.
+fn response_item(response: Result<Vec<u8>, RestResponse>) -> Vec<u8> {
+    match response {
         Ok(mut body) if body.last() == Some(&b'}') => {
             body.pop();
             body.extend_from_slice(b",\"status\":200}");
             body
         }
         Ok(body) => body,
-        Err(answer) => serde_json::to_vec(&answer.body).unwrap_or_default(),
+        Err(error) => serde_json::to_vec(&error.body).unwrap_or_default(),
     }
 }
--- a/crates/opensearch/src/front/parameters.rs
+++ b/crates/opensearch/src/front/parameters.rs
@@ -1,25 +1,31 @@
-//! The parameters of a search that stand in its URL.
+//! The URL parameters of a search.
 
-use crate::dsl::{duration_ms, Track};
-use crate::shape::{self, Answer};
+use crate::dsl::{duration_ms, TrackTotalHits};
+use crate::response::{self, RestResponse};
 
-/// The parameters of a search that stand in its URL, not in its body.
+/// The URL parameters of a search. All but the timeout take precedence over the body.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Parameters {
     pub(super) from: Option<u64>,
     pub(super) size: Option<u64>,
-    /// Milliseconds.
-    pub(super) timeout: Option<u64>,
-    pub(super) track: Option<Track>,
-    /// The shards to ask, where `preference` names them.
-    pub(super) only: Option<Vec<u32>>,
-    /// Whether an answer from a part of the shards will do.
-    pub(super) partial: Option<bool>,
+    /// Applies only if the body has no timeout.
+    pub(super) timeout_ms: Option<u64>,
+    pub(super) track_total_hits: Option<TrackTotalHits>,
+    /// The shards to search, if `preference` lists any.
+    pub(super) preferred_shards: Option<Vec<u32>>,
+    /// Whether a response from only some of the shards is allowed; it is if unset.
+    pub(super) allow_partial_results: Option<bool>,
 }
 
-/// Reads the parameters of a query string; the answer to the client if one is unknown or can't be used.
-pub(super) fn read_parameters(path: &str, query: Option<&str>) -> Result<Parameters, Answer> {
-    let mut all = Parameters::default();
+/// Parses the parameters of a query string.
+///
+/// # Errors
+/// The response to the client if a parameter is unknown or invalid.
+pub(super) fn parse_parameters(
+    path: &str,
+    query: Option<&str>,
+) -> Result<Parameters, RestResponse> {
+    let mut parameters = Parameters::default();
     for pair in query
         .unwrap_or_default()
         .split('&')
@@ -31,43 +37,43 @@
             .replace("%3a", ":")
             .replace("%2C", ",")
             .replace("%2c", ",");
-        let wrong = || {
+        let invalid = || {
             let reason = format!("Failed to parse value [{value}] of parameter [{name}]");
-            shape::error(400, "illegal_argument_exception", &reason)
+            response::error(400, "illegal_argument_exception", &reason)
         };
-        let number = || value.parse::<u64>().map_err(|_| wrong());
+        let number = || value.parse::<u64>().map_err(|_| invalid());
         let flag = || match value.as_str() {
             "" | "true" => Ok(true),
             "false" => Ok(false),
-            _ => Err(wrong()),
+            _ => Err(invalid()),
         };
         match name {
-            "from" => all.from = Some(number()?),
-            "size" => all.size = Some(number()?),
-            "timeout" => all.timeout = Some(duration_ms(&value).ok_or_else(wrong)?),
+            "from" => parameters.from = Some(number()?),
+            "size" => parameters.size = Some(number()?),
+            "timeout" => parameters.timeout_ms = Some(duration_ms(&value).ok_or_else(invalid)?),
             "track_total_hits" => {
-                all.track = Some(
+                parameters.track_total_hits = Some(
                     number()
-                        .map(Track::UpTo)
-                        .or_else(|_| flag().map(Track::Flag))?,
+                        .map(TrackTotalHits::UpTo)
+                        .or_else(|_| flag().map(TrackTotalHits::Enabled))?,
                 );
             }
-            "allow_partial_search_results" => all.partial = Some(flag()?),
+            "allow_partial_search_results" => parameters.allow_partial_results = Some(flag()?),
             "preference" => {
-                let shards = value.strip_prefix("_shards:").ok_or_else(wrong)?;
+                let shards = value.strip_prefix("_shards:").ok_or_else(invalid)?;
                 let shards = shards.split('|').next().unwrap_or_default().split(',');
                 let shards: Result<_, _> = shards
-                    .map(|shard| shard.parse().map_err(|_| wrong()))
+                    .map(|shard| shard.parse().map_err(|_| invalid()))
                     .collect();
-                all.only = Some(shards?);
+                parameters.preferred_shards = Some(shards?);
             }
-            // How the answer is written or named: nothing that it holds.
+            // They change the formatting of a response, not its contents, and are ignored.
             "pretty" | "human" | "error_trace" => {}
             _ => {
                 let reason = format!("request [{path}] contains unrecognized parameter: [{name}]");
-                return Err(shape::error(400, "illegal_argument_exception", &reason));
+                return Err(response::error(400, "illegal_argument_exception", &reason));
             }
         }
     }
-    Ok(all)
+    Ok(parameters)
 }
--- a/crates/opensearch/src/front/request.rs
+++ b/crates/opensearch/src/front/request.rs
@@ -1,9 +1,9 @@
-//! One HTTP request: its body read and unpacked, its answer packed and rendered.
+//! One HTTP request: reads and decompresses its body, and writes and compresses its response.
 
 use super::route::route;
 use super::{Context, Peer};
-use crate::packed::{self, WORTH_PACKING};
-use crate::shape::{self, Answer};
+use crate::gzip::{self, MIN_COMPRESSED_BYTES};
+use crate::response::{self, RestResponse};
 use crate::tenant;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -18,38 +18,38 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A body that has begun is whole within this.
-const WHOLE_BODY: Duration = Duration::from_secs(2);
+/// A request's body has to be complete within this time of its head.
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The client that asks: the request's headers, and the client's own address.
+/// The client of a request: its headers, its address and the common name of its certificate.
 #[derive(Clone)]
-pub(super) struct Caller {
+pub(super) struct Client {
     pub(super) headers: HeaderMap,
     pub(super) address: IpAddr,
-    pub(super) name: Option<String>,
+    pub(super) certificate_name: Option<String>,
 }
 
-impl Caller {
-    /// The value of a header field, if it is text.
+impl Client {
+    /// The value of a header, if it is text.
     pub(super) fn header(&self, name: &str) -> Option<&str> {
-        text_of(&self.headers, name)
+        header_text(&self.headers, name)
     }
 }
 
-/// The response to one request, whatever becomes of it.
+/// Handles one request; errors are responses, too.
 pub(super) async fn handle(
     context: &Rc<Context>,
     peer: Peer,
     request: Request<Incoming>,
 ) -> Response<Full<Bytes>> {
-    let arrived = context.queries.now();
+    let received_at = context.queries.now();
     let head = request.method() == Method::HEAD;
     let (parts, body) = request.into_parts();
-    let accepts =
-        text_of(&parts.headers, ACCEPT_ENCODING.as_str()).is_some_and(|all| all.contains("gzip"));
-    let opaque = parts.headers.get("x-opaque-id").cloned();
-    let mut response = match body_of(context, &parts, body).await {
-        Err(answer) => response(answer, head),
+    let accepts_gzip = header_text(&parts.headers, ACCEPT_ENCODING.as_str())
+        .is_some_and(|encodings| encodings.contains("gzip"));
+    let opaque_id = parts.headers.get("x-opaque-id").cloned();
+    let mut response = match read_body(context, &parts, body).await {
+        Err(error) => write_response(error, head),
         Ok(body) => {
             let forwarded: Vec<&str> = parts
                 .headers
@@ -57,89 +57,95 @@
                 .iter()
                 .filter_map(|line| line.to_str().ok())
                 .collect();
-            let address = tenant::client(peer.address, &forwarded, &context.front.proxies);
-            let caller = Caller {
+            let address =
+                tenant::client_address(peer.address, &forwarded, &context.front.trusted_proxies);
+            let client = Client {
                 headers: parts.headers.clone(),
                 address,
-                name: peer.name,
+                certificate_name: peer.certificate_name,
             };
-            match route(context, arrived, &parts, &caller, &body).await {
-                Ok(_) if head => bytes_response(200, Vec::new()),
-                Ok(bytes) if accepts && bytes.len() >= WORTH_PACKING => {
-                    match packed::pack(&bytes) {
-                        Some(short) => {
-                            let mut response = bytes_response(200, short);
+            match route(context, received_at, &parts, &client, &body).await {
+                Ok(_) if head => json_response(200, Vec::new()),
+                Ok(bytes) if accepts_gzip && bytes.len() >= MIN_COMPRESSED_BYTES => {
+                    match gzip::compress(&bytes) {
+                        Some(compressed) => {
+                            let mut response = json_response(200, compressed);
                             response
                                 .headers_mut()
                                 .insert(CONTENT_ENCODING, HeaderValue::from_static("gzip"));
                             response
                         }
-                        None => bytes_response(200, bytes),
+                        None => json_response(200, bytes),
                     }
                 }
-                Ok(bytes) => bytes_response(200, bytes),
-                Err(answer) => response(answer, head),
+                Ok(bytes) => json_response(200, bytes),
+                Err(error) => write_response(error, head),
             }
         }
     };
-    if let Some(opaque) = opaque {
-        response.headers_mut().insert("x-opaque-id", opaque);
+    if let Some(opaque_id) = opaque_id {
+        response.headers_mut().insert("x-opaque-id", opaque_id);
     }
     response
 }
 
-fn text_of<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// The whole body, unpacked.
-async fn body_of(context: &Context, parts: &Parts, body: Incoming) -> Result<Bytes, Answer> {
-    let most = context.front.most_body;
-    let too_long = |reason: &str| shape::error(413, "illegal_argument_exception", reason);
-    let body = match timeout(WHOLE_BODY, Limited::new(body, most).collect()).await {
+/// Reads the complete body and decompresses it.
+async fn read_body(
+    context: &Context,
+    parts: &Parts,
+    body: Incoming,
+) -> Result<Bytes, RestResponse> {
+    let max_bytes = context.front.max_body_bytes;
+    let too_large = |reason: &str| response::error(413, "illegal_argument_exception", reason);
+    let body = match timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await {
         Ok(Ok(body)) => body.to_bytes(),
         Ok(Err(_)) => {
-            return Err(too_long(&format!(
-                "the body is cut short or longer than {most} bytes"
+            return Err(too_large(&format!(
+                "the body is cut short or longer than {max_bytes} bytes"
             )))
         }
         Err(_) => {
-            return Err(shape::error(
+            return Err(response::error(
                 408,
                 "timeout_exception",
                 "the body took too long",
             ))
         }
     };
-    match text_of(&parts.headers, CONTENT_ENCODING.as_str()) {
+    match header_text(&parts.headers, CONTENT_ENCODING.as_str()) {
         None | Some("identity") => Ok(body),
-        Some("gzip") => packed::unpack(&body, most)
+        Some("gzip") => gzip::decompress(&body, max_bytes)
             .map(Bytes::from)
-            .map_err(|why| too_long(&why)),
+            .map_err(|reason| too_large(&reason)),
         Some(other) => {
             let reason = format!("Content-Encoding [{other}] is not supported; gzip is");
-            Err(shape::error(415, "illegal_argument_exception", &reason))
+            Err(response::error(415, "illegal_argument_exception", &reason))
         }
     }
 }
 
-fn response(answer: Answer, head: bool) -> Response<Full<Bytes>> {
-    let after = answer.retry_after;
+/// Writes a response; one to a HEAD request has no body.
+fn write_response(rest_response: RestResponse, head: bool) -> Response<Full<Bytes>> {
+    let retry_after = rest_response.retry_after;
     let body = if head {
         Vec::new()
     } else {
-        serde_json::to_vec(&answer.body).unwrap_or_default()
+        serde_json::to_vec(&rest_response.body).unwrap_or_default()
     };
-    let mut response = bytes_response(answer.status, body);
-    if let Some(after) = after {
-        // Whole seconds, as clients of this protocol read them; the reason tells the milliseconds.
-        let seconds = HeaderValue::from(after.as_millis().div_ceil(1000) as u64);
+    let mut response = json_response(rest_response.status, body);
+    if let Some(retry_after) = retry_after {
+        // The header has whole seconds, as OpenSearch clients expect; the reason in the body has the milliseconds.
+        let seconds = HeaderValue::from(retry_after.as_millis().div_ceil(1000) as u64);
         response.headers_mut().insert(RETRY_AFTER, seconds);
     }
     response
 }
 
-fn bytes_response(status: u16, body: Vec<u8>) -> Response<Full<Bytes>> {
+fn json_response(status: u16, body: Vec<u8>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(body)));
     *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/opensearch/src/front/search.rs
+++ b/crates/opensearch/src/front/search.rs
@@ -1,158 +1,168 @@
-//! One search or count: one query to the reducer, and the shards' answers merged.
+//! The search and count operations: one query to the reducer, whose answers from the shards are merged.
 
 use super::parameters::Parameters;
-use super::request::Caller;
+use super::request::Client;
 use super::Context;
-use crate::dsl::{duration_ms, Search, Track};
-use crate::index::{Front, Index, TenantBy};
-use crate::merge::{self, Unusable};
-use crate::shape::{self, Answer, Shards};
+use crate::dsl::{duration_ms, Search, TrackTotalHits};
+use crate::index::{FrontSettings, Index, TenantSource};
+use crate::merge::{self, ShardFailure};
+use crate::response::{self, RestResponse, ShardStatistics};
 use bytes::Bytes;
 use cottonhill_mixer::protocol::query_json::{Hit, PartRequest, QueryRequest, QuerySchema, Reply};
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Nanoseconds of a millisecond.
-const MS: u64 = 1_000_000;
-/// Rounding of sums of weights that does not count against a class's floor.
-const ROUNDING: f64 = 1e-6;
+const NANOS_PER_MS: u64 = 1_000_000;
+/// Allowed shortfall from a class's minimum coverage, since sums of weights have rounding errors.
+const COVERAGE_TOLERANCE: f64 = 1e-6;
 
-/// The body of a search's answer.
+/// Runs a search; the result is the body of its response.
 pub(super) async fn search(
     context: &Context,
-    arrived: u64,
+    received_at: u64,
     index: &str,
-    caller: &Caller,
+    client: &Client,
     parameters: &Parameters,
     body: &[u8],
-) -> Result<Vec<u8>, Answer> {
-    let search = read(parameters, body)?;
-    let Gathered {
+) -> Result<Vec<u8>, RestResponse> {
+    let search = parse_search(parameters, body)?;
+    let ShardResults {
         index,
         shards,
         answers,
-        began,
-    } = gather(context, arrived, index, caller, parameters, &search).await?;
+        started_at,
+    } = query_shards(context, received_at, index, client, parameters, &search).await?;
     let merged = merge::merge(&search, answers);
-    Ok(shape::found(
+    Ok(response::search_response(
         index,
         &search,
-        began.elapsed(),
+        started_at.elapsed(),
         &shards,
         &merged,
     ))
 }
 
-/// The body of a count's answer.
+/// Runs a count; the result is the body of its response.
 pub(super) async fn count(
     context: &Context,
-    arrived: u64,
+    received_at: u64,
     index: &str,
-    caller: &Caller,
+    client: &Client,
     parameters: &Parameters,
     body: &[u8],
-) -> Result<Vec<u8>, Answer> {
-    let mut search = read(parameters, body)?;
+) -> Result<Vec<u8>, RestResponse> {
+    let mut search = parse_search(parameters, body)?;
     if search.size.is_some()
         || search.from.is_some()
         || !search.sort.is_empty()
         || !search.aggs.is_empty()
     {
-        return Err(shape::error(
+        return Err(response::error(
             400,
             "parsing_exception",
             "a count takes a query only",
         ));
     }
     search.size = Some(0);
-    search.track_total_hits = Some(Track::Flag(true));
-    let Gathered {
+    search.track_total_hits = Some(TrackTotalHits::Enabled(true));
+    let ShardResults {
         index,
         shards,
         answers,
         ..
-    } = gather(context, arrived, index, caller, parameters, &search).await?;
+    } = query_shards(context, received_at, index, client, parameters, &search).await?;
     let total = merge::merge(&search, answers)
         .total
         .map_or(0, |total| total.value);
-    Ok(serde_json::to_vec(&shape::counted(index, &shards, total).body).unwrap_or_default())
+    Ok(
+        serde_json::to_vec(&response::count_response(index, &shards, total).body)
+            .unwrap_or_default(),
+    )
 }
 
-/// Reads a search: its body, with the URL's parameters in force over it.
-fn read(parameters: &Parameters, body: &[u8]) -> Result<Search, Answer> {
-    let mut search = Search::read(body).map_err(|problem| shape::problem(&problem))?;
+/// Parses a search from its body; `from`, `size` and `track_total_hits` of the URL take precedence.
+fn parse_search(parameters: &Parameters, body: &[u8]) -> Result<Search, RestResponse> {
+    let mut search = Search::parse(body).map_err(|error| response::invalid_search(&error))?;
     search.from = parameters.from.or(search.from);
     search.size = parameters.size.or(search.size);
-    search.track_total_hits = parameters.track.or(search.track_total_hits);
-    search.check().map_err(|problem| shape::problem(&problem))?;
+    search.track_total_hits = parameters.track_total_hits.or(search.track_total_hits);
+    search
+        .check()
+        .map_err(|error| response::invalid_search(&error))?;
     Ok(search)
 }
 
-/// The index of this name, or the only one where all are asked.
-pub(super) fn find<'a>(front: &'a Front, name: &str) -> Result<(&'a str, &'a Index), Answer> {
+/// Finds the index of this name; `_all` and `*` name the only index if there is just one.
+pub(super) fn find_index<'a>(
+    front: &'a FrontSettings,
+    name: &str,
+) -> Result<(&'a str, &'a Index), RestResponse> {
     if matches!(name, "_all" | "*") {
         if let (1, Some((name, index))) = (front.indices.len(), front.indices.iter().next()) {
             return Ok((name, index));
         }
         let reason = "one search goes to one index here: name it";
-        return Err(shape::error(400, "illegal_argument_exception", reason));
+        return Err(response::error(400, "illegal_argument_exception", reason));
     }
     match front.indices.get_key_value(name) {
         Some((name, index)) => Ok((name, index)),
-        None => Err(shape::no_index(name)),
+        None => Err(response::index_not_found(name)),
     }
 }
 
-/// The outcome of a query: the shards' answers that can be used, and what became of the others.
-struct Gathered<'a> {
+/// The result of a query: the answers of the successful shards, and the failures of the others.
+struct ShardResults<'a> {
     index: &'a str,
-    shards: Shards,
+    shards: ShardStatistics,
     answers: Vec<(u32, merge::ShardAnswer)>,
-    began: Instant,
+    started_at: Instant,
 }
 
-/// Asks the shards of an index; the answer to the client if too few of theirs can be used.
-async fn gather<'a>(
+/// Queries the shards of an index.
+///
+/// # Errors
+/// The response to the client if the search is rejected or too few shards are successful.
+async fn query_shards<'a>(
     context: &'a Context,
-    arrived: u64,
+    received_at: u64,
     name: &str,
-    caller: &Caller,
+    client: &Client,
     parameters: &Parameters,
     search: &Search,
-) -> Result<Gathered<'a>, Answer> {
-    let began = Instant::now();
-    let (front, names) = (&context.front, context.queries.query_schema().clone());
-    let (index, settings) = find(front, name)?;
-    let class = class_of(index, settings, &names)?;
-    let tenant = tenant_of(front, caller, &names)?;
-    let chosen = chosen_shards(index, settings, parameters)?;
-    let query = query(
+) -> Result<ShardResults<'a>, RestResponse> {
+    let started_at = Instant::now();
+    let (front, schema) = (&context.front, context.queries.query_schema().clone());
+    let (index, settings) = find_index(front, name)?;
+    let class = class_number(index, settings, &schema)?;
+    let tenant = tenant_number(front, client, &schema)?;
+    let selected = select_shards(index, settings, parameters)?;
+    let query = build_query(
         context,
-        caller,
+        client,
         parameters,
         search,
         (class, tenant),
-        &chosen,
-        &names,
+        &selected,
+        &schema,
     );
-    let hits = match context.queries.send_query(arrived, query).await {
+    let hits = match context.queries.send_query(received_at, query).await {
         Reply::Answer { hits, .. } => hits,
         Reply::Rejected { retry_after } => {
-            return Err(shape::refused(retry_after.map(Duration::from_nanos)))
+            return Err(response::rejected(retry_after.map(Duration::from_nanos)))
         }
         Reply::InvalidRequest(rejection) => {
-            return Err(shape::error(
+            return Err(response::error(
                 rejection.status,
                 "illegal_argument_exception",
                 rejection.reason,
             ));
         }
         _ => {
-            let shards = Shards {
-                total: chosen.len(),
-                ..Shards::default()
+            let shards = ShardStatistics {
+                total: selected.len(),
+                ..ShardStatistics::default()
             };
-            return Err(shape::failed(
+            return Err(response::search_failed(
                 503,
                 index,
                 &shards,
@@ -160,32 +170,41 @@
             ));
         }
     };
-    check_size(front, &hits)?;
-    let (shards, answers, share) = read_answers(&chosen, &hits, search);
-    // What came back as an error counts as little as what did not come back.
-    let floor = names.minimum_coverages.get(class).copied().unwrap_or(1.0);
-    if share + ROUNDING < floor {
+    check_answer_size(front, &hits)?;
+    let (shards, answers, coverage) = parse_answers(&selected, &hits, search);
+    // Shards that answered with an error do not count towards the coverage, like those that did not answer.
+    let min_coverage = schema.minimum_coverages.get(class).copied().unwrap_or(1.0);
+    if coverage + COVERAGE_TOLERANCE < min_coverage {
         let reason = format!(
             "{} of {} shards failed",
             shards.failures.len(),
             shards.total
         );
-        return Err(shape::failed(503, index, &shards, &reason));
+        return Err(response::search_failed(503, index, &shards, &reason));
     }
-    if parameters.partial == Some(false) && shards.successful < shards.total {
-        return Err(shape::failed(503, index, &shards, "Partial shards failure"));
+    if parameters.allow_partial_results == Some(false) && shards.successful < shards.total {
+        return Err(response::search_failed(
+            503,
+            index,
+            &shards,
+            "Partial shards failure",
+        ));
     }
-    Ok(Gathered {
+    Ok(ShardResults {
         index,
         shards,
         answers,
-        began,
+        started_at,
     })
 }
 
-/// The number of an index's class.
-fn class_of(index: &str, settings: &Index, names: &QuerySchema) -> Result<usize, Answer> {
-    names
+/// The index of a class in [`QuerySchema::classes`].
+fn class_number(
+    index: &str,
+    settings: &Index,
+    schema: &QuerySchema,
+) -> Result<usize, RestResponse> {
+    schema
         .classes
         .iter()
         .position(|class| *class == settings.class)
@@ -194,27 +213,31 @@
                 "index [{index}] is of the class [{}], which the platform does not name",
                 settings.class
             );
-            shape::error(500, "illegal_state_exception", &reason)
+            response::error(500, "illegal_state_exception", &reason)
         })
 }
 
-/// The number of the caller's tenant; 0 where the platform names none.
-fn tenant_of(front: &Front, caller: &Caller, names: &QuerySchema) -> Result<usize, Answer> {
-    let by_network = || front.networks.find(caller.address);
-    let named_tenant = match front.by {
-        TenantBy::Header => caller.header(&front.tenant_header),
-        TenantBy::Network => by_network(),
-        TenantBy::Certificate => caller.name.as_deref(),
-        TenantBy::Either => caller.header(&front.tenant_header).or_else(by_network),
+/// The index of the client's tenant in [`QuerySchema::tenants`]; 0 if the configuration has no tenants.
+fn tenant_number(
+    front: &FrontSettings,
+    client: &Client,
+    schema: &QuerySchema,
+) -> Result<usize, RestResponse> {
+    let by_network = || front.tenant_networks.tenant_of(client.address);
+    let named_tenant = match front.tenant_source {
+        TenantSource::Header => client.header(&front.tenant_header),
+        TenantSource::Network => by_network(),
+        TenantSource::Certificate => client.certificate_name.as_deref(),
+        TenantSource::HeaderOrNetwork => client.header(&front.tenant_header).or_else(by_network),
     };
-    match named_tenant.or(front.tenant.as_deref()) {
-        _ if names.tenants.is_empty() => Ok(0),
-        Some(tenant) => names
+    match named_tenant.or(front.default_tenant.as_deref()) {
+        _ if schema.tenants.is_empty() => Ok(0),
+        Some(tenant) => schema
             .tenants
             .iter()
             .position(|name| name == tenant)
             .ok_or_else(|| {
-                shape::error(
+                response::error(
                     403,
                     "security_exception",
                     &format!("there is no tenant [{tenant}]"),
@@ -222,57 +245,57 @@
             }),
         None => {
             let reason = "nothing tells the tenant: see tenant-by in the settings";
-            Err(shape::error(401, "security_exception", reason))
+            Err(response::error(401, "security_exception", reason))
         }
     }
 }
 
-/// The shards to ask, with their weights: all of an index, or those that the parameters name.
-fn chosen_shards(
+/// The shards to query, with their weights: all shards of an index, or those that the `preference` parameter lists.
+fn select_shards(
     index: &str,
     settings: &Index,
     parameters: &Parameters,
-) -> Result<Vec<(u32, f64)>, Answer> {
-    let wanted = |shard: &u32| {
+) -> Result<Vec<(u32, f64)>, RestResponse> {
+    let is_selected = |shard: &u32| {
         parameters
-            .only
+            .preferred_shards
             .as_ref()
-            .is_none_or(|only| only.contains(shard))
+            .is_none_or(|preferred| preferred.contains(shard))
     };
-    let chosen: Vec<(u32, f64)> = settings
+    let selected: Vec<(u32, f64)> = settings
         .shards
         .iter()
-        .filter(|(shard, _)| wanted(shard))
+        .filter(|(shard, _)| is_selected(shard))
         .copied()
         .collect();
-    if chosen.is_empty()
+    if selected.is_empty()
         || parameters
-            .only
+            .preferred_shards
             .as_ref()
-            .is_some_and(|only| only.len() != chosen.len())
+            .is_some_and(|preferred| preferred.len() != selected.len())
     {
         let reason = format!("the preference names shards that index [{index}] does not have");
-        return Err(shape::error(400, "illegal_argument_exception", &reason));
+        return Err(response::error(400, "illegal_argument_exception", &reason));
     }
-    Ok(chosen)
+    Ok(selected)
 }
 
-fn sum_of_weights(chosen: &[(u32, f64)]) -> f64 {
-    chosen.iter().map(|(_, weight)| weight).sum()
+fn sum_of_weights(selected: &[(u32, f64)]) -> f64 {
+    selected.iter().map(|(_, weight)| weight).sum()
 }
 
-/// The query for a search, under a name of its own.
-fn query(
+/// Builds the query for a search, with a new request id.
+fn build_query(
     context: &Context,
-    caller: &Caller,
+    client: &Client,
     parameters: &Parameters,
     search: &Search,
     (class, tenant): (usize, usize),
-    chosen: &[(u32, f64)],
-    names: &QuerySchema,
+    selected: &[(u32, f64)],
+    schema: &QuerySchema,
 ) -> QueryRequest {
-    let sum = sum_of_weights(chosen);
-    let longest = names
+    let weight_sum = sum_of_weights(selected);
+    let max_timeout = schema
         .default_timeouts
         .get(class)
         .copied()
@@ -281,73 +304,79 @@
         .timeout
         .as_deref()
         .and_then(duration_ms)
-        .or(parameters.timeout);
-    let timeout = timeout.map(|ms| ms.saturating_mul(MS));
-    context.last.set(context.last.get() + 1);
+        .or(parameters.timeout_ms);
+    let timeout = timeout.map(|ms| ms.saturating_mul(NANOS_PER_MS));
+    context
+        .last_request_number
+        .set(context.last_request_number.get() + 1);
     let part = |(shard, weight): &(u32, f64)| PartRequest {
         shard: *shard,
-        weight: weight / sum,
+        weight: weight / weight_sum,
         work: None,
     };
-    let key = caller
+    let idempotency_key = client
         .header("idempotency-key")
         .filter(|key| (1..=128).contains(&key.len()));
     QueryRequest {
-        request_id: format!("{}-{}", context.run, context.last.get()),
+        request_id: format!(
+            "{}-{}",
+            context.instance_id,
+            context.last_request_number.get()
+        ),
         class: class as u16,
         tenant: tenant as u32,
-        timeout: timeout.unwrap_or(longest).min(longest),
-        client_retry: caller.header("x-retried") == Some("1"),
-        idempotency_key: key.map(str::to_string),
-        parts: chosen.iter().map(part).collect(),
+        timeout: timeout.unwrap_or(max_timeout).min(max_timeout),
+        client_retry: client.header("x-retried") == Some("1"),
+        idempotency_key: idempotency_key.map(str::to_string),
+        parts: selected.iter().map(part).collect(),
         text: Bytes::from(serde_json::to_vec(&search.for_shards()).unwrap_or_default()),
     }
 }
 
-/// Whether the shards' answers together are small enough to be merged.
-fn check_size(front: &Front, hits: &[Hit]) -> Result<(), Answer> {
+/// Checks that the answers of all shards together are within the limit of memory for a merge.
+fn check_answer_size(front: &FrontSettings, hits: &[Hit]) -> Result<(), RestResponse> {
     let answer_bytes: usize = hits.iter().map(|hit| hit.doc.len()).sum();
-    if answer_bytes <= front.most_answer {
+    if answer_bytes <= front.max_answer_bytes {
         return Ok(());
     }
     let reason = format!(
         "the shards' answers hold {answer_bytes} bytes, and {} may be held",
-        front.most_answer
+        front.max_answer_bytes
     );
-    let mut answer = shape::error(429, "circuit_breaking_exception", &reason);
+    let mut answer = response::error(429, "circuit_breaking_exception", &reason);
     answer.body["error"]["durability"] = json!("PERMANENT");
     Err(answer)
 }
 
-/// What became of each shard, the answers that can be used, and their share of the weight.
-fn read_answers(
-    chosen: &[(u32, f64)],
+/// The status of the shards, the answers of the successful ones, and their coverage: the fraction of the weight.
+fn parse_answers(
+    selected: &[(u32, f64)],
     hits: &[Hit],
     search: &Search,
-) -> (Shards, Vec<(u32, merge::ShardAnswer)>, f64) {
-    let sum = sum_of_weights(chosen);
-    let mut shards = Shards {
-        total: chosen.len(),
-        ..Shards::default()
+) -> (ShardStatistics, Vec<(u32, merge::ShardAnswer)>, f64) {
+    let weight_sum = sum_of_weights(selected);
+    let mut shards = ShardStatistics {
+        total: selected.len(),
+        ..ShardStatistics::default()
     };
-    let (mut answers, mut share) = (Vec::new(), 0.0);
-    for (shard, weight) in chosen {
+    let (mut answers, mut coverage) = (Vec::new(), 0.0);
+    for (shard, weight) in selected {
         let hit = hits.iter().find(|hit| hit.shard == *shard);
-        let late = || Unusable {
+        let not_answered = || ShardFailure {
             kind: "timeout_exception".into(),
             reason: "no answer in time".into(),
         };
         match hit
-            .ok_or_else(late)
-            .and_then(|hit| merge::read(&hit.doc, search))
+            .ok_or_else(not_answered)
+            .and_then(|hit| merge::parse_shard_answer(&hit.doc, search))
         {
             Ok(answer) => {
-                share += weight / sum;
+                coverage += weight / weight_sum;
                 answers.push((*shard, answer));
             }
-            Err(why) => shards.failures.push((*shard, why)),
+            Err(failure) => shards.failures.push((*shard, failure)),
         }
     }
     shards.successful = answers.len();
-    (shards, answers, share)
+    (shards, answers, coverage)
 }
--- a/crates/opensearch/src/index.rs
+++ b/crates/opensearch/src/index.rs
@@ -1,7 +1,8 @@
-//! From an index's name to class, shards and weights, by the settings.
+//! The settings of the front: its listener, its indices with their classes, shards and weights, and the networks of
+//! tenants.
 
-use crate::tenant::{networks, Networks, Table};
-use crate::tls::Files;
+use crate::tenant::{parse_networks, NetworkSet, TenantTable};
+use crate::tls::TlsFiles;
 use cottonhill_ini::{Key, Kind, Schema, Section, Settings, SettingsErrors};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,44 +13,44 @@
     name: "opensearch",
     named: false,
     keys: &[
-        key("listen", Kind::Address, None, "Where the front listens; a listener of its own. Off without it."),
+        key("listen", Kind::Address, None, "Address of the front's own listener; the front is off if unset."),
         key(
             "connections",
             Kind::Integer(1, 100_000),
             Some("64"),
-            "Most connections at once; more wait unaccepted.",
+            "Most open connections; further ones are not accepted until one closes.",
         ),
-        key("body", Kind::Bytes, Some("64KiB"), "The longest body that is read."),
+        key("body", Kind::Bytes, Some("64KiB"), "Longest request body."),
         key(
             "answer",
             Kind::Bytes,
             Some("8MiB"),
-            "Most that the shards' answers to one search may hold together.",
+            "Most bytes that the shards' answers to one search may have together.",
         ),
-        key("idle", Kind::Duration, Some("60s"), "A connection that asks nothing for so long is closed."),
-        key("cluster", Kind::Text, Some("cottonhill"), "The cluster name that clients are told."),
+        key("idle", Kind::Duration, Some("60s"), "A connection without a request for this time is closed."),
+        key("cluster", Kind::Text, Some("cottonhill"), "The cluster name in responses."),
         key(
             "tenant-by",
             Kind::Choice(&["header", "network", "header-or-network", "certificate"]),
             Some("header"),
-            "What tells the tenant: a header, the network, the header where there is one, or a certificate.",
+            "Source of the tenant: the header, the network, the header or else the network, or the client certificate.",
         ),
         key("certificate", Kind::Text, None, "PEM file of the certificate chain; plain HTTP without it."),
-        key("key", Kind::Text, None, "PEM file of its key, which nobody else may read."),
+        key("key", Kind::Text, None, "PEM file of its private key, which must not be accessible to other users."),
         key(
             "client-ca",
             Kind::Text,
             None,
-            "PEM file of who vouches for clients; their certificates are optional.",
+            "PEM file of the authorities of client certificates, which are optional.",
         ),
         key(
             "proxies",
             Kind::Text,
             None,
-            "Networks of trusted proxies: only their X-Forwarded-For is believed.",
+            "Networks of trusted proxies; X-Forwarded-For of any other peer is ignored.",
         ),
         key("tenant-header", Kind::Text, Some("X-Tenant-Id"), "The header that names the tenant."),
-        key("tenant", Kind::Text, None, "The tenant of a search that names none."),
+        key("tenant", Kind::Text, None, "The tenant of a search for which tenant-by finds none."),
     ],
 };
 
@@ -61,7 +62,7 @@
             "class",
             Kind::Text,
             None,
-            "The class of its searches, by the platform's name.",
+            "The class of its searches, by its name in the configuration.",
         ),
         key(
             "shards",
@@ -73,7 +74,7 @@
             "weights",
             Kind::Text,
             None,
-            "Their weights in that order, adding up to 1; equal ones if unset.",
+            "The weights of the shards in the same order, with a sum of 1; equal if unset.",
         ),
     ],
 };
@@ -88,7 +89,7 @@
             None,
             "Networks, as in 10.1.0.0/16, 2001:db8::/32; the longest prefix wins.",
         ),
-        key("tenant", Kind::Text, None, "The tenant whose they are."),
+        key("tenant", Kind::Text, None, "The tenant of these networks."),
     ],
 };
 
@@ -107,121 +108,138 @@
     }
 }
 
-/// One index.
+/// One index: the shards that a search on it goes to, and the class of its searches.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Index {
     pub class: String,
-    /// Shards and their weights.
+    /// Each shard with its weight; the weights add up to 1.
     pub shards: Vec<(u32, f64)>,
 }
 
-/// What tells the tenant.
+/// The source of the tenant of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TenantBy {
+pub enum TenantSource {
     Header,
     Network,
-    /// The header where there is one, else the network.
-    Either,
+    /// The header, or the network if the header is missing.
+    HeaderOrNetwork,
     /// The common name of the client's certificate.
     Certificate,
 }
 
 /// The settings of the front.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Front {
+pub struct FrontSettings {
     pub listen: SocketAddr,
-    pub connections: usize,
-    pub most_body: usize,
-    pub most_answer: usize,
-    pub idle: Duration,
+    /// Further connections are not accepted until one closes.
+    pub max_connections: usize,
+    pub max_body_bytes: usize,
+    /// Limit on the answers of all shards to one search together.
+    pub max_answer_bytes: usize,
+    /// A connection without a request for this time is closed.
+    pub idle_timeout: Duration,
     pub cluster: String,
     /// In lower case.
     pub tenant_header: String,
-    pub tenant: Option<String>,
-    pub by: TenantBy,
-    pub tls: Option<Files>,
-    pub proxies: Networks,
-    pub networks: Table,
+    /// The tenant of a search for which `tenant_source` finds none.
+    pub default_tenant: Option<String>,
+    pub tenant_source: TenantSource,
+    pub tls: Option<TlsFiles>,
+    pub trusted_proxies: NetworkSet,
+    pub tenant_networks: TenantTable,
     pub indices: BTreeMap<String, Index>,
 }
 
-/// How far weights may be off a sum of 1.
-const ROUNDING: f64 = 0.01;
+/// The largest allowed difference between the sum of an index's weights and 1.
+const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
-/// Numbers and ranges, each once.
-fn shards(text: &str) -> Result<Vec<u32>, String> {
+/// Parses shard numbers and ranges; each shard may occur once.
+fn parse_shards(text: &str) -> Result<Vec<u32>, String> {
     let mut all = Vec::new();
-    for piece in text.split(',').map(str::trim) {
-        let (from, to) = piece.split_once('-').unwrap_or((piece, piece));
+    for item in text.split(',').map(str::trim) {
+        let (from, to) = item.split_once('-').unwrap_or((item, item));
         let number = |text: &str| {
             text.trim()
                 .parse::<u32>()
-                .map_err(|_| format!("'{piece}' is no number or range"))
+                .map_err(|_| format!("'{item}' is not a number or range"))
         };
         let (from, to) = (number(from)?, number(to)?);
         if from > to || to - from > 100_000 {
-            return Err(format!("'{piece}' is no range"));
+            return Err(format!("'{item}' is not a valid range"));
         }
         all.extend(from..=to);
     }
     let mut sorted = all.clone();
     sorted.sort_unstable();
     match sorted.windows(2).find(|pair| pair[0] == pair[1]) {
-        Some(pair) => Err(format!("shard {} is named twice", pair[0])),
+        Some(pair) => Err(format!("shard {} occurs twice", pair[0])),
         None => Ok(all),
     }
 }
 
-fn index_name(name: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
-    !name.starts_with(['_', '-']) && name.bytes().all(plain)
+fn is_valid_index_name(name: &str) -> bool {
+    let is_valid = |b: u8| b.is_ascii_lowercase() || b.is_ascii_digit() || b"-_.".contains(&b);
+    !name.starts_with(['_', '-']) && name.bytes().all(is_valid)
 }
 
-/// The tenants' networks, whatever order they stand in.
-fn table(settings: &Settings, schema: &Schema, by: TenantBy) -> Result<Table, SettingsErrors> {
+/// Reads the networks of the tenants. They are added from the shortest prefix to the longest, in whichever order the file
+/// lists them.
+fn tenant_table(
+    settings: &Settings,
+    schema: &Schema,
+    source: TenantSource,
+) -> Result<TenantTable, SettingsErrors> {
     let mut rules = Vec::new();
     for name in settings.section_names(NETWORK.name) {
         let network = settings.section(schema, NETWORK.name, name);
-        let wrong = |key: &str, why: &str| settings.value_error(NETWORK.name, name, key, why);
-        if matches!(by, TenantBy::Header | TenantBy::Certificate) {
-            return Err(wrong(
+        let error = |key: &str, reason: &str| settings.value_error(NETWORK.name, name, key, reason);
+        if matches!(source, TenantSource::Header | TenantSource::Certificate) {
+            return Err(error(
                 "tenant",
-                "is never used, as [opensearch] tenant-by does not go by networks",
+                "is not used, since [opensearch] tenant-by does not include networks",
             ));
         }
         let tenant = network
             .text("tenant")
-            .ok_or_else(|| wrong("tenant", "is missing"))?;
+            .ok_or_else(|| error("tenant", "is missing"))?;
         let prefixes = network
             .text("prefixes")
-            .ok_or_else(|| wrong("prefixes", "is missing"))?;
-        let prefixes = networks(prefixes).map_err(|why| wrong("prefixes", &why))?;
+            .ok_or_else(|| error("prefixes", "is missing"))?;
+        let prefixes = parse_networks(prefixes).map_err(|reason| error("prefixes", &reason))?;
         rules.extend(prefixes.into_iter().map(|net| (net, name, tenant)));
     }
     rules.sort_by_key(|(net, ..)| net.prefix_len());
-    let mut table = Table::default();
+    let mut table = TenantTable::default();
     for (net, name, tenant) in rules {
         table
             .insert(net, tenant)
-            .map_err(|why| settings.value_error(NETWORK.name, name, "prefixes", &why))?;
+            .map_err(|reason| settings.value_error(NETWORK.name, name, "prefixes", &reason))?;
     }
-    if table.is_empty() && matches!(by, TenantBy::Network | TenantBy::Either) {
+    if table.is_empty()
+        && matches!(
+            source,
+            TenantSource::Network | TenantSource::HeaderOrNetwork
+        )
+    {
         return Err(settings.value_error(
             FRONT.name,
             "",
             "tenant-by",
-            "goes by networks, and there is no [network NAME]",
+            "uses networks, and there is no [network NAME]",
         ));
     }
     Ok(table)
 }
 
-impl Front {
-    /// Reads the settings of the front; `None` where it is off.
+impl FrontSettings {
+    /// Reads the settings of the front; `None` if it is off.
     ///
     /// # Errors
-    /// Values that contradict each other.
-    pub fn read(settings: &Settings, schema: &Schema) -> Result<Option<Front>, SettingsErrors> {
+    /// A value that is missing, invalid or in contradiction with another.
+    pub fn read(
+        settings: &Settings,
+        schema: &Schema,
+    ) -> Result<Option<FrontSettings>, SettingsErrors> {
         let values = settings.section(schema, FRONT.name, "");
         let Some(listen) = values.address("listen") else {
             return Ok(None);
@@ -229,21 +247,22 @@
         let mut indices = BTreeMap::new();
         for name in settings.section_names(INDEX.name) {
             let index = settings.section(schema, INDEX.name, name);
-            let wrong = |key: &str, why: &str| settings.value_error(INDEX.name, name, key, why);
-            if !index_name(name) {
-                return Err(wrong(
+            let error =
+                |key: &str, reason: &str| settings.value_error(INDEX.name, name, key, reason);
+            if !is_valid_index_name(name) {
+                return Err(error(
                     "class",
-                    "an index's name has small letters, digits, '-', '_' and '.'",
+                    "the name of an index may have lower-case letters, digits, '-', '_' and '.', and not start with '_' or '-'",
                 ));
             }
             let class = index
                 .text("class")
-                .ok_or_else(|| wrong("class", "is missing"))?
+                .ok_or_else(|| error("class", "is missing"))?
                 .to_string();
             let numbers = index
                 .text("shards")
-                .ok_or_else(|| wrong("shards", "is missing"))?;
-            let numbers = shards(numbers).map_err(|why| wrong("shards", &why))?;
+                .ok_or_else(|| error("shards", "is missing"))?;
+            let numbers = parse_shards(numbers).map_err(|reason| error("shards", &reason))?;
             let weights: Vec<f64> = match index.text("weights") {
                 None => vec![1.0 / numbers.len() as f64; numbers.len()],
                 Some(text) => {
@@ -251,22 +270,21 @@
                         .split(',')
                         .map(|weight| weight.trim().parse())
                         .collect();
-                    weights.map_err(|_| wrong("weights", "have to be numbers"))?
+                    weights.map_err(|_| error("weights", "have to be numbers"))?
                 }
             };
             if weights.len() != numbers.len() {
-                let why = format!(
-                    "are {}, and there are {} shards",
-                    weights.len(),
-                    numbers.len()
-                );
-                return Err(wrong("weights", &why));
+                let reason = format!("has {} values for {} shards", weights.len(), numbers.len());
+                return Err(error("weights", &reason));
             }
             let sum: f64 = weights.iter().sum();
             if weights.iter().any(|weight| !(0.0..=1.0).contains(weight))
-                || (sum - 1.0).abs() > ROUNDING
+                || (sum - 1.0).abs() > WEIGHT_SUM_TOLERANCE
             {
-                return Err(wrong("weights", "have to be shares that add up to 1"));
+                return Err(error(
+                    "weights",
+                    "have to be numbers from 0 to 1 that add up to 1",
+                ));
             }
             indices.insert(
                 name.to_string(),
@@ -284,53 +302,58 @@
                 "there is no [index NAME] to search",
             ));
         }
-        let by = match values.text("tenant-by") {
-            Some("network") => TenantBy::Network,
-            Some("header-or-network") => TenantBy::Either,
-            Some("certificate") => TenantBy::Certificate,
-            _ => TenantBy::Header,
+        let tenant_source = match values.text("tenant-by") {
+            Some("network") => TenantSource::Network,
+            Some("header-or-network") => TenantSource::HeaderOrNetwork,
+            Some("certificate") => TenantSource::Certificate,
+            _ => TenantSource::Header,
         };
         let path = |key: &str| values.text(key).map(PathBuf::from);
-        let wrong = |key: &str, why: &str| settings.value_error(FRONT.name, "", key, why);
+        let error = |key: &str, reason: &str| settings.value_error(FRONT.name, "", key, reason);
         let tls = match (path("certificate"), path("key"), path("client-ca")) {
-            (Some(certificate), Some(key), clients) => Some(Files {
+            (Some(certificate), Some(key), client_ca) => Some(TlsFiles {
                 certificate,
                 key,
-                clients,
+                client_ca,
             }),
             (None, None, None) => None,
-            (Some(_), None, _) => return Err(wrong("certificate", "needs 'key'")),
-            (None, Some(_), _) => return Err(wrong("key", "needs 'certificate'")),
+            (Some(_), None, _) => return Err(error("certificate", "needs 'key'")),
+            (None, Some(_), _) => return Err(error("key", "needs 'certificate'")),
             (None, None, Some(_)) => {
-                return Err(wrong("client-ca", "needs 'certificate' and 'key'"))
+                return Err(error("client-ca", "needs 'certificate' and 'key'"))
             }
         };
-        if by == TenantBy::Certificate && tls.as_ref().is_none_or(|tls| tls.clients.is_none()) {
-            return Err(wrong(
+        if tenant_source == TenantSource::Certificate
+            && tls.as_ref().is_none_or(|tls| tls.client_ca.is_none())
+        {
+            return Err(error(
                 "tenant-by",
-                "goes by certificates, and there is no 'client-ca'",
+                "uses certificates, and there is no 'client-ca'",
             ));
         }
-        let mut proxies = Networks::default();
-        let named = networks(values.text("proxies").unwrap_or_default());
-        let named = named.map_err(|why| settings.value_error(FRONT.name, "", "proxies", &why))?;
-        named.into_iter().for_each(|net| proxies.insert(net));
-        Ok(Some(Front {
-            by,
+        let mut proxies = NetworkSet::default();
+        let proxy_networks = parse_networks(values.text("proxies").unwrap_or_default());
+        let proxy_networks = proxy_networks
+            .map_err(|reason| settings.value_error(FRONT.name, "", "proxies", &reason))?;
+        proxy_networks
+            .into_iter()
+            .for_each(|net| proxies.insert(net));
+        Ok(Some(FrontSettings {
+            tenant_source,
             tls,
-            proxies,
-            networks: table(settings, schema, by)?,
+            trusted_proxies: proxies,
+            tenant_networks: tenant_table(settings, schema, tenant_source)?,
             listen,
-            connections: values.integer("connections").unwrap_or(64) as usize,
-            most_body: values.bytes("body").unwrap_or(64 << 10) as usize,
-            most_answer: values.bytes("answer").unwrap_or(8 << 20) as usize,
-            idle: values.duration("idle").unwrap_or(Duration::from_secs(60)),
+            max_connections: values.integer("connections").unwrap_or(64) as usize,
+            max_body_bytes: values.bytes("body").unwrap_or(64 << 10) as usize,
+            max_answer_bytes: values.bytes("answer").unwrap_or(8 << 20) as usize,
+            idle_timeout: values.duration("idle").unwrap_or(Duration::from_secs(60)),
             cluster: values.text("cluster").unwrap_or("cottonhill").to_string(),
             tenant_header: values
                 .text("tenant-header")
                 .unwrap_or("X-Tenant-Id")
                 .to_ascii_lowercase(),
-            tenant: values.text("tenant").map(str::to_string),
+            default_tenant: values.text("tenant").map(str::to_string),
             indices,
         }))
     }
--- a/crates/opensearch/src/lib.rs
+++ b/crates/opensearch/src/lib.rs
@@ -1,14 +1,14 @@
 //! An OpenSearch-style front on the mixer's core.
 //!
-//! [`dsl`], [`merge`], [`index`], [`tenant`] and [`shape`] are pure: a request's bytes become a typed search, the
-//! shards' answers become one, and both get the shapes that clients know. [`front`] is the listener, with [`tls`] and
-//! [`packed`] bodies; what it takes goes through the same reducer and decisions as every native query.
+//! [`dsl`], [`merge`], [`index`], [`tenant`] and [`response`] are pure: they parse a request's body into a typed search,
+//! merge the answers of the shards into one, and write the response in the format of the OpenSearch API. [`front`] is the
+//! listener, with [`tls`] and [`gzip`] bodies. Its searches go through the same reducer and decisions as native queries.
 
 pub mod dsl;
 pub mod front;
+pub mod gzip;
 pub mod index;
 pub mod merge;
-pub mod packed;
-pub mod shape;
+pub mod response;
 pub mod tenant;
 pub mod tls;
--- a/crates/opensearch/src/merge.rs
+++ b/crates/opensearch/src/merge.rs
@@ -1,8 +1,8 @@
-//! One answer from those of the shards. Pure.
+//! The reduce step: merges the answers of the shards into one. Pure functions.
 //!
-//! Hits are ordered by the search's keys (by score alone: the higher first), then by shard, then by id: the same order
-//! every time. Of a key, numbers come before texts, texts before flags, whichever way it is sorted, and what a document
-//! lacks comes last. Totals are added up; a total that some shard only bounds is a bound.
+//! Hits are ordered by the search's sort keys (without any: by descending score), then by shard, then by id, so that the
+//! order is deterministic. Within a key, numbers sort before strings, strings before booleans, and missing values last,
+//! in ascending and descending order alike. Totals are added up; the sum is a lower bound if the total of any shard is.
 
 use crate::dsl::{Aggregation, Hit, Order, Search};
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// What one shard answered.
+/// The answer of one shard.
 #[derive(Debug, Deserialize)]
 pub struct ShardAnswer {
     pub hits: ShardHits,
@@ -40,19 +40,20 @@
     Gte,
 }
 
-/// Why a shard's answer is none.
+/// A shard failure: the shard did not answer in time, or answered with an error or something unusable.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Unusable {
+pub struct ShardFailure {
+    /// The `type` of the error, as in `timeout_exception`.
     pub kind: String,
     pub reason: String,
 }
 
-/// Reads what a shard answered: an answer, or an error well formed or not.
+/// Parses and checks the answer of one shard to `search`.
 ///
 /// # Errors
-/// It is no answer to the search.
-pub fn read(text: &str, search: &Search) -> Result<ShardAnswer, Unusable> {
-    let unusable = |kind: &str, reason: String| Unusable {
+/// The error that the shard answered with, or the reason for which its answer cannot be merged.
+pub fn parse_shard_answer(text: &str, search: &Search) -> Result<ShardAnswer, ShardFailure> {
+    let failure = |kind: &str, reason: String| ShardFailure {
         kind: kind.into(),
         reason,
     };
@@ -61,22 +62,22 @@
         Err(e) => {
             let error: Option<Value> = serde_json::from_str(text).ok();
             let error = error.as_ref().and_then(|value| value.get("error"));
-            let word = |key: &str| {
+            let field = |key: &str| {
                 error
                     .and_then(|error| error.get(key))
                     .and_then(Value::as_str)
             };
-            return Err(match word("type") {
-                Some(kind) => unusable(
+            return Err(match field("type") {
+                Some(kind) => failure(
                     kind,
-                    word("reason").unwrap_or("no reason given").to_string(),
+                    field("reason").unwrap_or("no reason given").to_string(),
                 ),
-                None => unusable("json_parse_exception", e.to_string()),
+                None => failure("json_parse_exception", e.to_string()),
             });
         }
     };
     if answer.timed_out {
-        return Err(unusable(
+        return Err(failure(
             "timeout_exception",
             "the shard ran out of time".into(),
         ));
@@ -86,9 +87,9 @@
         .hits
         .hits
         .iter()
-        .find(|hit| hit.sort.len() != keys && !search.by_score())
+        .find(|hit| hit.sort.len() != keys && !search.sorted_by_score())
     {
-        return Err(unusable(
+        return Err(failure(
             "illegal_state_exception",
             format!("hit [{}] lacks its sort values", hit.id),
         ));
@@ -99,7 +100,7 @@
         .iter()
         .any(|hit| hit.score.is_some_and(|score| !score.is_finite()))
     {
-        return Err(unusable(
+        return Err(failure(
             "illegal_state_exception",
             "a score that is no number".into(),
         ));
@@ -109,7 +110,7 @@
         .keys()
         .find(|name| !answer.aggregations.contains_key(*name))
     {
-        return Err(unusable(
+        return Err(failure(
             "illegal_state_exception",
             format!("the aggregation [{name}] is missing"),
         ));
@@ -117,16 +118,17 @@
     Ok(answer)
 }
 
-/// The merged page.
+/// The requested page of all hits, with total, highest score and aggregations.
 #[derive(Debug, Default)]
-pub struct Merged {
+pub struct MergedResults {
     pub total: Option<Total>,
     pub max_score: Option<f64>,
     pub hits: Vec<Hit>,
     pub aggregations: Map<String, Value>,
 }
 
-fn rank(value: &Value) -> u8 {
+/// The rank of a sort value's type. Missing values are null and rank last.
+fn type_rank(value: &Value) -> u8 {
     match value {
         Value::Number(_) => 0,
         Value::String(_) => 1,
@@ -135,55 +137,60 @@
     }
 }
 
-/// Two values of one key.
-pub fn compare(a: &Value, b: &Value, order: Order) -> Ordering {
-    let turned = |ordering: Ordering| {
+/// Compares two sort values of one key.
+pub fn compare_sort_values(a: &Value, b: &Value, order: Order) -> Ordering {
+    let directed = |ordering: Ordering| {
         if order == Order::Desc {
             ordering.reverse()
         } else {
             ordering
         }
     };
-    rank(a).cmp(&rank(b)).then_with(|| match (a, b) {
+    type_rank(a).cmp(&type_rank(b)).then_with(|| match (a, b) {
         (Value::Number(a), Value::Number(b)) => {
-            // Whole numbers as such: beyond 2^53 two of them may be one float.
-            let whole = a.as_i64().zip(b.as_i64()).map(|(a, b)| a.cmp(&b));
-            let float = || {
+            // Integers are compared as integers: beyond 2^53, different ones may be the same float.
+            let integers = a.as_i64().zip(b.as_i64()).map(|(a, b)| a.cmp(&b));
+            let floats = || {
                 a.as_f64()
                     .unwrap_or(f64::MAX)
                     .total_cmp(&b.as_f64().unwrap_or(f64::MAX))
             };
-            turned(whole.unwrap_or_else(float))
+            directed(integers.unwrap_or_else(floats))
         }
-        (Value::String(a), Value::String(b)) => turned(a.cmp(b)),
-        (Value::Bool(a), Value::Bool(b)) => turned(a.cmp(b)),
+        (Value::String(a), Value::String(b)) => directed(a.cmp(b)),
+        (Value::Bool(a), Value::Bool(b)) => directed(a.cmp(b)),
         _ => Ordering::Equal,
     })
 }
 
-fn before(search: &Search, (a_shard, a): (u32, &Hit), (b_shard, b): (u32, &Hit)) -> Ordering {
-    let keys = || {
+/// Compares two hits of a search, each with its shard.
+fn compare_hits(search: &Search, (a_shard, a): (u32, &Hit), (b_shard, b): (u32, &Hit)) -> Ordering {
+    let by_sort_keys = || {
         let keys = search.sort.iter().zip(a.sort.iter().zip(&b.sort));
-        keys.map(|(key, (a, b))| compare(a, b, key.order))
-            .find(|it| it.is_ne())
+        keys.map(|(key, (a, b))| compare_sort_values(a, b, key.order))
+            .find(|ordering| ordering.is_ne())
             .unwrap_or(Ordering::Equal)
     };
-    let scores = || {
+    let by_score = || {
         b.score
             .unwrap_or(f64::MIN)
             .total_cmp(&a.score.unwrap_or(f64::MIN))
     };
-    let first = if search.by_score() { scores() } else { keys() };
-    first
+    let primary = if search.sorted_by_score() {
+        by_score()
+    } else {
+        by_sort_keys()
+    };
+    primary
         .then(a_shard.cmp(&b_shard))
         .then_with(|| a.id.cmp(&b.id))
 }
 
 /// Merges the answers of shards to `search`.
-pub fn merge(search: &Search, answers: Vec<(u32, ShardAnswer)>) -> Merged {
-    let mut merged = Merged::default();
+pub fn merge(search: &Search, answers: Vec<(u32, ShardAnswer)>) -> MergedResults {
+    let mut merged = MergedResults::default();
     let mut hits: Vec<(u32, Hit)> = Vec::new();
-    let mut partial: BTreeMap<String, Vec<Value>> = BTreeMap::new();
+    let mut aggregations: BTreeMap<String, Vec<Value>> = BTreeMap::new();
     for (shard, answer) in answers {
         if let Some(total) = answer.hits.total {
             let sum = merged.total.get_or_insert(Total {
@@ -197,14 +204,14 @@
         }
         hits.extend(answer.hits.hits.into_iter().map(|hit| (shard, hit)));
         for (name, value) in answer.aggregations {
-            partial.entry(name).or_default().push(value);
+            aggregations.entry(name).or_default().push(value);
         }
     }
-    if search.by_score() {
+    if search.sorted_by_score() {
         let scores = hits.iter().filter_map(|(_, hit)| hit.score);
         merged.max_score = scores.max_by(f64::total_cmp);
     }
-    hits.sort_by(|(a_shard, a), (b_shard, b)| before(search, (*a_shard, a), (*b_shard, b)));
+    hits.sort_by(|(a_shard, a), (b_shard, b)| compare_hits(search, (*a_shard, a), (*b_shard, b)));
     let (from, size) = (search.from() as usize, search.size() as usize);
     merged.hits = hits
         .into_iter()
@@ -213,7 +220,7 @@
         .map(|(_, hit)| hit)
         .collect();
     for (name, aggregation) in &search.aggs {
-        let parts = partial.remove(name).unwrap_or_default();
+        let parts = aggregations.remove(name).unwrap_or_default();
         merged
             .aggregations
             .insert(name.clone(), reduce(aggregation, &parts));
@@ -221,49 +228,56 @@
     merged
 }
 
-fn number(part: &Value, key: &str) -> Option<f64> {
+/// A finite number of a shard's aggregation.
+fn finite_number(part: &Value, key: &str) -> Option<f64> {
     part.get(key)
         .and_then(Value::as_f64)
         .filter(|number| number.is_finite())
 }
 
-fn whole(part: &Value, key: &str) -> u64 {
+/// A count of a shard's aggregation; 0 if it is missing.
+fn count_of(part: &Value, key: &str) -> u64 {
     part.get(key).and_then(Value::as_u64).unwrap_or(0)
 }
 
-/// One aggregation from its parts.
+/// Reduces one aggregation of all shards; `parts` are the shards' results.
 fn reduce(aggregation: &Aggregation, parts: &[Value]) -> Value {
-    let values = |key: &'static str| parts.iter().filter_map(move |part| number(part, key));
+    let values = |key: &'static str| {
+        parts
+            .iter()
+            .filter_map(move |part| finite_number(part, key))
+    };
     let sum = |key: &'static str| values(key).sum::<f64>();
     match aggregation {
         Aggregation::Min(_) => json!({"value": values("value").min_by(f64::total_cmp)}),
         Aggregation::Max(_) => json!({"value": values("value").max_by(f64::total_cmp)}),
         Aggregation::Sum(_) => json!({"value": sum("value")}),
         Aggregation::ValueCount(_) => {
-            json!({"value": parts.iter().map(|part| whole(part, "value")).sum::<u64>()})
+            json!({"value": parts.iter().map(|part| count_of(part, "value")).sum::<u64>()})
         }
         Aggregation::Avg(_) | Aggregation::Stats(_) => {
-            let count: u64 = parts.iter().map(|part| whole(part, "count")).sum();
+            let count: u64 = parts.iter().map(|part| count_of(part, "count")).sum();
             let average = (count > 0).then(|| sum("sum") / count as f64);
             if matches!(aggregation, Aggregation::Avg(_)) {
                 return json!({"value": average});
             }
-            let (least, most) = (
+            let (min, max) = (
                 values("min").min_by(f64::total_cmp),
                 values("max").max_by(f64::total_cmp),
             );
-            json!({"count": count, "min": least, "max": most, "avg": average, "sum": sum("sum")})
+            json!({"count": count, "min": min, "max": max, "avg": average, "sum": sum("sum")})
         }
-        Aggregation::Terms(it) => terms(it.size as usize, parts),
+        Aggregation::Terms(aggregation) => reduce_terms(aggregation.size as usize, parts),
         Aggregation::Histogram(_) | Aggregation::DateHistogram(_) => {
-            let mut buckets: Vec<(Value, u64)> = counted(parts).into_values().collect();
-            buckets.sort_by(|a, b| compare(&a.0, &b.0, Order::Asc));
+            let mut buckets: Vec<(Value, u64)> = sum_buckets(parts).into_values().collect();
+            buckets.sort_by(|a, b| compare_sort_values(&a.0, &b.0, Order::Asc));
             let bucket = |(key, count): (Value, u64)| json!({"key": key, "doc_count": count});
             json!({"buckets": buckets.into_iter().map(bucket).collect::<Vec<_>>()})
         }
     }
 }
 
+/// The keys and document counts of a shard's buckets.
 fn buckets(part: &Value) -> impl Iterator<Item = (&Value, u64)> {
     let buckets = part
         .get("buckets")
@@ -273,8 +287,8 @@
     buckets.filter_map(|bucket| Some((bucket.get("key")?, bucket.get("doc_count")?.as_u64()?)))
 }
 
-/// Counts by key over all parts.
-fn counted(parts: &[Value]) -> BTreeMap<String, (Value, u64)> {
+/// Sums the document counts of all shards by key.
+fn sum_buckets(parts: &[Value]) -> BTreeMap<String, (Value, u64)> {
     let mut all: BTreeMap<String, (Value, u64)> = BTreeMap::new();
     for (key, count) in parts.iter().flat_map(buckets) {
         let (_, sum) = all
@@ -285,23 +299,26 @@
     all
 }
 
-/// The most frequent terms. A shard that left terms out may have had as many more of any that it did not name as its
-/// least frequent one has: that is the error bound.
-fn terms(size: usize, parts: &[Value]) -> Value {
-    let mut bound = 0;
-    let mut others = 0;
+/// Reduces a terms aggregation to the `size` most frequent terms. A shard that omitted terms may have counted each of them
+/// up to as often as its least frequent returned term: the error bound is the sum of these counts.
+fn reduce_terms(size: usize, parts: &[Value]) -> Value {
+    let mut error_bound = 0;
+    let mut other_count = 0;
     for part in parts {
-        let left_out = whole(part, "sum_other_doc_count");
-        others += left_out;
-        if left_out > 0 {
-            bound += buckets(part).map(|(_, count)| count).min().unwrap_or(0);
+        let omitted = count_of(part, "sum_other_doc_count");
+        other_count += omitted;
+        if omitted > 0 {
+            error_bound += buckets(part).map(|(_, count)| count).min().unwrap_or(0);
         }
-        bound += whole(part, "doc_count_error_upper_bound");
+        error_bound += count_of(part, "doc_count_error_upper_bound");
     }
-    let mut all: Vec<(Value, u64)> = counted(parts).into_values().collect();
-    all.sort_by(|a, b| b.1.cmp(&a.1).then_with(|| compare(&a.0, &b.0, Order::Asc)));
-    others += all.iter().skip(size).map(|(_, count)| count).sum::<u64>();
+    let mut all: Vec<(Value, u64)> = sum_buckets(parts).into_values().collect();
+    all.sort_by(|a, b| {
+        b.1.cmp(&a.1)
+            .then_with(|| compare_sort_values(&a.0, &b.0, Order::Asc))
+    });
+    other_count += all.iter().skip(size).map(|(_, count)| count).sum::<u64>();
     let bucket = |(key, count): (Value, u64)| json!({"key": key, "doc_count": count});
     let top: Vec<Value> = all.into_iter().take(size).map(bucket).collect();
-    json!({"doc_count_error_upper_bound": bound, "sum_other_doc_count": others, "buckets": top})
+    json!({"doc_count_error_upper_bound": error_bound, "sum_other_doc_count": other_count, "buckets": top})
 }
--- a/crates/opensearch/src/tls.rs
+++ b/crates/opensearch/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS on the front: certificate and key from files, taken up anew without dropping a connection.
+//! TLS of the front. Certificate and key are reloaded from their files without closing connections.
 
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
@@ -9,34 +9,35 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio_rustls::TlsAcceptor;
 
-/// The files that the settings name.
+/// The PEM files named by the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Files {
+pub struct TlsFiles {
     pub certificate: PathBuf,
     pub key: PathBuf,
-    /// Who vouches for clients; none where they are not asked for certificates.
-    pub clients: Option<PathBuf>,
+    /// The certificate authorities of client certificates; `None` if clients are not asked for certificates.
+    pub client_ca: Option<PathBuf>,
 }
 
-/// What new connections are met with.
+/// The TLS configuration of new connections.
 pub struct Tls {
-    files: Files,
+    files: TlsFiles,
     config: Mutex<Arc<ServerConfig>>,
 }
 
 fn certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, String> {
-    let at = |e: rustls::pki_types::pem::Error| format!("{}: {e}", path.display());
+    let with_path = |e: rustls::pki_types::pem::Error| format!("{}: {e}", path.display());
     let all: Vec<_> = CertificateDer::pem_file_iter(path)
-        .map_err(at)?
+        .map_err(with_path)?
         .collect::<Result<_, _>>()
-        .map_err(at)?;
+        .map_err(with_path)?;
     if all.is_empty() {
-        return Err(format!("{}: there is no certificate in it", path.display()));
+        return Err(format!("{}: contains no certificate", path.display()));
     }
     Ok(all)
 }
 
-fn read(files: &Files) -> Result<ServerConfig, String> {
+/// Builds the configuration from the files. The key file must not be accessible to other users.
+fn load_config(files: &TlsFiles) -> Result<ServerConfig, String> {
     let key = files.key.display();
     let mode = std::fs::metadata(&files.key)
         .map_err(|e| format!("{key}: {e}"))?
@@ -44,16 +45,17 @@
         .mode();
     if mode & 0o077 != 0 {
         return Err(format!(
-            "{key}: others may read it (mode {:03o}); chmod 600 it",
+            "{key}: must not be accessible to other users (mode {:03o}); run chmod 600 on it",
             mode & 0o777
         ));
     }
-    let secret = PrivateKeyDer::from_pem_file(&files.key).map_err(|e| format!("{key}: {e}"))?;
+    let private_key =
+        PrivateKeyDer::from_pem_file(&files.key).map_err(|e| format!("{key}: {e}"))?;
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let builder = ServerConfig::builder_with_provider(provider.clone())
         .with_safe_default_protocol_versions()
         .map_err(|e| e.to_string())?;
-    let builder = match &files.clients {
+    let builder = match &files.client_ca {
         None => builder.with_no_client_auth(),
         Some(path) => {
             let mut roots = RootCertStore::empty();
@@ -72,26 +74,28 @@
     };
     let chain = certificates(&files.certificate)?;
     let mut config = builder
-        .with_single_cert(chain, secret)
+        .with_single_cert(chain, private_key)
         .map_err(|e| format!("{} and {key}: {e}", files.certificate.display()))?;
     config.alpn_protocols = vec![b"http/1.1".to_vec()];
     Ok(config)
 }
 
 impl Tls {
+    /// Loads the files.
+    ///
     /// # Errors
-    /// A file that does not do, by its name.
-    pub fn load(files: Files) -> Result<Tls, String> {
-        let config = Mutex::new(Arc::new(read(&files)?));
+    /// The path of a file that is missing or invalid, and the reason.
+    pub fn load(files: TlsFiles) -> Result<Tls, String> {
+        let config = Mutex::new(Arc::new(load_config(&files)?));
         Ok(Tls { files, config })
     }
 
-    /// Reads the files again. Connections that are open go on as they are.
+    /// Loads the files again, for new connections; open ones keep their configuration.
     ///
     /// # Errors
-    /// A file that does not do; then the old ones stay in force.
+    /// The path of a file that is missing or invalid, and the reason. The previous configuration then stays in effect.
     pub fn reload(&self) -> Result<(), String> {
-        let next = Arc::new(read(&self.files)?);
+        let next = Arc::new(load_config(&self.files)?);
         *self.config.lock().unwrap_or_else(PoisonError::into_inner) = next;
         Ok(())
     }
--- a/crates/opensearch/tests/language.rs
+++ b/crates/opensearch/tests/language.rs
@@ -1,25 +1,23 @@
-//! The query language and the merge, without a socket.
+//! The query language and the merge of shard answers, without a network.
 
-use cottonhill_opensearch::dsl::{Problem, Search, MOST_CLAUSES, MOST_DEPTH};
-use cottonhill_opensearch::merge::{merge, read, Relation, ShardAnswer};
+use cottonhill_opensearch::dsl::{Search, SearchError, MAX_CLAUSES, MAX_DEPTH};
+use cottonhill_opensearch::merge::{merge, parse_shard_answer, Relation, ShardAnswer};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
-fn search(body: &Value) -> Result<Search, Problem> {
-    Search::read(body.to_string().as_bytes())
+fn parse(body: &Value) -> Result<Search, SearchError> {
+    Search::parse(body.to_string().as_bytes())
 }
 
 #[test]
-fn what_is_not_known_is_rejected_by_its_path() {
+fn invalid_searches_are_rejected_with_the_path_of_the_error() {
     let nested = |depth: usize| {
         (0..depth).fold(
             json!({"match_all": {}}),
             |inner, _| json!({"constant_score": {"filter": inner}}),
         )
     };
-    let many: Vec<Value> = (0..MOST_CLAUSES)
-        .map(|_| json!({"match_all": {}}))
-        .collect();
+    let many: Vec<Value> = (0..MAX_CLAUSES).map(|_| json!({"match_all": {}})).collect();
     let cases = [
         (json!({"quary": {}}), "quary", "unknown field"),
         (
@@ -60,14 +58,14 @@
             "from",
             "10000 at most",
         ),
-        (json!({"query": nested(MOST_DEPTH)}), "query", "deep"),
+        (json!({"query": nested(MAX_DEPTH)}), "query", "deep"),
         (
             json!({"query": {"bool": {"should": many}}}),
             "query",
             "clauses",
         ),
         (
-            json!({"query": {"ids": {"values": vec!["x"; MOST_CLAUSES + 1]}}}),
+            json!({"query": {"ids": {"values": vec!["x"; MAX_CLAUSES + 1]}}}),
             "query",
             "values",
         ),
@@ -106,16 +104,16 @@
         ),
     ];
     for (body, path, reason) in cases {
-        let problem = search(&body).expect_err(&body.to_string());
+        let error = parse(&body).expect_err(&body.to_string());
         assert!(
-            problem.path.starts_with(path) && problem.reason.contains(reason),
-            "{body}: {problem}"
+            error.path.starts_with(path) && error.reason.contains(reason),
+            "{body}: {error}"
         );
     }
-    assert!(search(&json!({"query": nested(MOST_DEPTH - 1)})).is_ok());
-    // As deep as a body can be: it is refused before anything goes down into it.
+    assert!(parse(&json!({"query": nested(MAX_DEPTH - 1)})).is_ok());
+    // A body of maximal depth is rejected before the recursive parser runs.
     let deep = [b"[".repeat(60_000), b"]".repeat(60_000)].concat();
-    assert!(Search::read(&deep).unwrap_err().too_much);
+    assert!(Search::parse(&deep).unwrap_err().exceeds_limit);
     for text in [
         "{",
         "{}{}",
@@ -125,18 +123,18 @@
         "{\"size\":1e999}",
         "{\"query\":{\"term\":{\"a\":NaN}}}",
     ] {
-        assert!(Search::read(text.as_bytes()).is_err(), "{text}");
+        assert!(Search::parse(text.as_bytes()).is_err(), "{text}");
     }
-    assert_eq!(Search::read(b" \n").unwrap(), Search::default());
+    assert_eq!(Search::parse(b" \n").unwrap(), Search::default());
 }
 
 #[test]
-fn shards_are_asked_for_all_that_a_page_may_need() {
-    let asked = search(
+fn the_shard_search_covers_everything_before_the_end_of_the_page() {
+    let search = parse(
         &json!({"from": 30, "size": 20, "timeout": "1s", "aggregations": {
         "a": {"avg": {"field": "x"}}, "t": {"terms": {"field": "x", "size": 4}}}}),
     );
-    let shard = serde_json::to_value(asked.unwrap().for_shards()).unwrap();
+    let shard = serde_json::to_value(search.unwrap().for_shards()).unwrap();
     assert_eq!(
         shard,
         json!({"size": 50, "aggs": {"a": {"stats": {"field": "x"}}, "t": {"terms": {"field": "x", "size": 16}}}})
@@ -150,8 +148,8 @@
 }
 
 #[test]
-fn equal_keys_missing_ones_and_other_types_have_one_order() {
-    let asked = search(&json!({"sort": [{"n": "desc"}], "size": 20})).unwrap();
+fn equal_missing_and_mixed_sort_values_have_a_deterministic_order() {
+    let search = parse(&json!({"sort": [{"n": "desc"}], "size": 20})).unwrap();
     let hit = |id: &str, key: Value| json!({"_id": id, "_score": null, "sort": [key]});
     let eq = |n: u64| json!({"value": n, "relation": "eq"});
     let answers = || {
@@ -166,38 +164,42 @@
             hit("z", Value::Null)
         ]);
         let three = json!([hit("m", json!(-1e300)), hit("f", json!(true))]);
-        let bound = json!({"value": 9, "relation": "gte"});
+        let lower_bound = json!({"value": 9, "relation": "gte"});
         vec![
             (2, shard(two, eq(3), json!({}))),
             (1, shard(one, eq(3), json!({}))),
-            (3, shard(three, bound, json!({}))),
+            (3, shard(three, lower_bound, json!({}))),
         ]
     };
     let ids = |answers| {
-        merge(&asked, answers)
+        merge(&search, answers)
             .hits
             .iter()
             .map(|hit| hit.id.clone())
             .collect::<Vec<_>>()
     };
-    let right = ["big", "c", "a", "b", "m", "t", "f", "z"];
-    assert_eq!(ids(answers()), right);
-    let mut turned = answers();
-    turned.reverse();
-    assert_eq!(ids(turned), right, "whichever answer came first");
-    let total = merge(&asked, answers()).total.unwrap();
+    let expected = ["big", "c", "a", "b", "m", "t", "f", "z"];
+    assert_eq!(ids(answers()), expected);
+    let mut reversed = answers();
+    reversed.reverse();
+    assert_eq!(
+        ids(reversed),
+        expected,
+        "the order of the answers does not matter"
+    );
+    let total = merge(&search, answers()).total.unwrap();
     assert_eq!(
         (total.value, total.relation),
         (15, Relation::Gte),
-        "a bound in one shard makes it a bound"
+        "a lower bound of one shard makes the sum a lower bound"
     );
 }
 
 #[test]
-fn terms_tell_how_wrong_they_may_be() {
-    let asked =
-        search(&json!({"size": 0, "aggs": {"t": {"terms": {"field": "x", "size": 2}}}})).unwrap();
-    let part = |buckets: &[(&str, u64)], other: u64| {
+fn merged_terms_have_their_error_bound() {
+    let search =
+        parse(&json!({"size": 0, "aggs": {"t": {"terms": {"field": "x", "size": 2}}}})).unwrap();
+    let shard_terms = |buckets: &[(&str, u64)], other: u64| {
         let buckets: Vec<Value> = buckets
             .iter()
             .map(|(key, n)| json!({"key": key, "doc_count": n}))
@@ -210,10 +212,10 @@
         )
     };
     let answers = vec![
-        (0, part(&[("a", 9), ("b", 5)], 4)),
-        (1, part(&[("c", 8), ("b", 6), ("d", 1)], 0)),
+        (0, shard_terms(&[("a", 9), ("b", 5)], 4)),
+        (1, shard_terms(&[("c", 8), ("b", 6), ("d", 1)], 0)),
     ];
-    let merged = merge(&asked, answers);
+    let merged = merge(&search, answers);
     assert_eq!(
         merged.aggregations["t"],
         json!({"doc_count_error_upper_bound": 5, "sum_other_doc_count": 13,
@@ -222,8 +224,8 @@
 }
 
 #[test]
-fn a_shards_answer_that_is_none_says_why() {
-    let asked = search(&json!({"sort": ["a"], "aggs": {"m": {"max": {"field": "a"}}}})).unwrap();
+fn unusable_shard_answers_are_shard_failures_with_a_reason() {
+    let search = parse(&json!({"sort": ["a"], "aggs": {"m": {"max": {"field": "a"}}}})).unwrap();
     let cases = [
         (
             json!({"error": {"type": "x_exception", "reason": "why"}, "status": 400}).to_string(),
@@ -252,10 +254,10 @@
         ),
     ];
     for (text, kind, reason) in cases {
-        let why = read(&text, &asked).unwrap_err();
+        let failure = parse_shard_answer(&text, &search).unwrap_err();
         assert!(
-            why.kind == kind && why.reason.contains(reason),
-            "{text}: {why:?}"
+            failure.kind == kind && failure.reason.contains(reason),
+            "{text}: {failure:?}"
         );
     }
 }
@@ -263,9 +265,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever bytes come, reading them ends without a panic; what is read says the same when it is written again.
+    /// No input makes the parser panic, and a parsed search is equal to itself after it is serialized and parsed again.
     #[test]
-    fn any_bytes_are_a_search_or_a_problem(
+    fn any_bytes_are_a_search_or_an_error(
         pieces in prop::collection::vec(prop::sample::select(vec![
             "{", "}", "[", "]", ",", ":", "\"query\"", "\"bool\"", "\"must\"", "\"term\"", "\"match_all\"", "\"size\"",
             "\"sort\"", "\"aggs\"", "\"a\"", "1", "-1", "1e308", "null", "true", "\"desc\"", "\"\\", "\u{1f3b5}",
@@ -273,33 +275,33 @@
         noise in prop::collection::vec(any::<u8>(), 0..20),
     ) {
         let mut bytes = pieces.concat().into_bytes();
-        let _ = Search::read(&bytes);
+        let _ = Search::parse(&bytes);
         bytes.extend(noise);
-        if let Ok(search) = Search::read(&bytes) {
+        if let Ok(search) = Search::parse(&bytes) {
             let again = serde_json::to_vec(&search).unwrap();
-            prop_assert_eq!(Search::read(&again).unwrap(), search);
+            prop_assert_eq!(Search::parse(&again).unwrap(), search);
         }
-        let _ = read(&String::from_utf8_lossy(&bytes), &Search::default());
+        let _ = parse_shard_answer(&String::from_utf8_lossy(&bytes), &Search::default());
     }
 
-    /// A page of the merge is that page of all hits in order, however they are spread over shards.
+    /// The merged page is that page of all hits in order, however they are distributed over the shards.
     #[test]
-    fn pages_are_cut_from_one_order(
+    fn pages_are_slices_of_all_hits_in_order(
         scores in prop::collection::vec((0u8..4, 0u32..5), 0..60), from in 0u64..30, size in 0u64..30,
     ) {
-        let asked = search(&json!({"from": from, "size": size})).unwrap();
-        let mut right: Vec<(u8, u32, String)> = Vec::new();
+        let search = parse(&json!({"from": from, "size": size})).unwrap();
+        let mut expected: Vec<(u8, u32, String)> = Vec::new();
         let mut shards: Vec<Vec<Value>> = vec![Vec::new(); 5];
         for (n, (score, shard)) in scores.iter().enumerate() {
-            right.push((*score, *shard, format!("{n:03}")));
+            expected.push((*score, *shard, format!("{n:03}")));
             shards[*shard as usize].push(json!({"_id": format!("{n:03}"), "_score": score}));
         }
-        right.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(&b.1)).then(a.2.cmp(&b.2)));
+        expected.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.cmp(&b.1)).then(a.2.cmp(&b.2)));
         let total = |hits: &[Value]| json!({"value": hits.len(), "relation": "eq"});
         let answers = shards.iter().enumerate().map(|(n, hits)| (n as u32, shard(json!(hits), total(hits), json!({}))));
-        let merged = merge(&asked, answers.collect());
+        let merged = merge(&search, answers.collect());
         let ids: Vec<String> = merged.hits.iter().map(|hit| hit.id.clone()).collect();
-        let page: Vec<String> = right.into_iter().skip(from as usize).take(size as usize).map(|it| it.2).collect();
+        let page: Vec<String> = expected.into_iter().skip(from as usize).take(size as usize).map(|hit| hit.2).collect();
         prop_assert_eq!(ids, page);
         prop_assert_eq!(merged.total.map_or(0, |total| total.value), scores.len() as u64);
     }
--- a/crates/opensearch/tests/tenant.rs
+++ b/crates/opensearch/tests/tenant.rs
@@ -1,12 +1,12 @@
-//! The tenant of a search by its client's network, also behind proxies.
+//! The tenant of a search by its client's network, with and without proxies.
 
-use cottonhill_opensearch::tenant::{client, networks, Networks, Table};
+use cottonhill_opensearch::tenant::{client_address, parse_networks, NetworkSet, TenantTable};
 use ipnet::Ipv4Net;
 use proptest::prelude::*;
 use std::net::{IpAddr, Ipv4Addr};
 
-fn table(rules: &[(&str, &str)]) -> Result<Table, String> {
-    let mut table = Table::default();
+fn tenant_table(rules: &[(&str, &str)]) -> Result<TenantTable, String> {
+    let mut table = TenantTable::default();
     for (net, tenant) in rules {
         table.insert(net.parse().unwrap(), tenant)?;
     }
@@ -14,14 +14,14 @@
 }
 
 #[test]
-fn the_longest_prefix_wins_and_rules_that_do_nothing_are_refused() {
-    let found = table(&[
+fn the_longest_prefix_decides_and_rules_without_effect_are_rejected() {
+    let table_result = tenant_table(&[
         ("10.0.0.0/8", "a"),
         ("10.1.0.0/16", "b"),
         ("10.1.2.0/24", "a"),
         ("2001:db8::/32", "c"),
     ]);
-    let found = found.unwrap();
+    let tenants = table_result.unwrap();
     let cases = [
         ("10.9.9.9", Some("a")),
         ("10.1.9.9", Some("b")),
@@ -32,25 +32,31 @@
         ("2001:db9::1", None),
     ];
     for (address, tenant) in cases {
-        assert_eq!(found.find(address.parse().unwrap()), tenant, "{address}");
+        assert_eq!(
+            tenants.tenant_of(address.parse().unwrap()),
+            tenant,
+            "{address}"
+        );
     }
-    assert!(table(&[("10.0.0.0/8", "a"), ("10.0.0.0/8", "b")])
+    assert!(tenant_table(&[("10.0.0.0/8", "a"), ("10.0.0.0/8", "b")])
         .unwrap_err()
         .contains("already"));
-    assert!(table(&[("10.0.0.0/8", "a"), ("10.1.0.0/16", "a")])
+    assert!(tenant_table(&[("10.0.0.0/8", "a"), ("10.1.0.0/16", "a")])
         .unwrap_err()
         .contains("changes nothing"));
     assert!(
-        networks("10.1.0.1/16").unwrap_err().contains("10.1.0.0/16")
-            && networks("10.1.0.0/33").is_err()
+        parse_networks("10.1.0.1/16")
+            .unwrap_err()
+            .contains("10.1.0.0/16")
+            && parse_networks("10.1.0.0/33").is_err()
     );
-    assert_eq!(networks("10.1.0.0/16, ::1").unwrap().len(), 2);
+    assert_eq!(parse_networks("10.1.0.0/16, ::1").unwrap().len(), 2);
 }
 
 #[test]
-fn forwarded_addresses_are_believed_from_trusted_proxies_only() {
-    let mut proxies = Networks::default();
-    networks("10.0.0.0/24, ::1")
+fn forwarded_addresses_are_used_from_trusted_proxies_only() {
+    let mut proxies = NetworkSet::default();
+    parse_networks("10.0.0.0/24, ::1")
         .unwrap()
         .into_iter()
         .for_each(|net| proxies.insert(net));
@@ -68,11 +74,11 @@
         ("10.0.0.1", &[], "10.0.0.1"),
         ("::ffff:10.0.0.1", &["::ffff:192.0.2.7"], "192.0.2.7"),
     ];
-    for (peer, forwarded, right) in cases {
-        let got = client(peer.parse().unwrap(), forwarded, &proxies);
+    for (peer, forwarded, expected) in cases {
+        let actual = client_address(peer.parse().unwrap(), forwarded, &proxies);
         assert_eq!(
-            got,
-            right.parse::<IpAddr>().unwrap(),
+            actual,
+            expected.parse::<IpAddr>().unwrap(),
             "{peer} {forwarded:?}"
         );
     }
@@ -82,23 +88,23 @@
     #![proptest_config(ProptestConfig { cases: 500, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_table_agrees_with_a_look_at_every_rule(
+    fn the_table_agrees_with_a_linear_search_of_all_rules(
         rules in prop::collection::vec((0u32..64, 0u8..=6, 0u8..3), 0..20), address in 0u32..64,
     ) {
         let spread = |n: u32| Ipv4Addr::from(n << 26);
-        let mut nets: Vec<(Ipv4Net, u8)> = rules.iter().map(|(at, length, tenant)| {
-            (Ipv4Net::new(spread(*at), *length).unwrap().trunc(), *tenant)
+        let mut nets: Vec<(Ipv4Net, u8)> = rules.iter().map(|(number, length, tenant)| {
+            (Ipv4Net::new(spread(*number), *length).unwrap().trunc(), *tenant)
         }).collect();
         nets.sort_by_key(|(net, _)| net.prefix_len());
-        let mut table = Table::default();
-        let mut taken: Vec<(Ipv4Net, u8)> = Vec::new();
+        let mut table = TenantTable::default();
+        let mut accepted: Vec<(Ipv4Net, u8)> = Vec::new();
         for (net, tenant) in nets {
             if table.insert(net.into(), &tenant.to_string()).is_ok() {
-                taken.push((net, tenant));
+                accepted.push((net, tenant));
             }
         }
-        let around = taken.iter().filter(|(net, _)| net.contains(&spread(address)));
-        let right = around.max_by_key(|(net, _)| net.prefix_len()).map(|(_, tenant)| tenant.to_string());
-        prop_assert_eq!(table.find(IpAddr::V4(spread(address))).map(str::to_string), right);
+        let enclosing = accepted.iter().filter(|(net, _)| net.contains(&spread(address)));
+        let expected = enclosing.max_by_key(|(net, _)| net.prefix_len()).map(|(_, tenant)| tenant.to_string());
+        prop_assert_eq!(table.tenant_of(IpAddr::V4(spread(address))).map(str::to_string), expected);
     }
 }
--- a/crates/opensearch/tests/tls.rs
+++ b/crates/opensearch/tests/tls.rs
@@ -1,6 +1,6 @@
-//! TLS of the front: reloaded certificates, and clients that are named by theirs.
+//! TLS of the front: reload of certificates, and client certificates.
 
-use cottonhill_opensearch::tls::{common_name, Files, Tls};
+use cottonhill_opensearch::tls::{common_name, Tls, TlsFiles};
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, DnType, IsCa, KeyPair};
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -53,7 +53,7 @@
     }
 }
 
-fn put(path: &Path, text: &str, mode: u32) {
+fn write_with_mode(path: &Path, text: &str, mode: u32) {
     fs::write(path, text).unwrap();
     fs::set_permissions(path, fs::Permissions::from_mode(mode)).unwrap();
 }
@@ -63,91 +63,94 @@
     server::TlsStream<DuplexStream>,
 );
 
-async fn meet(tls: &Tls, client: ClientConfig, host: &'static str) -> std::io::Result<Pair> {
-    let (near, far) = tokio::io::duplex(65_536);
+async fn handshake(tls: &Tls, client: ClientConfig, host: &'static str) -> std::io::Result<Pair> {
+    let (client_stream, server_stream) = tokio::io::duplex(65_536);
     let acceptor = tls.acceptor();
-    let server = tokio::spawn(async move { acceptor.accept(far).await });
+    let server = tokio::spawn(async move { acceptor.accept(server_stream).await });
     let connector = TlsConnector::from(Arc::new(client));
     let client = connector
-        .connect(ServerName::try_from(host).unwrap(), near)
+        .connect(ServerName::try_from(host).unwrap(), client_stream)
         .await;
     let server = server.await.unwrap();
     Ok((client?, server?))
 }
 
 #[tokio::test]
-async fn a_reload_changes_new_connections_only_and_bad_files_change_nothing() {
+async fn a_reload_affects_new_connections_only_and_invalid_files_change_nothing() {
     let (folder, authority) = (tempfile::tempdir().unwrap(), Authority::new());
-    let at = |name: &str| folder.path().join(name);
-    let files = Files {
-        certificate: at("cert"),
-        key: at("key"),
-        clients: Some(at("ca")),
+    let path = |name: &str| folder.path().join(name);
+    let files = TlsFiles {
+        certificate: path("cert"),
+        key: path("key"),
+        client_ca: Some(path("ca")),
     };
     let (certificate, key) = authority.issue("one.example", "one");
-    put(&files.certificate, &certificate, 0o644);
-    put(&at("ca"), &authority.0.pem(), 0o644);
-    put(&files.key, &key, 0o640);
+    write_with_mode(&files.certificate, &certificate, 0o644);
+    write_with_mode(&path("ca"), &authority.0.pem(), 0o644);
+    write_with_mode(&files.key, &key, 0o640);
     assert!(Tls::load(files.clone())
         .err()
         .unwrap()
-        .contains("others may read it"));
-    put(&files.key, &key, 0o600);
+        .contains("must not be accessible to other users"));
+    write_with_mode(&files.key, &key, 0o600);
     let tls = Tls::load(files.clone()).unwrap();
-    let (mut client, mut server) = meet(&tls, authority.client(None), "one.example")
+    let (mut client, mut server) = handshake(&tls, authority.client(None), "one.example")
         .await
         .unwrap();
     assert!(
         server.get_ref().1.peer_certificates().is_none(),
         "a client's certificate is optional"
     );
-    // Another certificate; half of a new pair first.
+    // The new certificate is written first, then its key: in between, the pair does not match.
     let (next, next_key) = authority.issue("two.example", "two");
-    put(&files.certificate, &next, 0o644);
+    write_with_mode(&files.certificate, &next, 0o644);
     assert!(tls.reload().is_err());
     assert!(
-        meet(&tls, authority.client(None), "one.example")
+        handshake(&tls, authority.client(None), "one.example")
             .await
             .is_ok(),
-        "the old one stays in force"
+        "the previous certificate stays in effect"
     );
-    put(&files.key, &next_key, 0o600);
+    write_with_mode(&files.key, &next_key, 0o600);
     tls.reload().unwrap();
-    assert!(meet(&tls, authority.client(None), "two.example")
+    assert!(handshake(&tls, authority.client(None), "two.example")
         .await
         .is_ok());
-    assert!(meet(&tls, authority.client(None), "one.example")
+    assert!(handshake(&tls, authority.client(None), "one.example")
         .await
         .is_err());
     client.write_all(b"still here").await.unwrap();
     client.flush().await.unwrap();
-    let mut said = [0; 10];
-    server.read_exact(&mut said).await.unwrap();
-    assert_eq!(&said, b"still here", "the connection from before goes on");
+    let mut received = [0; 10];
+    server.read_exact(&mut received).await.unwrap();
+    assert_eq!(
+        &received, b"still here",
+        "a connection from before the reload stays open"
+    );
 }
 
 #[tokio::test]
-async fn a_clients_certificate_names_it_and_a_strangers_is_refused() {
-    let (folder, authority, stranger) = (
+async fn a_client_certificate_names_its_client_and_one_of_another_authority_is_refused() {
+    let (folder, authority, other_authority) = (
         tempfile::tempdir().unwrap(),
         Authority::new(),
         Authority::new(),
     );
-    let at = |name: &str| folder.path().join(name);
-    let files = Files {
-        certificate: at("cert"),
-        key: at("key"),
-        clients: Some(at("ca")),
+    let path = |name: &str| folder.path().join(name);
+    let files = TlsFiles {
+        certificate: path("cert"),
+        key: path("key"),
+        client_ca: Some(path("ca")),
     };
     let (certificate, key) = authority.issue("one.example", "one");
-    put(&files.certificate, &certificate, 0o644);
-    put(&files.key, &key, 0o600);
-    put(&at("ca"), &authority.0.pem(), 0o644);
+    write_with_mode(&files.certificate, &certificate, 0o644);
+    write_with_mode(&files.key, &key, 0o600);
+    write_with_mode(&path("ca"), &authority.0.pem(), 0o644);
     let tls = Tls::load(files).unwrap();
     let alpha = authority.client(Some(authority.issue("client.example", "alpha")));
-    let (_client, server) = meet(&tls, alpha, "one.example").await.unwrap();
+    let (_client, server) = handshake(&tls, alpha, "one.example").await.unwrap();
     let certificates = server.get_ref().1.peer_certificates().unwrap();
     assert_eq!(common_name(&certificates[0]).as_deref(), Some("alpha"));
-    let other = authority.client(Some(stranger.issue("client.example", "alpha")));
-    assert!(meet(&tls, other, "one.example").await.is_err());
+    let refused = authority.client(Some(other_authority.issue("client.example", "alpha")));
+    assert!(handshake(&tls, refused, "one.example").await.is_err());
 }
