--- a/crates/cottonhill/src/mixer/mod.rs
+++ b/crates/cottonhill/src/mixer/mod.rs
@@ -45,7 +45,7 @@
     let listener = listener::bind(config.listen).await?;
     let integrations = transport::Integrations {
         recorder: writer.map(|writer| Box::new(UsageLogRecorder(writer)) as _),
-        fronts: fronts.start,
+        frontends: fronts.start,
     };
     transport::serve(
         reducer,
