--- a/crates/ledger/src/join.rs
+++ b/crates/ledger/src/join.rs
@@ -239,7 +239,8 @@
             .push(Use::new(first, ambiguous));
     }
 
-    /// Joins the retries and emits the uses that are final once all attempts that arrived before `now` have been pushed.
+    /// Joins the retries and emits the uses that are final once all attempts that arrived before `now` have been
+    /// pushed.
     fn advance(&mut self, now: i64, emit: &mut impl FnMut(Use)) {
         while let Some(retry) = self.retries.front().copied() {
             if retry.arrived_ms.saturating_add(self.skew_ms) >= now {
