--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -42,7 +42,7 @@
         let started = RuntimeThread::start(|| Discovery::start(Ipv4Addr::LOCALHOST.into()))?;
         let (discovery_thread, discovery) = started;
         let discovery = Arc::new(discovery.map_err(Failure::running)?);
-        discovery.tell(list);
+        discovery.update(list);
         let config = Arc::new(configuration(discovery.address, mixers, way)?);
         let progress = Arc::new(Progress::new(mixers as usize));
         let start_thread = |first: usize| {
@@ -74,7 +74,7 @@
     pub fn change(&self, lines: Vec<Value>) -> Version {
         let version = self.discovery.version() + lines.len() as Version;
         self.progress.announce(version, Instant::now());
-        self.discovery.tell(lines);
+        self.discovery.update(lines);
         version
     }
 
--- a/crates/lab/src/hollow/steps.rs
+++ b/crates/lab/src/hollow/steps.rs
@@ -45,12 +45,12 @@
             processor_us_per_mixer: ms(now.mixers.saturating_sub(self.mixers)) * 1e3
                 / fleet.mixers as f64,
             connections: traffic.connections,
-            list_calls: traffic.list_calls,
-            watch_calls: traffic.watch_calls,
-            whole_messages: traffic.whole_messages,
-            bytes_per_whole_message: each(traffic.whole_bytes, traffic.whole_messages),
-            change_messages: traffic.change_messages,
-            bytes_per_change_message: each(traffic.change_bytes, traffic.change_messages),
+            list_calls: traffic.list_requests,
+            watch_calls: traffic.watch_requests,
+            whole_messages: traffic.snapshot_messages,
+            bytes_per_whole_message: each(traffic.snapshot_bytes, traffic.snapshot_messages),
+            change_messages: traffic.delta_messages,
+            bytes_per_change_message: each(traffic.delta_bytes, traffic.delta_messages),
             heartbeats: traffic.heartbeats,
             socket_bytes_per_mixer: each(traffic.bytes_sent, fleet.mixers),
         }
@@ -88,7 +88,7 @@
     };
     let all = fleet.mixers as usize;
     let refused = || {
-        let sent = fleet.discovery.traffic().whole_messages;
+        let sent = fleet.discovery.traffic().snapshot_messages;
         fleet.progress.lagging(version) == all && sent >= REFUSED_AFTER * fleet.mixers
     };
     wait(most, LOOK, || {
@@ -96,7 +96,7 @@
     })
     .await;
     let refused = refused();
-    let watched = || fleet.discovery.traffic().watch_calls >= fleet.mixers;
+    let watched = || fleet.discovery.traffic().watch_requests >= fleet.mixers;
     if !refused {
         // The watch that follows the whole list belongs to the start.
         wait(most, LOOK, watched).await;
@@ -144,7 +144,7 @@
         vec![entry(change * 7 % entries, change, "up")]
     };
     discovery
-        .tell_steadily(per_second, settings.rate_time, next)
+        .update_periodically(per_second, settings.rate_time, next)
         .await;
     let version = discovery.version();
     let step = finish(fleet, &before, version, settings.step_time).await;
@@ -178,16 +178,16 @@
     settings: &HollowSettings,
 ) -> ReturnStep {
     let before = Reading::of(fleet);
-    fleet.discovery.set_absent(true);
+    fleet.discovery.set_offline(true);
     sleep(settings.absent_time).await;
     let version = change_one(fleet, entries);
     if !history {
-        fleet.discovery.forget_changes();
+        fleet.discovery.clear_history();
     }
     let absent_ms = before.at.elapsed().as_secs_f64() * 1e3;
     fleet.progress.announce(version, Instant::now());
     let mut last = fleet.discovery.traffic();
-    fleet.discovery.set_absent(false);
+    fleet.discovery.set_offline(false);
     let (mut connections, mut calls) = (0, 0);
     let until = Instant::now() + settings.step_time;
     // One window more than it takes, so that the last calls are counted.
@@ -199,7 +199,7 @@
         let window = now.since(&last);
         (connections, calls) = (
             window.connections.max(connections),
-            window.calls().max(calls),
+            window.requests().max(calls),
         );
         last = now;
     }
@@ -214,7 +214,7 @@
 /// All watches fall silent, and one entry changes at that moment.
 pub(super) async fn silence(fleet: &mut Fleet, entries: u64, most: Duration) -> Step {
     let before = Reading::of(fleet);
-    fleet.discovery.fall_silent();
+    fleet.discovery.silence_watches();
     let version = change_one(fleet, entries);
     finish(fleet, &before, version, most).await
 }
--- a/crates/standins/src/bin/cottonhill-prove-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-prove-ledger.rs
@@ -1,20 +1,21 @@
-//! `cottonhill-prove-ledger`: that the ledger counts what clients sent, exactly, whatever fails meanwhile.
+//! `cottonhill-prove-ledger`: end-to-end test that the ledger counts exactly the queries that clients sent, despite
+//! failures of every component.
 //!
 //! Three mixers, 12 leaf servers in three zones, and clients that retry within and across mixers. One mixer is killed
-//! in the middle of a period, started, killed again as it recovers, and started; a zone is lost across the end of a
-//! period and comes back cold; the settlement is killed twice; the receiver of documents stores them and then drops
-//! the connection, answers 500 or hangs, and is restarted; a correction is made after its statement has gone out. In
-//! the end the clients' own records are set beside the statements and the documents, by code that shares nothing with
-//! the ledger's.
+//! in the middle of a period, started, killed again during recovery, and started; a zone is killed across the end of a
+//! period and restored cold; the settlement is killed twice; the receiver of exported documents stores them and then
+//! drops the connection, answers 500 or hangs, and is restarted; a correction is made after its statement has been
+//! exported. At the end the clients' own records are compared with the statements and the documents, by code that is
+//! independent of the ledger's.
 
 use clap::Parser;
 use cottonhill_mixer::reducer::usage::{key_from_content, key_from_idempotency_key};
-use cottonhill_standins::client::{spread, Attempt, Connection, Got, Question};
-use cottonhill_standins::installation::{
-    free_port, get, now_ms, own_ip, Installation, Plan, CLASSES, SHARDS, TENANTS,
+use cottonhill_standins::client::{consecutive_parts, Attempt, AttemptOutcome, Connection, Query};
+use cottonhill_standins::cluster::{
+    free_port, http_get, now_ms, process_ip, ClusterConfig, LocalCluster, CLASSES, SHARDS, TENANTS,
 };
-use cottonhill_standins::leaf::value;
-use cottonhill_standins::receiver::{Kept, Receiver};
+use cottonhill_standins::leaf::expected_value;
+use cottonhill_standins::receiver::{ExportReceiver, ReceivedDocuments};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use serde_json::Value;
@@ -29,83 +30,92 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Proves the ledger on loopback; the last line is a summary, and the exit code 0 only if all holds.
+/// Runs the end-to-end test of the ledger on loopback. The last line is a summary; the exit code is 0 only if all checks
+/// pass
 #[derive(Parser)]
-struct Line {
+struct Arguments {
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Uses that clients ask for, each in one or more tries
+    /// Queries that clients send, each in one or more attempts
     #[arg(long, default_value_t = 20_000)]
     queries: u64,
-    /// Clients at once
+    /// Concurrent clients
     #[arg(long, default_value_t = 64)]
     clients: u64,
-    /// Seconds of a period
+    /// Length of a period in seconds
     #[arg(long, default_value_t = 5)]
     period: u64,
-    /// Keep the folder with all logs and files, and print its name
+    /// Keep the directory with all logs and files, and print its path
     #[arg(long)]
     keep: bool,
 }
 
-/// No first try is sent so near to a period's end that it might arrive past it.
-const QUIET: u64 = 300;
-/// Tries of one use at the most.
-const MOST_TRIES: u32 = 8;
+/// No first attempt is sent within this time of a period's boundary, so that it arrives in the period of its send time.
+const BOUNDARY_MARGIN_MS: u64 = 300;
+/// Maximum number of attempts of one query.
+const MAX_ATTEMPTS: u32 = 8;
 
-/// A use as its client saw it.
-struct Used {
-    at_ms: u64,
+/// A query and its outcome as recorded by the client.
+struct ClientRecord {
+    /// Time of the first attempt, in Unix milliseconds.
+    sent_ms: u64,
     tenant: &'static str,
     class: &'static str,
     outcome: &'static str,
-    tries: u32,
+    attempts: u32,
     key: u64,
 }
 
 #[derive(Default)]
 struct Tally {
-    tries: AtomicU64,
-    /// At another mixer than the try before.
-    crossed: AtomicU64,
-    left: AtomicU64,
-    lost: AtomicU64,
+    attempts: AtomicU64,
+    /// Attempts at another mixer than the previous one.
+    switched_mixer: AtomicU64,
+    /// Attempts that the client abandoned before the answer.
+    abandoned: AtomicU64,
+    connections_lost: AtomicU64,
     refused: AtomicU64,
     late: AtomicU64,
-    /// No answer at all from a mixer that was up, or an answer that is not what the leaf servers hold.
+    /// Attempts without any answer from a mixer that was running.
     unanswered: AtomicU64,
+    /// Answers that differ from the leaf servers' values or lack coverage.
     wrong: AtomicU64,
 }
 
-struct World {
+/// State shared by all clients.
+struct SharedState {
     mixers: Vec<SocketAddr>,
-    /// Bit by bit: this mixer has been killed, so a broken connection to it is owed nothing.
+    /// Whether each mixer has been killed, so that a broken connection to it is expected.
     killed: [AtomicBool; 3],
     period_ms: u64,
-    left: AtomicU64,
+    /// Queries that clients have yet to send.
+    remaining: AtomicU64,
     tally: Tally,
-    used: Mutex<Vec<Used>>,
+    records: Mutex<Vec<ClientRecord>>,
 }
 
-async fn away_from_the_edge(period_ms: u64) {
+/// Waits until the current time is not near a period's boundary.
+async fn avoid_period_boundary(period_ms: u64) {
     loop {
-        let into = now_ms() % period_ms;
-        if (QUIET..period_ms - QUIET).contains(&into) {
+        let elapsed_ms = now_ms() % period_ms;
+        if (BOUNDARY_MARGIN_MS..period_ms - BOUNDARY_MARGIN_MS).contains(&elapsed_ms) {
             return;
         }
         sleep(Duration::from_millis(20)).await;
     }
 }
 
-async fn client(world: Arc<World>, number: u64, seed: u64) {
+/// Sends queries until none remain.
+async fn run_client(shared: Arc<SharedState>, number: u64, seed: u64) {
     let mut random = StdRng::seed_from_u64(seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    let home = (number % 3) as usize;
-    let mut connection = Connection::new(world.mixers[home]);
+    let first_mixer = (number % 3) as usize;
+    let mut connection = Connection::new(shared.mixers[first_mixer]);
     for n in 0u64.. {
-        if world
-            .left
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
-                left.checked_sub(1)
+        if shared
+            .remaining
+            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, |remaining| {
+                remaining.checked_sub(1)
             })
             .is_err()
         {
@@ -114,14 +124,14 @@
         sleep(Duration::from_millis(random.random_range(40..160))).await;
         let class = CLASSES[random.random_range(0..CLASSES.len())];
         let tenant = random.random_range(0..TENANTS.len());
-        let width = random.random_range(1..=6u32);
+        let count = random.random_range(1..=6u32);
         let first = random.random_range(0..SHARDS);
-        // Two tenants name their uses; of the others each text is asked once, by one client.
+        // Two tenants send idempotency keys. For the others each text is used in one query only.
         let keyed = tenant < 2;
-        let question = Question {
+        let query = Query {
             class: class.0.into(),
             tenant: TENANTS[tenant].into(),
-            parts: spread(first, width, SHARDS),
+            parts: consecutive_parts(first, count, SHARDS),
             text: if keyed {
                 "the same text".into()
             } else {
@@ -129,286 +139,293 @@
             },
             key: keyed.then(|| format!("use-{number}-{n}")),
         };
-        away_from_the_edge(world.period_ms).await;
-        let used = ask(
-            &world,
+        avoid_period_boundary(shared.period_ms).await;
+        let record = run_query(
+            &shared,
             &mut connection,
             &mut random,
-            &question,
-            (number, n, home),
+            &query,
+            (number, n, first_mixer),
             class,
         )
         .await;
-        world
-            .used
+        shared
+            .records
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .push(used);
+            .push(record);
     }
 }
 
 type Class = (&'static str, u64, u64, f64);
 
-/// One use, until it is answered or its time is up.
-async fn ask(
-    world: &World,
+/// Sends one query in as many attempts as it needs, until it is answered, its timeout expires or the attempts are used
+/// up.
+async fn run_query(
+    shared: &SharedState,
     connection: &mut Connection,
     random: &mut StdRng,
-    question: &Question,
-    (number, n, home): (u64, u64, usize),
+    query: &Query,
+    (number, n, first_mixer): (u64, u64, usize),
     class: Class,
-) -> Used {
-    let key = match &question.key {
-        Some(key) => key_from_idempotency_key(&question.class, key),
+) -> ClientRecord {
+    let key = match &query.key {
+        Some(key) => key_from_idempotency_key(&query.class, key),
         None => key_from_content(
-            &question.class,
-            question.parts.iter().copied(),
-            question.text.as_bytes(),
+            &query.class,
+            query.parts.iter().copied(),
+            query.text.as_bytes(),
         ),
     };
     let tenant = TENANTS
         .iter()
-        .find(|name| **name == question.tenant)
+        .find(|name| **name == query.tenant)
         .copied()
         .unwrap_or_default();
-    let mut used = Used {
-        at_ms: now_ms(),
+    let mut record = ClientRecord {
+        sent_ms: now_ms(),
         tenant,
         class: class.0,
         outcome: "refused",
-        tries: 0,
+        attempts: 0,
         key,
     };
-    let (began, most) = (Instant::now(), Duration::from_millis(class.2));
-    let mut mixer = home;
-    let tally = &world.tally;
-    while used.tries < MOST_TRIES {
-        let remaining = most.saturating_sub(began.elapsed());
+    let (started, timeout) = (Instant::now(), Duration::from_millis(class.2));
+    let mut mixer = first_mixer;
+    let tally = &shared.tally;
+    while record.attempts < MAX_ATTEMPTS {
+        let remaining = timeout.saturating_sub(started.elapsed());
         if remaining < Duration::from_millis(60) {
             break;
         }
-        let retry = used.tries > 0;
-        used.tries += 1;
-        tally.tries.fetch_add(1, Ordering::Relaxed);
-        connection.turn_to(world.mixers[mixer]);
-        let id = format!("c{number}-{n}-{}", used.tries);
-        // Some leave before the answer and ask again elsewhere. Only who names the use is then counted once for
-        // certain, as the answer may have been on its way.
-        let leaves = question.key.is_some() && !retry && random.random_bool(0.01);
-        let (wait, grace) = match leaves {
+        let retry = record.attempts > 0;
+        record.attempts += 1;
+        tally.attempts.fetch_add(1, Ordering::Relaxed);
+        connection.switch_to(shared.mixers[mixer]);
+        let id = format!("c{number}-{n}-{}", record.attempts);
+        // Some clients abandon an attempt before its answer and retry at another mixer. Only a query with an
+        // idempotency key is then certain to be counted once, because the first answer may already be on its way.
+        let abandons = query.key.is_some() && !retry && random.random_bool(0.01);
+        let (attempt_timeout, grace) = match abandons {
             true => (remaining, Duration::ZERO),
             false => (remaining, Duration::from_secs(3)),
         };
-        let asked = Instant::now();
+        let attempt_started = Instant::now();
         let attempt = Attempt {
             id: &id,
             retry,
-            wait,
+            timeout: attempt_timeout,
             grace,
         };
-        let got = if leaves {
-            let patience = Duration::from_millis(random.random_range(1..12));
-            match tokio::time::timeout(patience, connection.ask(question, &attempt)).await {
-                Ok(got) => got,
+        let outcome = if abandons {
+            let abandon_after = Duration::from_millis(random.random_range(1..12));
+            match tokio::time::timeout(abandon_after, connection.send_query(query, &attempt)).await
+            {
+                Ok(outcome) => outcome,
                 Err(_) => {
-                    tally.left.fetch_add(1, Ordering::Relaxed);
-                    *connection = Connection::new(world.mixers[mixer]);
+                    tally.abandoned.fetch_add(1, Ordering::Relaxed);
+                    *connection = Connection::new(shared.mixers[mixer]);
                     mixer = (mixer + 1) % 3;
-                    tally.crossed.fetch_add(1, Ordering::Relaxed);
+                    tally.switched_mixer.fetch_add(1, Ordering::Relaxed);
                     continue;
                 }
             }
         } else {
-            connection.ask(question, &attempt).await
+            connection.send_query(query, &attempt).await
         };
-        tally
-            .late
-            .fetch_add(u64::from(asked.elapsed() > wait), Ordering::Relaxed);
-        match got {
-            Got::Answer(whole, hits) => {
-                let right = hits
+        tally.late.fetch_add(
+            u64::from(attempt_started.elapsed() > attempt_timeout),
+            Ordering::Relaxed,
+        );
+        match outcome {
+            AttemptOutcome::Answer(complete, hits) => {
+                let correct = hits
                     .iter()
-                    .all(|(shard, doc)| *doc == value(*shard, &question.text));
-                let share: f64 = hits
+                    .all(|(shard, doc)| *doc == expected_value(*shard, &query.text));
+                let coverage: f64 = hits
                     .iter()
-                    .filter_map(|(s, _)| question.parts.iter().find(|p| p.0 == *s))
-                    .map(|p| p.1)
+                    .filter_map(|(shard, _)| query.parts.iter().find(|part| part.0 == *shard))
+                    .map(|part| part.1)
                     .sum();
-                let floor = if whole { 1.0 } else { class.3 };
+                let minimum = if complete { 1.0 } else { class.3 };
                 let distinct: BTreeSet<u32> = hits.iter().map(|hit| hit.0).collect();
-                if !right || share + 1e-3 < floor || distinct.len() != hits.len() {
+                if !correct || coverage + 1e-3 < minimum || distinct.len() != hits.len() {
                     tally.wrong.fetch_add(1, Ordering::Relaxed);
                 }
-                used.outcome = if whole { "whole" } else { "partial" };
-                return used;
+                record.outcome = if complete { "whole" } else { "partial" };
+                return record;
             }
-            Got::Refused(after) => {
+            AttemptOutcome::Refused(retry_after) => {
                 tally.refused.fetch_add(1, Ordering::Relaxed);
-                sleep(after.unwrap_or(Duration::from_millis(50)).min(most)).await;
+                sleep(
+                    retry_after
+                        .unwrap_or(Duration::from_millis(50))
+                        .min(timeout),
+                )
+                .await;
                 if random.random_bool(0.5) {
                     mixer = (mixer + 1) % 3;
-                    tally.crossed.fetch_add(1, Ordering::Relaxed);
+                    tally.switched_mixer.fetch_add(1, Ordering::Relaxed);
                 }
             }
-            Got::Lost => {
-                tally.lost.fetch_add(1, Ordering::Relaxed);
-                if !world.killed[mixer].load(Ordering::Relaxed) {
+            AttemptOutcome::ConnectionLost => {
+                tally.connections_lost.fetch_add(1, Ordering::Relaxed);
+                if !shared.killed[mixer].load(Ordering::Relaxed) {
                     tally.unanswered.fetch_add(1, Ordering::Relaxed);
                 }
                 mixer = (mixer + 1) % 3;
-                tally.crossed.fetch_add(1, Ordering::Relaxed);
+                tally.switched_mixer.fetch_add(1, Ordering::Relaxed);
             }
-            Got::TimedOut => {
+            AttemptOutcome::TimedOut => {
                 tally.unanswered.fetch_add(1, Ordering::Relaxed);
-                used.outcome = "failed";
-                return used;
+                record.outcome = "failed";
+                return record;
             }
-            Got::Failed(_) => {
-                used.outcome = "failed";
-                return used;
+            AttemptOutcome::Failed(_) => {
+                record.outcome = "failed";
+                return record;
             }
         }
     }
-    used
+    record
 }
 
-/// Until the given part of the next period, in hundredths of its length; past its end if over 100.
-async fn into_next_period(period_ms: u64, hundredths: u64) {
+/// Sleeps until the next period has elapsed by `percent`; above 100, until after its end.
+async fn sleep_into_next_period(period_ms: u64, percent: u64) {
     let now = now_ms();
-    let at = now - now % period_ms + period_ms + period_ms * hundredths / 100;
-    sleep(Duration::from_millis(at.saturating_sub(now))).await;
+    let target = now - now % period_ms + period_ms + period_ms * percent / 100;
+    sleep(Duration::from_millis(target.saturating_sub(now))).await;
 }
 
-fn output(command: &mut std::process::Command) -> io::Result<(bool, String)> {
+/// Runs a command. Returns whether it succeeded, and both of its outputs.
+fn run_command(command: &mut std::process::Command) -> io::Result<(bool, String)> {
     let output = command.output()?;
     let text = String::from_utf8_lossy(&output.stdout).into_owned()
         + &String::from_utf8_lossy(&output.stderr);
     Ok((output.status.success(), text))
 }
 
-fn json(command: &mut std::process::Command) -> io::Result<Value> {
+/// Runs a command and parses its standard output as JSON.
+fn run_json_command(command: &mut std::process::Command) -> io::Result<Value> {
     let output = command.output()?;
     serde_json::from_slice(&output.stdout)
         .map_err(|_| io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned()))
 }
 
+/// Collects the results of the checks.
 #[derive(Default)]
-struct Proof {
+struct Checks {
     failures: Vec<String>,
 }
 
-impl Proof {
-    fn check(&mut self, what: &str, holds: bool, detail: impl std::fmt::Display) {
-        println!("{} {what}: {detail}", if holds { "ok  " } else { "FAIL" });
-        if !holds {
-            self.failures.push(what.to_string());
+impl Checks {
+    fn check(&mut self, name: &str, passed: bool, detail: impl std::fmt::Display) {
+        println!("{} {name}: {detail}", if passed { "ok  " } else { "FAIL" });
+        if !passed {
+            self.failures.push(name.to_string());
         }
     }
 }
 
-/// Uses, whole and partial answers, by period, tenant and class.
+/// Number of uses, complete answers and partial answers, by period, tenant and class.
 type Totals = BTreeMap<(String, String, String), [i64; 3]>;
 
-async fn run(line: Line) -> io::Result<bool> {
-    let mut folder = tempfile::tempdir()?;
-    if line.keep {
-        folder.disable_cleanup(true);
-        println!("files are kept in {}", folder.path().display());
+async fn run(arguments: Arguments) -> io::Result<bool> {
+    let mut directory = tempfile::tempdir()?;
+    if arguments.keep {
+        directory.disable_cleanup(true);
+        println!("files are in {}", directory.path().display());
     }
     let started = Instant::now();
-    let period_ms = line.period.max(4) * 1000;
-    let kept = Arc::new(Mutex::new(Kept::default()));
-    let receiver_at = free_port(own_ip())?;
-    let mut receiver = Receiver::start(receiver_at, kept.clone(), true).await?;
-    let documents = folder.path().join("documents");
-    let mut ledger = format!(
+    let period_ms = arguments.period.max(4) * 1000;
+    let received = Arc::new(Mutex::new(ReceivedDocuments::default()));
+    let receiver_address = free_port(process_ip())?;
+    let mut receiver = ExportReceiver::start(receiver_address, received.clone(), true).await?;
+    let documents_directory = directory.path().join("documents");
+    let mut ledger_settings = format!(
         "[periods]\nevery = {}s\nhorizon = 2s\nskew = 100ms\ngrace = 120s\n\n\
-         [export]\nurl = http://{receiver_at}/documents\n\
+         [export]\nurl = http://{receiver_address}/documents\n\
          folder = {}\ntimeout = 300ms\nagain = 50ms\n\n[tenant alpha]\nallowance = 100\n\n",
         period_ms / 1000,
-        documents.display()
+        documents_directory.display()
     );
     for (i, (class, ..)) in CLASSES.iter().enumerate() {
         let _ = write!(
-            ledger,
+            ledger_settings,
             "[price {class}]\nwhole = {}\npartial = {}\n\n",
             100 * (i + 1),
             90 * (i + 1)
         );
     }
-    let plan = Plan {
-        seed: line.seed,
-        work: Duration::from_millis(9),
-        slots: 3,
-        usage: true,
-        ledger,
-        ..Plan::default()
+    let config = ClusterConfig {
+        seed: arguments.seed,
+        service_time: Duration::from_millis(9),
+        leaf_concurrency: 3,
+        usage_log: true,
+        ledger_settings,
+        ..ClusterConfig::default()
     };
-    let mut installation = Installation::start(folder.path(), plan).await?;
-    installation.start_settlement()?;
-    let world = Arc::new(World {
-        mixers: installation
-            .mixers
-            .iter()
-            .map(|mixer| mixer.address)
-            .collect(),
+    let mut cluster = LocalCluster::start(directory.path(), config).await?;
+    cluster.start_settlement()?;
+    let shared = Arc::new(SharedState {
+        mixers: cluster.mixers.iter().map(|mixer| mixer.address).collect(),
         killed: Default::default(),
         period_ms,
-        left: AtomicU64::new(line.queries),
+        remaining: AtomicU64::new(arguments.queries),
         tally: Tally::default(),
-        used: Mutex::new(Vec::new()),
+        records: Mutex::new(Vec::new()),
     });
-    let clients: Vec<_> = (0..line.clients)
-        .map(|number| tokio::spawn(client(world.clone(), number, line.seed)))
+    let clients: Vec<_> = (0..arguments.clients)
+        .map(|number| tokio::spawn(run_client(shared.clone(), number, arguments.seed)))
         .collect();
 
-    // What fails, in an order that has each meet the others' aftermath.
-    into_next_period(period_ms, 40).await;
-    world.killed[1].store(true, Ordering::Relaxed);
-    installation.kill_mixer(1);
+    // Failures are injected in an order in which each overlaps with the recovery from the previous ones.
+    sleep_into_next_period(period_ms, 40).await;
+    shared.killed[1].store(true, Ordering::Relaxed);
+    cluster.kill_mixer(1);
     sleep(Duration::from_millis(300)).await;
-    installation.launch_mixer(1)?;
-    // It is reading its log, or about to.
+    cluster.spawn_mixer(1)?;
+    // The mixer is now reading its usage log or about to.
     sleep(Duration::from_millis(15)).await;
-    installation.kill_mixer(1);
-    installation.start_mixer(1).await?;
-    installation.kill_settlement();
+    cluster.kill_mixer(1);
+    cluster.start_mixer(1).await?;
+    cluster.kill_settlement();
     sleep(Duration::from_millis(700)).await;
-    installation.start_settlement()?;
-    into_next_period(period_ms, 85).await;
-    installation.lose_zone(2);
+    cluster.start_settlement()?;
+    sleep_into_next_period(period_ms, 85).await;
+    cluster.kill_zone(2);
     sleep(Duration::from_millis(period_ms * 40 / 100)).await;
-    installation.restore_zone(2, true).await?;
+    cluster.restore_zone(2, true).await?;
     drop(receiver);
     sleep(Duration::from_millis(200)).await;
-    receiver = Receiver::start(receiver_at, kept.clone(), true).await?;
-    into_next_period(period_ms, 50).await;
-    installation.kill_settlement();
+    receiver = ExportReceiver::start(receiver_address, received.clone(), true).await?;
+    sleep_into_next_period(period_ms, 50).await;
+    cluster.kill_settlement();
     sleep(Duration::from_millis(400)).await;
-    installation.start_settlement()?;
-    // A correction, once its statement has gone out.
-    let mut corrected = None;
+    cluster.start_settlement()?;
+    // Makes a correction once the statement of its period has been exported.
+    let mut corrected_period = None;
     for _ in 0..300 {
-        let kept = kept
+        let documents = received
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .documents
             .clone();
-        let sent = kept
+        let exported = documents
             .values()
             .filter_map(|(body, _)| serde_json::from_slice::<Value>(body).ok());
-        if let Some(sent) = sent
+        if let Some(statement) = exported
             .into_iter()
-            .find(|sent| sent["tenant"] == "beta" && sent["kind"] == "statement")
+            .find(|document| document["tenant"] == "beta" && document["kind"] == "statement")
         {
-            corrected = sent["period"].as_str().map(str::to_string);
+            corrected_period = statement["period"].as_str().map(str::to_string);
             break;
         }
         sleep(Duration::from_millis(100)).await;
     }
-    let mut proof = Proof::default();
-    let period = corrected.clone().unwrap_or_default();
-    let words = [
+    let mut checks = Checks::default();
+    let period = corrected_period.clone().unwrap_or_default();
+    let correction = [
         "correct",
         "--tenant",
         "beta",
@@ -423,86 +440,107 @@
         "--id",
         "first",
     ];
-    let (entered, said) = output(&mut installation.ledger(&words))?;
-    proof.check(
+    let (succeeded, output) = run_command(&mut cluster.ledger_command(&correction))?;
+    checks.check(
         "a correction after the export becomes a credit",
-        entered && said.contains("credit-first"),
-        said.trim(),
+        succeeded && output.contains("credit-first"),
+        output.trim(),
     );
 
     for client in clients {
         client.await.map_err(io::Error::other)?;
     }
-    let asked_for = started.elapsed();
-    let mut counters = Vec::new();
-    for mixer in &installation.mixers {
-        let stats = get(mixer.address, "/-/stats")
+    let load_duration = started.elapsed();
+    let mut counter_files = Vec::new();
+    for mixer in &cluster.mixers {
+        let stats = http_get(mixer.address, "/-/stats")
             .await
             .map(|(_, body)| body)
             .unwrap_or_default();
-        let file = folder.path().join(format!("{}.stats", mixer.name));
+        let file = directory.path().join(format!("{}.stats", mixer.name));
         fs::write(&file, &stats)?;
-        counters.push((
+        counter_files.push((
             mixer.name.clone(),
             file,
             serde_json::from_slice::<Value>(&stats).unwrap_or_default(),
         ));
     }
-    // All that was sent belongs to periods up to this one.
-    let last = now_ms();
+    // All queries belong to periods up to the one that contains this time.
+    let last_ms = now_ms();
     let mut statements = Vec::new();
     for _ in 0..600 {
-        let listed = json(&mut installation.ledger(&["periods", "--format", "json"]))?;
+        let listed =
+            run_json_command(&mut cluster.ledger_command(&["periods", "--format", "json"]))?;
         statements = listed.as_array().cloned().unwrap_or_default();
-        let over = statements
+        let settled_until = statements
             .last()
-            .and_then(|it| it["end"].as_str())
-            .and_then(|end| end.parse::<jiff_ms::Ms>().ok());
-        let waiting = json(&mut installation.ledger(&["export", "--list", "--format", "json"]))?;
-        let sent = |it: &Value| it["posted"] == true && it["in_folder"] == true;
-        let all_sent = waiting
+            .and_then(|period| period["end"].as_str())
+            .and_then(|end| end.parse::<timestamp::Ms>().ok());
+        let exports = run_json_command(
+            &mut cluster.ledger_command(&["export", "--list", "--format", "json"]),
+        )?;
+        let delivered =
+            |document: &Value| document["posted"] == true && document["in_folder"] == true;
+        let all_delivered = exports
             .as_array()
-            .is_some_and(|all| !all.is_empty() && all.iter().all(sent));
-        if over.is_some_and(|end| end.0 > last) && all_sent {
+            .is_some_and(|all| !all.is_empty() && all.iter().all(delivered));
+        if settled_until.is_some_and(|end| end.0 > last_ms) && all_delivered {
             break;
         }
         sleep(Duration::from_millis(100)).await;
     }
     drop(receiver);
 
-    // What clients sent, beside what statements say: by code of its own.
-    let used = std::mem::take(&mut *world.used.lock().unwrap_or_else(PoisonError::into_inner));
-    let mut clients: Totals = BTreeMap::new();
+    // Compares the clients' records with the statements, independently of the ledger's own reconciliation.
+    let records = std::mem::take(
+        &mut *shared
+            .records
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner),
+    );
+    let mut client_totals: Totals = BTreeMap::new();
     let mut csv =
-        csv::Writer::from_path(folder.path().join("clients.csv")).map_err(io::Error::other)?;
+        csv::Writer::from_path(directory.path().join("clients.csv")).map_err(io::Error::other)?;
     csv.write_record(["at_ms", "tenant", "class", "outcome", "tries", "key"])
         .map_err(io::Error::other)?;
-    for it in &used {
-        let period = jiff_ms::Ms(it.at_ms - it.at_ms % period_ms).to_string();
-        let total = clients
-            .entry((period, it.tenant.into(), it.class.into()))
+    for record in &records {
+        let period = timestamp::Ms(record.sent_ms - record.sent_ms % period_ms).to_string();
+        let total = client_totals
+            .entry((period, record.tenant.into(), record.class.into()))
             .or_default();
         total[0] += 1;
-        total[1] += i64::from(it.outcome == "whole");
-        total[2] += i64::from(it.outcome == "partial");
-        let (at, tries, key) = (
-            it.at_ms.to_string(),
-            it.tries.to_string(),
-            format!("{:016x}", it.key),
+        total[1] += i64::from(record.outcome == "whole");
+        total[2] += i64::from(record.outcome == "partial");
+        let (sent_ms, attempts, key) = (
+            record.sent_ms.to_string(),
+            record.attempts.to_string(),
+            format!("{:016x}", record.key),
         );
-        csv.write_record([&at, it.tenant, it.class, it.outcome, &tries, &key])
-            .map_err(io::Error::other)?;
+        csv.write_record([
+            &sent_ms,
+            record.tenant,
+            record.class,
+            record.outcome,
+            &attempts,
+            &key,
+        ])
+        .map_err(io::Error::other)?;
     }
     csv.flush()?;
-    let mut said: Totals = BTreeMap::new();
+    let mut ledger_totals: Totals = BTreeMap::new();
     let (mut total, mut adjustments, mut lost, mut missing) = (0, 0, 0, 0);
-    for it in &statements {
-        let name = it["period"].as_str().unwrap_or_default();
-        let statement = json(&mut installation.ledger(&["statement", name, "--format", "json"]))?;
+    for period in &statements {
+        let name = period["period"].as_str().unwrap_or_default();
+        let statement = run_json_command(&mut cluster.ledger_command(&[
+            "statement",
+            name,
+            "--format",
+            "json",
+        ]))?;
         total += statement["total"].as_i64().unwrap_or_default();
         for line in statement["lines"].as_array().into_iter().flatten() {
             let text = |key: &str| line[key].as_str().unwrap_or_default().to_string();
-            let sum = said
+            let sum = ledger_totals
                 .entry((text("period"), text("tenant"), text("class")))
                 .or_default();
             for (i, key) in ["uses", "whole", "partial"].iter().enumerate() {
@@ -520,78 +558,85 @@
             .filter_map(|member| member["lost"].as_i64())
             .sum();
     }
-    let differ: Vec<_> = clients
+    let differences: Vec<_> = client_totals
         .keys()
-        .chain(said.keys())
-        .filter(|key| clients.get(*key) != said.get(*key))
+        .chain(ledger_totals.keys())
+        .filter(|key| client_totals.get(*key) != ledger_totals.get(*key))
         .collect();
-    let shown: Vec<String> = differ
+    let displayed: Vec<String> = differences
         .iter()
         .take(5)
         .map(|key| {
             format!(
                 "{key:?}: clients {:?}, ledger {:?}",
-                clients.get(*key),
-                said.get(*key)
+                client_totals.get(*key),
+                ledger_totals.get(*key)
             )
         })
         .collect();
-    let cells = clients.len();
-    proof.check(
+    let total_count = client_totals.len();
+    checks.check(
         "totals by tenant, class and period equal what clients sent",
-        differ.is_empty() && cells > 0 && used.len() as u64 == line.queries,
+        differences.is_empty() && total_count > 0 && records.len() as u64 == arguments.queries,
         format!(
-            "{cells} totals over {} statements, {} uses {}",
+            "{total_count} totals over {} statements, {} uses {}",
             statements.len(),
-            used.len(),
-            shown.join("; ")
+            records.len(),
+            displayed.join("; ")
         ),
     );
-    let tally = &world.tally;
-    let count = |of: &AtomicU64| of.load(Ordering::Relaxed);
-    let (tries, unanswered, wrong) = (
-        count(&tally.tries),
+    let tally = &shared.tally;
+    let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+    let (attempts, unanswered, wrong) = (
+        count(&tally.attempts),
         count(&tally.unanswered),
         count(&tally.wrong),
     );
-    proof.check(
+    checks.check(
         "every query got one final answer",
         unanswered == 0 && wrong == 0,
         format!(
-            "{tries} tries, {} lost with the killed mixer, {unanswered} unanswered, \
-             {wrong} not as the leaf servers hold, \
-             {} later than told",
-            count(&tally.lost),
+            "{attempts} attempts, {} connections lost with the killed mixer, {unanswered} unanswered, \
+             {wrong} wrong answers, {} answers after the timeout",
+            count(&tally.connections_lost),
             count(&tally.late)
         ),
     );
-    let retries = tries - used.len() as u64;
-    proof.check(
+    let retries = attempts - records.len() as u64;
+    checks.check(
         "clients retried within and across mixers",
-        retries > 0 && count(&tally.crossed) > 0,
+        retries > 0 && count(&tally.switched_mixer) > 0,
         format!(
-            "{retries} retries, {} at another mixer, {} after a refusal, {} left early",
-            count(&tally.crossed),
+            "{retries} retries, {} at another mixer, {} after a refusal, {} after abandoning an attempt",
+            count(&tally.switched_mixer),
             count(&tally.refused),
-            count(&tally.left)
+            count(&tally.abandoned)
         ),
     );
-    let kept = kept.lock().unwrap_or_else(PoisonError::into_inner).clone();
-    let made = json(&mut installation.ledger(&["export", "--list", "--format", "json"]))?;
-    let made: BTreeSet<String> = made
+    let received = received
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clone();
+    let exported =
+        run_json_command(&mut cluster.ledger_command(&["export", "--list", "--format", "json"]))?;
+    let exported: BTreeSet<String> = exported
         .as_array()
         .into_iter()
         .flatten()
-        .filter_map(|it| Some(it["document"].as_str()?.to_string()))
+        .filter_map(|document| Some(document["document"].as_str()?.to_string()))
         .collect();
-    let received: BTreeSet<String> = kept.documents.keys().cloned().collect();
-    let offers: u32 = kept.documents.values().map(|(_, offers)| offers).sum();
-    let amounts: i64 = kept
+    let received_ids: BTreeSet<String> = received.documents.keys().cloned().collect();
+    let deliveries: u32 = received
+        .documents
+        .values()
+        .map(|(_, deliveries)| deliveries)
+        .sum();
+    let amounts: i64 = received
         .documents
         .values()
         .filter_map(|(body, _)| serde_json::from_slice::<Value>(body).ok()?["amount"].as_i64())
         .sum();
-    let files: BTreeSet<String> = fs::read_dir(&documents)?
+    let files: BTreeSet<String> = fs::read_dir(&documents_directory)?
         .filter_map(|file| {
             file.ok()?
                 .file_name()
@@ -600,97 +645,109 @@
                 .map(str::to_string)
         })
         .collect();
-    proof.check(
+    checks.check(
         "each document is received exactly once, unchanged",
-        made == received
-            && made == files
-            && kept.changed == 0
-            && !made.is_empty()
-            && offers as usize > made.len(),
+        exported == received_ids
+            && exported == files
+            && received.mismatches == 0
+            && !exported.is_empty()
+            && deliveries as usize > exported.len(),
         format!(
-            "{} documents, {offers} offers, {} in the folder, {} with other bytes",
-            received.len(),
+            "{} documents, {deliveries} deliveries, {} in the folder, {} with different content",
+            received_ids.len(),
             files.len(),
-            kept.changed
+            received.mismatches
         ),
     );
-    proof.check(
-        "documents come to the statements and the credit",
+    checks.check(
+        "the documents' amounts equal the statements plus the credit",
         amounts == total - 75,
         format!("{amounts} = {total} - 75 micro-units"),
     );
-    proof.check(
+    checks.check(
         "nothing is missing from the statements",
         missing == 0 && lost == 0,
         format!("{missing} members missing, {lost} records lost"),
     );
-    for mixer in &mut installation.mixers {
-        let ended = mixer
+    for mixer in &mut cluster.mixers {
+        let exited = mixer
             .process
             .as_mut()
-            .is_some_and(|process| process.end(Duration::from_secs(10)));
-        proof.check("a mixer ends by itself", ended, &mixer.name);
+            .is_some_and(|process| process.terminate(Duration::from_secs(10)));
+        checks.check("a mixer exits cleanly after SIGTERM", exited, &mixer.name);
     }
     sleep(Duration::from_millis(500)).await;
-    let ended = installation
+    let exited = cluster
         .settlement
         .as_mut()
-        .is_some_and(|process| process.end(Duration::from_secs(10)));
-    proof.check("the settlement ends by itself", ended, "SIGTERM");
-    let clients_file = folder.path().join("clients.csv").display().to_string();
-    let mut words = vec!["reconcile".to_string(), "--clients".into(), clients_file];
-    for (name, file, _) in &counters {
-        words.extend([
+        .is_some_and(|process| process.terminate(Duration::from_secs(10)));
+    checks.check(
+        "the settlement exits cleanly after SIGTERM",
+        exited,
+        "settlement",
+    );
+    let clients_file = directory.path().join("clients.csv").display().to_string();
+    let mut reconcile = vec!["reconcile".to_string(), "--clients".into(), clients_file];
+    for (name, file, _) in &counter_files {
+        reconcile.extend([
             "--counters".to_string(),
             format!("{name}={}", file.display()),
         ]);
     }
-    let (equal, said) =
-        output(&mut installation.ledger(&words.iter().map(String::as_str).collect::<Vec<_>>()))?;
-    let tail: Vec<&str> = said.lines().rev().take(3).collect();
-    proof.check(
+    let (equal, output) = run_command(
+        &mut cluster.ledger_command(&reconcile.iter().map(String::as_str).collect::<Vec<_>>()),
+    )?;
+    let tail: Vec<&str> = output.lines().rev().take(3).collect();
+    checks.check(
         "ledger reconcile finds no difference",
         equal,
         if equal {
-            "use by use"
+            "every use matches"
         } else {
             tail.last().unwrap_or(&"")
         },
     );
-    let mut words = vec!["verify".to_string()];
-    for mixer in &installation.mixers {
-        words.extend(["--log".to_string(), mixer.usage.display().to_string()]);
+    let mut verify = vec!["verify".to_string()];
+    for mixer in &cluster.mixers {
+        verify.extend([
+            "--log".to_string(),
+            mixer.usage_directory.display().to_string(),
+        ]);
     }
-    let (sound, said) =
-        output(&mut installation.ledger(&words.iter().map(String::as_str).collect::<Vec<_>>()))?;
-    proof.check(
-        "ledger verify finds nothing wrong",
-        sound,
-        said.trim().replace('\n', "; "),
+    let (valid, output) = run_command(
+        &mut cluster.ledger_command(&verify.iter().map(String::as_str).collect::<Vec<_>>()),
+    )?;
+    checks.check(
+        "ledger verify finds no errors",
+        valid,
+        output.trim().replace('\n', "; "),
     );
-    let rate = used.len() as f64 / asked_for.as_secs_f64();
-    let answered: i64 = clients.values().map(|total| total[1] + total[2]).sum();
+    let rate = records.len() as f64 / load_duration.as_secs_f64();
+    let answered: i64 = client_totals
+        .values()
+        .map(|total| total[1] + total[2])
+        .sum();
     println!(
-        "{}: {} uses ({answered} answered) in {tries} tries at {rate:.0} a second, {} periods, \
-         {adjustments} adjustments, \
-         {} documents in {offers} offers, 2 mixer kills, 1 zone lost, 2 settlement kills, seed {}, {:.0} s{}",
-        if proof.failures.is_empty() { "proved" } else { "NOT PROVED" },
-        used.len(),
+        "{}: {} uses ({answered} answered) in {attempts} attempts at {rate:.0} uses per second, {} periods, \
+         {adjustments} adjustments, {} documents in {deliveries} deliveries, 2 mixer kills, 1 zone killed, \
+         2 settlement kills, seed {}, {:.0} s{}",
+        if checks.failures.is_empty() { "proved" } else { "NOT PROVED" },
+        records.len(),
         statements.len(),
-        received.len(),
-        line.seed,
+        received_ids.len(),
+        arguments.seed,
         started.elapsed().as_secs_f64(),
-        if proof.failures.is_empty() {
+        if checks.failures.is_empty() {
             String::new()
         } else {
-            format!("; failed: {}", proof.failures.join(", "))
+            format!("; failed: {}", checks.failures.join(", "))
         }
     );
-    Ok(proof.failures.is_empty())
+    Ok(checks.failures.is_empty())
 }
 
-/// Times as the ledger writes them.
-mod jiff_ms {
+/// Timestamps in milliseconds, in the text format of the ledger.
+mod timestamp {
     use std::fmt;
     use std::str::FromStr;
 
@@ -699,8 +756,8 @@
 
     impl fmt::Display for Ms {
         fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-            let at = jiff::Timestamp::from_millisecond(self.0 as i64).unwrap_or_default();
-            write!(f, "{at:.3}")
+            let timestamp = jiff::Timestamp::from_millisecond(self.0 as i64).unwrap_or_default();
+            write!(f, "{timestamp:.3}")
         }
     }
 
@@ -718,7 +775,7 @@
         .worker_threads(3)
         .enable_all()
         .build();
-    match runtime.and_then(|runtime| runtime.block_on(run(Line::parse()))) {
+    match runtime.and_then(|runtime| runtime.block_on(run(Arguments::parse()))) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
--- a/crates/standins/src/bin/cottonhill-prove-opensearch.rs
+++ b/crates/standins/src/bin/cottonhill-prove-opensearch.rs
@@ -1,14 +1,17 @@
-//! `cottonhill-prove-opensearch`: that searches through the OpenSearch-style front are what they ought to be, and are
-//! served as the native front serves the same queries.
+//! `cottonhill-prove-opensearch`: end-to-end test that the OpenSearch-style front returns correct results, and
+//! answers about as many searches as the native front does of the same queries.
 //!
-//! The same random searches go through both fronts, to the same leaf servers, while a zone is lost and comes back cold.
-//! Every page is set beside the one computed from the documents over the shards that it claims.
+//! The same random searches are sent through both fronts to the same leaf servers, while a zone is killed and restored
+//! cold. Every page is compared with the one computed from the documents of the shards that it reports as successful.
 
 use bytes::Bytes;
 use clap::Parser;
-use cottonhill_standins::client::{Attempt, Connection, Got, Question};
-use cottonhill_standins::installation::{Installation, Plan, CLASSES, SHARDS, TENANTS};
-use cottonhill_standins::search::{aggregate, all, cue, page, words, CUES, GENRES, SICK, WORDS};
+use cottonhill_standins::client::{Attempt, AttemptOutcome, Connection, Query};
+use cottonhill_standins::cluster::{ClusterConfig, LocalCluster, CLASSES, SHARDS, TENANTS};
+use cottonhill_standins::search::{
+    aggregate, injected_fault, matching_hits, page, response_text, FAULTS, FAULTY_SHARD, GENRES,
+    TITLE_WORDS,
+};
 use flate2::read::GzDecoder;
 use flate2::write::GzEncoder;
 use flate2::Compression;
@@ -25,20 +28,24 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Proves the front on loopback; the last line is a summary, and the exit code 0 only if all holds.
+/// Runs the end-to-end test of the OpenSearch-style front on loopback. The last line is a summary; the exit code is 0
+/// only if all checks pass
 #[derive(Parser)]
-struct Line {
+struct Arguments {
+    /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Searches, each through both fronts
+    /// Searches, each sent through both fronts
     #[arg(long, default_value_t = 5000)]
     queries: u64,
+    /// Concurrent clients
     #[arg(long, default_value_t = 24)]
     clients: u64,
 }
 
-fn clause(random: &mut StdRng, depth: u32) -> Value {
-    let word = WORDS[random.random_range(0..WORDS.len())];
+/// Random query clause with up to `depth` levels of nested clauses.
+fn random_clause(random: &mut StdRng, depth: u32) -> Value {
+    let word = TITLE_WORDS[random.random_range(0..TITLE_WORDS.len())];
     let genre = GENRES[random.random_range(0..GENRES.len())];
     let year = random.random_range(1960..2020);
     match random.random_range(0..if depth > 0 { 13 } else { 9 }) {
@@ -53,8 +60,8 @@
         8 => {
             json!({"multi_match": {"query": format!("{word} jazz"), "fields": ["title", "genre"]}})
         }
-        9 => json!({"constant_score": {"filter": clause(random, depth - 1), "boost": 3.5}}),
-        10 => json!({"function_score": {"query": clause(random, depth - 1), "weight": 0.5}}),
+        9 => json!({"constant_score": {"filter": random_clause(random, depth - 1), "boost": 3.5}}),
+        10 => json!({"function_score": {"query": random_clause(random, depth - 1), "weight": 0.5}}),
         _ => {
             let mut body = Map::new();
             for key in ["must", "filter", "should", "must_not"] {
@@ -62,7 +69,9 @@
                     let count = random.random_range(1..3);
                     body.insert(
                         key.into(),
-                        (0..count).map(|_| clause(random, depth - 1)).collect(),
+                        (0..count)
+                            .map(|_| random_clause(random, depth - 1))
+                            .collect(),
                     );
                 }
             }
@@ -71,13 +80,14 @@
     }
 }
 
-fn search(random: &mut StdRng) -> Value {
-    let mut search = json!({"query": clause(random, 2)});
+/// Random search request.
+fn random_search(random: &mut StdRng) -> Value {
+    let mut search = json!({"query": random_clause(random, 2)});
     if random.random_bool(0.5) {
         search["size"] = json!(random.random_range(0..120));
     }
     if random.random_bool(0.5) {
-        // Sorts with a missing field, and one that is a text in one shard.
+        // `plays` is missing in some documents and a string in one shard.
         let keys = [
             json!({"year": "desc"}),
             json!({"plays": {"order": "asc"}}),
@@ -93,9 +103,9 @@
     if random.random_bool(0.2) {
         search["min_score"] = json!(1.0);
     }
-    let cue = CUES[random.random_range(0..CUES.len())];
+    let fault = FAULTS[random.random_range(0..FAULTS.len())];
     if random.random_bool(0.06) {
-        search["min_score"] = json!(cue.0);
+        search["min_score"] = json!(fault.0);
         search["sort"] = json!(["year"]);
     }
     if random.random_bool(0.3) {
@@ -114,22 +124,25 @@
     search
 }
 
-/// How many of each class ended how.
-type Served = BTreeMap<(&'static str, &'static str), u64>;
+/// Number of searches by class and outcome.
+type OutcomeCounts = BTreeMap<(&'static str, &'static str), u64>;
 
 #[derive(Default)]
 struct Tally {
-    native: Served,
-    front: Served,
-    exact: u64,
-    /// Searches that met a sick shard, and what became of them.
-    sick: BTreeMap<(&'static str, &'static str), u64>,
-    wrong: Vec<String>,
+    native: OutcomeCounts,
+    opensearch: OutcomeCounts,
+    /// Pages that equal the expected ones.
+    correct_pages: u64,
+    /// Searches with an injected fault, by fault and outcome.
+    faulty: BTreeMap<(&'static str, &'static str), u64>,
+    errors: Vec<String>,
     unanswered: u64,
+    /// Answers after the timeout of their class.
     late: u64,
 }
 
-fn same(a: &Value, b: &Value) -> bool {
+/// Compares JSON values, with a relative tolerance of 1e-9 for numbers.
+fn approximately_equal(a: &Value, b: &Value) -> bool {
     match (a, b) {
         (Value::Number(a), Value::Number(b)) => {
             let (a, b) = (
@@ -139,54 +152,58 @@
             (a - b).abs() <= 1e-9 * a.abs().max(1.0)
         }
         (Value::Array(a), Value::Array(b)) => {
-            a.len() == b.len() && a.iter().zip(b).all(|(a, b)| same(a, b))
+            a.len() == b.len() && a.iter().zip(b).all(|(a, b)| approximately_equal(a, b))
         }
         (Value::Object(a), Value::Object(b)) => {
             a.len() == b.len()
-                && a.iter()
-                    .all(|(key, value)| b.get(key).is_some_and(|other| same(value, other)))
+                && a.iter().all(|(key, value)| {
+                    b.get(key)
+                        .is_some_and(|other| approximately_equal(value, other))
+                })
         }
         _ => a == b,
     }
 }
 
-/// What is wrong with a page, if anything is.
-fn check(search: &Value, body: &Value) -> Option<String> {
+/// Describes the first error of a page, if there is one.
+fn page_error(search: &Value, body: &Value) -> Option<String> {
     let failed: Vec<u32> = body["_shards"]["failures"]
         .as_array()
         .into_iter()
         .flatten()
         .filter_map(|failure| Some(failure["shard"].as_u64()? as u32))
         .collect();
-    let claimed: Vec<u32> = (0..SHARDS)
+    let successful: Vec<u32> = (0..SHARDS)
         .filter(|shard| !failed.contains(shard))
         .collect();
-    if body["_shards"]["successful"] != json!(claimed.len())
+    if body["_shards"]["successful"] != json!(successful.len())
         || body["_shards"]["total"] != json!(SHARDS)
     {
-        return Some(format!("_shards do not add up: {}", body["_shards"]));
+        return Some(format!("_shards has wrong counts: {}", body["_shards"]));
     }
-    if cue(search).is_some() && failed != [SICK] {
-        return Some(format!("failed shards {failed:?} instead of the sick one"));
+    if injected_fault(search).is_some() && failed != [FAULTY_SHARD] {
+        return Some(format!(
+            "failed shards {failed:?} instead of [{FAULTY_SHARD}]"
+        ));
     }
-    let found = all(search, &claimed);
+    let found = matching_hits(search, &successful);
     let ids: Vec<&str> = body["hits"]["hits"]
         .as_array()?
         .iter()
         .filter_map(|hit| hit["_id"].as_str())
         .collect();
     let page = page(search, &found);
-    let right: Vec<&str> = page.iter().map(|hit| hit.id.as_str()).collect();
-    if ids != right {
-        return Some(format!("hits {ids:?} instead of {right:?}"));
+    let expected: Vec<&str> = page.iter().map(|hit| hit.id.as_str()).collect();
+    if ids != expected {
+        return Some(format!("hits {ids:?} instead of {expected:?}"));
     }
-    let sources = body["hits"]["hits"]
+    let sources_match = body["hits"]["hits"]
         .as_array()?
         .iter()
         .zip(&page)
-        .all(|(hit, it)| hit["_source"] == it.source);
-    if !sources {
-        return Some("a document is not as it is held".into());
+        .all(|(hit, expected)| hit["_source"] == expected.source);
+    if !sources_match {
+        return Some("a hit has a _source other than its document".into());
     }
     if body["hits"]["total"] != json!({"value": found.len(), "relation": "eq"}) {
         return Some(format!(
@@ -196,29 +213,35 @@
         ));
     }
     for (name, aggregation) in search["aggs"].as_object().into_iter().flatten() {
-        let (got, right) = (&body["aggregations"][name], aggregate(aggregation, &found));
-        if !same(got, &right) {
-            return Some(format!("aggregation {name}: {got} instead of {right}"));
+        let (actual, expected) = (&body["aggregations"][name], aggregate(aggregation, &found));
+        if !approximately_equal(actual, &expected) {
+            return Some(format!(
+                "aggregation {name}: {actual} instead of {expected}"
+            ));
         }
     }
     None
 }
 
-async fn client(
+/// Sends random searches through both fronts of one mixer.
+async fn run_client(
     number: u64,
-    line: Arc<Line>,
+    arguments: Arc<Arguments>,
     mixers: Vec<(SocketAddr, SocketAddr)>,
     tally: Arc<Mutex<Tally>>,
 ) {
     let mut random =
-        StdRng::seed_from_u64(line.seed ^ (number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    let (native_at, front_at) = mixers[number as usize % mixers.len()];
-    let (mut native, mut front) = (Connection::new(native_at), Connection::new(front_at));
-    for n in 0..line.queries / line.clients {
-        let search = search(&mut random);
-        let (class, _, give_up, _) = CLASSES[random.random_range(0..CLASSES.len())];
+        StdRng::seed_from_u64(arguments.seed ^ (number + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    let (native_address, opensearch_address) = mixers[number as usize % mixers.len()];
+    let (mut native, mut opensearch) = (
+        Connection::new(native_address),
+        Connection::new(opensearch_address),
+    );
+    for n in 0..arguments.queries / arguments.clients {
+        let search = random_search(&mut random);
+        let (class, _, timeout_ms, _) = CLASSES[random.random_range(0..CLASSES.len())];
         let tenant = TENANTS[random.random_range(0..TENANTS.len())];
-        let question = Question {
+        let query = Query {
             class: class.into(),
             tenant: tenant.into(),
             parts: (0..SHARDS)
@@ -227,47 +250,49 @@
             text: search.to_string(),
             key: None,
         };
-        let (id, wait) = (format!("p{number}-{n}"), Duration::from_millis(give_up));
+        let (id, timeout) = (format!("p{number}-{n}"), Duration::from_millis(timeout_ms));
         let attempt = Attempt {
             id: &id,
             retry: false,
-            wait,
+            timeout,
             grace: Duration::from_secs(3),
         };
-        let (sick, floor) = (
-            cue(&search),
+        let (fault, minimum_coverage) = (
+            injected_fault(&search),
             CLASSES
                 .iter()
-                .find(|it| it.0 == class)
-                .map_or(1.0, |it| it.3),
+                .find(|candidate| candidate.0 == class)
+                .map_or(1.0, |class| class.3),
         );
         let native_first = random.random_bool(0.5);
+        // Outcomes at the native and at the OpenSearch-style front.
         let mut outcome = ("", "");
-        for turn in [native_first, !native_first] {
-            if turn && sick.is_some() {
-                // The native front passes on what a shard says, whatever it is.
+        for use_native in [native_first, !native_first] {
+            if use_native && fault.is_some() {
+                // The native front passes a faulty response on unchanged.
                 continue;
             }
-            if turn {
-                let got = native.ask(&question, &attempt).await;
+            if use_native {
+                let result = native.send_query(&query, &attempt).await;
                 let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
-                outcome.0 = match got {
-                    Got::Answer(whole, hits) => {
-                        let right = |(shard, doc): &(u32, String)| *doc == words(*shard, &search);
-                        if !hits.iter().all(right) {
-                            tally
-                                .wrong
-                                .push(format!("native: a value is not as it is held: {search}"));
+                outcome.0 = match result {
+                    AttemptOutcome::Answer(complete, hits) => {
+                        let correct =
+                            |(shard, doc): &(u32, String)| *doc == response_text(*shard, &search);
+                        if !hits.iter().all(correct) {
+                            tally.errors.push(format!(
+                                "native: a value differs from the leaf server's: {search}"
+                            ));
                         }
-                        if whole {
-                            "whole"
+                        if complete {
+                            "complete"
                         } else {
                             "partial"
                         }
                     }
-                    Got::Refused(_) => "refused",
-                    Got::Failed(_) => "failed",
-                    Got::Lost | Got::TimedOut => {
+                    AttemptOutcome::Refused(_) => "refused",
+                    AttemptOutcome::Failed(_) => "failed",
+                    AttemptOutcome::ConnectionLost | AttemptOutcome::TimedOut => {
                         tally.unanswered += 1;
                         "unanswered"
                     }
@@ -280,32 +305,36 @@
                     .header("X-Tenant-Id", tenant)
                     .body(Full::new(Bytes::from(search.to_string())));
                 let Ok(request) = request else { continue };
-                let began = Instant::now();
-                let got =
-                    tokio::time::timeout(wait + Duration::from_secs(3), front.send(request)).await;
-                let late = began.elapsed() > wait;
+                let started = Instant::now();
+                let result = tokio::time::timeout(
+                    timeout + Duration::from_secs(3),
+                    opensearch.send_request(request),
+                )
+                .await;
+                let late = started.elapsed() > timeout;
                 let mut tally = tally.lock().unwrap_or_else(PoisonError::into_inner);
                 tally.late += u64::from(late);
-                outcome.1 = match got {
+                outcome.1 = match result {
                     Ok(Some((200, body, _))) => {
                         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
-                        match check(&search, &body) {
-                            None => tally.exact += 1,
-                            Some(why) => tally.wrong.push(format!("{why}: {search}")),
+                        match page_error(&search, &body) {
+                            None => tally.correct_pages += 1,
+                            Some(error) => tally.errors.push(format!("{error}: {search}")),
                         }
                         if body["_shards"]["failed"] == 0 {
-                            "whole"
+                            "complete"
                         } else {
                             "partial"
                         }
                     }
-                    Ok(Some((429, body, after))) => {
+                    Ok(Some((429, body, retry_after))) => {
                         let body: Value = serde_json::from_slice(&body).unwrap_or_default();
-                        if after.is_none() || body["error"]["type"] != "circuit_breaking_exception"
+                        if retry_after.is_none()
+                            || body["error"]["type"] != "circuit_breaking_exception"
                         {
-                            tally
-                                .wrong
-                                .push(format!("a refusal without its form: {body}"));
+                            tally.errors.push(format!(
+                                "a 429 without Retry-After or with another error type: {body}"
+                            ));
                         }
                         "refused"
                     }
@@ -314,9 +343,7 @@
                         if body["status"] != status
                             || body["error"]["type"] != "search_phase_execution_exception"
                         {
-                            tally
-                                .wrong
-                                .push(format!("an error that is none: {status} {body}"));
+                            tally.errors.push(format!("an error response with a wrong status or error type: {status} {body}"));
                         }
                         "failed"
                     }
@@ -325,20 +352,21 @@
                         "unanswered"
                     }
                 };
-                let Some(sick) = sick else {
-                    *tally.front.entry((class, outcome.1)).or_default() += 1;
+                let Some(fault) = fault else {
+                    *tally.opensearch.entry((class, outcome.1)).or_default() += 1;
                     continue;
                 };
-                *tally.sick.entry((sick, outcome.1)).or_default() += 1;
-                // One shard of 16 may be missing where the floor allows it, and all never.
-                let due = if floor == 1.0 || sick == "an error for every shard" {
+                *tally.faulty.entry((fault, outcome.1)).or_default() += 1;
+                // A partial answer without one of the 16 shards is allowed unless the class requires full coverage; one
+                // without all shards never is.
+                let expected = if minimum_coverage == 1.0 || fault == "error from every shard" {
                     "failed"
                 } else {
                     "partial"
                 };
-                if outcome.1 != due && outcome.1 != "refused" {
-                    tally.wrong.push(format!(
-                        "{sick}, floor {floor}: {} instead of {due}: {search}",
+                if outcome.1 != expected && outcome.1 != "refused" {
+                    tally.errors.push(format!(
+                        "{fault}, minimum coverage {minimum_coverage}: {} instead of {expected}: {search}",
                         outcome.1
                     ));
                 }
@@ -347,10 +375,13 @@
     }
 }
 
-/// One request on a connection of its own: the headers and the body of its 200.
-async fn raw(at: SocketAddr, request: Request<Full<Bytes>>) -> Option<(hyper::HeaderMap, Bytes)> {
+/// Sends one request on a new connection. Returns the headers and the body if the status is 200.
+async fn send_once(
+    address: SocketAddr,
+    request: Request<Full<Bytes>>,
+) -> Option<(hyper::HeaderMap, Bytes)> {
     let exchange = async {
-        let stream = tokio::net::TcpStream::connect(at).await.ok()?;
+        let stream = tokio::net::TcpStream::connect(address).await.ok()?;
         let (mut send, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
             .await
             .ok()?;
@@ -370,20 +401,20 @@
         .ok()?
 }
 
-/// One request of each form, and what it has to come to: what does not is named.
-async fn forms(at: SocketAddr) -> Vec<String> {
-    let mut connection = Connection::new(at);
-    let mut wrong = Vec::new();
-    let every: Vec<u32> = (0..SHARDS).collect();
+/// Sends one request of each kind and compares its response with the expected one. Returns the errors.
+async fn check_request_kinds(address: SocketAddr) -> Vec<String> {
+    let mut connection = Connection::new(address);
+    let mut errors = Vec::new();
+    let all_shards: Vec<u32> = (0..SHARDS).collect();
     let query = json!({"query": {"match": {"title": "river"}}});
-    let found = all(&query, &every);
-    let some = all(&query, &[3, 14]);
+    let found = matching_hits(&query, &all_shards);
+    let found_in_two = matching_hits(&query, &[3, 14]);
     let msearch = format!(
         "{{\"index\":\"chart-ranking\"}}\n{query}\n{{}}\n{{\"quary\":1}}\n{{\"index\":\"none\"}}\n{{}}\n"
     );
-    let sick = json!({"min_score": CUES[0].0, "sort": ["year"]}).to_string();
+    let faulty = json!({"min_score": FAULTS[0].0, "sort": ["year"]}).to_string();
     let (q, none) = (query.to_string(), String::new());
-    // Method, path, body, status, and a pointer into the answer with what has to stand there.
+    // Method, path, body, expected status, and a JSON pointer into the response with its expected value.
     let cases: Vec<(&str, &str, &str, u16, &str, Value)> = vec![
         (
             "GET",
@@ -481,7 +512,7 @@
             &q,
             200,
             "/hits/total/value",
-            json!(some.len()),
+            json!(found_in_two.len()),
         ),
         (
             "POST",
@@ -494,15 +525,15 @@
         (
             "POST",
             "/chart-ranking/_search?allow_partial_search_results=false",
-            &sick,
+            &faulty,
             503,
             "/error/failed_shards/0/shard",
-            json!(SICK),
+            json!(FAULTY_SHARD),
         ),
         (
             "POST",
             "/chart-ranking/_search",
-            &sick,
+            &faulty,
             200,
             "/_shards/failures/0/reason/type",
             json!("query_shard_exception"),
@@ -540,7 +571,7 @@
             json!("illegal_argument_exception"),
         ),
     ];
-    let mut ask = async |method: &str, path: &str, body: &str| {
+    let mut send = async |method: &str, path: &str, body: &str| {
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -550,7 +581,7 @@
             .body(Full::new(Bytes::from(body.to_string())))
             .ok()?;
         let (status, body, _) =
-            tokio::time::timeout(Duration::from_secs(5), connection.send(request))
+            tokio::time::timeout(Duration::from_secs(5), connection.send_request(request))
                 .await
                 .ok()??;
         Some((
@@ -559,20 +590,20 @@
         ))
     };
     for (method, path, body, status, pointer, value) in cases {
-        match ask(method, path, body).await {
-            Some((got, body))
-                if got == status && (method == "HEAD" || body.pointer(pointer) == Some(&value)) => {
-            }
-            other => wrong.push(format!(
+        match send(method, path, body).await {
+            Some((actual, body))
+                if actual == status
+                    && (method == "HEAD" || body.pointer(pointer) == Some(&value)) => {}
+            other => errors.push(format!(
                 "{method} {path}: {other:?} instead of {status} {pointer} {value}"
             )),
         }
     }
-    // Packed both ways, told by its network alone, and known again by its own word.
-    let mut packer = GzEncoder::new(Vec::new(), Compression::fast());
-    let packed = packer
+    // Request and response are compressed, the tenant is determined by the network alone, and X-Opaque-Id is returned.
+    let mut encoder = GzEncoder::new(Vec::new(), Compression::fast());
+    let compressed = encoder
         .write_all(br#"{"size": 100}"#)
-        .and_then(|()| packer.finish())
+        .and_then(|()| encoder.finish())
         .unwrap_or_default();
     let request = Request::post("/chart-ranking/_search")
         .header("Host", "mixer")
@@ -580,11 +611,11 @@
     let request = request
         .header("Accept-Encoding", "gzip")
         .header("X-Opaque-Id", "mine");
-    let answer = match request.body(Full::new(Bytes::from(packed))) {
-        Ok(request) => raw(at, request).await,
+    let answer = match request.body(Full::new(Bytes::from(compressed))) {
+        Ok(request) => send_once(address, request).await,
         Err(_) => None,
     };
-    let right = answer.is_some_and(|(headers, body)| {
+    let correct = answer.is_some_and(|(headers, body)| {
         let mut plain = String::new();
         let read = GzDecoder::new(&body[..]).read_to_string(&mut plain);
         let body: Value = serde_json::from_str(&plain).unwrap_or_default();
@@ -592,17 +623,19 @@
             && headers["x-opaque-id"] == "mine"
             && body["hits"]["hits"].as_array().map(Vec::len) == Some(100)
     });
-    if !right {
-        wrong.push(
-            "a search under gzip, without a tenant's header, is not answered under gzip".into(),
-        );
+    if !correct {
+        errors.push("a gzip request without a tenant header got no correct gzip response".into());
     }
-    // All of it, page by page, each after the last hit of the one before.
+    // Reads all documents page by page with search_after.
     let mut search = json!({"query": {"match_all": {}}, "size": 37, "sort": [{"year": "desc"}, "released", "title"]});
-    let right: Vec<String> = all(&search, &every).into_iter().map(|hit| hit.id).collect();
+    let expected: Vec<String> = matching_hits(&search, &all_shards)
+        .into_iter()
+        .map(|hit| hit.id)
+        .collect();
     let mut paged: Vec<String> = Vec::new();
-    while paged.len() < right.len() {
-        let Some((200, body)) = ask("POST", "/catalogue-report/_search", &search.to_string()).await
+    while paged.len() < expected.len() {
+        let Some((200, body)) =
+            send("POST", "/catalogue-report/_search", &search.to_string()).await
         else {
             break;
         };
@@ -614,113 +647,122 @@
         );
         search["search_after"] = last["sort"].clone();
     }
-    if paged != right {
-        wrong.push(format!(
-            "search_after: {} documents page by page, and {} there are",
+    if paged != expected {
+        errors.push(format!(
+            "search_after: {} documents in pages instead of {}, or in another order",
             paged.len(),
-            right.len()
+            expected.len()
         ));
     }
-    wrong
+    errors
 }
 
-async fn run(line: Line) -> io::Result<bool> {
+async fn run(arguments: Arguments) -> io::Result<bool> {
     let started = Instant::now();
-    let folder = tempfile::tempdir()?;
-    let plan = Plan {
-        seed: line.seed,
-        work: Duration::from_millis(4),
-        slots: 64,
-        search: true,
-        ..Plan::default()
+    let directory = tempfile::tempdir()?;
+    let config = ClusterConfig {
+        seed: arguments.seed,
+        service_time: Duration::from_millis(4),
+        leaf_concurrency: 64,
+        opensearch: true,
+        ..ClusterConfig::default()
     };
-    let mut installation = Installation::start(folder.path(), plan).await?;
-    let mixers: Vec<_> = installation
+    let mut cluster = LocalCluster::start(directory.path(), config).await?;
+    let mixers: Vec<_> = cluster
         .mixers
         .iter()
-        .map(|mixer| (mixer.address, mixer.search))
+        .map(|mixer| (mixer.address, mixer.search_address))
         .collect();
-    let formed = forms(mixers[0].1).await;
-    formed.iter().for_each(|wrong| println!("WRONG {wrong}"));
-    let (line, tally) = (Arc::new(line), Arc::<Mutex<Tally>>::default());
-    let clients = (0..line.clients)
-        .map(|n| tokio::spawn(client(n, line.clone(), mixers.clone(), tally.clone())));
+    let request_errors = check_request_kinds(mixers[0].1).await;
+    request_errors
+        .iter()
+        .for_each(|error| println!("ERROR {error}"));
+    let (arguments, tally) = (Arc::new(arguments), Arc::<Mutex<Tally>>::default());
+    let clients = (0..arguments.clients).map(|n| {
+        tokio::spawn(run_client(
+            n,
+            arguments.clone(),
+            mixers.clone(),
+            tally.clone(),
+        ))
+    });
     let clients: Vec<_> = clients.collect();
     tokio::time::sleep(Duration::from_secs(2)).await;
-    installation.lose_zone(2);
+    cluster.kill_zone(2);
     tokio::time::sleep(Duration::from_secs(2)).await;
-    installation.restore_zone(2, true).await?;
+    cluster.restore_zone(2, true).await?;
     for client in clients {
         client.await.map_err(io::Error::other)?;
     }
-    let mut ended = true;
-    for mixer in &mut installation.mixers {
-        ended &= mixer
+    let mut exited = true;
+    for mixer in &mut cluster.mixers {
+        exited &= mixer
             .process
             .as_mut()
-            .is_some_and(|process| process.end(Duration::from_secs(10)));
+            .is_some_and(|process| process.terminate(Duration::from_secs(10)));
     }
     let tally = std::mem::take(&mut *tally.lock().unwrap_or_else(PoisonError::into_inner));
-    let sum = |served: &Served, how: &str| -> u64 {
-        served
+    let sum = |counts: &OutcomeCounts, outcome: &str| -> u64 {
+        counts
             .iter()
-            .filter(|(key, _)| key.1 == how)
-            .map(|it| it.1)
+            .filter(|(key, _)| key.1 == outcome)
+            .map(|entry| entry.1)
             .sum()
     };
-    let asked = |served: &Served| -> u64 { served.values().sum() };
+    let total = |counts: &OutcomeCounts| -> u64 { counts.values().sum() };
     for (class, ..) in CLASSES {
-        let of = |served: &Served| -> String {
-            let ways = ["whole", "partial", "refused", "failed", "unanswered"];
-            let each = ways.map(|how| (how, served.get(&(class, how)).copied().unwrap_or(0)));
+        let summary = |counts: &OutcomeCounts| -> String {
+            let outcomes = ["complete", "partial", "refused", "failed", "unanswered"];
+            let each = outcomes
+                .map(|outcome| (outcome, counts.get(&(class, outcome)).copied().unwrap_or(0)));
             each.iter()
-                .filter(|it| it.1 > 0)
-                .map(|(how, n)| format!("{n} {how}"))
+                .filter(|entry| entry.1 > 0)
+                .map(|(outcome, count)| format!("{count} {outcome}"))
                 .collect::<Vec<_>>()
                 .join(", ")
         };
         println!(
-            "{class}: native {}; front {}",
-            of(&tally.native),
-            of(&tally.front)
+            "{class}: native {}; OpenSearch-style {}",
+            summary(&tally.native),
+            summary(&tally.opensearch)
         );
     }
-    for ((sick, how), count) in &tally.sick {
-        println!("a shard {sick}: {count} {how}");
+    for ((fault, outcome), count) in &tally.faulty {
+        println!("injected fault, {fault}: {count} {outcome}");
     }
-    for wrong in tally.wrong.iter().take(5) {
-        println!("WRONG {wrong}");
+    for error in tally.errors.iter().take(5) {
+        println!("ERROR {error}");
     }
-    let answered = |served: &Served| sum(served, "whole") + sum(served, "partial");
-    let (native, front) = (answered(&tally.native), answered(&tally.front));
-    let asked = (asked(&tally.native), asked(&tally.front));
-    let sick: u64 = tally.sick.values().sum();
+    let answered = |counts: &OutcomeCounts| sum(counts, "complete") + sum(counts, "partial");
+    let (native, opensearch) = (answered(&tally.native), answered(&tally.opensearch));
+    let sent = (total(&tally.native), total(&tally.opensearch));
+    let faulty: u64 = tally.faulty.values().sum();
     let partial: u64 = tally
-        .sick
+        .faulty
         .iter()
         .filter(|(key, _)| key.1 == "partial")
-        .map(|it| it.1)
+        .map(|entry| entry.1)
         .sum();
-    // The two are asked one after the other: what a lost zone costs one query it need not cost the other.
-    let near = native.abs_diff(front) * 100 <= 3 * asked.0;
-    let holds = tally.wrong.is_empty()
+    // The two fronts are queried one after the other, so the killed zone may affect only one of the two searches.
+    let similar = native.abs_diff(opensearch) * 100 <= 3 * sent.0;
+    let passed = tally.errors.is_empty()
         && tally.unanswered == 0
-        && near
-        && ended
-        && asked.0 == asked.1
-        && tally.exact == front + partial
-        && sick > 0
-        && formed.is_empty()
-        && front * 10 >= asked.1 * 9;
+        && similar
+        && exited
+        && sent.0 == sent.1
+        && tally.correct_pages == opensearch + partial
+        && faulty > 0
+        && request_errors.is_empty()
+        && opensearch * 10 >= sent.1 * 9;
     println!(
-        "{}: {} searches through each front, {front} answered by the new one and {native} by the native one, {} pages \
-         exact, {sick} searches on a sick shard, {} wrong, {} unanswered, {} later than their time, 1 zone lost, \
-         seed {}, {:.0} s",
-        if holds { "proved" } else { "NOT PROVED" },
-        asked.1, tally.exact, tally.wrong.len(), tally.unanswered, tally.late, line.seed,
+        "{}: {} searches through each front, {opensearch} answered by the OpenSearch-style one and {native} by the \
+         native one, {} correct pages, {faulty} searches with an injected fault, {} errors, {} unanswered, {} answers \
+         after the timeout, 1 zone killed, seed {}, {:.0} s",
+        if passed { "proved" } else { "NOT PROVED" },
+        sent.1, tally.correct_pages, tally.errors.len(), tally.unanswered, tally.late, arguments.seed,
         started.elapsed().as_secs_f64()
     );
-    Ok(holds)
+    Ok(passed)
 }
 
 fn main() -> ExitCode {
@@ -728,7 +770,7 @@
         .worker_threads(3)
         .enable_all()
         .build();
-    match runtime.and_then(|runtime| runtime.block_on(run(Line::parse()))) {
+    match runtime.and_then(|runtime| runtime.block_on(run(Arguments::parse()))) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the mixers: asks, gives up in time, comes back when it is refused, and writes down what it got.
+//! Client connection to a mixer: sends queries with a timeout and reports the outcome of each attempt.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -12,63 +12,63 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// What a client wants to know.
+/// A query as a client sends it, in one or more attempts.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct Query {
     pub class: String,
     pub tenant: String,
     /// Shards and their weights.
     pub parts: Vec<(u32, f64)>,
     pub text: String,
-    /// The client's own name for this use.
+    /// Idempotency key.
     pub key: Option<String>,
 }
 
-/// Parts over `width` shards in a row from `first`, of equal weight, wrapping at `shards`.
-pub fn spread(first: u32, width: u32, shards: u32) -> Vec<(u32, f64)> {
-    (0..width)
-        .map(|i| ((first + i) % shards, 1.0 / f64::from(width)))
+/// Parts of equal weight over `count` consecutive shards from `first` on, wrapping around at `shards`.
+pub fn consecutive_parts(first: u32, count: u32, shards: u32) -> Vec<(u32, f64)> {
+    (0..count)
+        .map(|i| ((first + i) % shards, 1.0 / f64::from(count)))
         .collect()
 }
 
-/// One try of a question.
+/// One attempt of a query.
 #[derive(Clone, Debug)]
 pub struct Attempt<'a> {
     pub id: &'a str,
     pub retry: bool,
-    /// How long it tells the mixer that it waits.
-    pub wait: Duration,
-    /// How much longer it does, should the answer be late.
+    /// Timeout that is sent to the mixer.
+    pub timeout: Duration,
+    /// Additional time that the client waits for a late answer.
     pub grace: Duration,
 }
 
-/// How a try ended for its client.
+/// Outcome of an attempt for its client.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Got {
-    /// Complete or not, with the shards and their values.
+pub enum AttemptOutcome {
+    /// Whether the answer is complete, and the shards with their values.
     Answer(bool, Vec<(u32, String)>),
-    /// With the time after which to come back.
+    /// Refused, with the delay after which to retry.
     Refused(Option<Duration>),
-    /// Any other answer, by its status.
+    /// Any other answer, with its HTTP status.
     Failed(u16),
-    /// No answer: the connection broke or never came up.
-    Lost,
-    /// No answer within the wait.
+    /// No answer: the connection broke or could not be opened.
+    ConnectionLost,
+    /// No answer within the timeout and the grace.
     TimedOut,
 }
 
-struct Open {
+struct OpenConnection {
     send: SendRequest<Full<Bytes>>,
     task: JoinHandle<()>,
 }
 
-/// A status, a body, and when to come back.
-pub type Received = (u16, Bytes, Option<Duration>);
+/// Status, body, and the delay after which to retry.
+pub type RawResponse = (u16, Bytes, Option<Duration>);
 
-/// One connection to one mixer, opened as it is needed.
+/// A connection to one mixer, opened on demand.
 pub struct Connection {
     pub mixer: SocketAddr,
-    open: Option<Open>,
+    open: Option<OpenConnection>,
 }
 
 impl Drop for Connection {
@@ -82,8 +82,8 @@
         Connection { mixer, open: None }
     }
 
-    /// Turns to another mixer.
-    pub fn turn_to(&mut self, mixer: SocketAddr) {
+    /// Switches to another mixer.
+    pub fn switch_to(&mut self, mixer: SocketAddr) {
         if self.mixer != mixer {
             self.close();
             self.mixer = mixer;
@@ -96,49 +96,49 @@
         }
     }
 
-    /// Asks once. A connection that the mixer has closed before it took anything is opened anew.
-    pub async fn ask(&mut self, question: &Question, attempt: &Attempt<'_>) -> Got {
+    /// Makes one attempt. A connection that the mixer has closed meanwhile is reopened first.
+    pub async fn send_query(&mut self, query: &Query, attempt: &Attempt<'_>) -> AttemptOutcome {
         match timeout(
-            attempt.wait + attempt.grace,
-            self.exchange(question, attempt),
+            attempt.timeout + attempt.grace,
+            self.exchange(query, attempt),
         )
         .await
         {
-            Ok(Some((200, body, _))) => answer(&body).unwrap_or(Got::Failed(200)),
-            Ok(Some((429 | 503, _, after))) => Got::Refused(after),
-            Ok(Some((status, ..))) => Got::Failed(status),
+            Ok(Some((200, body, _))) => parse_answer(&body).unwrap_or(AttemptOutcome::Failed(200)),
+            Ok(Some((429 | 503, _, retry_after))) => AttemptOutcome::Refused(retry_after),
+            Ok(Some((status, ..))) => AttemptOutcome::Failed(status),
             Ok(None) => {
                 self.close();
-                Got::Lost
+                AttemptOutcome::ConnectionLost
             }
             Err(_) => {
                 self.close();
-                Got::TimedOut
+                AttemptOutcome::TimedOut
             }
         }
     }
 
-    async fn exchange(&mut self, question: &Question, attempt: &Attempt<'_>) -> Option<Received> {
+    async fn exchange(&mut self, query: &Query, attempt: &Attempt<'_>) -> Option<RawResponse> {
         let part = |(shard, weight): &(u32, f64)| json!({"shard": shard, "weight": weight});
-        let shards: Vec<Value> = question.parts.iter().map(part).collect();
-        let body = json!({"shards": shards, "q": question.text}).to_string();
-        let mut request = Request::post(format!("/{}", question.class))
+        let shards: Vec<Value> = query.parts.iter().map(part).collect();
+        let body = json!({"shards": shards, "q": query.text}).to_string();
+        let mut request = Request::post(format!("/{}", query.class))
             .header("Host", "mixer")
             .header("X-Request-ID", attempt.id)
-            .header("X-Tenant-Id", &question.tenant)
-            .header("X-Timeout", format!("{}m", attempt.wait.as_millis()));
-        if let Some(key) = &question.key {
+            .header("X-Tenant-Id", &query.tenant)
+            .header("X-Timeout", format!("{}m", attempt.timeout.as_millis()));
+        if let Some(key) = &query.key {
             request = request.header("Idempotency-Key", key);
         }
         if attempt.retry {
             request = request.header("X-Retried", "1");
         }
         let request = request.body(Full::new(Bytes::from(body))).ok()?;
-        self.send(request).await
+        self.send_request(request).await
     }
 
-    /// Sends a request of any kind: the status, the body, and when to come back.
-    pub async fn send(&mut self, request: Request<Full<Bytes>>) -> Option<Received> {
+    /// Sends any request and returns its response.
+    pub async fn send_request(&mut self, request: Request<Full<Bytes>>) -> Option<RawResponse> {
         if self.open.as_ref().is_none_or(|open| open.send.is_closed()) {
             self.close();
             let stream = TcpStream::connect(self.mixer).await.ok()?;
@@ -147,12 +147,12 @@
             let task = tokio::spawn(async move {
                 let _ = connection.await;
             });
-            self.open = Some(Open { send, task });
+            self.open = Some(OpenConnection { send, task });
         }
         let send = &mut self.open.as_mut()?.send;
         send.ready().await.ok()?;
         let answer = send.send_request(request).await.ok()?;
-        let after = answer
+        let retry_after = answer
             .headers()
             .get("retry-after")
             .and_then(|value| value.to_str().ok()?.parse::<f64>().ok());
@@ -161,12 +161,12 @@
         Some((
             status,
             body,
-            after.map(|after| Duration::from_secs_f64(after.clamp(0.0, 60.0))),
+            retry_after.map(|seconds| Duration::from_secs_f64(seconds.clamp(0.0, 60.0))),
         ))
     }
 }
 
-fn answer(body: &[u8]) -> Option<Got> {
+fn parse_answer(body: &[u8]) -> Option<AttemptOutcome> {
     let body: Value = serde_json::from_slice(body).ok()?;
     let hit = |hit: &Value| {
         Some((
@@ -179,5 +179,5 @@
         .iter()
         .map(hit)
         .collect::<Option<_>>()?;
-    Some(Got::Answer(body["complete"].as_bool()?, hits))
+    Some(AttemptOutcome::Answer(body["complete"].as_bool()?, hits))
 }
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -1,10 +1,10 @@
-//! Discovery: the list of leaf servers, whole or as a watch. Lists of up to 110,000 entries are rendered once for each
-//! version, whoever asks for them.
+//! Discovery server: the endpoint list of leaf servers, served as a complete list or as a watch. Lists of up to 110,000
+//! entries are rendered once per version and shared by all readers.
 
 mod table;
 mod traffic;
 
-pub use table::{Message, Table, Version};
+pub use table::{EndpointTable, Message, Version};
 pub use traffic::Traffic;
 
 use bytes::Bytes;
@@ -28,30 +28,30 @@
 use tokio_util::io::InspectWriter;
 use traffic::Counters;
 
-/// An empty line comes after so long without a change.
-const HEARTBEAT: Duration = Duration::from_secs(2);
-/// Between two tries to listen again at an address that is still taken.
-const LISTEN_AGAIN: Duration = Duration::from_millis(10);
+/// A watch without changes receives an empty line at this interval.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// Delay between attempts to listen at an address that is still in use.
+const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 #[derive(Default)]
-struct List {
-    table: Table,
-    /// Connections with numbers below this have fallen silent for good.
+struct State {
+    table: EndpointTable,
+    /// Connections with lower numbers receive nothing more.
     silent_below: u64,
-    /// Nothing is said to anyone for now.
-    down: bool,
+    /// Whether all answers and messages are withheld.
+    unresponsive: bool,
 }
 
-/// Runs until it is dropped.
+/// A discovery server that runs until it is dropped.
 pub struct Discovery {
     pub address: SocketAddr,
-    list: Arc<Mutex<List>>,
-    /// Told of each change of the list or of how discovery fares.
+    state: Arc<Mutex<State>>,
+    /// Notified of each change of the state.
     changed: watch::Sender<()>,
-    /// Told when all connections are to be reset.
-    reset: watch::Sender<()>,
-    /// Whether it listens.
-    present: watch::Sender<bool>,
+    /// Notified when all connections are to be reset.
+    resets: watch::Sender<()>,
+    /// Whether the server listens.
+    online: watch::Sender<bool>,
     counters: Arc<Counters>,
     task: AbortHandle,
 }
@@ -63,164 +63,175 @@
 }
 
 impl Discovery {
+    /// Starts the server on a free port of `ip` with an empty list.
+    ///
     /// # Errors
-    /// There is no port.
+    /// No port is available.
     pub async fn start(ip: IpAddr) -> io::Result<Discovery> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let address = listener.local_addr()?;
-        let (list, counters) = (Arc::<Mutex<List>>::default(), Arc::<Counters>::default());
+        let (state, counters) = (Arc::<Mutex<State>>::default(), Arc::<Counters>::default());
         let (changed, _) = watch::channel(());
-        let (reset, resets) = watch::channel(());
-        let (present, presence) = watch::channel(true);
-        let serving = Serving {
-            list: list.clone(),
+        let (resets, reset_events) = watch::channel(());
+        let (online, online_changes) = watch::channel(true);
+        let service = Service {
+            state: state.clone(),
             changed: changed.clone(),
             counters: counters.clone(),
         };
-        let task = tokio::spawn(serving.serve(listener, address, resets, presence)).abort_handle();
+        let task = tokio::spawn(service.serve(listener, address, reset_events, online_changes))
+            .abort_handle();
         Ok(Discovery {
             address,
-            list,
+            state,
             changed,
-            reset,
-            present,
+            resets,
+            online,
             counters,
             task,
         })
     }
 
-    fn with_list<T>(&self, read: impl FnOnce(&mut List) -> T) -> T {
-        read(&mut self.list.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_state<T>(&self, access: impl FnOnce(&mut State) -> T) -> T {
+        access(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn change(&self, change: impl FnOnce(&mut List)) {
-        self.with_list(change);
+    fn change_state(&self, change: impl FnOnce(&mut State)) {
+        self.with_state(change);
         self.changed.send_replace(());
     }
 
-    /// Tells of lines that have changed, all at once.
-    pub fn tell(&self, lines: Vec<Value>) {
-        self.change(|list| list.table.change(lines));
+    /// Applies changed entries and sends them to the watches in one message.
+    pub fn update(&self, entries: Vec<Value>) {
+        self.change_state(|state| state.table.update(entries));
     }
 
-    /// Tells of what `next` returns, `per_second` times a second for as long as `lasting`; a change that is late is
-    /// made up for. Nothing is told at a rate that is not above zero.
-    pub async fn tell_steadily(
+    /// Applies the entries returned by `next`, `per_second` times a second for `duration`. Delayed updates are caught
+    /// up. Makes no updates if the rate is not above zero.
+    pub async fn update_periodically(
         &self,
         per_second: f64,
-        lasting: Duration,
+        duration: Duration,
         mut next: impl FnMut() -> Vec<Value>,
     ) {
-        let Ok(apart) = Duration::try_from_secs_f64(1.0 / per_second) else {
+        let Ok(interval) = Duration::try_from_secs_f64(1.0 / per_second) else {
             return;
         };
-        if apart.is_zero() {
+        if interval.is_zero() {
             return;
         }
-        let began = Instant::now();
-        let mut ticks = interval_at(began, apart);
+        let started = Instant::now();
+        let mut ticks = interval_at(started, interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
-        while ticks.tick().await < began + lasting {
-            self.tell(next());
+        while ticks.tick().await < started + duration {
+            self.update(next());
         }
     }
 
-    /// All connections are reset.
-    pub fn reset(&self) {
-        self.reset.send_replace(());
+    /// Resets all connections.
+    pub fn reset_connections(&self) {
+        self.resets.send_replace(());
     }
 
-    /// All open watches fall silent: their connections stay open, and nothing ever comes on them again.
-    pub fn fall_silent(&self) {
-        let accepted = self.accepted();
-        self.change(|list| list.silent_below = accepted);
+    /// Silences all open watches: their connections stay open, but receive nothing more.
+    pub fn silence_watches(&self) {
+        let accepted = self.accepted_connections();
+        self.change_state(|state| state.silent_below = accepted);
     }
 
-    /// While down it says nothing, and what it is told counts for nobody; on its return whoever waits is answered.
-    pub fn set_down(&self, down: bool) {
-        self.change(|list| list.down = down);
+    /// Sets whether the server withholds all answers and messages. Updates made meanwhile are not sent; pending
+    /// requests are answered once the server responds again.
+    pub fn set_unresponsive(&self, unresponsive: bool) {
+        self.change_state(|state| state.unresponsive = unresponsive);
     }
 
-    /// While absent it does not listen, and its connections are reset; it returns at the same address with its list.
-    pub fn set_absent(&self, absent: bool) {
-        self.present.send_replace(!absent);
+    /// Sets whether the server is offline. While it is, it does not listen and its connections are reset; afterwards it
+    /// listens at the same address with the same list.
+    pub fn set_offline(&self, offline: bool) {
+        self.online.send_replace(!offline);
     }
 
-    /// Forgets its changes, as a restart does, and keeps the list: whoever holds an older version is given it whole.
-    pub fn forget_changes(&self) {
-        self.change(|list| list.table.forget_changes());
+    /// Discards the retained changes, as a restart does, and keeps the list. A watcher with an older version then
+    /// receives a snapshot.
+    pub fn clear_history(&self) {
+        self.change_state(|state| state.table.clear_history());
     }
 
-    /// Whether lists come on many lines each.
+    /// Sets whether lists are indented JSON of several lines.
     pub fn set_indented(&self, indented: bool) {
-        self.change(|list| list.table.set_indented(indented));
+        self.change_state(|state| state.table.set_indented(indented));
     }
 
-    /// Connections that it has accepted.
-    pub fn accepted(&self) -> u64 {
-        self.counters.read().connections
+    /// Connections accepted since the start.
+    pub fn accepted_connections(&self) -> u64 {
+        self.counters.totals().connections
     }
 
-    /// What it has served since its start.
+    /// Traffic served since the start.
     pub fn traffic(&self) -> Traffic {
-        self.counters.read()
+        self.counters.totals()
     }
 
-    /// The present version of the list.
+    /// Current version of the list.
     pub fn version(&self) -> Version {
-        self.with_list(|list| list.table.version())
+        self.with_state(|state| state.table.version())
     }
 
-    /// The list as a mixer is given it at its start.
-    pub fn known(&self) -> Value {
-        let whole = self.with_list(|list| list.table.whole());
-        serde_json::from_slice(&whole.text).unwrap_or_default()
+    /// The complete list in the format of a mixer's configuration.
+    pub fn endpoint_list(&self) -> Value {
+        let snapshot = self.with_state(|state| state.table.snapshot());
+        serde_json::from_slice(&snapshot.text).unwrap_or_default()
     }
 }
 
+/// State shared by the tasks that serve connections.
 #[derive(Clone)]
-struct Serving {
-    list: Arc<Mutex<List>>,
+struct Service {
+    state: Arc<Mutex<State>>,
     changed: watch::Sender<()>,
     counters: Arc<Counters>,
 }
 
-/// Waits until discovery is to be there, or absent.
-async fn until_present(presence: &mut watch::Receiver<bool>, present: bool) {
-    if presence.wait_for(|now| *now == present).await.is_err() {
-        // Nobody can change it any more.
+/// Waits until the server is to be online or offline.
+async fn wait_until_online(online_changes: &mut watch::Receiver<bool>, online: bool) {
+    if online_changes
+        .wait_for(|current| *current == online)
+        .await
+        .is_err()
+    {
+        // The sender has been dropped: the value can't change any more.
         std::future::pending::<()>().await;
     }
 }
 
-/// Listens at an address that was its own before.
-async fn listen_again(address: SocketAddr) -> TcpListener {
+/// Listens at the address that the server used before, retrying while it is in use.
+async fn relisten(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
-            Err(_) => tokio::time::sleep(LISTEN_AGAIN).await,
+            Err(_) => tokio::time::sleep(LISTEN_RETRY_DELAY).await,
         }
     }
 }
 
-impl Serving {
+impl Service {
     async fn serve(
         self,
         mut listener: TcpListener,
         address: SocketAddr,
-        mut resets: watch::Receiver<()>,
-        mut presence: watch::Receiver<bool>,
+        mut reset_events: watch::Receiver<()>,
+        mut online_changes: watch::Receiver<bool>,
     ) {
         let mut connections = JoinSet::new();
         loop {
             tokio::select! {
-                () = until_present(&mut presence, false) => {
+                () = wait_until_online(&mut online_changes, false) => {
                     drop(listener);
                     connections.shutdown().await;
-                    until_present(&mut presence, true).await;
-                    listener = listen_again(address).await;
+                    wait_until_online(&mut online_changes, true).await;
+                    listener = relisten(address).await;
                 }
-                _ = resets.changed() => connections.abort_all(),
+                _ = reset_events.changed() => connections.abort_all(),
                 accepted = listener.accept() => match accepted {
                     Ok((stream, _)) => drop(connections.spawn(self.clone().connection(stream))),
                     Err(_) => return,
@@ -230,31 +241,32 @@
         }
     }
 
-    /// Answers the requests of one connection until it ends.
+    /// Answers the requests of one connection until it is closed.
     fn connection(self, stream: TcpStream) -> impl std::future::Future<Output = ()> + Send {
-        let number = self.counters.connection();
+        let number = self.counters.add_connection();
         let counters = self.counters.clone();
         async move {
             let answer = service_fn(move |request: Request<Incoming>| {
-                let serving = self.clone();
-                async move { Ok::<_, Infallible>(Response::new(serving.body(&request, number).await)) }
+                let service = self.clone();
+                async move { Ok::<_, Infallible>(Response::new(service.body(&request, number).await)) }
             });
-            let counted = InspectWriter::new(stream, move |bytes| counters.sent(bytes.len()));
-            let io = TokioIo::new(counted);
+            let counted_stream =
+                InspectWriter::new(stream, move |bytes| counters.add_bytes_sent(bytes.len()));
+            let io = TokioIo::new(counted_stream);
             let _ = hyper::server::conn::http1::Builder::new()
                 .serve_connection(io, answer)
                 .await;
         }
     }
 
-    /// Waits until this connection may say something, and lets it read the list.
-    async fn say<T>(&self, number: u64, what: impl Fn(&mut List) -> T) -> T {
+    /// Waits until the server may send on this connection, then reads the state.
+    async fn read_when_responsive<T>(&self, number: u64, read: impl Fn(&mut State) -> T) -> T {
         let mut changed = self.changed.subscribe();
         loop {
             {
-                let mut list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
-                if !list.down && number >= list.silent_below {
-                    return what(&mut list);
+                let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
+                if !state.unresponsive && number >= state.silent_below {
+                    return read(&mut state);
                 }
             }
             let _ = changed.changed().await;
@@ -271,62 +283,71 @@
             .split('&')
             .find_map(|pair| pair.strip_prefix("from=")?.parse::<Version>().ok());
         let watch = query.contains("watch=1");
-        self.counters.call(watch);
+        self.counters.add_request(watch);
         if !watch {
-            let whole = self.say(number, |list| list.table.whole()).await;
-            self.counters.message(&whole);
-            return Full::new(whole.text).boxed_unsync();
+            let snapshot = self
+                .read_when_responsive(number, |state| state.table.snapshot())
+                .await;
+            self.counters.add_message(&snapshot);
+            return Full::new(snapshot.text).boxed_unsync();
         }
-        let objects = stream::unfold(
+        let messages = stream::unfold(
             (self.clone(), from, true),
-            move |(serving, held, first)| async move {
-                // The first object comes in any case; it may hold nothing new.
-                let first = serving.say(number, |list| first.then(|| list.table.since(held)));
+            move |(service, known, first)| async move {
+                // The first message is sent at once, even if it has no entries.
+                let first = service.read_when_responsive(number, |state| {
+                    first.then(|| state.table.message_since(known))
+                });
                 let message = match first.await {
                     Some(message) => Some(message),
-                    None => serving.news(number, held).await,
+                    None => service.next_change(number, known).await,
                 };
-                let (text, held) = serving.counted(message, held);
+                let (text, known) = service.count_message(message, known);
                 Some((
                     Ok::<_, Infallible>(Frame::data(text)),
-                    (serving, held, false),
+                    (service, known, false),
                 ))
             },
         );
-        BodyExt::boxed_unsync(StreamBody::new(Box::pin(objects)))
+        BodyExt::boxed_unsync(StreamBody::new(Box::pin(messages)))
     }
 
-    /// Counts what goes out, a heartbeat where there is no news, and returns what the reader holds then.
-    fn counted(&self, message: Option<Message>, held: Option<Version>) -> (Bytes, Option<Version>) {
+    /// Counts an outgoing message, or a heartbeat if there is none. Returns its text and the version that the reader
+    /// has afterwards.
+    fn count_message(
+        &self,
+        message: Option<Message>,
+        known: Option<Version>,
+    ) -> (Bytes, Option<Version>) {
         match message {
             Some(message) => {
-                self.counters.message(&message);
+                self.counters.add_message(&message);
                 (message.text, Some(message.version))
             }
             None => {
-                self.counters.heartbeat();
-                (Bytes::from_static(b"\n"), held)
+                self.counters.add_heartbeat();
+                (Bytes::from_static(b"\n"), known)
             }
         }
     }
 
-    /// The next change; none where there is none for so long that a heartbeat is due.
-    async fn news(&self, number: u64, held: Option<Version>) -> Option<Message> {
+    /// Waits for the next change. Returns `None` when a heartbeat is due before one.
+    async fn next_change(&self, number: u64, known: Option<Version>) -> Option<Message> {
         let mut changed = self.changed.subscribe();
-        let news = async {
+        let change = async {
             loop {
-                let news = |list: &mut List| {
-                    (Some(list.table.version()) != held).then(|| list.table.since(held))
+                let read_change = |state: &mut State| {
+                    (Some(state.table.version()) != known).then(|| state.table.message_since(known))
                 };
-                if let Some(message) = self.say(number, news).await {
+                if let Some(message) = self.read_when_responsive(number, read_change).await {
                     return message;
                 }
                 let _ = changed.changed().await;
             }
         };
-        let message = timeout(HEARTBEAT, news).await.ok();
+        let message = timeout(HEARTBEAT_INTERVAL, change).await.ok();
         if message.is_none() {
-            self.say(number, |_| ()).await;
+            self.read_when_responsive(number, |_| ()).await;
         }
         message
     }
--- a/crates/standins/src/discovery/table.rs
+++ b/crates/standins/src/discovery/table.rs
@@ -1,121 +1,124 @@
-//! The list that discovery serves: each entry rendered once, under its name and the version that last changed it.
+//! The endpoint list that discovery serves. Each entry is rendered once and stored under its name and the version that
+//! last changed it.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A version of the list: the number of changes that led to it.
+/// Version of the endpoint list: the number of changes made since the table was created.
 pub type Version = u64;
 
-/// Changes that are kept for watchers that are behind; who holds a version before them is given the whole list.
-/// Twice the longest list that is served, and more.
-const KEPT_CHANGES: usize = 1 << 18;
+/// Changes retained for watchers that are behind. A watcher with an older version receives a snapshot.
+/// More than twice the longest list that is served.
+const RETAINED_CHANGES: usize = 1 << 18;
 
-/// A message for a watcher, rendered once for all that need it.
+/// A message for watchers, rendered once and shared by all that receive it.
 #[derive(Clone, Debug)]
 pub struct Message {
     /// One JSON object and a line feed.
     pub text: Bytes,
-    /// The complete list, rather than changes since a version.
-    pub whole: bool,
-    /// What its reader holds then.
+    /// Whether this is the complete list rather than a delta.
+    pub snapshot: bool,
+    /// Version that the reader has after applying the message.
     pub version: Version,
 }
 
-/// The entries by name, with the changes that led to them.
+/// Endpoint entries by name, with the latest changes.
 #[derive(Debug, Default)]
-pub struct Table {
-    /// The version that last changed each entry that is listed.
+pub struct EndpointTable {
+    /// Version of the last change of each listed entry, by name.
     versions: HashMap<String, Version>,
-    /// Each entry that is listed, in the order of its last change.
+    /// Listed entries in the order of their last change.
     entries: BTreeMap<Version, Bytes>,
-    /// The last changes, up to the present version.
+    /// Latest changes, up to the current version.
     changes: VecDeque<Bytes>,
     version: Version,
     indented: bool,
-    /// Messages of this version: the whole list, and the changes by the version that their reader holds.
-    whole: Option<Bytes>,
-    since: HashMap<Version, Bytes>,
+    /// Snapshot message rendered for the current version.
+    snapshot: Option<Bytes>,
+    /// Delta messages rendered for the current version, by the version that their readers have.
+    deltas: HashMap<Version, Bytes>,
 }
 
-impl Table {
-    /// The present version.
+impl EndpointTable {
+    /// Current version.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Whether messages take many lines each.
+    /// Sets whether messages are indented JSON of several lines.
     pub fn set_indented(&mut self, indented: bool) {
         self.indented = indented;
-        self.forget_messages();
+        self.invalidate_messages();
     }
 
-    /// Takes changed entries over, each as a version of its own. One whose `status` is `removed` is listed no longer.
-    pub fn change(&mut self, lines: Vec<Value>) {
-        for line in lines {
-            self.change_entry(&line);
+    /// Applies changed entries, each as its own version. An entry whose `status` is `removed` is unlisted.
+    pub fn update(&mut self, entries: Vec<Value>) {
+        for entry in entries {
+            self.update_entry(&entry);
         }
-        self.forget_messages();
+        self.invalidate_messages();
     }
 
-    fn change_entry(&mut self, line: &Value) {
+    fn update_entry(&mut self, value: &Value) {
         self.version += 1;
-        let entry = Bytes::from(line.to_string());
-        let name = line["name"].as_str().unwrap_or_default();
-        if let Some(before) = self.versions.remove(name) {
-            self.entries.remove(&before);
+        let entry = Bytes::from(value.to_string());
+        let name = value["name"].as_str().unwrap_or_default();
+        if let Some(previous) = self.versions.remove(name) {
+            self.entries.remove(&previous);
         }
-        if line["status"] != "removed" {
+        if value["status"] != "removed" {
             self.versions.insert(name.to_string(), self.version);
             self.entries.insert(self.version, entry.clone());
         }
         self.changes.push_back(entry);
-        if self.changes.len() > KEPT_CHANGES {
+        if self.changes.len() > RETAINED_CHANGES {
             self.changes.pop_front();
         }
     }
 
-    /// Forgets which changes led to the present version, as a restart does: whoever holds another one is given the
-    /// whole list.
-    pub fn forget_changes(&mut self) {
+    /// Discards the retained changes, as a restart does. A watcher with any other version than the current one then
+    /// receives a snapshot.
+    pub fn clear_history(&mut self) {
         self.changes.clear();
-        self.forget_messages();
+        self.invalidate_messages();
     }
 
-    fn forget_messages(&mut self) {
-        self.whole = None;
-        self.since.clear();
+    fn invalidate_messages(&mut self) {
+        self.snapshot = None;
+        self.deltas.clear();
     }
 
-    /// The complete list.
-    pub fn whole(&mut self) -> Message {
+    /// Message with the complete list.
+    pub fn snapshot(&mut self) -> Message {
         let (version, indented) = (self.version, self.indented);
         let entries = &self.entries;
         let text = self
-            .whole
+            .snapshot
             .get_or_insert_with(|| render(entries.values(), version, true, indented));
         Message {
             text: text.clone(),
-            whole: true,
+            snapshot: true,
             version,
         }
     }
 
-    /// What one who holds `held` has yet to hear: the complete list where that is no version that changes are kept for.
-    pub fn since(&mut self, held: Option<Version>) -> Message {
+    /// Message for a watcher with version `known`: a delta, or a snapshot if the changes since that version are not
+    /// retained.
+    pub fn message_since(&mut self, known: Option<Version>) -> Message {
         let oldest = self.version - self.changes.len() as Version;
-        let Some(held) = held.filter(|held| (oldest..=self.version).contains(held)) else {
-            return self.whole();
+        let Some(known) = known.filter(|known| (oldest..=self.version).contains(known)) else {
+            return self.snapshot();
         };
         let (version, indented) = (self.version, self.indented);
-        let changes = self.changes.range((held - oldest) as usize..);
+        let changes = self.changes.range((known - oldest) as usize..);
         let text = self
-            .since
-            .entry(held)
+            .deltas
+            .entry(known)
             .or_insert_with(|| render(changes, version, false, indented));
         Message {
             text: text.clone(),
-            whole: false,
+            snapshot: false,
             version,
         }
     }
--- a/crates/standins/src/leaf.rs
+++ b/crates/standins/src/leaf.rs
@@ -1,4 +1,4 @@
-//! A leaf server: answers each part after a while, until it is killed.
+//! Stand-in leaf server that answers each part after a random service time.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -13,76 +13,92 @@
 use tokio::sync::mpsc;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// The longest frame that is read.
-const MOST_FRAME: usize = 1 << 20;
+/// Longest accepted frame in bytes.
+const MAX_FRAME_BYTES: usize = 1 << 20;
 
-/// What a leaf server has seen.
+/// Counters of a leaf server.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct LeafStats {
     pub connections: AtomicU64,
     pub parts: AtomicU64,
-    pub given_up: AtomicU64,
-    /// Turned away, as more was under way than it takes.
+    pub cancelled: AtomicU64,
+    /// Parts refused because the server was at its concurrency limit.
     pub busy: AtomicU64,
-    under_way: AtomicUsize,
+    in_flight: AtomicUsize,
 }
 
-/// A leaf server that runs until it is dropped; then its connections break at once, as a dead process's do.
-pub struct Leaf {
+/// A leaf server that runs until it is dropped. Its connections then break at once, as those of a killed process do.
+pub struct LeafServer {
     pub address: SocketAddr,
-    pub seen: Arc<Seen>,
+    pub stats: Arc<LeafStats>,
     task: AbortHandle,
 }
 
-impl Drop for Leaf {
+impl Drop for LeafServer {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Leaf {
-    /// Serves on a free port; a part takes between half of and one and a half times `work`, and of more than `slots`
-    /// at once the rest is turned away.
+impl LeafServer {
+    /// Serves on a free port. A part takes between 0.5 and 1.5 times `service_time`; parts beyond `concurrency` at
+    /// once are refused as busy.
     ///
     /// # Errors
-    /// There is no port.
-    pub async fn start(ip: IpAddr, work: Duration, slots: usize, seed: u64) -> io::Result<Leaf> {
+    /// No port is available.
+    pub async fn start(
+        ip: IpAddr,
+        service_time: Duration,
+        concurrency: usize,
+        seed: u64,
+    ) -> io::Result<LeafServer> {
         let listener = TcpListener::bind((ip, 0)).await?;
         let address = listener.local_addr()?;
-        let seen = Arc::<Seen>::default();
-        let task = tokio::spawn(accept(listener, (work, slots), seed, seen.clone())).abort_handle();
-        Ok(Leaf {
+        let stats = Arc::<LeafStats>::default();
+        let task = tokio::spawn(accept(
+            listener,
+            (service_time, concurrency),
+            seed,
+            stats.clone(),
+        ))
+        .abort_handle();
+        Ok(LeafServer {
             address,
-            seen,
+            stats,
             task,
         })
     }
 }
 
-async fn accept(listener: TcpListener, power: (Duration, usize), seed: u64, seen: Arc<Seen>) {
-    // Ends with this task: what is accepted lives no longer than the server.
+async fn accept(
+    listener: TcpListener,
+    capacity: (Duration, usize),
+    seed: u64,
+    stats: Arc<LeafStats>,
+) {
+    // The set is dropped with this task, so no connection outlives the server.
     let mut connections = JoinSet::new();
     for n in 0u64.. {
         let Ok((stream, _)) = listener.accept().await else {
             return;
         };
-        seen.connections.fetch_add(1, Ordering::Relaxed);
+        stats.connections.fetch_add(1, Ordering::Relaxed);
         let random = StdRng::seed_from_u64(seed ^ n.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        connections.spawn(serve(stream, power, random, seen.clone()));
+        connections.spawn(serve(stream, capacity, random, stats.clone()));
         while connections.try_join_next().is_some() {}
     }
 }
 
-fn frame(letter: u8, rest: &[u8]) -> Vec<u8> {
-    let mut bytes = ((rest.len() + 1) as u32).to_be_bytes().to_vec();
-    bytes.push(letter);
-    bytes.extend_from_slice(rest);
+fn frame(kind: u8, payload: &[u8]) -> Vec<u8> {
+    let mut bytes = ((payload.len() + 1) as u32).to_be_bytes().to_vec();
+    bytes.push(kind);
+    bytes.extend_from_slice(payload);
     bytes
 }
 
 async fn read_frame(read: &mut OwnedReadHalf) -> Option<Vec<u8>> {
     let length = read.read_u32().await.ok()? as usize;
-    if length == 0 || length > MOST_FRAME {
+    if length == 0 || length > MAX_FRAME_BYTES {
         return None;
     }
     let mut frame = vec![0; length];
@@ -92,9 +108,9 @@
 
 async fn serve(
     stream: TcpStream,
-    (work, slots): (Duration, usize),
+    (service_time, concurrency): (Duration, usize),
     mut random: StdRng,
-    seen: Arc<Seen>,
+    stats: Arc<LeafStats>,
 ) {
     let _ = stream.set_nodelay(true);
     let (mut read, mut write) = stream.into_split();
@@ -110,34 +126,34 @@
     while let Some(frame_in) = read_frame(&mut read).await {
         match frame_in[0] {
             b'Q' => {
-                let Some(asked) = read_parts(&frame_in[1..]) else {
+                let Some(requested) = read_parts(&frame_in[1..]) else {
                     let _ = answers
                         .send(frame(b'E', b"a call that can't be read"))
                         .await;
                     return;
                 };
-                for (id, shard, text) in asked {
-                    seen.parts.fetch_add(1, Ordering::Relaxed);
-                    let wait = work.mul_f64(random.random_range(0.5..1.5));
-                    let (answers, seen) = (answers.clone(), seen.clone());
-                    if seen.under_way.fetch_add(1, Ordering::Relaxed) >= slots {
-                        seen.under_way.fetch_sub(1, Ordering::Relaxed);
-                        seen.busy.fetch_add(1, Ordering::Relaxed);
+                for (id, shard, text) in requested {
+                    stats.parts.fetch_add(1, Ordering::Relaxed);
+                    let delay = service_time.mul_f64(random.random_range(0.5..1.5));
+                    let (answers, stats) = (answers.clone(), stats.clone());
+                    if stats.in_flight.fetch_add(1, Ordering::Relaxed) >= concurrency {
+                        stats.in_flight.fetch_sub(1, Ordering::Relaxed);
+                        stats.busy.fetch_add(1, Ordering::Relaxed);
                         let _ = answers
                             .send(frame(b'A', format!("{id} busy - -\n").as_bytes()))
                             .await;
                         continue;
                     }
                     parts.spawn(async move {
-                        tokio::time::sleep(wait).await;
-                        seen.under_way.fetch_sub(1, Ordering::Relaxed);
-                        let line = format!("{id} ok 1 -\n{}", value(shard, &text));
+                        tokio::time::sleep(delay).await;
+                        stats.in_flight.fetch_sub(1, Ordering::Relaxed);
+                        let line = format!("{id} ok 1 -\n{}", expected_value(shard, &text));
                         let _ = answers.send(frame(b'A', line.as_bytes())).await;
                     });
                 }
             }
             b'X' => {
-                seen.given_up.fetch_add(1, Ordering::Relaxed);
+                stats.cancelled.fetch_add(1, Ordering::Relaxed);
             }
             b'P' => {
                 let _ = answers.send(frame(b'P', b"ok")).await;
@@ -151,12 +167,12 @@
     }
 }
 
-/// The value that a shard holds for a text: anyone can tell whether an answer is what it ought to be. A text that is a
-/// search is searched for.
-pub fn value(shard: u32, text: &str) -> String {
+/// Value that a shard returns for a query text, so that a client can check every answer. A text that starts with `{` is
+/// a search in JSON, and the value is its result.
+pub fn expected_value(shard: u32, text: &str) -> String {
     if text.starts_with('{') {
         let search = serde_json::from_str(text).unwrap_or_default();
-        return crate::search::words(shard, &search);
+        return crate::search::response_text(shard, &search);
     }
     let mut hash = 0xcbf2_9ce4_8422_2325u64;
     for byte in shard.to_le_bytes().into_iter().chain(text.bytes()) {
@@ -170,8 +186,8 @@
     while !rest.is_empty() {
         let end = rest.iter().position(|b| *b == b'\n')?;
         let line = std::str::from_utf8(&rest[..end]).ok()?;
-        let words: Vec<&str> = line.split(' ').collect();
-        let [id, shard, _, length] = words[..] else {
+        let fields: Vec<&str> = line.split(' ').collect();
+        let [id, shard, _, length] = fields[..] else {
             return None;
         };
         let length: usize = length.parse().ok()?;
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes: each is ended, by its id, when it is dropped.
+//! Child processes. Dropping one kills it by its process id.
 
 use std::fs::File;
 use std::io;
@@ -6,6 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
+/// A running child process.
 pub struct Process {
     child: Child,
     pub log: PathBuf,
@@ -18,16 +19,16 @@
     }
 }
 
-/// The program that was built beside this one.
+/// Path of the program `name` in the build directory of the current executable.
 ///
 /// # Errors
-/// It was not built.
-pub fn beside(name: &str) -> io::Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    // Tests run from a folder below.
-    let folders = own.ancestors().skip(1).take(2);
-    let found = folders
-        .map(|folder| folder.join(name))
+/// The program has not been built.
+pub fn sibling_program(name: &str) -> io::Result<PathBuf> {
+    let current = std::env::current_exe()?;
+    // Test executables are in a subdirectory of the build directory.
+    let directories = current.ancestors().skip(1).take(2);
+    let found = directories
+        .map(|directory| directory.join(name))
         .find(|path| path.is_file());
     found.ok_or_else(|| {
         io::Error::other(format!("{name} has not been built: run cargo build first"))
@@ -35,10 +36,10 @@
 }
 
 impl Process {
-    /// Starts a command; both of its outputs are appended to a file.
+    /// Starts a command and appends its standard output and standard error to the file `log`.
     ///
     /// # Errors
-    /// It can't be started.
+    /// The command can't be started.
     pub fn start(command: &mut Command, log: &Path) -> io::Result<Process> {
         let file = File::options().create(true).append(true).open(log)?;
         let child = command
@@ -52,7 +53,7 @@
         })
     }
 
-    /// Ends it as a crash does: nothing of it runs again.
+    /// Kills the process as a crash would: it runs no further code.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -62,50 +63,50 @@
         self.child.id()
     }
 
-    /// Sends it a signal by name, as in `-TERM`.
+    /// Sends the process a signal, given as an option of `kill`, such as `-TERM`.
     ///
     /// # Errors
-    /// There is no such process any more.
+    /// The process has ended.
     pub fn signal(&self, signal: &str) -> io::Result<()> {
-        let done = Command::new("kill")
+        let result = Command::new("kill")
             .args([signal, &self.child.id().to_string()])
             .status()?;
-        if done.success() {
+        if result.success() {
             Ok(())
         } else {
             Err(io::Error::other(format!(
-                "process {} is over",
+                "process {} has ended",
                 self.child.id()
             )))
         }
     }
 
-    /// Asks it to end and waits; true if it did within `most`, with success.
-    pub fn end(&mut self, most: Duration) -> bool {
-        let until = Instant::now() + most;
-        let mut asked = self.signal("-TERM").is_ok();
-        while Instant::now() < until {
+    /// Sends SIGTERM and waits. Returns whether the process exited successfully within `timeout`.
+    pub fn terminate(&mut self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
+        let mut signalled = self.signal("-TERM").is_ok();
+        while Instant::now() < deadline {
             match self.child.try_wait() {
-                Ok(Some(status)) => return asked && status.success(),
+                Ok(Some(status)) => return signalled && status.success(),
                 Ok(None) => std::thread::sleep(Duration::from_millis(10)),
-                Err(_) => asked = false,
+                Err(_) => signalled = false,
             }
         }
         false
     }
 
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Seconds of processor time that it has used, and the most memory it held, in KiB.
-    pub fn used(&self) -> Option<(f64, u64)> {
-        let folder = PathBuf::from(format!("/proc/{}", self.child.id()));
-        let stat = std::fs::read_to_string(folder.join("stat")).ok()?;
-        let after = stat.rsplit(')').next()?;
-        let words: Vec<&str> = after.split_whitespace().collect();
-        let ticks = words.get(11)?.parse::<f64>().ok()? + words.get(12)?.parse::<f64>().ok()?;
-        let status = std::fs::read_to_string(folder.join("status")).ok()?;
+    /// Processor time used so far in seconds, and peak resident memory in KiB.
+    pub fn resource_usage(&self) -> Option<(f64, u64)> {
+        let directory = PathBuf::from(format!("/proc/{}", self.child.id()));
+        let stat = std::fs::read_to_string(directory.join("stat")).ok()?;
+        let after_name = stat.rsplit(')').next()?;
+        let fields: Vec<&str> = after_name.split_whitespace().collect();
+        let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
+        let status = std::fs::read_to_string(directory.join("status")).ok()?;
         let peak = status
             .lines()
             .find_map(|line| line.strip_prefix("VmHWM:"))?;
--- a/crates/standins/src/receiver.rs
+++ b/crates/standins/src/receiver.rs
@@ -1,4 +1,4 @@
-//! A receiver of documents that fails in every way that leaves the sender in doubt.
+//! Receiver of exported documents. It can inject failures that leave the sender without a clear result.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -14,56 +14,62 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::task::{AbortHandle, JoinSet};
 
-/// What the receiver has: each document once, by its id, and how often it was offered.
+/// Received documents by id, each with its first content and the number of times it was sent.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct ReceivedDocuments {
     pub documents: BTreeMap<String, (Bytes, u32)>,
-    /// Offers of an id with other bytes than the first time.
-    pub changed: u32,
+    /// Number of times that an id was sent with a content other than the first.
+    pub mismatches: u32,
 }
 
-/// Keeps documents until it is dropped; what it keeps outlives it, as a disk would.
-pub struct Receiver {
+/// A receiver that runs until it is dropped. The received documents are shared with the caller and outlive it, as files
+/// on a disk would.
+pub struct ExportReceiver {
     pub address: SocketAddr,
     task: AbortHandle,
 }
 
-impl Drop for Receiver {
+impl Drop for ExportReceiver {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Receiver {
-    /// Serves on `address`. If `hostile`, the first offers of each document are stored and then not acknowledged:
-    /// the connection is dropped, the answer is a 500, or none comes at all.
+impl ExportReceiver {
+    /// Serves on `address`. With `inject_failures`, the first two deliveries of each document are stored but not
+    /// acknowledged: the connection is dropped, the answer is a 500, or no answer is sent within 30 s.
     ///
     /// # Errors
-    /// The address is taken.
+    /// The address is in use.
     pub async fn start(
         address: SocketAddr,
-        kept: Arc<Mutex<Kept>>,
-        hostile: bool,
-    ) -> io::Result<Receiver> {
+        received: Arc<Mutex<ReceivedDocuments>>,
+        inject_failures: bool,
+    ) -> io::Result<ExportReceiver> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         let listener = socket.listen(64)?;
         let address = listener.local_addr()?;
-        let task = tokio::spawn(serve(listener, kept, hostile)).abort_handle();
-        Ok(Receiver { address, task })
+        let task = tokio::spawn(serve(listener, received, inject_failures)).abort_handle();
+        Ok(ExportReceiver { address, task })
     }
 }
 
-async fn serve(listener: TcpListener, kept: Arc<Mutex<Kept>>, hostile: bool) {
+async fn serve(
+    listener: TcpListener,
+    received: Arc<Mutex<ReceivedDocuments>>,
+    inject_failures: bool,
+) {
     let mut connections = JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             return;
         };
-        let kept = kept.clone();
+        let received = received.clone();
         connections.spawn(async move {
-            let answer = service_fn(move |request| receive(request, kept.clone(), hostile));
+            let answer =
+                service_fn(move |request| receive(request, received.clone(), inject_failures));
             let serve = hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), answer);
             let _ = serve.await;
@@ -74,8 +80,8 @@
 
 async fn receive(
     request: Request<Incoming>,
-    kept: Arc<Mutex<Kept>>,
-    hostile: bool,
+    received: Arc<Mutex<ReceivedDocuments>>,
+    inject_failures: bool,
 ) -> Result<Response<Empty<Bytes>>, io::Error> {
     let id = request
         .headers()
@@ -96,21 +102,23 @@
         .await
         .map_err(io::Error::other)?
         .to_bytes();
-    let offers = {
-        let mut kept = kept.lock().unwrap_or_else(PoisonError::into_inner);
-        let (first, offers) = kept
+    let deliveries = {
+        let mut received = received.lock().unwrap_or_else(PoisonError::into_inner);
+        let (first, deliveries) = received
             .documents
             .entry(id.clone())
             .or_insert_with(|| (body.clone(), 0));
-        *offers += 1;
-        let (same, offers) = (*first == body, *offers);
-        kept.changed += u32::from(!same);
-        offers
+        *deliveries += 1;
+        let (same, deliveries) = (*first == body, *deliveries);
+        received.mismatches += u32::from(!same);
+        deliveries
     };
-    // Which way it fails first is the document's own, so that every way is met.
-    let way = (id.bytes().map(u32::from).sum::<u32>() + offers) % 3;
-    match (hostile && offers <= 2, way) {
-        (true, 0) => Err(io::Error::other("dropped after storing")),
+    // The kind of the first failure depends on the document's id, so that all kinds occur.
+    let failure = (id.bytes().map(u32::from).sum::<u32>() + deliveries) % 3;
+    match (inject_failures && deliveries <= 2, failure) {
+        (true, 0) => Err(io::Error::other(
+            "injected failure: connection dropped after storing",
+        )),
         (true, 1) => status(StatusCode::INTERNAL_SERVER_ERROR),
         (true, _) => {
             tokio::time::sleep(Duration::from_secs(30)).await;
--- a/crates/standins/tests/installation.rs
+++ b/crates/standins/tests/installation.rs
@@ -1,17 +1,17 @@
-//! The demonstration and the proof as they are run, in a smaller form. Both start real mixers, which `make test` builds
-//! first.
+//! Short runs of the demonstration and of the end-to-end tests. They start real mixers, which `make test` builds first.
 
 use std::process::{Command, Output};
 
-fn run(program: &str, words: &[&str]) -> (bool, String) {
+/// Runs a program. Returns whether it succeeded, and both of its outputs.
+fn run(program: &str, arguments: &[&str]) -> (bool, String) {
     let Output {
         status,
         stdout,
         stderr,
     } = Command::new(program)
-        .args(words)
+        .args(arguments)
         .output()
-        .expect("it starts");
+        .expect("the program can be started");
     (
         status.success(),
         String::from_utf8_lossy(&stdout).into_owned() + &String::from_utf8_lossy(&stderr),
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn the_ledger_is_proved_on_a_small_run() {
-    let words = [
+fn the_end_to_end_test_of_the_ledger_passes_on_a_small_run() {
+    let arguments = [
         "--queries",
         "2500",
         "--clients",
@@ -30,36 +30,39 @@
         "--seed",
         "11",
     ];
-    let (proved, said) = run(env!("CARGO_BIN_EXE_cottonhill-prove-ledger"), &words);
+    let (proved, output) = run(env!("CARGO_BIN_EXE_cottonhill-prove-ledger"), &arguments);
     assert!(
         proved
-            && said
+            && output
                 .lines()
                 .last()
                 .is_some_and(|line| line.starts_with("proved: 2500 uses")),
-        "{said}"
+        "{output}"
     );
 }
 
 #[test]
-fn the_search_front_is_proved_on_a_small_run() {
-    let words = ["--queries", "600", "--clients", "6", "--seed", "5"];
-    let (proved, said) = run(env!("CARGO_BIN_EXE_cottonhill-prove-opensearch"), &words);
+fn the_end_to_end_test_of_the_opensearch_front_passes_on_a_small_run() {
+    let arguments = ["--queries", "600", "--clients", "6", "--seed", "5"];
+    let (proved, output) = run(
+        env!("CARGO_BIN_EXE_cottonhill-prove-opensearch"),
+        &arguments,
+    );
     assert!(
         proved
-            && said
+            && output
                 .lines()
                 .last()
                 .is_some_and(|line| line.starts_with("proved: ")),
-        "{said}"
+        "{output}"
     );
 }
 
 #[test]
-fn the_demonstration_prints_a_line_to_ask_and_ends_clean() {
-    let (clean, said) = run(env!("CARGO_BIN_EXE_cottonhill-demo"), &["--seconds", "3"]);
+fn the_demonstration_prints_a_query_command_and_exits_cleanly() {
+    let (clean, output) = run(env!("CARGO_BIN_EXE_cottonhill-demo"), &["--seconds", "3"]);
     assert!(
-        clean && said.contains("curl -s http://127.") && said.contains("all ended\n"),
-        "{said}"
+        clean && output.contains("curl -s http://127.") && output.contains("all processes ended\n"),
+        "{output}"
     );
 }
--- a/crates/standins/tests/leaving.rs
+++ b/crates/standins/tests/leaving.rs
@@ -1,10 +1,11 @@
-//! Leaf servers that leave while discovery fares badly, on real processes: from the grace after a mixer was told, or
-//! counts as told, nothing new comes to them, and every query gets its one final answer.
+//! Draining of leaf servers during failures of discovery, with real processes: after the drain grace, counted from the
+//! time at which a mixer is notified or at the latest has to notice the failure, draining servers receive no new parts,
+//! and every query receives its one final answer.
 
 mod load;
 
-use cottonhill_standins::installation::{Installation, Plan, GRACE};
-use cottonhill_standins::leaf::Seen;
+use cottonhill_standins::cluster::{ClusterConfig, LocalCluster, DRAIN_GRACE};
+use cottonhill_standins::leaf::LeafStats;
 use load::Load;
 use serde_json::json;
 use std::sync::atomic::Ordering;
@@ -12,141 +13,156 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Beyond the grace: what a busy machine may take to run the mixers.
-const SLACK: Duration = Duration::from_millis(1_500);
+/// Allowed in addition to the grace for delays of the mixers on a busy machine.
+const SCHEDULING_SLACK: Duration = Duration::from_millis(1_500);
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-fn parts(seen: &[Arc<Seen>]) -> u64 {
-    seen.iter()
-        .map(|seen| seen.parts.load(Ordering::SeqCst))
+fn parts_received(stats: &[Arc<LeafStats>]) -> u64 {
+    stats
+        .iter()
+        .map(|stats| stats.parts.load(Ordering::SeqCst))
         .sum()
 }
 
-/// Once the grace after `told` is over nothing new comes to those that leave, while others are asked. Then their
-/// zone gets new ones.
-async fn obeyed(
+/// Asserts that the draining servers receive no parts once the grace after `notified` is over while the others do, then
+/// restores their zone.
+async fn check_drained(
     case: &str,
-    installation: &mut Installation,
+    cluster: &mut LocalCluster,
     zone: usize,
-    leaving: &[Arc<Seen>],
-    told: Instant,
+    draining: &[Arc<LeafStats>],
+    notified: Instant,
 ) {
-    sleep_until(told + GRACE + SLACK).await;
-    let (before, all) = (parts(leaving), installation.parts_seen());
+    sleep_until(notified + DRAIN_GRACE + SCHEDULING_SLACK).await;
+    let (before, all) = (parts_received(draining), cluster.parts_received());
     sleep(MS(800)).await;
     assert_eq!(
-        parts(leaving) - before,
+        parts_received(draining) - before,
         0,
-        "{case}: parts came to servers that leave"
+        "{case}: draining servers received parts"
     );
     assert!(
-        installation.parts_seen() > all + 100,
-        "{case}: the others are asked meanwhile"
+        cluster.parts_received() > all + 100,
+        "{case}: the other servers received too few parts"
     );
-    installation.restore_zone(zone, true).await.unwrap();
+    cluster.restore_zone(zone, true).await.unwrap();
     sleep(MS(300)).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn nothing_new_goes_to_who_leaves_however_discovery_fares() {
-    let folder = tempfile::tempdir().unwrap();
-    // As in a full fleet, where a wait shared out among all mixers would be long.
-    let plan = Plan {
+async fn draining_servers_receive_nothing_new_despite_discovery_failures() {
+    let directory = tempfile::tempdir().unwrap();
+    // A full fleet, in which a delay that is spread over all mixers would be long.
+    let config = ClusterConfig {
         seed: 25,
-        fleet: 350,
-        slots: 32,
-        ..Plan::default()
+        fleet_size: 350,
+        leaf_concurrency: 32,
+        ..ClusterConfig::default()
     };
-    let mut it = Installation::start(folder.path(), plan).await.unwrap();
-    let load = Load::start(&it);
+    let mut cluster = LocalCluster::start(directory.path(), config).await.unwrap();
+    let load = Load::start(&cluster);
     sleep(MS(300)).await;
 
-    it.discovery.reset();
+    cluster.discovery.reset_connections();
     sleep(MS(300)).await;
-    let leaving = it.drain_zone(0);
-    obeyed(
-        "all watches were reset before",
-        &mut it,
+    let draining = cluster.drain_zone(0);
+    check_drained(
+        "all connections were reset before",
+        &mut cluster,
         0,
-        &leaving,
+        &draining,
         Instant::now(),
     )
     .await;
 
     let silent = Instant::now();
-    it.discovery.fall_silent();
+    cluster.discovery.silence_watches();
     sleep(MS(1_000)).await;
-    let leaving = it.drain_zone(1);
-    obeyed(
-        "all watches fell silent",
-        &mut it,
+    let draining = cluster.drain_zone(1);
+    check_drained(
+        "all watches were silenced",
+        &mut cluster,
         1,
-        &leaving,
+        &draining,
         silent + MS(6_000),
     )
     .await;
 
-    // Longer than a watch is waited for: each has asked again meanwhile.
-    it.discovery.set_down(true);
+    // Longer than the timeout of a watch, so that each mixer has reconnected meanwhile.
+    cluster.discovery.set_unresponsive(true);
     sleep(MS(5_000)).await;
-    let leaving = it.drain_zone(2);
-    it.discovery.set_down(false);
-    obeyed(
-        "discovery was down and is back",
-        &mut it,
+    let draining = cluster.drain_zone(2);
+    cluster.discovery.set_unresponsive(false);
+    check_drained(
+        "discovery was unresponsive before",
+        &mut cluster,
         2,
-        &leaving,
+        &draining,
         Instant::now(),
     )
     .await;
 
-    it.discovery.set_indented(true);
+    cluster.discovery.set_indented(true);
     let entry = |i: usize| {
         json!({"name": format!("far-{i}"), "address": "127.0.0.1:9", "zone": "far", "type": "m", "group": 0,
             "status": "draining", "weight": 1.0, "since_ms": 0})
     };
-    it.discovery.tell((0..1024).map(entry).collect());
-    let leaving = it.drain_zone(0);
-    obeyed(
+    cluster.discovery.update((0..1024).map(entry).collect());
+    let draining = cluster.drain_zone(0);
+    check_drained(
         "lists are large and indented",
-        &mut it,
+        &mut cluster,
         0,
-        &leaving,
+        &draining,
         Instant::now(),
     )
     .await;
 
-    it.remember().unwrap();
-    let leaving = it.drain_zone(1);
-    for at in 0..it.mixers.len() {
-        load.serving[at].store(false, Ordering::SeqCst);
+    cluster.save_endpoint_list().unwrap();
+    let draining = cluster.drain_zone(1);
+    for index in 0..cluster.mixers.len() {
+        load.serving[index].store(false, Ordering::SeqCst);
         assert!(
-            tokio::task::block_in_place(|| it.stop_mixer(at, MS(5_000))),
-            "mixer {at} ends well"
+            tokio::task::block_in_place(|| cluster.stop_mixer(index, MS(5_000))),
+            "mixer {index} exits successfully"
         );
     }
-    let before = parts(&leaving);
-    for at in 0..it.mixers.len() {
-        it.start_mixer(at).await.unwrap();
-        load.serving[at].store(true, Ordering::SeqCst);
+    let before = parts_received(&draining);
+    for index in 0..cluster.mixers.len() {
+        cluster.start_mixer(index).await.unwrap();
+        load.serving[index].store(true, Ordering::SeqCst);
     }
     sleep(MS(800)).await;
     assert_eq!(
-        parts(&leaving) - before,
+        parts_received(&draining) - before,
         0,
-        "a new process asks who leaves, from the list it held"
+        "restarted mixers, which begin with the saved list, sent parts to draining servers"
     );
-    obeyed("new processes", &mut it, 1, &leaving, Instant::now()).await;
+    check_drained(
+        "mixers were restarted",
+        &mut cluster,
+        1,
+        &draining,
+        Instant::now(),
+    )
+    .await;
 
     let moved = Instant::now();
-    it.move_discovery().await.unwrap();
-    let leaving = it.drain_zone(2);
-    obeyed("discovery moved", &mut it, 2, &leaving, moved + MS(4_000)).await;
+    cluster.move_discovery().await.unwrap();
+    let draining = cluster.drain_zone(2);
+    check_drained(
+        "discovery moved",
+        &mut cluster,
+        2,
+        &draining,
+        moved + MS(4_000),
+    )
+    .await;
 
-    let asked = it.discovery.accepted();
+    let connections = cluster.discovery.accepted_connections();
     assert!(
-        asked <= 30,
-        "nobody asks in a busy loop: {asked} connections to the last discovery"
+        connections <= 30,
+        "no mixer reconnects in a busy loop: {connections} connections to the last discovery"
     );
-    load.end().await.check(1_000, 90);
+    load.stop().await.check(1_000, 90);
 }
--- a/crates/standins/tests/load/mod.rs
+++ b/crates/standins/tests/load/mod.rs
@@ -1,7 +1,7 @@
-//! Clients that keep asking real mixers while a test changes the world around them.
+//! Clients that send queries to real mixers continuously while a test changes the cluster.
 
-use cottonhill_standins::client::{spread, Attempt, Connection, Got, Question};
-use cottonhill_standins::installation::{Installation, CLASSES, SHARDS, TENANTS};
+use cottonhill_standins::client::{consecutive_parts, Attempt, AttemptOutcome, Connection, Query};
+use cottonhill_standins::cluster::{LocalCluster, CLASSES, SHARDS, TENANTS};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,36 +10,36 @@
 use tokio::task::JoinHandle;
 
 const CLIENTS: usize = 6;
-/// Bounds each client, whatever the timing: the test is over long before.
-const MOST_TRIES: usize = 20_000;
+/// Upper bound of the attempts of each client, far above the number in any test.
+const MAX_ATTEMPTS: usize = 20_000;
 
-/// Tries by how they ended for the client.
-type Tally = BTreeMap<&'static str, u64>;
+/// Number of attempts by outcome.
+type OutcomeCounts = BTreeMap<&'static str, u64>;
 
 async fn client(
     number: usize,
     mixers: Vec<SocketAddr>,
     serving: Arc<Vec<AtomicBool>>,
-    over: Arc<AtomicBool>,
-    tally: Arc<Mutex<Tally>>,
+    stopping: Arc<AtomicBool>,
+    outcomes: Arc<Mutex<OutcomeCounts>>,
 ) {
-    for n in 0..MOST_TRIES {
-        if over.load(Ordering::SeqCst) {
+    for n in 0..MAX_ATTEMPTS {
+        if stopping.load(Ordering::SeqCst) {
             return;
         }
-        let at = (number + n) % mixers.len();
-        if !serving[at].load(Ordering::SeqCst) {
-            // All may be down at once.
+        let index = (number + n) % mixers.len();
+        if !serving[index].load(Ordering::SeqCst) {
+            // All mixers may be stopped at once.
             tokio::time::sleep(Duration::from_millis(1)).await;
             continue;
         }
         let class = CLASSES[n % CLASSES.len()];
-        let width = 4 + (n as u32 % 4);
+        let count = 4 + (n as u32 % 4);
         let first = (number * 7 + n) as u32;
-        let question = Question {
+        let query = Query {
             class: class.0.into(),
             tenant: TENANTS[number % TENANTS.len()].into(),
-            parts: spread(first, width, SHARDS),
+            parts: consecutive_parts(first, count, SHARDS),
             text: format!("q{number}-{n}"),
             key: None,
         };
@@ -47,101 +47,102 @@
         let attempt = Attempt {
             id: &id,
             retry: false,
-            wait: Duration::from_millis(class.2),
+            timeout: Duration::from_millis(class.2),
             grace: Duration::from_millis(1_000),
         };
-        // A connection of its own for each try, so that none is written to as the mixer closes it.
-        let got = Connection::new(mixers[at]).ask(&question, &attempt).await;
-        let ended = match got {
-            Got::Answer(true, _) => "whole",
-            Got::Answer(false, _) => "partial",
-            Got::Refused(_) => "refused",
-            Got::Failed(_) => "failed",
-            Got::Lost => "lost",
-            Got::TimedOut => "timed out",
+        // Each attempt has its own connection, so that none is written to while the mixer closes it.
+        let outcome = Connection::new(mixers[index])
+            .send_query(&query, &attempt)
+            .await;
+        let outcome = match outcome {
+            AttemptOutcome::Answer(true, _) => "complete",
+            AttemptOutcome::Answer(false, _) => "partial",
+            AttemptOutcome::Refused(_) => "refused",
+            AttemptOutcome::Failed(_) => "failed",
+            AttemptOutcome::ConnectionLost => "connection lost",
+            AttemptOutcome::TimedOut => "timed out",
         };
-        *tally
+        *outcomes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .entry(ended)
+            .entry(outcome)
             .or_default() += 1;
         tokio::time::sleep(Duration::from_millis(4)).await;
     }
 }
 
-/// Clients at work, over a few mixers.
+/// Running clients of a few mixers.
 pub struct Load {
-    /// Which mixers the clients turn to.
+    /// Whether the clients send queries to each mixer.
     pub serving: Arc<Vec<AtomicBool>>,
-    over: Arc<AtomicBool>,
-    tally: Arc<Mutex<Tally>>,
+    stopping: Arc<AtomicBool>,
+    outcomes: Arc<Mutex<OutcomeCounts>>,
     clients: Vec<JoinHandle<()>>,
 }
 
-/// How all tries ended.
-pub struct Tries(Tally);
+/// Outcomes of all attempts.
+pub struct LoadResult(OutcomeCounts);
 
 impl Load {
-    pub fn start(installation: &Installation) -> Load {
-        let mixers: Vec<SocketAddr> = installation
-            .mixers
-            .iter()
-            .map(|mixer| mixer.address)
-            .collect();
+    /// Starts the clients.
+    pub fn start(cluster: &LocalCluster) -> Load {
+        let mixers: Vec<SocketAddr> = cluster.mixers.iter().map(|mixer| mixer.address).collect();
         let serving: Arc<Vec<AtomicBool>> =
             Arc::new(mixers.iter().map(|_| AtomicBool::new(true)).collect());
-        let (over, tally) = (
+        let (stopping, outcomes) = (
             Arc::new(AtomicBool::new(false)),
-            Arc::new(Mutex::new(Tally::new())),
+            Arc::new(Mutex::new(OutcomeCounts::new())),
         );
         let clients = (0..CLIENTS)
             .map(|number| {
-                let shared = (serving.clone(), over.clone(), tally.clone());
+                let shared = (serving.clone(), stopping.clone(), outcomes.clone());
                 tokio::spawn(client(number, mixers.clone(), shared.0, shared.1, shared.2))
             })
             .collect();
         Load {
             serving,
-            over,
-            tally,
+            stopping,
+            outcomes,
             clients,
         }
     }
 
-    pub async fn end(self) -> Tries {
-        self.over.store(true, Ordering::SeqCst);
+    /// Stops the clients and returns their outcomes.
+    pub async fn stop(self) -> LoadResult {
+        self.stopping.store(true, Ordering::SeqCst);
         for client in self.clients {
             client.await.unwrap();
         }
-        let tally = self
-            .tally
+        let outcomes = self
+            .outcomes
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
-        Tries(tally)
+        LoadResult(outcomes)
     }
 }
 
-impl Tries {
-    /// Every try got its one final answer, and so many of a hundred were served.
-    pub fn check(&self, least: u64, hundredths: u64) {
-        let count = |ended: &str| self.0.get(ended).copied().unwrap_or(0);
-        let tries: u64 = self.0.values().sum();
-        let said = format!("{tries} tries: {:?}", self.0);
-        eprintln!("{said}");
+impl LoadResult {
+    /// Asserts that at least `min_attempts` were made, that each received its one final answer, and that at least
+    /// `min_served_percent` of them were served.
+    pub fn check(&self, min_attempts: u64, min_served_percent: u64) {
+        let count = |outcome: &str| self.0.get(outcome).copied().unwrap_or(0);
+        let attempts: u64 = self.0.values().sum();
+        let summary = format!("{attempts} attempts: {:?}", self.0);
+        eprintln!("{summary}");
         assert!(
-            tries >= least,
-            "the clients asked throughout the change: {said}"
+            attempts >= min_attempts,
+            "the clients made at least {min_attempts} attempts: {summary}"
         );
         assert_eq!(
-            count("lost") + count("timed out"),
+            count("connection lost") + count("timed out"),
             0,
-            "every try got its one final answer: {said}"
+            "every attempt received its one final answer: {summary}"
         );
-        let served = count("whole") + count("partial");
+        let served = count("complete") + count("partial");
         assert!(
-            served * 100 >= tries * hundredths,
-            "nearly all were served through the change: {said}"
+            served * 100 >= attempts * min_served_percent,
+            "at least {min_served_percent} % of the attempts were served: {summary}"
         );
     }
 }
--- a/crates/standins/tests/rolling.rs
+++ b/crates/standins/tests/rolling.rs
@@ -1,56 +1,56 @@
-//! A rolling change as operators make one, on real processes: each mixer in turn ended by SIGTERM and started again,
-//! discovery moved by SIGHUP, a zone's leaf servers replaced, while clients keep asking. A client turns away from a
-//! mixer once it has been told to end, as a load balancer that reads its readiness does; what it had sent there must
+//! Rolling restart with real processes and continuous load: each mixer in turn is stopped by SIGTERM and started again,
+//! discovery moves to another address (SIGHUP), and a zone's leaf servers are replaced. Clients send nothing new to a
+//! mixer that is about to stop, as a load balancer that reads its readiness does; queries that are in flight there must
 //! still be answered.
 
 mod load;
 
-use cottonhill_standins::installation::{Installation, Plan};
+use cottonhill_standins::cluster::{ClusterConfig, LocalCluster};
 use load::Load;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_rolling_change_answers_every_query_once_and_serves_nearly_all() {
-    let folder = tempfile::tempdir().unwrap();
-    let plan = Plan {
+async fn a_rolling_restart_answers_every_query_once_and_serves_90_percent() {
+    let directory = tempfile::tempdir().unwrap();
+    let config = ClusterConfig {
         seed: 21,
-        ..Plan::default()
+        ..ClusterConfig::default()
     };
-    let mut installation = Installation::start(folder.path(), plan).await.unwrap();
-    let load = Load::start(&installation);
+    let mut cluster = LocalCluster::start(directory.path(), config).await.unwrap();
+    let load = Load::start(&cluster);
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let first_discovery = installation.discovery.address;
-    for at in 0..installation.mixers.len() {
-        load.serving[at].store(false, Ordering::SeqCst);
-        let ended =
-            tokio::task::block_in_place(|| installation.stop_mixer(at, Duration::from_secs(5)));
+    let first_discovery = cluster.discovery.address;
+    for index in 0..cluster.mixers.len() {
+        load.serving[index].store(false, Ordering::SeqCst);
+        let exited =
+            tokio::task::block_in_place(|| cluster.stop_mixer(index, Duration::from_secs(5)));
         assert!(
-            ended,
-            "mixer {at} ends with success after SIGTERM, within 5 s"
+            exited,
+            "mixer {index} exits successfully within 5 s of SIGTERM"
         );
-        installation.start_mixer(at).await.unwrap();
-        load.serving[at].store(true, Ordering::SeqCst);
-        match at {
-            0 => installation.move_discovery().await.unwrap(),
-            1 => installation.restore_zone(2, true).await.unwrap(),
+        cluster.start_mixer(index).await.unwrap();
+        load.serving[index].store(true, Ordering::SeqCst);
+        match index {
+            0 => cluster.move_discovery().await.unwrap(),
+            1 => cluster.restore_zone(2, true).await.unwrap(),
             _ => {}
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let tries = load.end().await;
+    let result = load.stop().await;
     assert_ne!(
-        installation.discovery.address, first_discovery,
+        cluster.discovery.address, first_discovery,
         "discovery moved"
     );
-    for mixer in &installation.mixers {
+    for mixer in &cluster.mixers {
         let log = std::fs::read_to_string(&mixer.log).unwrap();
         assert!(
             log.contains("configuration reloaded"),
-            "{} took up the new configuration: {log}",
+            "{} reloaded its configuration: {log}",
             mixer.name
         );
     }
-    tries.check(300, 90);
+    result.check(300, 90);
 }
