--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 build:
 	cargo build --release --locked
 
-# The programs first: the proofs start them. SKIP is for tests that .ci/known-red runs apart.
+# Builds the programs first, because some tests start them. SKIP excludes the tests that .ci/known-red runs separately.
 test:
 	cargo build --locked --workspace
 	cargo test --locked --workspace -- --exact $(SKIP)
@@ -13,34 +13,35 @@
 	cargo clippy --locked --workspace --all-targets -- -D warnings
 	RUSTDOCFLAGS="-D warnings" cargo doc --locked --workspace --no-deps --quiet
 
-# A whole installation on loopback, until Ctrl-C.
+# Runs a complete installation on loopback until Ctrl-C.
 demo: build
 	exec target/release/cottonhill-demo
 
-# One mixer with the configuration that BALANCER_CONFIG names.
+# Runs one mixer with the configuration in BALANCER_CONFIG.
 run: build
 	exec target/release/cottonhill
 
-# Three mixers, two of everything that can go wrong, and the totals set beside what the clients sent.
+# Runs three mixers, injects each kind of failure twice and compares the totals with the queries that the clients sent.
 prove-ledger: build
 	exec target/release/cottonhill-prove-ledger $(ARGS)
 
-# The log on against off, and the settlement at size.
+# Measures the cost of the usage log (enabled and disabled) and of a large settlement.
 bench-ledger: build
 	exec target/release/cottonhill-bench-ledger $(ARGS)
 
-# The same searches through both fronts, each page against the exact one.
+# Runs the same searches through both search fronts and compares each result page with the exact one.
 prove-opensearch: build
 	exec target/release/cottonhill-prove-opensearch $(ARGS)
 
-# Cost against size into docs/capacity/: mixers without clients over loopback, then the reducer without sockets.
-# ARGS="--against REPORT" compares the latter. Then docs/capacity/arithmetic.py --write renews docs/CAPACITY.md.
+# Measures cost against size and writes reports to docs/capacity/: mixers without clients over loopback, then the reducer
+# without sockets. ARGS="--against REPORT" compares the latter with an earlier report. Afterwards
+# docs/capacity/arithmetic.py --write updates docs/CAPACITY.md.
 scale:
 	cargo build --release --locked --package cottonhill-lab
 	target/release/cottonhill-lab --settings lab/scale.ini hollow
 	exec target/release/cottonhill-lab --settings lab/scale.ini scale $(ARGS)
 
-# What the bench wants beside a site file, for a play of the project's own deployments; git ignores it.
+# Copies the files that the bench needs next to a site file to run the project's own deployments; git ignores them.
 GIVEN ?= ../given
 BESIDE = real.json wire.json unlock.txt
 sites:
--- a/crates/cottonhill/src/commands/check.rs
+++ b/crates/cottonhill/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `cottonhill check`: what would be in force, and where each value came from.
+//! `cottonhill check`: the effective values and the origin of each.
 
 use crate::error::{CommandError, CommandResult};
 use crate::files::{self, InputFiles};
@@ -11,7 +11,7 @@
 use cottonhill_opensearch::index::FrontSettings;
 use std::path::Path;
 
-/// When a running program takes up a changed value.
+/// When a changed value takes effect.
 #[derive(Clone, Copy)]
 enum TakesEffect {
     OnReload,
@@ -30,7 +30,7 @@
 /// Validates both files and prints their values.
 ///
 /// # Errors
-/// A file that can't be used.
+/// A file can't be read or is invalid.
 pub fn run(files: &InputFiles) -> CommandResult {
     let settings = files.read_settings()?;
     validate(&settings)?;
@@ -49,7 +49,7 @@
     output::print(format!("{table}\n").as_bytes())
 }
 
-/// Checks what only the use of the settings shows to be wrong.
+/// Finds errors in the settings that the schema can't detect.
 fn validate(settings: &Settings) -> Result<(), CommandError> {
     UsageLogSettings::read(settings, &SCHEMA)?;
     LedgerSettings::read(settings, &SCHEMA)?;
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-/// Name, value and time of effect of what the configuration sets, by the platform's names.
+/// The values of the configuration under the platform's names, and when a change takes effect.
 fn configuration_values(config: &Config) -> [(&'static str, String, TakesEffect); 11] {
     use TakesEffect::{AtStart, OnReload};
     let (addresses, mixer) = (&config.addresses, &config.mixer_settings);
--- a/crates/cottonhill/src/commands/completions.rs
+++ b/crates/cottonhill/src/commands/completions.rs
@@ -5,7 +5,7 @@
 use clap::Command;
 use clap_complete::Shell;
 
-/// Prints the script that completes this command line.
+/// Prints the completion script for this command line.
 ///
 /// # Errors
 /// Standard output can't be written.
--- a/crates/cottonhill/src/commands/ledger/context.rs
+++ b/crates/cottonhill/src/commands/ledger/context.rs
@@ -1,4 +1,4 @@
-//! What most ledger commands begin with: the settings and the store that they name.
+//! The settings of the settlement and the store that they name, which most ledger commands need.
 
 use crate::error::{CommandError, ConfigurationError, RuntimeError, UsageError};
 use crate::files::InputFiles;
@@ -9,9 +9,9 @@
 use cottonhill_ledger::store::Store;
 use std::path::PathBuf;
 
-/// The settings of the settlement and where its store is.
+/// The settings of the settlement and the path of its store.
 pub struct LedgerContext {
-    /// Settings of the settlement.
+    /// The settings of the settlement.
     pub settings: LedgerSettings,
     /// The store's file.
     pub store_path: PathBuf,
@@ -21,7 +21,7 @@
     /// Reads the settings.
     ///
     /// # Errors
-    /// Settings that can't be used, or that name no store.
+    /// The settings are invalid or name no store.
     pub fn read(files: &InputFiles) -> Result<LedgerContext, CommandError> {
         let settings = LedgerSettings::read(&files.read_settings()?, &SCHEMA)?;
         let store_path = settings.store.clone();
@@ -32,10 +32,10 @@
         })
     }
 
-    /// Opens a store that is there already: a command that only reads must not create one.
+    /// Opens the store without creating it: a command that only reads must not leave an empty store behind.
     ///
     /// # Errors
-    /// There is none, or it can't be opened.
+    /// The store does not exist or can't be opened.
     pub fn open_existing_store(&self) -> Result<Store, RuntimeError> {
         if !self.store_path.exists() {
             return Err(RuntimeError::MissingStore(self.store_path.clone()));
@@ -46,7 +46,7 @@
         })
     }
 
-    /// How late a retry may arrive, and how far clocks may be apart.
+    /// The retry horizon and the maximum clock skew of the settings.
     pub fn bounds(&self) -> Bounds {
         Bounds {
             horizon_ms: self.settings.horizon_ms,
@@ -54,17 +54,17 @@
         }
     }
 
-    /// The closed or open period that starts at a timestamp as `periods` prints it.
+    /// The period, closed or open, that starts at this timestamp (in the format of `ledger periods`).
     ///
     /// # Errors
-    /// The text is no timestamp, or no period starts there.
+    /// The text is not a timestamp, or no period starts there.
     pub fn find_period(&self, store: &Store, start: &str) -> Result<Period, CommandError> {
         let timestamp: jiff::Timestamp = start
             .parse()
             .map_err(|_| UsageError::InvalidTimestamp(start.to_string()))?;
         let start_ms = timestamp.as_millisecond();
-        let known = store.periods()?;
-        let period = known
+        let stored = store.periods()?;
+        let period = stored
             .into_iter()
             .map(|(period, _)| period)
             .find(|period| period.start == start_ms)
--- a/crates/cottonhill/src/commands/ledger/correct.rs
+++ b/crates/cottonhill/src/commands/ledger/correct.rs
@@ -1,4 +1,4 @@
-//! `cottonhill ledger correct`: a correction by an operator.
+//! `cottonhill ledger correct`: enters a correction by an operator.
 
 use super::context::LedgerContext;
 use crate::error::CommandResult;
@@ -7,33 +7,33 @@
 use cottonhill_ledger::settlement;
 use cottonhill_ledger::store::{digest, CorrectionLine};
 
-/// Digits of the digest that names a correction without an id.
-const GENERATED_ID: usize = 16;
+/// Length of a generated id: the leading hexadecimal digits of a digest.
+const GENERATED_ID_DIGITS: usize = 16;
 
 /// Arguments of `correct`; the comments on the fields are the help texts.
 #[derive(clap::Args)]
 pub struct Arguments {
     #[arg(long)]
     tenant: String,
-    /// The start of the period to correct, as `periods` shows it
+    /// The start of the period to correct, as `periods` prints it
     #[arg(long)]
     period: String,
-    /// Micro-units; below zero is a credit
+    /// In micro-units; a negative amount is a credit
     #[arg(long, allow_hyphen_values = true)]
     amount: i64,
     #[arg(long)]
     reason: String,
     #[arg(long)]
     author: String,
-    /// Names the correction; the same one twice is an error
+    /// Unique id of the correction; generated if not given
     #[arg(long)]
     id: Option<String>,
 }
 
-/// Enters the correction and prints what became of it.
+/// Enters the correction and prints the resulting document or the period whose statement will include it.
 ///
 /// # Errors
-/// The store can't be written, no such period, or a correction of that id exists.
+/// The store can't be written, no such period exists, or a correction with this id already exists.
 pub fn run(context: &LedgerContext, arguments: Arguments) -> CommandResult {
     let mut store = context.open_existing_store()?;
     let period = context.find_period(&store, &arguments.period)?;
@@ -47,14 +47,14 @@
             document.id
         ),
         None => format!(
-            "correction {id}: it will stand in the statement of {}\n",
+            "correction {id}: will be included in the statement of {}\n",
             period.name()
         ),
     };
     output::print(text.as_bytes())
 }
 
-/// `now` is Unix milliseconds.
+/// `now` is in Unix milliseconds.
 fn correction_line(arguments: Arguments, period: Period, now: i64) -> CorrectionLine {
     let generated_id = generate_id(&arguments, period, now);
     CorrectionLine {
@@ -75,5 +75,5 @@
         ..
     } = arguments;
     let content = format!("{tenant} {} {amount} {reason} {author} {now}", period.start);
-    digest(content.as_bytes())[..GENERATED_ID].to_string()
+    digest(content.as_bytes())[..GENERATED_ID_DIGITS].to_string()
 }
--- a/crates/cottonhill/src/commands/ledger/dump.rs
+++ b/crates/cottonhill/src/commands/ledger/dump.rs
@@ -1,4 +1,4 @@
-//! `cottonhill ledger dump`: single records, of the store or of one mixer's usage log.
+//! `cottonhill ledger dump`: prints the records of the store or of one mixer's usage log.
 
 use super::context::LedgerContext;
 use crate::error::{CommandResult, RuntimeError};
@@ -26,10 +26,10 @@
     "keyed",
     "key",
 ];
-/// Entries of a log that are read at a time.
+/// Number of log entries read at a time.
 const BATCH_ENTRIES: usize = 4096;
 
-/// One record, wherever it is stored. Names that can't be resolved are absent.
+/// One record of the store or of a usage log. Names that can't be resolved are `None`.
 struct RecordRow {
     /// Unix milliseconds.
     arrived: i64,
@@ -39,8 +39,8 @@
     tenant: Option<String>,
     class: Option<String>,
     outcome: String,
-    /// Of a partial answer, in millionths.
-    share: u32,
+    /// Coverage of a partial answer in millionths.
+    coverage: u32,
     parts: u32,
     attempts: u32,
     cross_zone_attempts: u32,
@@ -60,7 +60,7 @@
             json!(self.tenant),
             json!(self.class),
             json!(self.outcome),
-            json!(self.share),
+            json!(self.coverage),
             json!(self.parts),
             json!(self.attempts),
             json!(self.cross_zone_attempts),
@@ -89,7 +89,7 @@
             tenant: name(record.tenant),
             class: name(record.class),
             outcome: record.outcome.name().to_string(),
-            share: record.outcome.coverage_millionths(),
+            coverage: record.outcome.coverage_millionths(),
             parts: record.parts,
             attempts: record.part_attempts,
             cross_zone_attempts: record.cross_zone_attempts,
@@ -102,7 +102,7 @@
     table.print(format)
 }
 
-/// Prints all records of a usage log; damaged parts are named on standard error.
+/// Prints all records of a usage log, and its damaged ranges on standard error.
 ///
 /// # Errors
 /// The log can't be read.
@@ -144,7 +144,7 @@
         tenant: header.tenants.get(record.tenant as usize).cloned(),
         class: class.map(|class| class.name.clone()),
         outcome: record.outcome().as_str_name().to_lowercase(),
-        share: record.share,
+        coverage: record.share,
         parts: record.parts,
         attempts: record.attempts,
         cross_zone_attempts: record.crossed,
--- a/crates/cottonhill/src/commands/ledger/export.rs
+++ b/crates/cottonhill/src/commands/ledger/export.rs
@@ -1,4 +1,4 @@
-//! `cottonhill ledger export`: sends the documents of the outbox.
+//! `cottonhill ledger export`: sends or lists the documents of the outbox.
 
 use super::context::LedgerContext;
 use super::progress;
@@ -10,26 +10,26 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// The longest wait between two attempts at one document.
+/// Upper bound of the delay between two attempts to send a document.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(5);
 
 /// Arguments of `export`; the comments on the fields are the help texts.
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// List only
+    /// Only list the documents
     #[arg(long)]
     list: bool,
-    /// How long to try
+    /// Time limit for sending all documents
     #[arg(long, default_value = "60s", value_name = "TIME")]
     within: String,
     #[command(flatten)]
     format: FormatOption,
 }
 
-/// Sends what is unsent unless only a list is asked for, then lists all documents.
+/// Sends the unsent documents unless `--list` is set, then lists all documents.
 ///
 /// # Errors
-/// There is nowhere to send to, a document is not acknowledged in time, or the store can't be read or written.
+/// The settings name no target, a document is not acknowledged in time, or the store can't be read or written.
 pub fn run(context: &LedgerContext, arguments: &Arguments) -> CommandResult {
     let store = context.open_existing_store()?;
     if !arguments.list {
@@ -60,7 +60,8 @@
     Ok(())
 }
 
-/// Sends one document until it is acknowledged, and keeps account of each attempt in the store.
+/// Sends one document, with retries until it is acknowledged or the deadline passes. Each attempt is recorded in the
+/// store.
 fn send_document(
     store: &Store,
     target: &ExportSettings,
--- a/crates/cottonhill/src/commands/ledger/key.rs
+++ b/crates/cottonhill/src/commands/ledger/key.rs
@@ -1,4 +1,4 @@
-//! `cottonhill ledger key`: the key of an Idempotency-Key in the ledger.
+//! `cottonhill ledger key`: prints the key that the ledger stores for an Idempotency-Key.
 
 use crate::error::CommandResult;
 use crate::output;
--- a/crates/cottonhill/src/commands/ledger/mod.rs
+++ b/crates/cottonhill/src/commands/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! `cottonhill ledger ...`: the settlement, and what operators ask of the ledger. One module for each subcommand.
+//! `cottonhill ledger ...`: the settlement and the operators' commands on its store. One module for each subcommand.
 
 mod context;
 mod correct;
@@ -20,22 +20,22 @@
 use context::LedgerContext;
 use std::path::PathBuf;
 
-/// What `cottonhill ledger` can do; the comments on the variants and fields are the help texts.
+/// The subcommands of `cottonhill ledger`; the comments on the variants and fields are the help texts.
 #[derive(Subcommand)]
 pub enum LedgerCommand {
-    /// Collect from the mixers, close periods and export, until told to end
+    /// Collect the mixers' usage logs, close periods and export, until a signal ends it
     Serve,
-    /// How far each mixer's records are in the ledger, and what waits to be sent
+    /// Show how far each mixer's records are collected, and the number of unsent documents
     Status(#[command(flatten)] FormatOption),
-    /// The closed periods and their totals
+    /// List the closed periods and their totals
     Periods(#[command(flatten)] FormatOption),
-    /// The lines of a statement; the last one if no period is named
+    /// Print the lines of a statement; of the last one if no period is given
     Statement(#[command(flatten)] statement::Arguments),
-    /// Enter a correction; of a closed period it becomes a credit or debit document
+    /// Enter a correction; for a closed period it creates a credit or debit document
     Correct(#[command(flatten)] correct::Arguments),
-    /// Send what waits in the outbox now, or list all documents
+    /// Send the unsent documents of the outbox, or list all documents
     Export(#[command(flatten)] export::Arguments),
-    /// Set the ledger beside what clients recorded, and beside the mixers' counters
+    /// Compare the ledger with the records of clients and with the mixers' counters
     Reconcile(#[command(flatten)] reconcile::Arguments),
     /// Check statements, documents and totals against the records, and logs byte by byte
     Verify {
@@ -43,24 +43,24 @@
         #[arg(long, value_name = "FOLDER")]
         log: Vec<PathBuf>,
     },
-    /// Print records: those in the store, or those of one mixer's log
+    /// Print the records of the store, or of one mixer's usage log
     Dump {
         #[arg(long, value_name = "FOLDER")]
         log: Option<PathBuf>,
         #[command(flatten)]
         format: FormatOption,
     },
-    /// The key under which the uses of an Idempotency-Key stand in the ledger
+    /// Print the key that the ledger stores for an Idempotency-Key
     Key {
         class: String,
         idempotency_key: String,
     },
 }
 
-/// Carries out one subcommand. `key`, and `dump` and `verify` of a usage log, need no store.
+/// Runs one subcommand. `key`, and `dump` and `verify` of a usage log, need no store.
 ///
 /// # Errors
-/// Settings that can't be used, a store or file that can't be read, or what the subcommand found to be wrong.
+/// The settings are invalid, a store or file can't be read, or the subcommand found differences or inconsistencies.
 pub fn run(files: &InputFiles, command: LedgerCommand) -> CommandResult {
     let context = || LedgerContext::read(files);
     match command {
--- a/crates/cottonhill/src/commands/ledger/periods.rs
+++ b/crates/cottonhill/src/commands/ledger/periods.rs
@@ -1,4 +1,4 @@
-//! `cottonhill ledger periods`: the closed periods and their totals.
+//! `cottonhill ledger periods`: lists the closed periods and their totals.
 
 use super::context::LedgerContext;
 use crate::error::CommandResult;
@@ -18,8 +18,8 @@
     "total",
     "hash",
 ];
-/// Digits of a statement's hash that are shown.
-const SHORT_HASH: usize = 12;
+/// Number of hexadecimal digits of a statement's hash in the table.
+const SHORT_HASH_DIGITS: usize = 12;
 
 /// Prints one row for each closed period.
 ///
@@ -50,11 +50,11 @@
         json!(sum(statement, false, |counts| counts.ambiguous)),
         json!(missing.join(" ")),
         json!(statement.total),
-        json!(hash[..SHORT_HASH]),
+        json!(hash[..SHORT_HASH_DIGITS]),
     ]
 }
 
-/// Adds up one count over the lines of the period itself, or over those that adjust earlier periods.
+/// Sums one count over the lines of the period itself, or over those that adjust earlier periods.
 fn sum(statement: &Statement, adjustments: bool, count: fn(&Counts) -> i64) -> i64 {
     statement
         .lines
--- a/crates/cottonhill/src/commands/ledger/reconcile.rs
+++ b/crates/cottonhill/src/commands/ledger/reconcile.rs
@@ -1,4 +1,4 @@
-//! `cottonhill ledger reconcile`: the ledger beside what others counted.
+//! `cottonhill ledger reconcile`: compares the ledger with the records of clients and the counters of mixers.
 
 use super::context::LedgerContext;
 use crate::error::{CommandError, CommandResult, RuntimeError, UsageError};
@@ -20,9 +20,9 @@
     "equal",
 ];
 const DIFFERENCE_COLUMNS: [&str; 7] = ["what", "tenant", "class", "at", "key", "ledger", "client"];
-/// Every time there is, in Unix milliseconds.
+/// Range of all timestamps, in Unix milliseconds.
 const ALL_TIME: (i64, i64) = (i64::MIN, i64::MAX);
-/// The key of `/-/stats` with the records by tenant and class.
+/// The key of `/-/stats` with the number of records by tenant and class.
 const RECORDED_BY_TENANT_AND_CLASS: &str = "recorded_of";
 
 /// Arguments of `reconcile`; the comments on the fields are the help texts.
@@ -31,17 +31,17 @@
     /// CSV with the columns at_ms, tenant, class, outcome, tries, key
     #[arg(long, value_name = "FILE")]
     clients: Option<PathBuf>,
-    /// NAME=FILE: the answer of a mixer's /-/stats
+    /// A mixer's name and a file with its response to /-/stats
     #[arg(long, value_name = "NAME=FILE")]
     counters: Vec<String>,
     #[command(flatten)]
     format: FormatOption,
 }
 
-/// Prints both sides and what differs.
+/// Prints the totals of both sides and their differences.
 ///
 /// # Errors
-/// Something differs, or a file or the store can't be read.
+/// There are differences, or a file or the store can't be read.
 pub fn run(context: &LedgerContext, arguments: &Arguments) -> CommandResult {
     let store = context.open_existing_store()?;
     if arguments.clients.is_none() && arguments.counters.is_empty() {
@@ -49,11 +49,11 @@
     }
     let mut differences = 0;
     if let Some(path) = &arguments.clients {
-        differences += with_clients(context, &store, path, arguments.format.format)?;
+        differences += compare_clients(context, &store, path, arguments.format.format)?;
     }
     let members = store.member_statuses()?;
     for counters in &arguments.counters {
-        differences += with_counters(&store, &members, counters)?;
+        differences += compare_counters(&store, &members, counters)?;
     }
     if differences > 0 {
         return Err(RuntimeError::Differences(differences).into());
@@ -61,8 +61,8 @@
     Ok(())
 }
 
-/// Compares with the records of clients; returns how many totals and uses differ.
-fn with_clients(
+/// Compares the ledger with the records of clients; returns the number of totals and uses that differ.
+fn compare_clients(
     context: &LedgerContext,
     store: &Store,
     path: &Path,
@@ -123,8 +123,8 @@
     table
 }
 
-/// Compares with the counters of one mixer's latest run, given as `NAME=FILE`; returns how many differ.
-fn with_counters(
+/// Compares the ledger with the counters (`NAME=FILE`) of one mixer's latest run; returns the number that differ.
+fn compare_counters(
     store: &Store,
     members: &[MemberStatus],
     counters: &str,
@@ -145,7 +145,7 @@
         }
         differences += 1;
         let text = format!(
-            "mixer {member}, {name}: it has recorded {} in this run, the ledger holds {}\n",
+            "mixer {member}, {name}: {} records in this run by its counters, {} in the ledger\n",
             in_mixer.copied().unwrap_or_default(),
             in_ledger.copied().unwrap_or_default()
         );
@@ -154,7 +154,7 @@
     Ok(differences)
 }
 
-/// Records by tenant and class, as the mixer counts them.
+/// Reads the mixer's number of records by tenant and class.
 fn read_counters(path: &Path) -> Result<BTreeMap<String, u64>, RuntimeError> {
     let path = || path.to_path_buf();
     let text = std::fs::read_to_string(path()).map_err(|source| RuntimeError::ReadFile {
--- a/crates/cottonhill/src/commands/ledger/serve.rs
+++ b/crates/cottonhill/src/commands/ledger/serve.rs
@@ -1,4 +1,4 @@
-//! `cottonhill ledger serve`: the settlement, until a signal ends it.
+//! `cottonhill ledger serve`: runs the settlement until a signal ends it.
 
 use super::context::LedgerContext;
 use crate::error::{CommandError, CommandResult, RuntimeError};
@@ -17,7 +17,7 @@
 /// Runs the settlement.
 ///
 /// # Errors
-/// Settings that can't be used, or a store that can't be opened, read or written.
+/// The settings are invalid, or the store can't be opened, read or written.
 pub fn run(files: &InputFiles, context: LedgerContext) -> CommandResult {
     let settings = files.read_settings()?;
     let logging = Logging::start(&settings)?;
@@ -54,7 +54,7 @@
 
 async fn forward_shutdown(mut signals: Signal, controls: mpsc::Sender<Control>) {
     if signals.recv().await.is_some() {
-        // The settlement may have ended.
+        // Sending fails if the settlement has ended; the signal then has no effect.
         let _ = controls.send(Control::Terminate).await;
     }
 }
@@ -68,7 +68,7 @@
         match reload.read() {
             Ok((settings, ledger)) => {
                 let restart = reload.settings.needs_restart(&settings, &SCHEMA).join(", ");
-                tracing::info!(target: COMMANDS, restart, "settings reloaded");
+                tracing::info!(target: COMMANDS, needs_restart = restart, "settings reloaded");
                 let _ = controls.send(Control::Reload(Box::new(ledger))).await;
             }
             Err(error) => {
@@ -78,7 +78,7 @@
     }
 }
 
-/// What a reload compares with and changes.
+/// State of a reload: the files to read, the settings to compare with and the logger.
 struct ReloadContext {
     files: InputFiles,
     /// The settings at the start.
@@ -87,7 +87,7 @@
 }
 
 impl ReloadContext {
-    /// Reads the settings again and puts the log levels in force. Nothing changes if a setting can't be used.
+    /// Reads the settings again and applies the log levels. Applies nothing if a setting is invalid.
     fn read(&self) -> Result<(Settings, LedgerSettings), CommandError> {
         let settings = self.files.read_settings()?;
         let ledger = LedgerSettings::read(&settings, &SCHEMA)?;
--- a/crates/cottonhill/src/commands/ledger/statement.rs
+++ b/crates/cottonhill/src/commands/ledger/statement.rs
@@ -1,4 +1,4 @@
-//! `cottonhill ledger statement`: the lines of one statement.
+//! `cottonhill ledger statement`: prints the lines of one statement.
 
 use super::context::LedgerContext;
 use crate::error::{CommandError, CommandResult, RuntimeError};
@@ -12,7 +12,7 @@
 /// Arguments of `statement`; the comments on the fields are the help texts.
 #[derive(clap::Args)]
 pub struct Arguments {
-    /// The start of the period, as `periods` shows it
+    /// The start of the period, as `periods` prints it
     period: Option<String>,
     /// Only this tenant's lines
     #[arg(long)]
@@ -29,7 +29,7 @@
     }
 }
 
-/// Prints the statement; as JSON it is whole, whatever tenant is selected.
+/// Prints the statement. JSON output contains all tenants even if one is selected.
 ///
 /// # Errors
 /// The store can't be read, or there is no such statement.
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// The statement of the period that starts there; the last one if none is named.
+/// The statement of the period that starts at `start`; the last statement if `start` is `None`.
 fn find_statement(
     context: &LedgerContext,
     store: &Store,
@@ -110,7 +110,7 @@
     row
 }
 
-/// What stands below the table: the period, members that are not whole, totals of the tenants.
+/// The text below the table: the period, members with missing or damaged records, and totals of the tenants.
 fn summary(statement: &Statement, arguments: &Arguments) -> String {
     let mut text = format!(
         "\nperiod {} to {}, closed {}; rounded {}\n",
@@ -131,7 +131,7 @@
 
 fn member_line(member: &MemberState) -> String {
     format!(
-        "member {}: {}complete up to {}, {} records lost, {} runs died, {} damaged stretches\n",
+        "member {}: {}complete up to {}, {} records lost, {} runs crashed, {} damaged ranges\n",
         member.member,
         if member.missing { "MISSING, " } else { "" },
         member.complete.as_deref().unwrap_or("never"),
--- a/crates/cottonhill/src/commands/ledger/status.rs
+++ b/crates/cottonhill/src/commands/ledger/status.rs
@@ -1,4 +1,4 @@
-//! `cottonhill ledger status`: how far each mixer's records are in the ledger.
+//! `cottonhill ledger status`: shows how far the records of each mixer are collected.
 
 use super::context::LedgerContext;
 use crate::error::{CommandError, CommandResult};
@@ -19,10 +19,10 @@
     "died",
     "damaged",
 ];
-/// Columns that only a member with records has a value of.
+/// Number of columns without a value for a member that has no records.
 const RECORD_COLUMNS: usize = COLUMNS.len() - 2;
 
-/// Prints the state of each member, configured or with records in the store.
+/// Prints the state of each member that is configured or has records in the store.
 ///
 /// # Errors
 /// The store can't be read.
@@ -62,7 +62,7 @@
     ]
 }
 
-/// The next period to close, and how many documents wait to be sent.
+/// Prints the next period to close and the number of unsent documents.
 fn print_summary(context: &LedgerContext, store: &Store) -> Result<(), CommandError> {
     let next_period = store
         .next_period(&context.settings.calendar)?
--- a/crates/cottonhill/src/commands/ledger/verify.rs
+++ b/crates/cottonhill/src/commands/ledger/verify.rs
@@ -1,4 +1,4 @@
-//! `cottonhill ledger verify`: the store's claims against its records, and usage logs byte by byte.
+//! `cottonhill ledger verify`: checks the store's statements and totals against its records, and usage logs byte by byte.
 
 use super::context::LedgerContext;
 use super::progress;
@@ -10,20 +10,20 @@
 use cottonhill_ledger::settings::LedgerSettings;
 use std::path::{Path, PathBuf};
 
-/// What was checked, and what is wrong.
+/// Numbers of checked items, and the problems found.
 #[derive(Default)]
 struct Report {
     segments: usize,
     entries: usize,
-    /// Statements, documents and periods of the store.
+    /// Number of statements, documents and periods of the store.
     stored: u64,
     problems: Vec<String>,
 }
 
-/// Checks the logs, and the store unless only logs are asked for and the settings name none.
+/// Checks the logs, and the store if the settings name one or no log is given.
 ///
 /// # Errors
-/// Something is wrong, or a log or the store can't be read.
+/// There are inconsistencies, or a log or the store can't be read.
 pub fn run(files: &InputFiles, logs: &[PathBuf]) -> CommandResult {
     let mut report = Report::default();
     for directory in logs {
@@ -62,7 +62,7 @@
     let start = match log::read_header(bytes) {
         Some((_, start)) => start,
         None => {
-            let problem = format!("{name}: its header can't be read, at offset 0");
+            let problem = format!("{name}: unreadable header at offset 0");
             report.problems.push(problem);
             log::MAGIC.len()
         }
@@ -78,7 +78,10 @@
         }
     }
     if read.end < bytes.len() && !is_last {
-        let problem = format!("{name}: half a record at its end, from offset {}", read.end);
+        let problem = format!(
+            "{name}: incomplete record at the end, from offset {}",
+            read.end
+        );
         report.problems.push(problem);
     }
     report.segments += 1;
--- a/crates/cottonhill/src/commands/mod.rs
+++ b/crates/cottonhill/src/commands/mod.rs
@@ -17,11 +17,11 @@
   cottonhill ledger statement --settings cottonhill.ini --format csv
   cottonhill completions bash > /etc/bash_completion.d/cottonhill
 
-Exit codes: 0 done, 1 failed while running, 2 wrong use of the command line, 3 wrong configuration or settings.";
+Exit codes: 0 success, 1 runtime failure, 2 invalid command line, 3 invalid configuration or settings.";
 
-// The comments on the types of the command line are the help texts.
+// The comments on the subcommands and their arguments are the help texts.
 
-/// A query mixer over replicated shards, and the ledger of what it was used for.
+/// A query mixer over replicated shards, and the ledger of its usage.
 #[derive(Parser)]
 #[command(version, about, after_help = EXAMPLES)]
 pub struct CommandLine {
@@ -33,21 +33,21 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve queries until told to end (what happens without a command)
+    /// Serve queries until a signal ends the mixer (the default command)
     Serve,
-    /// Validate both files and print what is in force and where each value came from
+    /// Validate both files and print the effective values with the origin of each
     Check,
-    /// The ledger of use by tenant
+    /// The ledger of usage by tenant
     #[command(subcommand)]
     Ledger(LedgerCommand),
     /// Print a completion script for a shell
     Completions { shell: clap_complete::Shell },
 }
 
-/// Carries out the command that the command line names.
+/// Runs the command that the command line names, or `serve` if it names none.
 ///
 /// # Errors
-/// Why it ended without success; [`exit_code`](crate::error::CommandError::exit_code) tells what to exit with.
+/// The command failed; [`exit_code`](crate::error::CommandError::exit_code) returns the exit code of the process.
 pub fn run(line: CommandLine) -> CommandResult {
     match line.command {
         None | Some(Command::Serve) => serve::run(&line.files),
--- a/crates/cottonhill/src/commands/serve.rs
+++ b/crates/cottonhill/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `cottonhill serve`: one mixer, until a signal ends it.
+//! `cottonhill serve`: runs one mixer until a signal ends it.
 
 use crate::error::{CommandResult, ConfigurationError, RuntimeError};
 use crate::files::{self, InputFiles};
@@ -11,7 +11,7 @@
 /// Runs the mixer.
 ///
 /// # Errors
-/// A file that can't be used, or a socket or log that can't be opened.
+/// A file is invalid, or a socket or the usage log can't be opened.
 pub fn run(files: &InputFiles) -> CommandResult {
     let path = files.config.as_ref();
     let path = path.ok_or(ConfigurationError::NoConfiguration)?;
--- a/crates/cottonhill/src/error.rs
+++ b/crates/cottonhill/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command fails: one type for each exit code, gathered in [`CommandError`].
+//! Errors of the commands: one type for each exit code, combined in [`CommandError`].
 
 use cottonhill_ini::SettingsErrors;
 use cottonhill_ledger::store;
@@ -7,13 +7,13 @@
 use std::path::PathBuf;
 use tracing_subscriber::util::TryInitError;
 
-/// What a command returns.
+/// The result of a command.
 pub type CommandResult = Result<(), CommandError>;
 
-/// Why a command ended without success. Its text is printed on standard error as one line.
+/// The error of a failed command. Its text is printed on standard error as one line.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The command line asks for something that makes no sense.
+    /// The command line is invalid.
     #[error(transparent)]
     Usage(#[from] UsageError),
     /// A file of configuration or settings can't be used.
@@ -25,7 +25,7 @@
 }
 
 impl CommandError {
-    /// The exit code of the process, as the help text states it.
+    /// The exit code of the process; the help text documents it.
     pub fn exit_code(&self) -> u8 {
         match self {
             CommandError::Runtime(_) => 1,
@@ -47,16 +47,16 @@
     }
 }
 
-/// A command line that clap accepts and that still can't be carried out.
+/// A command line that clap accepts and the command rejects.
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
     /// The start of a period is not a timestamp.
-    #[error("'{0}' is no time, as in 2026-12-01T00:00:00Z")]
+    #[error("'{0}' is not a timestamp such as 2026-12-01T00:00:00Z")]
     InvalidTimestamp(String),
     /// A timestamp at which no period starts.
-    #[error("no period begins at {requested}; the one that holds it begins at {start}")]
+    #[error("no period starts at {requested}; the one that contains it starts at {start}")]
     NoSuchPeriod {
-        /// The timestamp as it was given.
+        /// The timestamp on the command line.
         requested: String,
         /// Start of the period that contains it.
         start: String,
@@ -64,15 +64,15 @@
     /// The value of `--within` is not a duration.
     #[error("--within {value}: {reason}")]
     InvalidDuration {
-        /// The value as it was given.
+        /// The value on the command line.
         value: String,
-        /// What is wrong with it.
+        /// Why it is invalid.
         reason: String,
     },
-    /// Neither client records nor counters were named.
-    #[error("there is nothing to reconcile with: --clients FILE or --counters NAME=FILE")]
+    /// The command line names neither client records nor counters.
+    #[error("nothing to reconcile with: give --clients FILE or --counters NAME=FILE")]
     NothingToReconcile,
-    /// The value of `--counters` has no `=`.
+    /// The value of `--counters` contains no `=`.
     #[error("'{0}' is not NAME=FILE")]
     InvalidCounters(String),
 }
@@ -80,8 +80,8 @@
 /// A configuration or settings file that can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// No configuration is named.
-    #[error("no configuration: --config or BALANCER_CONFIG has to name it")]
+    /// Neither the command line nor the environment names a configuration.
+    #[error("no configuration: name it with --config or BALANCER_CONFIG")]
     NoConfiguration,
     /// The configuration can't be read.
     #[error("cannot read the configuration {}: {source}", .path.display())]
@@ -96,7 +96,7 @@
     InvalidConfiguration {
         /// The file.
         path: PathBuf,
-        /// What is wrong in it.
+        /// Why it is invalid.
         reason: String,
     },
     /// The settings can't be read.
@@ -110,14 +110,14 @@
     /// The settings are malformed or contradict each other.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsErrors),
-    /// Certificate or key of a front can't be used; says which file.
+    /// The certificate or key of a frontend can't be used; the text names the file.
     #[error("{0}")]
     InvalidCertificate(String),
     /// The settings name no store.
-    #[error("no store: [settlement] store has to name it in the settings (--settings FILE)")]
+    #[error("no store: name it with [settlement] store in the settings (--settings FILE)")]
     NoStore,
-    /// The settings name nowhere to send documents to.
-    #[error("[export] names neither a folder nor a url")]
+    /// The settings name no target for documents.
+    #[error("no export target: set [export] folder or url")]
     NoExportTarget,
 }
 
@@ -136,34 +136,34 @@
     /// Logging can't be started.
     #[error(transparent)]
     StartLogging(TryInitError),
-    /// Levels of the running logger can't be changed.
+    /// The levels of the running logger can't be changed.
     #[error(transparent)]
     ReloadLogging(tracing_subscriber::reload::Error),
     /// The mixer's asynchronous runtime can't be started.
-    #[error("no runtime: {0}")]
+    #[error("cannot start the asynchronous runtime: {0}")]
     StartMixerRuntime(io::Error),
-    /// The mixer can't receive signals.
-    #[error("no signals: {0}")]
+    /// A signal handler of the mixer can't be installed.
+    #[error("cannot install a signal handler: {0}")]
     MixerSignals(io::Error),
     /// A listening socket can't be bound.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address asked for.
+        /// The requested address.
         address: SocketAddr,
         /// Why it can't be bound.
         source: io::Error,
     },
-    /// The socket for messages of other mixers can't be bound.
-    #[error("cannot listen for other mixers: {0}")]
+    /// The socket for datagrams of other mixers can't be bound.
+    #[error("cannot bind the socket for datagrams of other mixers: {0}")]
     ListenForPeers(io::Error),
     /// The usage log can't be opened.
-    #[error("usage log: {0}")]
+    #[error("cannot open the usage log: {0}")]
     UsageLog(io::Error),
     /// The settlement's asynchronous runtime or its signal handlers can't be started.
-    #[error(transparent)]
+    #[error("cannot start the settlement: {0}")]
     StartSettlement(io::Error),
-    /// There is no file where the settings say that the store is.
-    #[error("there is no store at {}: has 'ledger serve' ever run?", .0.display())]
+    /// The store that the settings name does not exist.
+    #[error("there is no store at {}: 'cottonhill ledger serve' creates it", .0.display())]
     MissingStore(PathBuf),
     /// The store can't be opened.
     #[error("{}: {source}", .path.display())]
@@ -173,11 +173,11 @@
         /// Why it can't be opened.
         source: store::Error,
     },
-    /// The store can't be read or written, or refuses a request.
+    /// The store can't be read or written, or rejects a request.
     #[error(transparent)]
     Store(store::Error),
-    /// There is no statement of the period asked for.
-    #[error("there is no such statement: see 'cottonhill ledger periods'")]
+    /// There is no statement of the requested period, or no statement at all.
+    #[error("there is no such statement: 'cottonhill ledger periods' lists the closed periods")]
     NoSuchStatement,
     /// A file or directory can't be read.
     #[error("{}: {source}", .path.display())]
@@ -208,13 +208,13 @@
     DocumentNotAcknowledged {
         /// The document's id.
         id: String,
-        /// What came of the last attempt.
+        /// The error of the last attempt.
         reason: String,
     },
-    /// Ledger and the other side differ in so many places.
+    /// The number of differences between the ledger and the client records or counters.
     #[error("{0} differences")]
     Differences(usize),
-    /// So many stored claims do not hold.
-    #[error("{0} things are wrong")]
+    /// The number of inconsistencies in the store or the usage logs.
+    #[error("{0} inconsistencies found")]
     Inconsistencies(usize),
 }
--- a/crates/cottonhill/src/files.rs
+++ b/crates/cottonhill/src/files.rs
@@ -1,4 +1,4 @@
-//! The two files that every command may need: the platform's configuration of a mixer, and the settings.
+//! The two input files of the commands: the platform's configuration of a mixer, and the settings.
 
 use crate::error::{CommandError, ConfigurationError};
 use crate::schema::SCHEMA;
@@ -6,22 +6,22 @@
 use cottonhill_mixer::config::Config;
 use std::path::{Path, PathBuf};
 
-/// The options that name the files, on every command. The comments on the fields are the help texts.
+/// The options that name the files; every command accepts them. The comments on the fields are the help texts.
 #[derive(clap::Args, Clone)]
 pub struct InputFiles {
     /// The platform's configuration of this mixer, in JSON
     #[arg(long, env = "BALANCER_CONFIG", global = true, value_name = "FILE")]
     pub config: Option<PathBuf>,
-    /// Our own settings, in INI; the defaults hold without it
+    /// Settings in INI format; the defaults apply without it
     #[arg(long, env = "COTTONHILL_SETTINGS", global = true, value_name = "FILE")]
     pub settings: Option<PathBuf>,
 }
 
 impl InputFiles {
-    /// Reads the settings that the command line or the environment names; the defaults where neither does.
+    /// Reads the settings file that the command line or the environment names; returns the defaults if neither does.
     ///
     /// # Errors
-    /// The file can't be read, or holds unknown keys or values that can't be used.
+    /// The file can't be read, or contains unknown keys or invalid values.
     pub fn read_settings(&self) -> Result<Settings, CommandError> {
         let Some(path) = &self.settings else {
             return Ok(Settings::defaults());
--- a/crates/cottonhill/src/logging.rs
+++ b/crates/cottonhill/src/logging.rs
@@ -1,7 +1,7 @@
 //! Structured logs on standard error: text or JSON, by level and by target.
 //!
-//! Fields have one name everywhere: `client`, `link`, `id` (a query), `replica`, `class` and `tenant` by number,
-//! `address`, `segment`, `member`, `period`, `error`; a duration ends in its unit (`_ms`).
+//! A field has the same name in all crates: `client`, `link`, `id` (a query), `replica`, `class` and `tenant` by number,
+//! `address`, `segment`, `member`, `period`, `error`; the name of a duration ends in its unit (`_ms`).
 
 use crate::error::{CommandError, RuntimeError};
 use crate::schema::{LOG, SCHEMA};
@@ -12,20 +12,20 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::{reload, Layer, Registry};
 
-/// Overrides the level of the settings.
+/// Environment variable that overrides the level of the settings.
 const LEVEL_VARIABLE: &str = "COTTONHILL_LOG";
 const DEFAULT_LEVEL: &str = "info";
 
-/// The running logger: its filter can be changed later.
+/// The running logger, whose filter a reload can change.
 pub struct Logging {
     filter: Handle<Targets, Registry>,
 }
 
 impl Logging {
-    /// Starts logging; once in a process.
+    /// Starts logging. A process can do so once.
     ///
     /// # Errors
-    /// Settings whose targets can't be parsed, or a logger that runs already.
+    /// The targets of the settings can't be parsed, or a logger is already installed.
     pub fn start(settings: &Settings) -> Result<Logging, CommandError> {
         let (filter, handle) = reload::Layer::new(parse_filter(settings)?);
         let lines = tracing_subscriber::fmt::layer()
@@ -43,10 +43,10 @@
         Ok(Logging { filter: handle })
     }
 
-    /// Puts changed levels in force.
+    /// Applies the levels of changed settings.
     ///
     /// # Errors
-    /// Settings whose targets can't be parsed; the levels then stay as they were.
+    /// The targets of the settings can't be parsed; the levels are then unchanged.
     pub fn reload(&self, settings: &Settings) -> Result<(), CommandError> {
         let filter = parse_filter(settings)?;
         self.filter
@@ -60,7 +60,7 @@
     settings.section(&SCHEMA, LOG.name, "").text("format") == Some("json")
 }
 
-/// The filter that the settings and the environment ask for.
+/// The filter that the settings and the environment define.
 fn parse_filter(settings: &Settings) -> Result<Targets, SettingsErrors> {
     let values = settings.section(&SCHEMA, LOG.name, "");
     let environment = std::env::var(LEVEL_VARIABLE).ok();
@@ -69,13 +69,13 @@
         .filter(|level| !level.is_empty())
         .or(values.text("level"))
         .unwrap_or(DEFAULT_LEVEL);
-    // An empty directive would stand for everything.
+    // An empty directive would enable all levels of all targets.
     let directives = match values.text("targets") {
         Some(targets) => format!("{level},{targets}"),
         None => level.to_string(),
     };
     directives.parse().map_err(|error| {
-        let reason = format!("'{directives}' does not do: {error}");
+        let reason = format!("'{directives}' is not a valid filter: {error}");
         settings.value_error(LOG.name, "", "targets", &reason)
     })
 }
--- a/crates/cottonhill/src/main.rs
+++ b/crates/cottonhill/src/main.rs
@@ -1,7 +1,7 @@
-//! `cottonhill`: the mixer and its ledger on one command line.
+//! `cottonhill`: the command line program of the mixer and its ledger.
 //!
-//! [`commands`] holds one module for each subcommand, [`mixer`] runs the mixer's process, and [`files`] reads the two
-//! files that both need: the platform's configuration and the settings, against the one [`schema`].
+//! [`commands`] has one module for each subcommand, [`mixer`] runs the mixer's process, and [`files`] reads the two
+//! input files: the platform's configuration, and the settings, which it validates against [`schema`].
 
 mod commands;
 mod error;
--- a/crates/cottonhill/src/mixer/fronts.rs
+++ b/crates/cottonhill/src/mixer/frontends.rs
@@ -1,8 +1,8 @@
-//! Fronts of other protocols, as the settings ask for them.
+//! The frontends that the settings enable. A frontend serves queries over another protocol than the mixer's own.
 
 use super::listener;
 use crate::error::{CommandError, ConfigurationError};
-use crate::log_targets::FRONTS;
+use crate::log_targets::FRONTENDS;
 use crate::schema::SCHEMA;
 use cottonhill_ini::Settings;
 use cottonhill_mixer::transport::FrontendStarter;
@@ -11,37 +11,37 @@
 use cottonhill_opensearch::tls::{Tls, TlsFiles};
 use std::rc::Rc;
 
-/// The fronts that are on.
+/// The enabled frontends.
 #[derive(Default)]
-pub struct Fronts {
-    /// Starts each of them once the transport runs.
+pub struct Frontends {
+    /// Functions that start them once the transport runs.
     pub start: Vec<FrontendStarter>,
-    /// Certificate and key, which a reload reads again.
+    /// Certificate and key of the search front, which a reload reads again; `None` if it serves plain HTTP.
     pub tls: Option<Rc<Tls>>,
 }
 
-/// Opens the listeners of all fronts that are on.
+/// Opens the listeners of all enabled frontends.
 ///
 /// # Errors
-/// Settings or a certificate that can't be used, or an address that can't be bound.
-pub async fn open(settings: &Settings) -> Result<Fronts, CommandError> {
+/// The settings or a certificate can't be used, or an address can't be bound.
+pub async fn open(settings: &Settings) -> Result<Frontends, CommandError> {
     let Some(opensearch) = FrontSettings::read(settings, &SCHEMA)? else {
-        return Ok(Fronts::default());
+        return Ok(Frontends::default());
     };
     let tls = opensearch.tls.clone().map(load_tls).transpose()?;
     let address = opensearch.listen;
     let listener = listener::bind(address).await?;
     tracing::info!(
-        target: FRONTS,
+        target: FRONTENDS,
         %address,
         indices = opensearch.indices.len(),
         tls = tls.is_some(),
-        "OpenSearch-style front listening"
+        "OpenSearch-style search front listening"
     );
     let front_tls = tls.clone();
     let start: FrontendStarter =
         Box::new(move |queries| front::start(opensearch, front_tls, listener, queries));
-    Ok(Fronts {
+    Ok(Frontends {
         start: vec![start],
         tls,
     })
--- a/crates/cottonhill/src/mixer/listener.rs
+++ b/crates/cottonhill/src/mixer/listener.rs
@@ -7,7 +7,7 @@
 /// Binds a listening socket.
 ///
 /// # Errors
-/// The address can't be bound; says which.
+/// The address can't be bound; the error names it.
 pub async fn bind(address: SocketAddr) -> Result<TcpListener, RuntimeError> {
     TcpListener::bind(address)
         .await
--- a/crates/cottonhill/src/mixer/mod.rs
+++ b/crates/cottonhill/src/mixer/mod.rs
@@ -1,6 +1,6 @@
-//! The mixer's process: what is opened at its start, and what signals do to it while it runs.
+//! The mixer's process: its sockets, usage log and frontends, and its signal handling.
 
-mod fronts;
+mod frontends;
 mod listener;
 mod reload;
 mod signals;
@@ -20,19 +20,19 @@
 use tokio::sync::mpsc;
 use usage_recorder::UsageLogRecorder;
 
-/// Serves queries until a signal ends the mixer. Must run inside a `LocalSet`.
+/// Serves queries until a signal ends the mixer. Must be called inside a `LocalSet`.
 ///
 /// # Errors
-/// A socket, signal handler or usage log that can't be opened.
+/// A socket, signal handler, frontend or the usage log can't be opened.
 pub async fn serve(
     mut context: MixerContext,
     usage_log: Option<UsageLogSettings>,
 ) -> CommandResult {
-    // A list may be large, and only the start needs it.
+    // The list may be large, and only the start of the reducer needs it.
     let cached_endpoints = std::mem::take(&mut context.config.cached_endpoints);
     let config = context.config.clone();
-    let fronts = fronts::open(&context.settings).await?;
-    context.tls = fronts.tls;
+    let frontends = frontends::open(&context.settings).await?;
+    context.tls = frontends.tls;
     let (sender, controls) = mpsc::channel(1);
     signals::forward_signals(&Rc::new(context), &sender)?;
     log_start(&config, &cached_endpoints);
@@ -45,7 +45,7 @@
     let listener = listener::bind(config.listen).await?;
     let integrations = transport::Integrations {
         recorder: writer.map(|writer| Box::new(UsageLogRecorder(writer)) as _),
-        frontends: fronts.start,
+        frontends: frontends.start,
     };
     transport::serve(
         reducer,
@@ -66,14 +66,14 @@
         target: PROGRAM,
         name = config.name,
         listen = %config.listen,
-        known = cached_endpoints.entries.len(),
+        cached_endpoints = cached_endpoints.entries.len(),
         open_cap = config.mixer_settings.max_open_requests,
         "mixer starting"
     );
-    tracing::debug!(target: PROGRAM, settings = ?config.settings, "settings in force");
+    tracing::debug!(target: PROGRAM, settings = ?config.settings, "decision settings");
 }
 
-/// Opens the usage log. `now` is Unix nanoseconds by the mixer's clock.
+/// Starts the writer of the usage log. `now` is the mixer's clock in Unix nanoseconds.
 fn start_writer(
     usage_log: &UsageLogSettings,
     config: &Config,
--- a/crates/cottonhill/src/mixer/reload.rs
+++ b/crates/cottonhill/src/mixer/reload.rs
@@ -1,4 +1,4 @@
-//! Reload: both files and the certificate are read again on SIGHUP.
+//! Reload on SIGHUP of both files and of the certificate.
 
 use crate::error::CommandError;
 use crate::files::{self, InputFiles};
@@ -12,9 +12,9 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// What a mixer was started with, and what a reload changes.
+/// The configuration and settings at the start of a mixer, and the parts that a reload changes.
 pub struct MixerContext {
-    /// Where configuration and settings are read from.
+    /// Paths of the configuration and the settings.
     pub files: InputFiles,
     /// The configuration at the start.
     pub config: Config,
@@ -22,13 +22,13 @@
     pub settings: Settings,
     /// The running logger.
     pub logging: Logging,
-    /// Certificate and key of the OpenSearch-style front, where it has some.
+    /// Certificate and key of the search front; `None` if it is off or serves plain HTTP.
     pub tls: Option<Rc<Tls>>,
 }
 
 impl MixerContext {
-    /// Reads everything again and returns the addresses of the new configuration. Nothing of a file that can't be used
-    /// is put in force, the previous one stays; `None` if that is the configuration.
+    /// Reads all files again and returns the addresses of the new configuration. No part of an invalid file is applied,
+    /// its previous values stay in force; returns `None` if the configuration is invalid.
     pub fn reload(&self) -> Option<Addresses> {
         self.reload_settings();
         self.reload_certificate();
@@ -42,7 +42,7 @@
                 if !restart.is_empty() {
                     tracing::warn!(
                         target: PROGRAM,
-                        restart,
+                        needs_restart = restart,
                         "changed settings need a restart"
                     );
                 }
@@ -81,7 +81,7 @@
         if !restart.is_empty() {
             tracing::warn!(
                 target: PROGRAM,
-                restart,
+                needs_restart = restart,
                 "changed configuration needs a restart"
             );
         }
--- a/crates/cottonhill/src/mixer/signals.rs
+++ b/crates/cottonhill/src/mixer/signals.rs
@@ -1,4 +1,4 @@
-//! Signals to a mixer: SIGTERM and SIGINT begin a graceful shutdown, SIGHUP reloads the files.
+//! Signal handling of a mixer: SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the files.
 
 use super::reload::MixerContext;
 use crate::error::RuntimeError;
@@ -8,7 +8,7 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
 
-/// Turns signals into controls of the transport, for as long as the process runs. Must run inside a `LocalSet`.
+/// Starts tasks that translate signals into control messages to the transport. Must be called inside a `LocalSet`.
 ///
 /// # Errors
 /// A signal handler can't be installed.
@@ -40,7 +40,7 @@
             tracing::info!(target: PROGRAM, "shutdown requested");
             Control::Terminate
         };
-        // The transport may have ended.
+        // Sending fails if the transport has ended; the signal then has no effect.
         let _ = controls.send(control).await;
     }
 }
--- a/crates/cottonhill/src/mixer/usage_recorder.rs
+++ b/crates/cottonhill/src/mixer/usage_recorder.rs
@@ -1,4 +1,4 @@
-//! The mixer's usage records on their way into the usage log.
+//! Translation of the mixer's usage records into entries of the usage log.
 
 use cottonhill_ledger::wire::entry::What;
 use cottonhill_ledger::wire::{Outcome as WireOutcome, Record};
@@ -10,14 +10,14 @@
 
 const NANOS_PER_MS: u64 = 1_000_000;
 
-/// Hands usage records and watermarks to the writer of the usage log.
+/// Queues usage records and watermarks for the writer of the usage log.
 pub struct UsageLogRecorder(pub Writer);
 
-/// An outcome as the log states it, with the share of a partial answer in millionths.
+/// The outcome in the log, and the coverage of a partial answer in millionths (0 for other outcomes).
 fn wire_outcome(outcome: QueryOutcome) -> (WireOutcome, u32) {
     match outcome {
         QueryOutcome::Complete => (WireOutcome::Whole, 0),
-        QueryOutcome::Partial(share) => (WireOutcome::Partial, share),
+        QueryOutcome::Partial(coverage) => (WireOutcome::Partial, coverage),
         QueryOutcome::Rejected => (WireOutcome::Refused, 0),
         QueryOutcome::Failed => (WireOutcome::Failed, 0),
         QueryOutcome::ClientDisconnected => (WireOutcome::Left, 0),
@@ -25,14 +25,14 @@
 }
 
 fn wire_record(usage: &UsageRecord) -> Record {
-    let (outcome, share) = wire_outcome(usage.outcome);
+    let (outcome, coverage) = wire_outcome(usage.outcome);
     Record {
         sequence: usage.sequence,
         tenant: usage.tenant,
         class: u32::from(usage.class),
         arrived_ms: usage.arrived_at / NANOS_PER_MS,
         outcome: outcome.into(),
-        share,
+        share: coverage,
         parts: usage.parts,
         attempts: usage.attempts,
         crossed: usage.cross_zone_attempts,
@@ -51,11 +51,11 @@
         accepted
     }
 
-    /// A watermark that is lost is superseded by the next one.
+    /// A watermark that does not fit in the queue is dropped: the next one supersedes it.
     fn record_watermark(&mut self, watermark: Watermark) {
         let complete_until_ms = watermark.complete_until / NANOS_PER_MS;
-        let mark = writer::watermark_entry(watermark.sequence, complete_until_ms, watermark.last);
-        self.0.try_enqueue(mark);
+        let entry = writer::watermark_entry(watermark.sequence, complete_until_ms, watermark.last);
+        self.0.try_enqueue(entry);
     }
 
     fn written_sequence(&self) -> watch::Receiver<u64> {
--- a/crates/cottonhill/src/output.rs
+++ b/crates/cottonhill/src/output.rs
@@ -1,4 +1,4 @@
-//! What commands print: tables for people, JSON and CSV for programs.
+//! Output of the commands: tables for people, JSON and CSV for programs.
 
 use crate::error::{CommandError, CommandResult, RuntimeError};
 use clap::ValueEnum;
@@ -6,7 +6,7 @@
 use serde_json::Value;
 use std::io::{self, ErrorKind, Write};
 
-/// How a table is printed. The variants have no doc comments, which would turn up in the help texts.
+/// The output format of a table. The variants have no doc comments because clap would print them in the help texts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
     #[default]
@@ -15,15 +15,15 @@
     Csv,
 }
 
-/// The option that says how a table is printed. The comment on the field is the help text.
+/// The option that selects the output format. The comment on the field is the help text.
 #[derive(clap::Args)]
 pub struct FormatOption {
-    /// How to print: a table for people, JSON or CSV for programs
+    /// Output format: table for people, JSON or CSV for programs
     #[arg(long, value_enum, default_value_t)]
     pub format: Format,
 }
 
-/// Writes to standard output. A reader that has read enough and closed the pipe is no failure.
+/// Writes to standard output. A pipe that its reader has closed is not an error.
 ///
 /// # Errors
 /// Standard output can't be written.
@@ -47,7 +47,7 @@
     table
 }
 
-/// Rows of named columns, printed in the form that is asked for.
+/// Rows of named columns, printed in the selected format.
 pub struct ResultTable {
     columns: Vec<&'static str>,
     rows: Vec<Vec<Value>>,
--- a/crates/cottonhill/src/schema.rs
+++ b/crates/cottonhill/src/schema.rs
@@ -1,10 +1,11 @@
-//! The schema of the settings file: one INI file for logging, the usage log, the ledger and the OpenSearch-style front.
+//! The schema of the settings file: one INI file for logging, the usage log, the ledger and the OpenSearch-style
+//! search front.
 
 use cottonhill_ini::{Key, Kind, Schema, Section};
 use cottonhill_ledger::settings as ledger;
 use cottonhill_opensearch::index;
 
-/// What is logged, and in which form.
+/// Levels and format of the log.
 pub const LOG: Section = Section {
     name: "log",
     named: false,
@@ -14,14 +15,14 @@
             kind: Kind::Choice(&["error", "warn", "info", "debug", "trace"]),
             default: Some("info"),
             reloadable: true,
-            doc: "The least level that is logged. COTTONHILL_LOG in the environment goes before it.",
+            doc: "The least severe level that is logged; COTTONHILL_LOG in the environment overrides it.",
         },
         Key {
             name: "targets",
             kind: Kind::Text,
             default: Some(""),
             reloadable: true,
-            doc: "Levels of single targets, as in cottonhill_mixer::routing=debug,cottonhill_ledger=warn.",
+            doc: "Levels of individual targets, as in cottonhill_mixer::routing=debug,cottonhill_ledger=warn.",
         },
         Key {
             name: "format",
@@ -33,7 +34,7 @@
     ],
 };
 
-/// Every section that the settings file may hold.
+/// All sections that the settings file may contain.
 pub const SCHEMA: Schema = Schema(&[
     LOG,
     ledger::USAGE,
--- a/crates/cottonhill/tests/commands.rs
+++ b/crates/cottonhill/tests/commands.rs
@@ -21,7 +21,7 @@
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
-/// Settings that can't be used, and how the message about them begins after the file's name.
+/// Invalid settings, each with the start of the expected error message after the file name.
 const INVALID_SETTINGS: &[(&str, &str)] = &[
     ("[loge]\nlevel = info\n", "1: there is no section [loge]; the nearest is 'log'"),
     ("[log]\n\nlevl = info\n", "3: [log] has no key 'levl'; the nearest is 'level'"),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn failures_have_the_exit_code_of_their_kind() {
+fn exit_code_depends_on_the_kind_of_failure() {
     let directory = tempfile::tempdir().unwrap();
     let path = directory.path().join("not.json");
     fs::write(&path, "[workspace]\n").unwrap();
@@ -121,40 +121,40 @@
     assert!(row("[price lookup] whole").contains("own.ini:5"), "{text}");
 }
 
-/// The sample names each key there is, with its default; as it stands it changes nothing.
+/// The sample settings file is valid, and with all keys uncommented no value is left to its default.
 #[test]
 fn sample_settings_document_every_key_with_its_default() {
     let sample = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/cottonhill.ini");
     let text = fs::read_to_string(&sample).unwrap();
     let output = run(&["check", "--settings", sample.to_str().unwrap()]);
     assert!(output.status.success(), "{}", standard_error(&output));
-    // With every line in force, too.
+    // The same file with all keys uncommented.
     let folder = tempfile::tempdir().unwrap();
-    let all = folder.path().join("all.ini");
+    let all_keys = folder.path().join("all.ini");
     let uncommented: String = text
         .lines()
         .map(|line| format!("{}\n", line.strip_prefix("# ").unwrap_or(line)))
         .collect();
-    fs::write(&all, uncommented.replace("; ", "#")).unwrap();
-    let output = run(&["check", "--settings", all.to_str().unwrap()]);
+    fs::write(&all_keys, uncommented.replace("; ", "#")).unwrap();
+    let output = run(&["check", "--settings", all_keys.to_str().unwrap()]);
     let shown = String::from_utf8(output.stdout.clone()).unwrap();
     assert!(output.status.success(), "{}", standard_error(&output));
-    let left: Vec<&str> = shown
+    let settings: Vec<&str> = shown
         .lines()
         .filter(|line| line.starts_with('[') || line.starts_with(" ["))
         .collect();
-    let missing: Vec<&&str> = left
+    let missing: Vec<&&str> = settings
         .iter()
         .filter(|line| line.contains(" default "))
         .collect();
     assert!(
-        left.len() >= 28 && missing.is_empty(),
+        settings.len() >= 28 && missing.is_empty(),
         "not in the sample: {missing:#?}"
     );
 }
 
 #[test]
-fn closed_standard_output_is_no_failure_and_completions_are_printed() {
+fn closed_standard_output_is_not_an_error_and_completions_are_printed() {
     let mut child = command(&["completions", "bash"])
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/cottonhill/tests/golden.rs
+++ b/crates/cottonhill/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Characterization test of the command line: help texts, what `check` prints, failures with their exit codes, the keys
-//! of the settings file, and what the ledger's commands print of recorded data.
+//! Characterization test of the command line: help texts, the output of `check`, error messages with exit codes, the keys
+//! of the settings file, and the output of the ledger commands for recorded data.
 
 mod support;
 
@@ -7,10 +7,10 @@
 use std::path::Path;
 use support::{assert_golden, crate_path, run_in, transcript};
 
-/// Where a ledger of an earlier program lies; see the README there.
+/// Directory with a ledger that an earlier version of the program wrote; its README describes it.
 const LEDGER_DATA: &str = "../ledger/tests/data";
 
-/// Runs commands in a directory, one after the other, and compares all that they print.
+/// Runs commands in a directory one after the other and compares all of their output with the golden text.
 fn assert_runs(golden: &str, directory: &Path, commands: &[&[&str]]) {
     let mut text = String::new();
     for arguments in commands {
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn wrong_command_lines_fail_as_recorded() {
+fn invalid_command_lines_fail_with_the_recorded_message() {
     assert_runs(
         "usage_errors.txt",
         &crate_path("tests/data"),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn wrong_configurations_fail_as_recorded() {
+fn invalid_configurations_fail_with_the_recorded_message() {
     let directory = tempfile::tempdir().unwrap();
     let config = fs::read_to_string(crate_path("tests/data/mixer.json")).unwrap();
     let changed = |from: &str, to: &str| {
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn wrong_settings_fail_as_recorded() {
+fn invalid_settings_fail_with_the_recorded_message() {
     let directory = tempfile::tempdir().unwrap();
     let settings = [
         ("section.ini", "[loge]\nlevel = info\n"),
@@ -158,7 +158,7 @@
     assert_runs("settings_errors.txt", directory.path(), &commands);
 }
 
-/// The sample settings with every key in force.
+/// The sample settings with all keys uncommented.
 fn uncommented(sample: &str) -> String {
     let lines = sample
         .lines()
@@ -166,8 +166,8 @@
     lines.collect::<String>().replace("; ", "#")
 }
 
-/// Every key of `deploy/cottonhill.ini`, its value there, and whether a reload takes up a change. The column that says
-/// where a value stands is left out: comments may move the lines.
+/// Every key of `deploy/cottonhill.ini`, its value there, and whether a reload applies a change. The column with the line
+/// of the value is omitted, because edits of comments move the lines.
 #[test]
 fn the_keys_of_the_settings_file_are_unchanged() {
     let sample = fs::read_to_string(crate_path("../../deploy/cottonhill.ini")).unwrap();
@@ -203,12 +203,12 @@
 }
 
 /// A ledger command with the recorded settings.
-fn ledger<'a>(rest: &[&'a str]) -> Vec<&'a str> {
-    [&["ledger", "--settings", "ledger.ini"], rest].concat()
+fn ledger<'a>(arguments: &[&'a str]) -> Vec<&'a str> {
+    [&["ledger", "--settings", "ledger.ini"], arguments].concat()
 }
 
 #[test]
-fn ledger_commands_print_the_same_of_recorded_data() {
+fn ledger_commands_print_the_recorded_output() {
     let directory = tempfile::tempdir().unwrap();
     copy_ledger_data(directory.path());
     let periods: Vec<String> = fs::read_to_string(crate_path(LEDGER_DATA).join("periods.txt"))
@@ -243,9 +243,10 @@
     assert_runs("ledger.txt", directory.path(), &commands);
 }
 
-/// A correction of a closed period, one of an open period, one whose id is taken, and the documents that are sent.
+/// Corrections of a closed period, of an open period and with an id that already exists, and the documents that `export`
+/// sends.
 #[test]
-fn corrections_and_exports_come_out_as_recorded() {
+fn corrections_and_exports_produce_the_recorded_output_and_documents() {
     let directory = tempfile::tempdir().unwrap();
     copy_ledger_data(directory.path());
     let settings = directory.path().join("ledger.ini");
@@ -283,9 +284,9 @@
     assert_golden("ledger_documents.txt", &text);
 }
 
-/// Bytes of a usage log, and of the store's file, that are not as they were written.
+/// Flipped bits in a usage log, and client records and counters that differ from the ledger.
 #[test]
-fn damage_to_recorded_data_is_reported_as_recorded() {
+fn damage_and_differences_are_reported_as_recorded() {
     let directory = tempfile::tempdir().unwrap();
     copy_ledger_data(directory.path());
     let segment = fs::read_dir(directory.path().join("n1.usage"))
@@ -323,11 +324,11 @@
 fn dumps_of_recorded_data_are_unchanged() {
     let directory = tempfile::tempdir().unwrap();
     copy_ledger_data(directory.path());
-    // The records are many: the head of each, and a digest of all.
+    // Only the first lines of each dump are recorded in full, and a digest of all lines.
     let mut text = String::new();
-    for rest in [vec![], vec!["--log", "n0.usage"], vec!["--log", "n2.usage"]] {
+    for options in [vec![], vec!["--log", "n0.usage"], vec!["--log", "n2.usage"]] {
         let mut arguments = ledger(&["dump", "--format", "csv"]);
-        arguments.extend::<Vec<&str>>(rest);
+        arguments.extend::<Vec<&str>>(options);
         let output = run_in(directory.path(), &arguments);
         assert!(output.status.success(), "{output:?}");
         let digest = cottonhill_ledger::store::digest(&output.stdout);
--- a/crates/cottonhill/tests/http.rs
+++ b/crates/cottonhill/tests/http.rs
@@ -1,5 +1,5 @@
-//! Characterization test of the mixer's HTTP answers: status and headers of each request that the README lists, and the
-//! keys of `/-/stats`. Discovery and its one replica are sockets of the test.
+//! Characterization test of the mixer's HTTP responses: status and headers of each request that the README lists, and the
+//! keys of `/-/stats`. The test itself opens the sockets of discovery and of the only replica.
 
 mod support;
 
@@ -12,18 +12,18 @@
 use std::time::{Duration, Instant};
 use support::{assert_golden, program};
 
-/// Only for a program that hangs.
+/// Fails the test if the program hangs.
 const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const WEIGHTS: &str = r#"{"shards":[{"shard":0,"weight":1.0}],"q":"c41e77d0"}"#;
 
-/// A loopback address of this process's own, so that no other process takes a port that is free for a moment.
+/// A loopback address that only this process uses, so that no other process binds a port between its choice and its use.
 fn own_ip() -> Ipv4Addr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 120 + high % 100, middle, low.max(1))
 }
 
-/// A port that nobody listens on now.
+/// An address without a listener.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind((own_ip(), 0)).unwrap();
     listener.local_addr().unwrap()
@@ -33,7 +33,7 @@
     child: Child,
     address: SocketAddr,
     discovery: TcpListener,
-    /// Requests to discovery stay open while the mixer runs.
+    /// Connections of the mixer to discovery, which stay open while it runs.
     watches: Vec<TcpStream>,
     _directory: tempfile::TempDir,
 }
@@ -61,14 +61,14 @@
             watches: Vec::new(),
             _directory: directory,
         };
-        mixer.wait_until("it listens", || TcpStream::connect(address).is_ok());
+        mixer.wait_until("the mixer listens", || TcpStream::connect(address).is_ok());
         mixer
     }
 
     fn wait_until(&self, what: &str, condition: impl Fn() -> bool) {
         let deadline = Instant::now() + HANG_TIMEOUT;
         while !condition() {
-            assert!(Instant::now() < deadline, "not within 20 s: {what}");
+            assert!(Instant::now() < deadline, "timed out after 20 s: {what}");
             std::thread::sleep(POLL_INTERVAL);
         }
     }
@@ -83,13 +83,13 @@
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         write!(watch, "{head}{:x}\r\n{list}\r\n", list.len()).unwrap();
         self.watches.push(watch);
-        self.wait_until("it is ready", || {
+        self.wait_until("the mixer is ready", || {
             self.request("GET /-/ready HTTP/1.1\r\n\r\n")
                 .starts_with("HTTP/1.1 200")
         });
     }
 
-    /// The whole answer to one request on a connection of its own.
+    /// Sends one request on a new connection and returns the complete response.
     fn request(&self, request: &str) -> String {
         let mut stream = TcpStream::connect(self.address).unwrap();
         stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
@@ -160,7 +160,7 @@
     String::from_utf8(head).unwrap()
 }
 
-/// Every digit of a header that tells a time or a length, which differ from run to run, as `N`.
+/// Replaces the numbers in Retry-After and Content-Length, which differ between runs, by `N`.
 fn mask_numbers(answer: &str) -> String {
     let mask = |line: &str| {
         let lower = line.to_lowercase();
@@ -174,7 +174,7 @@
     answer.lines().map(|line| mask(line) + "\n").collect()
 }
 
-/// Paths and types of a JSON value.
+/// Appends the path and type of each field of a JSON value.
 fn shape(path: &str, value: &Value, text: &mut String) {
     match value {
         Value::Object(fields) => {
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn answers_have_the_recorded_shape() {
+fn responses_have_the_recorded_status_headers_and_body() {
     let mut mixer = Mixer::start();
     let mut text = String::new();
     let mut add = |what: &str, answer: &str| {
@@ -221,40 +221,43 @@
     );
     add("POST to ready", &mixer.query("POST /-/ready", "", ""));
     let headers = "X-Request-ID: q-1\r\nX-Tenant-Id: alpha\r\nX-Timeout: 900m\r\n";
-    let of_class = "POST /chart-ranking";
+    let class_line = "POST /chart-ranking";
     add(
         "unknown class",
         &mixer.query("POST /charts", headers, WEIGHTS),
     );
     let without_id = "X-Tenant-Id: alpha\r\n";
-    add("no request id", &mixer.query(of_class, without_id, WEIGHTS));
+    add(
+        "no request id",
+        &mixer.query(class_line, without_id, WEIGHTS),
+    );
     let tenant = headers.replace("alpha", "omega");
-    add("unknown tenant", &mixer.query(of_class, &tenant, WEIGHTS));
+    add("unknown tenant", &mixer.query(class_line, &tenant, WEIGHTS));
     let timeout = headers.replace("900m", "soon");
-    add("bad timeout", &mixer.query(of_class, &timeout, WEIGHTS));
+    add("bad timeout", &mixer.query(class_line, &timeout, WEIGHTS));
     let shard = WEIGHTS.replace("\"shard\":0", "\"shard\":99");
-    add("unknown shard", &mixer.query(of_class, headers, &shard));
+    add("unknown shard", &mixer.query(class_line, headers, &shard));
     let weight = WEIGHTS.replace("1.0", "0.4");
     add(
         "weights that miss 1",
-        &mixer.query(of_class, headers, &weight),
+        &mixer.query(class_line, headers, &weight),
     );
-    add("not JSON", &mixer.query(of_class, headers, "{"));
+    add("not JSON", &mixer.query(class_line, headers, "{"));
     let both = format!("{headers}Transfer-Encoding: chunked\r\n");
-    add("two lengths", &mixer.query(of_class, &both, WEIGHTS));
+    add("two lengths", &mixer.query(class_line, &both, WEIGHTS));
     let large = "x".repeat(65 * 1024);
-    add("large body", &mixer.query(of_class, headers, &large));
+    add("large body", &mixer.query(class_line, headers, &large));
     let head = format!("{headers}X-Filler: {}\r\n", "x".repeat(9 * 1024));
-    add("large head", &mixer.query(of_class, &head, WEIGHTS));
+    add("large head", &mixer.query(class_line, &head, WEIGHTS));
     add(
         "no replica answers",
-        &mixer.query(of_class, headers, WEIGHTS),
+        &mixer.query(class_line, headers, WEIGHTS),
     );
     assert_golden("http_answers.txt", &text);
 }
 
-/// A leaf server that closes each connection once something was sent on it.
-fn start_breaking_replica() -> SocketAddr {
+/// Starts a leaf server that closes each connection after the first bytes of a request.
+fn start_resetting_replica() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -265,11 +268,11 @@
     address
 }
 
-/// A query of a class that must not run twice can't be sent again.
+/// A query of a non-idempotent class is not retried after a lost connection, since it may have been executed.
 #[test]
-fn a_query_that_fails_gets_the_recorded_answer() {
+fn a_failed_query_gets_the_recorded_response() {
     let mut mixer = Mixer::start();
-    mixer.announce_replica(start_breaking_replica());
+    mixer.announce_replica(start_resetting_replica());
     let headers = "X-Request-ID: q-1\r\nX-Tenant-Id: alpha\r\nX-Timeout: 900m\r\n";
     let answer = mixer.query("POST /preview-lookup", headers, WEIGHTS);
     assert_golden("http_failed_query.txt", &mask_numbers(&answer));
--- a/crates/cottonhill/tests/log_fields.rs
+++ b/crates/cottonhill/tests/log_fields.rs
@@ -1,5 +1,5 @@
-//! Characterization test of the program's own log lines: level, target and names of the fields, which operators filter
-//! and search by. The messages are free to change.
+//! Characterization test of the log lines of this crate: level, target and field names, by which operators filter and
+//! search. The messages are not part of the test.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use support::{assert_golden, crate_path, program};
 
-/// Targets of the other crates are pinned there.
+/// Targets of this crate; the other crates test their own.
 const OWN_TARGETS: &str = "cottonhill::";
 
 struct Program {
@@ -39,12 +39,12 @@
         assert!(status.success());
     }
 
-    /// Level, target and field names of the next lines of the program's own.
+    /// Level, target and field names of the next `count` lines of this crate.
     fn lines(&mut self, event: &str, count: usize) -> String {
         let mut text = format!("# {event}\n");
         let mut found = 0;
         while found < count {
-            let line = self.log.next().expect("a further line").unwrap();
+            let line = self.log.next().expect("another log line").unwrap();
             let line: Value = serde_json::from_str(&line).unwrap_or_else(|_| panic!("{line}"));
             let target = line["target"].as_str().unwrap();
             if !target.starts_with(OWN_TARGETS) {
@@ -53,8 +53,9 @@
             found += 1;
             let level = line["level"].as_str().unwrap();
             let fields = line.as_object().unwrap().keys().map(String::as_str);
-            let own = |name: &&str| !["timestamp", "level", "message", "target"].contains(name);
-            let fields: Vec<&str> = fields.filter(own).collect();
+            let is_field =
+                |name: &&str| !["timestamp", "level", "message", "target"].contains(name);
+            let fields: Vec<&str> = fields.filter(is_field).collect();
             text += &format!("{level} {target} [{}]\n", fields.join(" "));
         }
         text
@@ -74,7 +75,7 @@
     path
 }
 
-/// A configuration whose addresses are of the system's choice; discovery is never reached.
+/// A configuration with system-chosen ports and an unreachable discovery.
 fn configuration(name: &str) -> String {
     let text = fs::read_to_string(crate_path("tests/data/mixer.json")).unwrap();
     let mut config: Value = serde_json::from_str(&text).unwrap();
@@ -105,11 +106,11 @@
     let changed = MIXER_SETTINGS.replace("0-3", "0-4");
     write(folder, "own.ini", &changed);
     mixer.signal("-HUP");
-    text += &mixer.lines("reload of files that ask for a restart", 3);
+    text += &mixer.lines("reload of changes that need a restart", 3);
     write(folder, "mixer.json", "{");
     write(folder, "own.ini", "{");
     mixer.signal("-HUP");
-    text += &mixer.lines("reload of bad files", 2);
+    text += &mixer.lines("reload of invalid files", 2);
     mixer.signal("-TERM");
     text += &mixer.lines("shutdown", 1);
     assert_golden("mixer_log_fields.txt", &text);
@@ -127,7 +128,7 @@
     text += &settlement.lines("reload", 1);
     write(folder, "own.ini", "{");
     settlement.signal("-HUP");
-    text += &settlement.lines("reload of bad settings", 1);
+    text += &settlement.lines("reload of invalid settings", 1);
     settlement.signal("-TERM");
     assert!(settlement.child.wait().unwrap().success());
     assert_golden("ledger_log_fields.txt", &text);
--- a/crates/cottonhill/tests/reload.rs
+++ b/crates/cottonhill/tests/reload.rs
@@ -1,4 +1,4 @@
-//! The program itself as operators run it: a new configuration by SIGHUP, a bad one, and the end after both.
+//! The running program: a reload of a changed and of an invalid configuration on SIGHUP, and the shutdown after both.
 
 use serde_json::json;
 use std::fs;
@@ -9,7 +9,7 @@
 use tokio::net::unix::pipe;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Only for a program that hangs: nothing here waits for time to pass.
+/// Fails the test if the program hangs; no test waits for a fixed time.
 const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Program {
@@ -37,29 +37,30 @@
         }
     }
 
-    /// Reads the log up to a line with this text.
+    /// Reads the log up to a line that contains this text.
     async fn wait_for_log(&mut self, message: &str) {
         loop {
             let line = tokio::time::timeout(HANG_TIMEOUT, self.log.next_line()).await;
             let line = line
                 .unwrap_or_else(|_| panic!("never logged: '{message}'"))
                 .unwrap();
-            let line = line.unwrap_or_else(|| panic!("it ended before it logged '{message}'"));
+            let line =
+                line.unwrap_or_else(|| panic!("the program ended before it logged '{message}'"));
             if line.contains(message) {
                 return;
             }
         }
     }
 
-    /// Sends a signal and waits for the line that answers it.
-    async fn signal(&mut self, signal: &str, answer: &str) {
+    /// Sends a signal and waits for the log line that follows it.
+    async fn signal(&mut self, signal: &str, message: &str) {
         let pid = self.child.id().to_string();
         assert!(Command::new("kill")
             .args([signal, &pid])
             .status()
             .unwrap()
             .success());
-        self.wait_for_log(answer).await;
+        self.wait_for_log(message).await;
     }
 }
 
@@ -124,25 +125,25 @@
     let (mut first, request) = answer_with_empty_list(&old.0, 42).await;
     assert!(
         request.contains("watch=1&from=41 "),
-        "it goes on from the list it was given: {request}"
+        "the watch continues from the cached list: {request}"
     );
     fs::write(&program.config, "{").unwrap();
     program.signal("-HUP", "configuration reload failed").await;
     fs::write(&program.config, configuration(&new.1)).unwrap();
     program.signal("-HUP", "configuration reloaded").await;
-    let (_whole, request) = answer_with_empty_list(&new.0, 7).await;
+    let (_snapshot, request) = answer_with_empty_list(&new.0, 7).await;
     assert!(
         request.starts_with("GET /api/targets HTTP/1.1"),
-        "versions are the new one's own: {request}"
+        "the versions of the old discovery do not apply: {request}"
     );
     let (_second, request) = answer_with_empty_list(&new.0, 7).await;
     assert!(
         request.contains("watch=1&from=7 "),
-        "it goes on from there: {request}"
+        "the watch continues from the fetched list: {request}"
     );
-    let mut rest = Vec::new();
+    let mut remaining = Vec::new();
     assert_eq!(
-        first.read_to_end(&mut rest).await.unwrap(),
+        first.read_to_end(&mut remaining).await.unwrap(),
         0,
         "the old watch has ended"
     );
@@ -174,11 +175,11 @@
     .into_iter()
     .enumerate()
     {
-        let (listener, at) = discovery().await;
-        let mut program = Program::start(&format!("astray-{n}"), &at);
+        let (listener, address) = discovery().await;
+        let mut program = Program::start(&format!("unusable-delta-{n}"), &address);
         let _first = answer_with(&listener, changes).await;
         program.wait_for_log(message).await;
-        let (_whole, request) = answer_with_empty_list(&listener, 7).await;
+        let (_snapshot, request) = answer_with_empty_list(&listener, 7).await;
         assert!(
             request.starts_with("GET /api/targets HTTP/1.1"),
             "{request}"
--- a/crates/cottonhill/tests/support/mod.rs
+++ b/crates/cottonhill/tests/support/mod.rs
@@ -1,16 +1,16 @@
-//! Golden texts and the program they are of.
+//! Golden texts and the program that prints them.
 //!
-//! `UPDATE_GOLDEN=1` rewrites the texts; a commit that does so says why. `GOLDEN_PROGRAM` names another build of the
-//! program to run, such as the one of an earlier commit.
+//! `UPDATE_GOLDEN=1` rewrites the texts; the commit message then says why. `GOLDEN_PROGRAM` names another build of
+//! the program to run, such as that of an earlier commit.
 
-#![allow(dead_code)] // Each test file uses its own part of it.
+#![allow(dead_code)] // Each test file uses only some of the functions.
 
 use std::ffi::OsString;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
 
-/// Width that help texts are wrapped at.
+/// Width at which help texts are wrapped.
 const COLUMNS: &str = "100";
 
 pub fn program() -> OsString {
@@ -22,7 +22,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join(path)
 }
 
-/// Runs the program in a directory, with nothing of the environment that it reads.
+/// Runs the program in a directory, without the environment variables that it reads.
 pub fn run_in(directory: &Path, arguments: &[&str]) -> Output {
     Command::new(program())
         .args(arguments)
@@ -36,7 +36,7 @@
         .expect("the program starts")
 }
 
-/// What a run printed, and its exit code, under the arguments that it had.
+/// The command line, output and exit code of a run.
 pub fn transcript(arguments: &[&str], output: &Output) -> String {
     let mut text = format!("$ cottonhill {}\n", arguments.join(" "));
     for (name, bytes) in [("", &output.stdout), ("stderr:\n", &output.stderr)] {
@@ -49,7 +49,7 @@
     text + &format!("exit code {code}\n\n")
 }
 
-/// Compares a text with the recorded one, line by line.
+/// Compares a text with the golden text, line by line.
 pub fn assert_golden(name: &str, found: &str) {
     let path = crate_path("tests/golden").join(name);
     if std::env::var_os("UPDATE_GOLDEN").is_some() {
--- a/crates/ini/src/lib.rs
+++ b/crates/ini/src/lib.rs
@@ -176,7 +176,7 @@
     /// Parses `text`, the contents of `file`, and validates it against `schema`.
     ///
     /// # Errors
-    /// Everything that violates the schema.
+    /// The text can't be parsed, or violates the schema; the errors name all violations.
     pub fn parse(schema: &Schema, file: &str, text: &str) -> Result<Settings, SettingsErrors> {
         let error = |line: Option<usize>, message: String| SettingsError {
             file: file.into(),
--- a/crates/opensearch/src/index.rs
+++ b/crates/opensearch/src/index.rs
@@ -1,4 +1,4 @@
-//! The settings of the front: its listener, its indices with their classes, shards and weights, and the networks of
+//! Settings of the search front: its listener, its indices with their classes, shards and weights, and the networks of
 //! tenants.
 
 use crate::tenant::{parse_networks, NetworkSet, TenantTable};
@@ -13,7 +13,7 @@
     name: "opensearch",
     named: false,
     keys: &[
-        key("listen", Kind::Address, None, "Address of the front's own listener; the front is off if unset."),
+        key("listen", Kind::Address, None, "Address of the search front's own listener; the search front is off if unset."),
         key(
             "connections",
             Kind::Integer(1, 100_000),
@@ -35,13 +35,13 @@
             Some("header"),
             "Source of the tenant: the header, the network, the header or else the network, or the client certificate.",
         ),
-        key("certificate", Kind::Text, None, "PEM file of the certificate chain; plain HTTP without it."),
-        key("key", Kind::Text, None, "PEM file of its private key, which must not be accessible to other users."),
+        key("certificate", Kind::Text, None, "PEM file of the certificate chain; plain HTTP if unset."),
+        key("key", Kind::Text, None, "PEM file of the private key of the certificate, which must not be accessible to other users."),
         key(
             "client-ca",
             Kind::Text,
             None,
-            "PEM file of the authorities of client certificates, which are optional.",
+            "PEM file of the certificate authorities for client certificates, which are optional.",
         ),
         key(
             "proxies",
@@ -62,7 +62,7 @@
             "class",
             Kind::Text,
             None,
-            "The class of its searches, by its name in the configuration.",
+            "The class of the searches on this index, by its name in the configuration.",
         ),
         key(
             "shards",
@@ -108,7 +108,7 @@
     }
 }
 
-/// One index: the shards that a search on it goes to, and the class of its searches.
+/// One index: the shards to which a search on it is sent, and the class of its searches.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Index {
     pub class: String,
@@ -127,19 +127,19 @@
     Certificate,
 }
 
-/// The settings of the front.
+/// The settings of the search front.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FrontSettings {
     pub listen: SocketAddr,
     /// Further connections are not accepted until one closes.
     pub max_connections: usize,
     pub max_body_bytes: usize,
-    /// Limit on the answers of all shards to one search together.
+    /// Limit on the total size of the answers of all shards to one search.
     pub max_answer_bytes: usize,
     /// A connection without a request for this time is closed.
     pub idle_timeout: Duration,
     pub cluster: String,
-    /// In lower case.
+    /// Name of the header that names the tenant, in lower case.
     pub tenant_header: String,
     /// The tenant of a search for which `tenant_source` finds none.
     pub default_tenant: Option<String>,
@@ -182,8 +182,8 @@
     !name.starts_with(['_', '-']) && name.bytes().all(is_valid)
 }
 
-/// Reads the networks of the tenants. They are added from the shortest prefix to the longest, in whichever order the file
-/// lists them.
+/// Reads the networks of the tenants. They are inserted from the shortest prefix to the longest, regardless of their order
+/// in the file.
 fn tenant_table(
     settings: &Settings,
     schema: &Schema,
@@ -232,10 +232,10 @@
 }
 
 impl FrontSettings {
-    /// Reads the settings of the front; `None` if it is off.
+    /// Reads the settings of the search front; returns `None` if it is off.
     ///
     /// # Errors
-    /// A value that is missing, invalid or in contradiction with another.
+    /// A value is missing, invalid or contradicts another value.
     pub fn read(
         settings: &Settings,
         schema: &Schema,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the adapter ends without success: input that can't be used, or a pipe that is broken.
+//! Errors that end the adapter: invalid input, or a failure of standard input or output.
 
 use std::io;
 
@@ -6,22 +6,22 @@
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// The input ended within a batch's header.
-    #[error("batch header cut short after {received} bytes")]
-    HeaderCutShort {
-        /// Bytes of the header that came.
+    #[error("batch header truncated after {received} bytes")]
+    TruncatedHeader {
+        /// Received bytes of the header.
         received: usize,
     },
     /// The header of a batch can't be read.
     #[error("cannot read a batch: {0}")]
     ReadHeader(io::Error),
-    /// The records that the header announces take more bytes than it announces.
+    /// The number of records in the header needs more bytes than the length in the header.
     #[error("batch {batch}: {count} records do not fit in {length} bytes")]
     RecordsDoNotFit {
         /// Number of the batch.
         batch: u32,
-        /// Records announced.
+        /// Number of records according to the header.
         count: usize,
-        /// Bytes announced for records and tail.
+        /// Bytes of records and tail according to the header.
         length: usize,
     },
     /// Records or tail of a batch can't be read.
@@ -29,17 +29,17 @@
     ReadBody {
         /// Number of the batch.
         batch: u32,
-        /// Why.
+        /// Why they can't be read.
         source: io::Error,
     },
     /// The input ended within a batch's records or tail.
-    #[error("batch {batch} cut short: {received} of {length} bytes")]
-    BodyCutShort {
+    #[error("batch {batch} truncated: got {received} of {length} bytes")]
+    TruncatedBody {
         /// Number of the batch.
         batch: u32,
-        /// Bytes that came.
+        /// Received bytes of records and tail.
         received: usize,
-        /// Bytes announced.
+        /// Bytes of records and tail according to the header.
         length: usize,
     },
     /// An event record can't be decoded.
@@ -49,14 +49,14 @@
         batch: u32,
         /// Index of the record in the batch.
         record: usize,
-        /// What is wrong with it.
+        /// Why it can't be decoded.
         source: RecordError,
     },
-    /// The settings of an instance can't be used; says which one.
+    /// The settings of an instance are invalid; the text names the setting.
     #[error("{0}")]
     Settings(String),
     /// A reply can't be written.
-    #[error("{0}")]
+    #[error("cannot write a reply: {0}")]
     Write(io::Error),
 }
 
@@ -70,25 +70,25 @@
     #[error("unknown outcome {0}")]
     UnknownOutcome(u16),
     /// No status of an endpoint has this code.
-    #[error("unknown standing {0} of a replica")]
+    #[error("unknown endpoint status {0}")]
     UnknownEndpointStatus(u8),
     /// No kind of endpoint update has this code.
-    #[error("unknown scope {0} of a list")]
+    #[error("unknown kind {0} of an endpoint update")]
     UnknownUpdateKind(u8),
-    /// An update names an endpoint list that did not come before it.
-    #[error("list {0} was never sent")]
+    /// An update refers to an endpoint list that was not received before it.
+    #[error("endpoint list {0} was not received before its use")]
     UnknownEndpointList(u32),
-    /// A record points past the end of the batch's tail.
-    #[error("{length} bytes at {offset} lie past the tail of {tail_length}")]
+    /// A record refers to bytes past the end of the batch's tail.
+    #[error("{length} bytes at offset {offset} lie past the tail of {tail_length} bytes")]
     PastTail {
-        /// Bytes pointed at.
+        /// Number of bytes.
         length: usize,
-        /// Where they start in the tail.
+        /// Offset of the first byte in the tail.
         offset: u32,
-        /// Bytes in the tail.
+        /// Length of the tail.
         tail_length: usize,
     },
-    /// The settings of an instance are no text.
+    /// The settings of an instance are not UTF-8 text.
     #[error("settings are not UTF-8")]
     SettingsNotUtf8,
 }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,7 @@
-//! The decision module on the simulator's wire: batches of events come in, replies with actions go out. It only
-//! translates; every decision is in `cottonhill_decisions`.
+//! Adapter between the decision module and the simulator's wire format: it reads batches of events and writes replies
+//! with actions. It only translates; all decisions are made in `cottonhill_decisions`.
 //!
-//! [`wire`] turns bytes into inputs and actions into bytes, [`session`] keeps the instances.
+//! [`wire`] decodes events and encodes actions, [`session`] holds the instances of the decision module.
 
 #![warn(missing_docs)]
 
@@ -14,10 +14,10 @@
 use std::io::{Read, Write};
 use wire::Batch;
 
-/// Answers each batch with one reply until the input ends.
+/// Writes one reply to each batch until the input ends.
 ///
 /// # Errors
-/// Input that can't be read or decoded, settings that can't be used, or output that can't be written.
+/// The input can't be read or decoded, the settings are invalid, or the output can't be written.
 pub fn answer_batches(input: &mut impl Read, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut session = Session::default();
     while let Some(batch) = Batch::read(input)? {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,10 +1,10 @@
-//! `cottonhill-benchlink`: the adapter between standard input and standard output, as the simulator starts it.
+//! `cottonhill-benchlink`: the adapter on standard input and standard output. The simulator starts this program.
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // A panic is reported on the wire, not on standard error.
+    // The session reports panics of the decision module to the simulator, so nothing is printed on standard error.
     std::panic::set_hook(Box::new(|_| {}));
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = BufWriter::new(io::stdout().lock());
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! The instances of the decision module that live in this process, and one batch of their events at a time.
+//! The instances of the decision module in this process, which process one batch of events at a time.
 
 use crate::error::AdapterError;
 use crate::wire::{decode_batch, Batch, EndpointLists, Input, InstanceId, Reply};
@@ -8,26 +8,26 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Instances and endpoint lists, kept from batch to batch. Instances share nothing but the lists.
+/// Instances and endpoint lists, retained between batches. Instances share nothing but the lists.
 #[derive(Default)]
 pub struct Session {
     instances: BTreeMap<InstanceId, Coordinator>,
     endpoint_lists: EndpointLists,
 }
 
-/// The events of one batch by instance.
+/// The events of one batch, grouped by instance.
 #[derive(Default)]
 struct Events {
-    /// Instances in the order in which they first occur in the batch.
+    /// Instances in the order of their first record in the batch.
     order: Vec<InstanceId>,
     by_instance: BTreeMap<InstanceId, Vec<Event>>,
 }
 
 impl Session {
-    /// Hands each instance its events of one batch, in order, and gathers the actions.
+    /// Passes the events of one batch to their instances, in order, and returns the actions of all instances.
     ///
     /// # Errors
-    /// A record that can't be decoded, or settings that can't be used.
+    /// A record can't be decoded, or the settings of an instance are invalid.
     pub fn process_batch(&mut self, batch: &Batch) -> Result<Reply, AdapterError> {
         let inputs = decode_batch(batch, &mut self.endpoint_lists)?;
         let events = self.start_and_stop(inputs)?;
@@ -40,8 +40,8 @@
         Ok(reply)
     }
 
-    /// Starts and stops instances and returns the events of those that are left. An instance that is started or stopped
-    /// loses its events from before.
+    /// Starts and stops instances and returns the events by instance. Events that precede the start or stop of their
+    /// instance in the batch are dropped.
     fn start_and_stop(&mut self, inputs: Vec<(InstanceId, Input)>) -> Result<Events, AdapterError> {
         let mut events = Events::default();
         let mut seen = BTreeSet::new();
@@ -77,7 +77,7 @@
         Ok(())
     }
 
-    /// Events of an instance that was never started are dropped.
+    /// Drops the events of an instance that is not running.
     fn process_events(
         &mut self,
         instance: InstanceId,
--- a/crates/simulator-adapter/src/wire/batch.rs
+++ b/crates/simulator-adapter/src/wire/batch.rs
@@ -1,10 +1,11 @@
-//! Frames from the simulator.
+//! Frames received from the simulator.
 
 use super::fields::Fields;
 use crate::error::AdapterError;
 use std::io::{ErrorKind, Read};
 
-/// Bytes of a batch's header: number (u32), length of what follows (u32), clock (u64), records (u32).
+/// Bytes of a batch's header: number of the batch (u32), length of records and tail (u32), clock (u64), number of records
+/// (u32).
 const HEADER: usize = 20;
 const NUMBER: usize = 0;
 const LENGTH: usize = 4;
@@ -13,16 +14,16 @@
 /// Bytes of an event record.
 const RECORD: usize = 56;
 
-/// One frame from the simulator: its event records and its tail.
+/// One frame from the simulator: event records and tail.
 #[derive(Debug)]
 pub struct Batch {
-    /// The number that the reply repeats.
+    /// Number of the batch; its reply has the same number.
     pub number: u32,
     /// Simulated time in nanoseconds, the same for all events.
     pub clock: u64,
     /// Records of [`RECORD`] bytes each.
     records: Vec<u8>,
-    /// What records point at.
+    /// Data to which records refer by offset and length.
     pub tail: Vec<u8>,
 }
 
@@ -30,7 +31,7 @@
     /// Reads one frame; `None` at the end of the input.
     ///
     /// # Errors
-    /// The input can't be read, ends within the frame, or the header contradicts itself.
+    /// The input can't be read, ends within the frame, or the header announces more records than fit in its length.
     pub fn read(input: &mut impl Read) -> Result<Option<Batch>, AdapterError> {
         let Some(header) = read_header(input)? else {
             return Ok(None);
@@ -54,7 +55,7 @@
         }))
     }
 
-    /// The event records in order.
+    /// The event records, in order.
     pub fn records(&self) -> impl Iterator<Item = Fields<'_>> {
         self.records.chunks_exact(RECORD).map(Fields)
     }
@@ -66,7 +67,7 @@
     while received < HEADER {
         match input.read(&mut header[received..]) {
             Ok(0) if received == 0 => return Ok(None),
-            Ok(0) => return Err(AdapterError::HeaderCutShort { received }),
+            Ok(0) => return Err(AdapterError::TruncatedHeader { received }),
             Ok(count) => received += count,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(AdapterError::ReadHeader(error)),
@@ -83,7 +84,7 @@
         .map_err(|source| AdapterError::ReadBody { batch, source })?;
     let received = body.len();
     if received < length {
-        return Err(AdapterError::BodyCutShort {
+        return Err(AdapterError::TruncatedBody {
             batch,
             received,
             length,
--- a/crates/simulator-adapter/src/wire/events.rs
+++ b/crates/simulator-adapter/src/wire/events.rs
@@ -1,8 +1,8 @@
-//! Event records as inputs of the decision module.
+//! Decoding of event records into inputs of the decision module.
 
 use super::batch::Batch;
 use super::fields::Fields;
-use super::vocabulary::{
+use super::layout::{
     attempt_ended, client_disconnected, datagram_received, endpoint, endpoint_list,
     endpoint_status, endpoint_update_kind, endpoints_updated, outcome, probe_ended,
     request_received, start, stream_started, timer_fired, EventCode, INSTANCE,
@@ -12,30 +12,30 @@
 use cottonhill_decisions::{Endpoint, EndpointUpdateKind, Event, Outcome};
 use std::collections::BTreeMap;
 
-/// Endpoint lists by their number on the wire.
+/// Endpoint lists by their numbers on the wire.
 pub type EndpointLists = BTreeMap<u32, Vec<Endpoint>>;
 
-/// What an event record means for its instance.
+/// The decoded event record of an instance.
 #[derive(Debug, PartialEq)]
 pub enum Input {
-    /// It starts, without any state.
+    /// The instance starts without any state.
     Start {
-        /// Seed of its random numbers.
+        /// Seed of its random number generator.
         seed: u64,
-        /// Its settings, `path=value` a line.
+        /// Its settings, one `path=value` per line.
         settings: String,
     },
-    /// It stops and forgets everything.
+    /// The instance stops and its state is dropped.
     Stop,
     /// An event for the decision module.
     Event(Event),
 }
 
-/// The inputs of a batch in order. Endpoint lists are kept and resolved on the way, since a number can be given to
-/// another list within one batch.
+/// Decodes the inputs of a batch, in order. Endpoint lists are stored and resolved in the order of the records, since a
+/// later record of the same batch can assign the same number to another list.
 ///
 /// # Errors
-/// A record that can't be decoded.
+/// A record can't be decoded.
 pub fn decode_batch(
     batch: &Batch,
     lists: &mut EndpointLists,
@@ -55,7 +55,7 @@
     Ok(inputs)
 }
 
-/// The input of one record; `None` for an endpoint list, which is kept in `lists`.
+/// Decodes the input of one record; returns `None` for an endpoint list, which is stored in `lists`.
 fn decode_record(
     record: &Fields,
     tail: &[u8],
@@ -104,7 +104,7 @@
 fn decode_endpoint_list(record: &Fields, tail: &[u8]) -> Result<Vec<Endpoint>, RecordError> {
     let range = record
         .tail_range(endpoint_list::ENTRIES)
-        .of_entries(endpoint::SIZE);
+        .in_bytes(endpoint::SIZE);
     range
         .slice(tail)?
         .chunks_exact(endpoint::SIZE)
@@ -128,7 +128,7 @@
     let kind = record.u8(endpoints_updated::KIND);
     let kind = endpoint_update_kind(kind).ok_or(RecordError::UnknownUpdateKind(kind))?;
     let endpoints = match kind {
-        // Its list number has no meaning.
+        // The list number of such an update is undefined.
         EndpointUpdateKind::RequestFailed => Vec::new(),
         _ => {
             let number = record.u32(endpoints_updated::LIST);
@@ -140,7 +140,7 @@
     Ok(Event::EndpointsUpdated { kind, endpoints })
 }
 
-/// A query, or a part of one where a shard is named.
+/// Decodes a query, or a part of one if the record has a shard.
 fn decode_request(record: &Fields) -> Event {
     let id = record.u64(request_received::ID);
     let group = record.f32(request_received::GROUP) as u32;
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -1,13 +1,14 @@
-//! Fields of a record at fixed positions.
+//! Decoding of the fields of a record at fixed positions.
 
 use crate::error::RecordError;
 use cottonhill_decisions::{LoadReport, ReplicaId};
 
-/// The most values that a load report has.
+/// The maximum number of values in a load report.
 const MAX_REPORT_VALUES: u8 = 4;
+/// Bytes of a value in a load report.
 const REPORT_VALUE: usize = 4;
 
-/// A record's bytes. Readers panic on positions past its end, so its size is checked before.
+/// The bytes of a record. The getters panic on a position past its end; callers pass records of the full size.
 pub struct Fields<'a>(pub &'a [u8]);
 
 impl Fields<'_> {
@@ -37,18 +38,18 @@
         u64::from_le_bytes(self.bytes(position))
     }
 
-    /// Four bytes of a fraction.
+    /// Four bytes of a floating-point number.
     pub fn f32(&self, position: usize) -> f32 {
         f32::from_le_bytes(self.bytes(position))
     }
 
-    /// Four bytes of address and two of port, as one number.
+    /// Four bytes of address and two of port, combined into one number.
     pub fn replica(&self, position: usize) -> ReplicaId {
         let (address, port) = (self.u32(position), self.u16(position + 4));
         ReplicaId(u64::from(address) | u64::from(port) << 32)
     }
 
-    /// A count and so many values.
+    /// One byte with the number of values, and the values.
     pub fn load_report(&self, position: usize) -> LoadReport {
         let count = usize::from(self.u8(position).min(MAX_REPORT_VALUES));
         (0..count)
@@ -65,18 +66,18 @@
     }
 }
 
-/// Where the tail holds what a record points at.
+/// A range of the tail to which a record refers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TailRange {
     /// Bytes from the start of the tail.
     pub offset: u32,
-    /// Bytes, or entries where a record says so.
+    /// Number of bytes, or of entries for an endpoint list.
     pub length: usize,
 }
 
 impl TailRange {
-    /// The same place where the length counts entries of this size, not bytes.
-    pub fn of_entries(self, entry_size: usize) -> TailRange {
+    /// Converts a length in entries of this size to a length in bytes.
+    pub fn in_bytes(self, entry_size: usize) -> TailRange {
         TailRange {
             offset: self.offset,
             length: self.length.saturating_mul(entry_size),
@@ -86,7 +87,7 @@
     /// The bytes of the tail.
     ///
     /// # Errors
-    /// They lie past its end.
+    /// The range ends past the end of the tail.
     pub fn slice(self, tail: &[u8]) -> Result<&[u8], RecordError> {
         let start = self.offset as usize;
         let end = start.checked_add(self.length);
--- a/crates/simulator-adapter/src/wire/vocabulary.rs
+++ b/crates/simulator-adapter/src/wire/layout.rs
@@ -1,12 +1,12 @@
-//! Codes of the wire's records and values, and positions of fields from the record's code on, each under the code's term.
-//! Doc comments give the name on the wire.
+//! Codes of records and values on the wire, and positions of fields counted from the start of the record or
+//! entry. The identifiers are the terms of the decision module; the doc comments give the simulator's names.
 
 use cottonhill_decisions::{EndpointStatus, EndpointUpdateKind, Outcome};
 
 /// Position of the instance's number (`who`) in every record but [`EventCode::EndpointList`].
 pub const INSTANCE: usize = 1;
 
-/// What an event record is.
+/// The kind of an event record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventCode {
     /// `SPAWN`
@@ -34,7 +34,7 @@
 }
 
 impl EventCode {
-    /// What the code on the wire stands for; `None` if it stands for nothing.
+    /// The kind with this code on the wire; `None` if no kind has it.
     pub fn from_wire(code: u8) -> Option<EventCode> {
         Some(match code {
             1 => EventCode::Start,
@@ -53,7 +53,7 @@
     }
 }
 
-/// What an action record is; the number is its code on the wire.
+/// The kind of an action record; the number is its code on the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ActionCode {
@@ -121,7 +121,7 @@
     })
 }
 
-/// The address of a datagram to every peer.
+/// The peer number of a datagram to all peers.
 pub const ALL_PEERS: u32 = u32::MAX;
 
 /// Fields of `SPAWN`.
@@ -190,7 +190,7 @@
 pub mod request_received {
     /// `id`
     pub const ID: usize = 3;
-    /// `shard`; below zero for the query itself
+    /// `shard`; negative for the query itself
     pub const SHARD: usize = 11;
     /// `patience_left_ns`
     pub const CLIENT_TIMEOUT: usize = 15;
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,19 +1,19 @@
-//! Frames to the simulator: actions as records.
+//! Encoding of actions into the frames that are sent to the simulator.
 
-use super::vocabulary::{ActionCode, ALL_PEERS};
+use super::layout::{ActionCode, ALL_PEERS};
 use super::InstanceId;
 use cottonhill_decisions::{Action, ReplicaId};
 
-/// Bytes of a reply's header: batch number, records, length of what follows, a u32 each.
+/// Bytes of a reply's header: number of the batch, number of records, length of records and tail, each a u32.
 const HEADER: usize = 12;
 /// Bytes of an action record.
 const RECORD: usize = 32;
 /// Bytes of a replica's address and port.
 const REPLICA: usize = 6;
-/// Bytes of an offset into the tail and a length.
+/// Bytes of a tail range: an offset and a length, each a u32.
 const TAIL_RANGE: usize = 8;
 
-/// A reply in the making.
+/// Builder of a reply.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -22,7 +22,7 @@
 }
 
 impl Reply {
-    /// The frame that answers the batch of this number.
+    /// The frame of the reply to the batch with this number.
     pub fn to_bytes(&self, batch: u32) -> Vec<u8> {
         let length = (self.records.len() + self.tail.len()) as u32;
         let mut frame = Vec::with_capacity(HEADER + length as usize);
@@ -34,7 +34,7 @@
         frame
     }
 
-    /// Tells that the decision module of an instance panicked.
+    /// Appends the report that the decision module of an instance panicked.
     pub fn push_crash(&mut self, instance: InstanceId, message: &str) {
         let message = self.append_tail(message.as_bytes());
         self.push_record(ActionCode::Crash, instance, &[&message]);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// `to` is every peer where it is `None`.
+    /// Appends a datagram to one peer, or to all peers if `to` is `None`.
     fn push_datagram(&mut self, instance: InstanceId, to: Option<u32>, bytes: &[u8]) {
         let bytes = self.append_tail(bytes);
         let to = to.unwrap_or(ALL_PEERS).to_le_bytes();
@@ -101,7 +101,7 @@
         self.push_record(ActionCode::Log, instance, &[&text]);
     }
 
-    /// Appends a record of these fields, filled up with zero bytes.
+    /// Appends a record with these fields, padded with zero bytes.
     fn push_record(&mut self, code: ActionCode, instance: InstanceId, fields: &[&[u8]]) {
         let start = self.records.len();
         self.records.push(code as u8);
@@ -113,7 +113,7 @@
         self.count += 1;
     }
 
-    /// Appends bytes to the tail and returns the field that points at them.
+    /// Appends bytes to the tail and returns the record field with their range.
     fn append_tail(&mut self, bytes: &[u8]) -> [u8; TAIL_RANGE] {
         let mut range = [0; TAIL_RANGE];
         range[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
@@ -123,7 +123,7 @@
     }
 }
 
-/// Address and port, as they came in.
+/// Address and port in the byte order in which they were received.
 fn replica_bytes(replica: ReplicaId) -> [u8; REPLICA] {
     let mut bytes = [0; REPLICA];
     bytes.copy_from_slice(&replica.0.to_le_bytes()[..REPLICA]);
--- a/crates/simulator-adapter/tests/recorded_batches.rs
+++ b/crates/simulator-adapter/tests/recorded_batches.rs
@@ -1,10 +1,11 @@
-//! Characterization test of the simulator's wire: recorded batches go in, and the reply bytes must be the recorded ones.
+//! Characterization test of the simulator's wire format: the replies to recorded batches must be the recorded replies,
+//! byte for byte.
 //!
-//! `tests/golden/batches.txt` holds the batches, `tests/golden/replies.txt` the replies, both one record a line in
-//! hexadecimal without the zero bytes at a record's end. Texts of log records are left out of the comparison.
+//! `tests/golden/batches.txt` contains the batches and `tests/golden/replies.txt` the replies, one record per line in
+//! hexadecimal without the zero bytes at its end. Log records are excluded from the comparison.
 //!
-//! `UPDATE_GOLDEN=1` draws the batches anew (fixed seed) and records both; a commit that does so says why.
-//! `GOLDEN_PROGRAM` names another build of the program to run, such as the one of an earlier commit.
+//! `UPDATE_GOLDEN=1` generates the batches again (fixed seed) and records both; the commit message then says why.
+//! `GOLDEN_PROGRAM` names another build of the program to run, such as that of an earlier commit.
 
 mod recording;
 
@@ -23,7 +24,7 @@
         .join(name)
 }
 
-/// Plays a simulated day against the program and writes down both directions.
+/// Runs the simulation against the program and records batches and replies.
 fn record() {
     let mut adapter = Adapter::start();
     let mut simulation = Simulation::new(SEED);
@@ -61,9 +62,9 @@
     assert_eq!(expected.lines().count(), replies.lines().count());
 }
 
-/// The recording is worth its place only while every kind of record occurs in it.
+/// A kind of record that does not occur in the recording would not be tested.
 #[test]
-fn the_recording_holds_every_kind_of_event_and_of_action() {
+fn the_recording_contains_every_kind_of_event_and_action() {
     let batches = parse_batches(&fs::read_to_string(golden("batches.txt")).unwrap());
     let replies = fs::read_to_string(golden("replies.txt")).unwrap();
     for code in 1..=11u8 {
@@ -73,7 +74,7 @@
             .any(|record| record[0] == code);
         assert!(occurs, "no event of code {code}");
     }
-    // The others (log, crash, datagram, fetch of the endpoint list) are left out or not asked for: see reply_layout.rs.
+    // The others (log, crash, datagram, fetch of the endpoint list) are excluded or do not occur: see reply_layout.rs.
     for code in [1u8, 2, 3, 4, 5, 6, 7, 11, 13] {
         let start = format!("action {code:02x}");
         assert!(
--- a/crates/simulator-adapter/tests/recording/mod.rs
+++ b/crates/simulator-adapter/tests/recording/mod.rs
@@ -1,4 +1,4 @@
-//! What the recorded batches are made with and compared by.
+//! Generation and comparison of the recorded batches and replies.
 
 pub mod program;
 pub mod simulation;
@@ -9,7 +9,7 @@
 /// Bytes of an action record.
 pub const ACTION_RECORD: usize = 32;
 
-/// One frame to the adapter.
+/// One frame sent to the adapter.
 #[derive(Default)]
 pub struct Batch {
     pub number: u32,
@@ -20,7 +20,7 @@
 }
 
 impl Batch {
-    /// Appends a record of these fields, filled up with zero bytes.
+    /// Appends a record with these fields, padded with zero bytes.
     pub fn push(&mut self, fields: &[&[u8]]) {
         let mut record = fields.concat();
         record.resize(EVENT_RECORD, 0);
@@ -45,7 +45,7 @@
     }
 }
 
-/// One frame from the adapter.
+/// One frame received from the adapter.
 pub struct Reply {
     pub number: u32,
     pub records: Vec<Vec<u8>>,
--- a/crates/simulator-adapter/tests/recording/program.rs
+++ b/crates/simulator-adapter/tests/recording/program.rs
@@ -1,4 +1,4 @@
-//! The program under test, as the simulator runs it.
+//! The adapter program under test.
 
 use super::{number, Reply, ACTION_RECORD};
 use std::io::{Read, Write};
@@ -47,12 +47,14 @@
         }
     }
 
-    /// Ends the input; the program must end with success and write nothing more.
+    /// Closes the input; the program must then end with success and write nothing more.
     pub fn finish(mut self) {
         drop(self.input);
-        let mut rest = Vec::new();
-        self.output.read_to_end(&mut rest).expect("its end");
-        assert!(rest.is_empty());
-        assert!(self.child.wait().expect("its end").success());
+        let mut remaining = Vec::new();
+        self.output
+            .read_to_end(&mut remaining)
+            .expect("the program ends");
+        assert!(remaining.is_empty());
+        assert!(self.child.wait().expect("the program ends").success());
     }
 }
--- a/crates/simulator-adapter/tests/recording/simulation.rs
+++ b/crates/simulator-adapter/tests/recording/simulation.rs
@@ -1,5 +1,6 @@
-//! A small simulated deployment that speaks the simulator's wire: three instances, queries, leaf servers that answer,
-//! fail, shed load or stay silent, lost connections, changing endpoint lists, probes and datagrams. The same seed draws the same events.
+//! A small simulated deployment on the simulator's wire: three instances, queries, leaf servers that answer, fail, shed
+//! load or do not respond, lost connections, changing endpoint lists, probes and datagrams. The same seed generates the
+//! same events.
 
 use super::{number, Batch, Reply};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,7 +10,7 @@
 const INSTANCES: u16 = 3;
 const REPLICAS: u8 = 8;
 const MAX_OPEN_QUERIES: usize = 12;
-/// Connections that were unused for longer are often lost.
+/// Connections that are idle for longer are often lost.
 const IDLE_LOSS_AFTER: u64 = 60 * MS;
 
 /// Wire codes of an outcome.
@@ -39,7 +40,7 @@
 
 type ReplicaAddress = [u8; 6];
 
-/// An event that happens later.
+/// An event of a later batch.
 enum Pending {
     Timer(u64),
     StreamStarted(u64, u8, ReplicaAddress),
@@ -53,13 +54,13 @@
     /// Numbers of queries, parts and endpoint lists.
     last_id: u64,
     pending: BTreeMap<(u64, u64), (u16, Pending)>,
-    /// Attempts made of each part of an instance.
+    /// Number of attempts by instance and part.
     attempts: BTreeMap<(u16, u64), u8>,
     ended: BTreeSet<(u16, u64, u8)>,
     open: Vec<(u16, u64)>,
     silent: BTreeSet<u8>,
     failing: BTreeSet<u8>,
-    /// When an instance last sent to a replica.
+    /// Time of the last attempt by instance and replica.
     last_use: BTreeMap<(u16, u8), u64>,
 }
 
@@ -130,7 +131,8 @@
         batch
     }
 
-    /// One instance pushes and two poll, so that both modes of discovery occur.
+    /// Starts an instance. Instance 0 subscribes to endpoint updates and the others poll, so that both modes of discovery
+    /// occur.
     fn start(&mut self, instance: u16, batch: &mut Batch) {
         let mode = if instance == 0 {
             ""
@@ -147,19 +149,25 @@
             &(settings.len() as u32).to_le_bytes(),
         ]);
         let lines: Vec<(u8, u8)> = (0..REPLICAS).map(|replica| (replica, 1)).collect();
-        self.list(batch, instance, &lines, 1);
+        self.push_endpoint_list(batch, instance, &lines, 1);
     }
 
     fn restart_instance(&mut self, batch: &mut Batch) {
         let instance = self.random.u16(..INSTANCES);
         batch.push(&[&[4], &instance.to_le_bytes()]);
-        self.pending.retain(|_, (of, _)| *of != instance);
-        self.open.retain(|(of, _)| *of != instance);
+        self.pending.retain(|_, (owner, _)| *owner != instance);
+        self.open.retain(|(owner, _)| *owner != instance);
         self.start(instance, batch);
     }
 
-    /// An endpoint list (replica and status each) and the event that puts it in force at one instance.
-    fn list(&mut self, batch: &mut Batch, instance: u16, lines: &[(u8, u8)], kind: u8) {
+    /// Appends an endpoint list (replica and status of each entry) and the update of one instance to it.
+    fn push_endpoint_list(
+        &mut self,
+        batch: &mut Batch,
+        instance: u16,
+        lines: &[(u8, u8)],
+        kind: u8,
+    ) {
         let number = self.next_id() as u32;
         let mut entries = Vec::new();
         for (replica, status) in lines {
@@ -195,16 +203,16 @@
         let instance = self.random.u16(..INSTANCES);
         match self.random.u32(..6) {
             0 => batch.push(&[&[8], &instance.to_le_bytes(), &[0; 12], &[3]]),
-            1 => self.list(
+            1 => self.push_endpoint_list(
                 batch,
                 instance,
                 &[(0, 1), (1, 1), (2, 1), (3, 1), (5, 2)],
                 1,
             ),
-            2 => self.list(batch, instance, &[(4, 1), (6, 1), (7, 1)], 2),
+            2 => self.push_endpoint_list(batch, instance, &[(4, 1), (6, 1), (7, 1)], 2),
             _ => {
                 let line = (self.random.u8(..REPLICAS), self.random.u8(..3));
-                self.list(batch, instance, &[line], 0);
+                self.push_endpoint_list(batch, instance, &[line], 0);
             }
         }
     }
@@ -252,8 +260,8 @@
     }
 
     fn disconnect_client(&mut self, batch: &mut Batch) {
-        let at = self.random.usize(..self.open.len());
-        let (instance, query) = self.open.swap_remove(at);
+        let index = self.random.usize(..self.open.len());
+        let (instance, query) = self.open.swap_remove(index);
         batch.push(&[&[10], &instance.to_le_bytes(), &query.to_le_bytes()]);
     }
 
@@ -318,7 +326,7 @@
         }
     }
 
-    /// What the reply asks for happens in later batches.
+    /// Schedules the effects of the actions in the reply for later batches.
     pub fn apply_reply(&mut self, reply: &Reply) {
         for record in &reply.records {
             let instance = number(&record[1..3]) as u16;
@@ -338,9 +346,9 @@
     }
 
     fn apply_send(&mut self, instance: u16, part: u64, replica: ReplicaAddress, expires_at: u64) {
-        let made = self.attempts.entry((instance, part)).or_default();
-        let attempt = *made;
-        *made += 1;
+        let count = self.attempts.entry((instance, part)).or_default();
+        let attempt = *count;
+        *count += 1;
         let (outcome, delay) = self.draw_outcome(instance, replica[3], expires_at);
         if outcome == OK {
             let event = Pending::StreamStarted(part, attempt, replica);
@@ -350,7 +358,7 @@
         self.schedule(instance, delay, event);
     }
 
-    /// How an attempt that is sent now ends, and after how long.
+    /// Draws the outcome of an attempt that is sent now, and the delay until it ends.
     fn draw_outcome(&mut self, instance: u16, replica: u8, expires_at: u64) -> (u16, u64) {
         let delay = self.random.u64(1..30) * MS;
         let last_use = self.last_use.insert((instance, replica), self.now);
--- a/crates/simulator-adapter/tests/recording/text.rs
+++ b/crates/simulator-adapter/tests/recording/text.rs
@@ -1,4 +1,4 @@
-//! Batches and replies as text: one record a line.
+//! Batches and replies as text, one record per line.
 
 use super::{number, Batch, Reply, EVENT_RECORD};
 use std::fmt::Write as _;
@@ -15,7 +15,8 @@
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    let byte = |at| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal");
+    let byte =
+        |position| u8::from_str_radix(&text[position..position + 2], 16).expect("hexadecimal");
     (0..text.len()).step_by(2).map(byte).collect()
 }
 
@@ -38,15 +39,15 @@
 pub fn parse_batches(text: &str) -> Vec<Batch> {
     let mut batches: Vec<Batch> = Vec::new();
     for line in text.lines() {
-        let (kind, rest) = line.split_once(' ').expect("a kind and its value");
+        let (kind, value) = line.split_once(' ').expect("a kind and its value");
         match kind {
-            "batch" => batches.push(empty_batch(rest)),
+            "batch" => batches.push(empty_batch(value)),
             "event" => {
-                let mut record = unhex(rest);
+                let mut record = unhex(value);
                 record.resize(EVENT_RECORD, 0);
                 batches.last_mut().unwrap().records.push(record);
             }
-            "tail" => batches.last_mut().unwrap().tail = unhex(rest),
+            "tail" => batches.last_mut().unwrap().tail = unhex(value),
             other => panic!("unknown line '{other}'"),
         }
     }
@@ -62,23 +63,23 @@
     }
 }
 
-/// A reply without its log records. Where a record points into the tail, the bytes there stand in place of the pointer,
-/// since log texts move the offsets.
+/// The text of a reply without its log records. A range of the tail is replaced by its bytes, since the omitted log texts
+/// would shift the offsets.
 pub fn reply_text(reply: &Reply) -> String {
     let mut text = format!("reply {}\n", reply.number);
     for record in &reply.records {
-        let pointer = match record[0] {
+        let range_position = match record[0] {
             LOG => continue,
             SEND_DATAGRAM => Some(7),
             CRASH => Some(3),
             _ => None,
         };
-        let _ = match pointer {
-            Some(at) => writeln!(
+        let _ = match range_position {
+            Some(position) => writeln!(
                 text,
                 "action {} bytes {}",
-                hex(&record[..at]),
-                hex(pointed_at(reply, &record[at..]))
+                hex(&record[..position]),
+                hex(tail_bytes(reply, &record[position..]))
             ),
             None => writeln!(text, "action {}", hex(without_padding(record))),
         };
@@ -86,8 +87,8 @@
     text
 }
 
-/// The bytes of the tail at an offset and a length that stand at the start of these bytes.
-pub fn pointed_at<'a>(reply: &'a Reply, pointer: &[u8]) -> &'a [u8] {
-    let offset = number(&pointer[..4]) as usize;
-    &reply.tail[offset..offset + number(&pointer[4..8]) as usize]
+/// The bytes of the tail in the range (offset and length) at the start of `range`.
+pub fn tail_bytes<'a>(reply: &'a Reply, range: &[u8]) -> &'a [u8] {
+    let offset = number(&range[..4]) as usize;
+    &reply.tail[offset..offset + number(&range[4..8]) as usize]
 }
--- a/crates/simulator-adapter/tests/reply_layout.rs
+++ b/crates/simulator-adapter/tests/reply_layout.rs
@@ -1,5 +1,5 @@
-//! Layout of replies, byte by byte, for records that the recorded batches do not hold: logs, crashes, and what the decision
-//! module does not ask for today.
+//! Layout of replies, byte by byte, for records that the recorded batches do not contain: logs, crashes, and actions that
+//! the decision module does not emit at present.
 
 use cottonhill_decisions::Action;
 use cottonhill_simulator_adapter::wire::{InstanceId, Reply};
@@ -9,7 +9,7 @@
 const HEADER: usize = 12;
 const RECORD: usize = 32;
 
-/// The frame of a reply with this one record, which the fields begin, and this tail.
+/// The frame of a reply with one record, which starts with these fields, and this tail.
 fn frame(fields: &[&[u8]], tail: &[u8]) -> Vec<u8> {
     let mut frame = BATCH.to_le_bytes().to_vec();
     frame.extend(1u32.to_le_bytes());
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn a_log_points_at_its_text() {
+fn a_log_record_refers_to_its_text() {
     let text = "two servers known";
     let expected = frame(&[&[9, 5, 0], &[0; 4], &[0x11, 0, 0, 0]], text.as_bytes());
     assert_eq!(encode(Action::Log(text.into())), expected);
 }
 
 #[test]
-fn a_crash_points_at_its_message() {
+fn a_crash_record_refers_to_its_message() {
     let mut reply = Reply::default();
     reply.push_crash(INSTANCE, "index out of range");
     let expected = frame(
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_datagram_names_its_peer_or_all_of_them() {
+fn a_datagram_is_addressed_to_one_peer_or_to_all() {
     for (to, peer) in [(Some(7), [7, 0, 0, 0]), (None, [0xff; 4])] {
         let action = Action::SendDatagram {
             to,
@@ -65,9 +65,9 @@
     }
 }
 
-/// The second text lies behind the first.
+/// The second text follows the first in the tail.
 #[test]
-fn texts_share_one_tail() {
+fn texts_of_several_records_share_one_tail() {
     let mut reply = Reply::default();
     reply.push_action(INSTANCE, &Action::Log("first".into()));
     reply.push_action(INSTANCE, &Action::Log("second".into()));
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as the simulator runs it: bytes in, bytes out.
+//! The adapter program on standard input and output, as the simulator runs it.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -16,7 +16,7 @@
         .spawn()
         .expect("the adapter starts");
     let mut pipe = child.stdin.take().expect("a pipe");
-    // The adapter may end before it has read all of a broken input.
+    // The adapter may end before it has read all of an invalid input.
     let _ = pipe.write_all(input);
     drop(pipe);
     child.wait_with_output().expect("the adapter ends")
@@ -39,20 +39,20 @@
 }
 
 fn start_record(instance: u16, tail: &mut Vec<u8>, settings: &str) -> Vec<u8> {
-    let at = tail.len() as u32;
+    let offset = tail.len() as u32;
     tail.extend(settings.as_bytes());
     let length = settings.len() as u32;
     record(&[
         &[1],
         &instance.to_le_bytes(),
         &[9; 8],
-        &at.to_le_bytes(),
+        &offset.to_le_bytes(),
         &length.to_le_bytes(),
     ])
 }
 
 fn endpoint_list_record(number: u32, tail: &mut Vec<u8>, address: &[u8; 6]) -> Vec<u8> {
-    let at = tail.len() as u32;
+    let offset = tail.len() as u32;
     tail.extend(
         [
             &[0, 0],
@@ -68,7 +68,7 @@
     record(&[
         &[3],
         &number.to_le_bytes(),
-        &at.to_le_bytes(),
+        &offset.to_le_bytes(),
         &1u32.to_le_bytes(),
     ])
 }
@@ -102,9 +102,14 @@
 fn reply_records(output: &Output) -> Vec<Vec<Vec<u8>>> {
     let (mut bytes, mut found) = (&output.stdout[..], Vec::new());
     while !bytes.is_empty() {
-        let field = |at: usize| u32::from_le_bytes(bytes[at..at + 4].try_into().unwrap()) as usize;
+        let field = |position: usize| {
+            u32::from_le_bytes(bytes[position..position + 4].try_into().unwrap()) as usize
+        };
         let (count, length) = (field(4), field(8));
-        assert!(count * 32 <= length, "records fit in the length");
+        assert!(
+            count * 32 <= length,
+            "the records fit in the length of the reply"
+        );
         found.push(
             bytes[12..12 + count * 32]
                 .chunks(32)
@@ -124,7 +129,7 @@
 }
 
 #[test]
-fn part_is_sent_to_the_listed_replica_in_the_stated_layout() {
+fn part_is_sent_to_the_listed_replica_in_the_layout_of_the_wire() {
     let mut tail = Vec::new();
     let address = [10, 18, 74, 7, 0x2b, 0x23];
     let start = start_record(3, &mut tail, SETTINGS);
@@ -143,11 +148,17 @@
         String::from_utf8_lossy(&output.stderr)
     );
     let reply = &reply_records(&output)[0];
-    let send = reply.iter().find(|r| r[0] == 1).expect("an attempt");
+    let send = reply
+        .iter()
+        .find(|r| r[0] == 1)
+        .expect("an action that sends the part");
     assert_eq!(send[1..3], [3, 0]);
     assert_eq!(send[3..11], 78u64.to_le_bytes());
     assert_eq!(send[11..17], address);
-    assert!(reply.iter().any(|r| r[0] == 5), "and a timer");
+    assert!(
+        reply.iter().any(|r| r[0] == 5),
+        "an action that sets a timer"
+    );
 }
 
 #[test]
@@ -196,15 +207,16 @@
         &tail,
     );
     let mut tail = Vec::new();
-    let again = start_record(0, &mut tail, SETTINGS);
+    let restart = start_record(0, &mut tail, SETTINGS);
     let stop = record(&[&[4], &[0, 0]]);
     let timer = record(&[&[5], &[0, 0]]);
-    let output = run_adapter(&[first, frame(2, &[stop, again, timer], &tail)].concat());
+    let output = run_adapter(&[first, frame(2, &[stop, restart, timer], &tail)].concat());
     assert!(output.status.success());
     assert_eq!(reply_records(&output)[1], Vec::<Vec<u8>>::new());
 }
 
-/// The one line that broken input gets, with no panic trace and no half reply.
+/// Runs the adapter with invalid input, which must fail without a reply and with one line on standard error; returns the
+/// line.
 fn error_message(input: &[u8]) -> String {
     let output = run_adapter(input);
     assert!(!output.status.success());
@@ -216,15 +228,15 @@
 
 #[test]
 fn malformed_frames_are_reported() {
-    assert!(error_message(&[1, 2, 3]).contains("header cut short"));
-    let whole = frame(6, &[record(&[&[5], &[0, 0]])], &[]);
-    assert!(error_message(&whole[..40]).contains("batch 6 cut short"));
-    let mut crowded = whole.clone();
-    crowded[16] = 9;
-    assert!(error_message(&crowded).contains("do not fit"));
+    assert!(error_message(&[1, 2, 3]).contains("header truncated"));
+    let complete = frame(6, &[record(&[&[5], &[0, 0]])], &[]);
+    assert!(error_message(&complete[..40]).contains("batch 6 truncated"));
+    let mut too_many_records = complete.clone();
+    too_many_records[16] = 9;
+    assert!(error_message(&too_many_records).contains("do not fit"));
     assert!(error_message(&frame(1, &[record(&[&[99]])], &[])).contains("unknown event code 99"));
-    let beyond = record(&[&[1], &[0; 10], &50u32.to_le_bytes(), &9u32.to_le_bytes()]);
-    assert!(error_message(&frame(1, &[beyond], &[])).contains("past the tail"));
+    let past_tail = record(&[&[1], &[0; 10], &50u32.to_le_bytes(), &9u32.to_le_bytes()]);
+    assert!(error_message(&frame(1, &[past_tail], &[])).contains("past the tail"));
     assert!(error_message(&frame(1, &[endpoints_updated_record(0, 3)], &[])).contains("list 3"));
     let outcome = record(&[&[6], &[0; 17], &77u16.to_le_bytes()]);
     assert!(error_message(&frame(1, &[outcome], &[])).contains("unknown outcome 77"));
