--- a/crates/cottonhill/tests/golden.rs
+++ b/crates/cottonhill/tests/golden.rs
@@ -136,7 +136,7 @@
         ("price.ini", "[price x]\npartial = 1\n"),
         ("url.ini", "[export]\nurl = ftp://x\n"),
         ("index.ini", "[opensearch]\nlisten = 127.0.0.1:1\n"),
-        ("many.ini", "[log]\nlevl = info\n[price]\nwhole = 1\n"),
+        ("two-errors.ini", "[log]\nlevl = info\n[price]\nwhole = 1\n"),
         ("store.ini", "[settlement]\nstore = missing.sqlite\n"),
     ];
     for (name, text) in settings {
--- a/crates/cottonhill/tests/http.rs
+++ b/crates/cottonhill/tests/http.rs
@@ -210,7 +210,7 @@
     add("ready", &mixer.request("GET /-/ready HTTP/1.1\r\n\r\n"));
     let stats = mixer.request("GET /-/stats HTTP/1.1\r\n\r\n");
     let (head, _) = stats.split_once("\r\n\r\n").unwrap();
-    add("stats, its head", head);
+    add("head of stats", head);
     add(
         "unknown path",
         &mixer.request("GET /-/nothing HTTP/1.1\r\n\r\n"),
@@ -239,12 +239,15 @@
     add("unknown shard", &mixer.query(class_line, headers, &shard));
     let weight = WEIGHTS.replace("1.0", "0.4");
     add(
-        "weights that miss 1",
+        "weights with a sum below 1",
         &mixer.query(class_line, headers, &weight),
     );
     add("not JSON", &mixer.query(class_line, headers, "{"));
     let both = format!("{headers}Transfer-Encoding: chunked\r\n");
-    add("two lengths", &mixer.query(class_line, &both, WEIGHTS));
+    add(
+        "Content-Length and chunked",
+        &mixer.query(class_line, &both, WEIGHTS),
+    );
     let large = "x".repeat(65 * 1024);
     add("large body", &mixer.query(class_line, headers, &large));
     let head = format!("{headers}X-Filler: {}\r\n", "x".repeat(9 * 1024));
--- a/crates/simulator-adapter/tests/recording/simulation.rs
+++ b/crates/simulator-adapter/tests/recording/simulation.rs
@@ -53,11 +53,15 @@
     now: u64,
     /// Numbers of queries, parts and endpoint lists.
     last_id: u64,
+    /// Events with their instances, by due time and id.
     pending: BTreeMap<(u64, u64), (u16, Pending)>,
     /// Number of attempts by instance and part.
     attempts: BTreeMap<(u16, u64), u8>,
+    /// Ended attempts by instance, part and number of the attempt.
     ended: BTreeSet<(u16, u64, u8)>,
+    /// Open queries by instance and id.
     open: Vec<(u16, u64)>,
+    /// Replicas that do not respond.
     silent: BTreeSet<u8>,
     failing: BTreeSet<u8>,
     /// Time of the last attempt by instance and replica.
@@ -148,8 +152,8 @@
             &offset.to_le_bytes(),
             &(settings.len() as u32).to_le_bytes(),
         ]);
-        let lines: Vec<(u8, u8)> = (0..REPLICAS).map(|replica| (replica, 1)).collect();
-        self.push_endpoint_list(batch, instance, &lines, 1);
+        let statuses: Vec<(u8, u8)> = (0..REPLICAS).map(|replica| (replica, 1)).collect();
+        self.push_endpoint_list(batch, instance, &statuses, 1);
     }
 
     fn restart_instance(&mut self, batch: &mut Batch) {
@@ -165,12 +169,12 @@
         &mut self,
         batch: &mut Batch,
         instance: u16,
-        lines: &[(u8, u8)],
+        statuses: &[(u8, u8)],
         kind: u8,
     ) {
         let number = self.next_id() as u32;
         let mut entries = Vec::new();
-        for (replica, status) in lines {
+        for (replica, status) in statuses {
             entries.extend(u16::from(replica % 2).to_le_bytes());
             entries.extend(address(*replica));
             entries.extend(u16::from(replica / 4).to_le_bytes());
@@ -188,7 +192,7 @@
             &[3],
             &number.to_le_bytes(),
             &offset.to_le_bytes(),
-            &(lines.len() as u32).to_le_bytes(),
+            &(statuses.len() as u32).to_le_bytes(),
         ]);
         batch.push(&[
             &[8],
@@ -211,8 +215,8 @@
             ),
             2 => self.push_endpoint_list(batch, instance, &[(4, 1), (6, 1), (7, 1)], 2),
             _ => {
-                let line = (self.random.u8(..REPLICAS), self.random.u8(..3));
-                self.push_endpoint_list(batch, instance, &[line], 0);
+                let status = (self.random.u8(..REPLICAS), self.random.u8(..3));
+                self.push_endpoint_list(batch, instance, &[status], 0);
             }
         }
     }
