--- a/crates/lab/src/failure.rs
+++ b/crates/lab/src/failure.rs
@@ -1,28 +1,28 @@
-//! What ends the program early, with its exit code.
+//! Errors that end the program, with their exit codes.
 
 /// Why a command ended without a result.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
-    /// The settings, or what the command line names, cannot be used.
+    /// Invalid settings or command-line arguments.
     #[error("{0}")]
     Settings(String),
-    /// The run itself failed.
+    /// The run failed.
     #[error("{0}")]
     Running(String),
 }
 
 impl Failure {
-    /// What cannot be used, as its own error says it.
-    pub fn settings(why: impl ToString) -> Failure {
-        Failure::Settings(why.to_string())
+    /// Converts an error about the settings or arguments.
+    pub fn settings(error: impl ToString) -> Failure {
+        Failure::Settings(error.to_string())
     }
 
-    /// What failed while running.
-    pub fn running(why: impl ToString) -> Failure {
-        Failure::Running(why.to_string())
+    /// Converts an error that occurred during the run.
+    pub fn running(error: impl ToString) -> Failure {
+        Failure::Running(error.to_string())
     }
 
-    /// Exit code: 1 failed while running, 3 wrong settings, as the program `cottonhill` has them.
+    /// Exit code: 1 for a failed run, 3 for invalid settings; the same codes as those of `cottonhill`.
     pub fn code(&self) -> u8 {
         match self {
             Failure::Running(_) => 1,
--- a/crates/lab/src/fit.rs
+++ b/crates/lab/src/fit.rs
@@ -1,21 +1,21 @@
-//! A straight line through points, by least squares, and the middle of several values.
+//! Linear least squares and the median.
 
 use serde::{Deserialize, Serialize};
 
-/// `y = intercept + slope * x`, and how far the points lie from it.
+/// The fitted line `y = intercept + slope * x`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// Growth of `y` for one of `x`.
+    /// Increase of `y` per unit of `x`.
     pub slope: f64,
     /// `y` at zero.
     pub intercept: f64,
-    /// Root of the mean square of what the line misses, as a share of the mean of `y`; 0 is a perfect fit.
+    /// Root mean square deviation of the points from the line, divided by the mean of `y`; 0 is a perfect fit.
     pub residual: f64,
-    /// Points that the line was fitted to.
+    /// Number of fitted points.
     pub points: usize,
 }
 
-/// Fits a line to `(x, y)`; none for fewer than two different `x` or values that are not finite.
+/// Fits a line to `(x, y)`; `None` for fewer than two distinct `x` or for non-finite values.
 pub fn line(points: &[(f64, f64)]) -> Option<Line> {
     let count = points.len() as f64;
     if points.len() < 2 || points.iter().any(|(x, y)| !x.is_finite() || !y.is_finite()) {
@@ -23,24 +23,24 @@
     }
     let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
     let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-    let spread: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-    if spread == 0.0 {
+    let squares_x: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
+    if squares_x == 0.0 {
         return None;
     }
     let slope = points
         .iter()
         .map(|(x, y)| (x - mean_x) * (y - mean_y))
         .sum::<f64>()
-        / spread;
+        / squares_x;
     let intercept = mean_y - slope * mean_x;
-    let missed: f64 = points
+    let squared_residuals: f64 = points
         .iter()
         .map(|(x, y)| (y - intercept - slope * x).powi(2))
         .sum();
     let residual = if mean_y == 0.0 {
         0.0
     } else {
-        (missed / count).sqrt() / mean_y.abs()
+        (squared_residuals / count).sqrt() / mean_y.abs()
     };
     Some(Line {
         slope,
@@ -50,7 +50,7 @@
     })
 }
 
-/// The middle value, or the mean of the two in the middle; none of none.
+/// The middle value, or the mean of the two middle values; `None` for an empty list.
 pub fn median(mut values: Vec<f64>) -> Option<f64> {
     values.sort_by(f64::total_cmp);
     let upper = *values.get(values.len() / 2)?;
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -1,8 +1,8 @@
-//! Discovery and a fleet of hollow mixers on threads of this process.
+//! The stand-in discovery and a fleet of hollow mixers, on threads of this process.
 
-use super::mixer::{configuration, run};
+use super::mixer::{configuration, run_mixer};
 use super::progress::Progress;
-use super::settings::Way;
+use super::settings::DiscoveryMode;
 use super::thread::RuntimeThread;
 use crate::Failure;
 use cottonhill_standins::discovery::{Discovery, Version};
@@ -13,45 +13,49 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Between the starts of two mixers of a thread, so that they do not overflow the queue of discovery's listener.
-const START_APART: Duration = Duration::from_millis(1);
+/// Interval between the starts of two mixers of a thread, so that they do not overflow the accept queue of discovery.
+const START_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Discovery on a thread of its own, and the mixers on some others. All ends when it is dropped.
+/// Discovery on a thread of its own, and the mixers on other threads. Dropping it stops them all.
 pub(super) struct Fleet {
-    // Dropped in this order: the mixers end before what they are connected to.
+    // Fields are dropped in order of declaration: the mixers stop before the discovery that they are connected to.
     threads: Vec<RuntimeThread>,
     pub discovery: Arc<Discovery>,
     discovery_thread: RuntimeThread,
     pub progress: Arc<Progress>,
     pub mixers: u64,
-    /// Changes of a single entry so far.
+    /// Number of changes of a single entry since the start.
     changes: u64,
 }
 
 impl Fleet {
-    /// Starts discovery with this list and then the mixers, which hold nothing yet.
+    /// Starts discovery with this list, then the mixers without a list.
     ///
     /// # Errors
-    /// There is no port or thread, or the mixer refuses its configuration.
+    /// No port or thread is available, or the mixer refuses its configuration.
     pub fn start(
         mixers: u64,
         threads: usize,
-        way: Way,
+        mode: DiscoveryMode,
         list: Vec<Value>,
     ) -> Result<Fleet, Failure> {
         let started = RuntimeThread::start(|| Discovery::start(Ipv4Addr::LOCALHOST.into()))?;
         let (discovery_thread, discovery) = started;
         let discovery = Arc::new(discovery.map_err(Failure::running)?);
         discovery.tell(list);
-        let config = Arc::new(configuration(discovery.address, mixers, way)?);
+        let config = Arc::new(configuration(discovery.address, mixers, mode)?);
         let progress = Arc::new(Progress::new(mixers as usize));
         let start_thread = |first: usize| {
             let (config, progress) = (config.clone(), progress.clone());
             let started = RuntimeThread::start(move || async move {
                 tokio::task::spawn_local(async move {
                     for number in (first..mixers as usize).step_by(threads) {
-                        tokio::task::spawn_local(run(number, config.clone(), progress.clone()));
-                        sleep(START_APART).await;
+                        tokio::task::spawn_local(run_mixer(
+                            number,
+                            config.clone(),
+                            progress.clone(),
+                        ));
+                        sleep(START_INTERVAL).await;
                     }
                 });
             })?;
@@ -70,47 +74,51 @@
         })
     }
 
-    /// Tells of changed entries as one change, from when on its delay is measured.
-    pub fn change(&self, lines: Vec<Value>) -> Version {
-        let version = self.discovery.version() + lines.len() as Version;
-        self.progress.announce(version, Instant::now());
-        self.discovery.tell(lines);
+    /// Publishes changed entries as one change. Its delay is measured from this call on.
+    pub fn change(&self, entries: Vec<Value>) -> Version {
+        let version = self.discovery.version() + entries.len() as Version;
+        self.progress.record_published(version, Instant::now());
+        self.discovery.tell(entries);
         version
     }
 
-    /// A number for one more change of a single entry.
+    /// Counts a change of a single entry and returns its number.
     pub fn next_change(&mut self) -> u64 {
         self.changes += 1;
         self.changes
     }
 
-    /// Processor time of discovery so far.
-    pub fn discovery_time(&self) -> Duration {
+    /// Processor time of discovery since its start.
+    pub fn discovery_processor_time(&self) -> Duration {
         self.discovery_thread.processor_time()
     }
 
-    /// Processor time of all mixers so far.
-    pub fn mixers_time(&self) -> Duration {
+    /// Processor time of all mixers since their start.
+    pub fn mixers_processor_time(&self) -> Duration {
         self.threads.iter().map(RuntimeThread::processor_time).sum()
     }
 }
 
-/// Waits until a condition holds, for so long at the most; whether it does.
-pub(super) async fn wait(most: Duration, apart: Duration, mut holds: impl FnMut() -> bool) -> bool {
-    let until = Instant::now() + most;
-    while !holds() {
-        if Instant::now() >= until {
+/// Checks a condition at intervals until it holds or the time-out expires; returns whether it holds.
+pub(super) async fn wait_until(
+    timeout: Duration,
+    interval: Duration,
+    mut condition: impl FnMut() -> bool,
+) -> bool {
+    let deadline = Instant::now() + timeout;
+    while !condition() {
+        if Instant::now() >= deadline {
             return false;
         }
-        sleep(apart).await;
+        sleep(interval).await;
     }
     true
 }
 
-/// Runs the measuring side on a runtime of this thread.
+/// Runs a future to completion on a runtime of this thread; the steps of a measurement run here.
 ///
 /// # Errors
-/// There is no runtime.
+/// The runtime cannot be created.
 pub(super) fn block_on<F: Future>(future: F) -> Result<F::Output, Failure> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/lab/src/hollow/report.rs
+++ b/crates/lab/src/hollow/report.rs
@@ -1,37 +1,37 @@
-//! What the runs with hollow mixers found. All figures are from one machine and one process over loopback.
+//! The report of the runs with hollow mixers. All figures are from one machine and one process, over loopback.
 
-use super::settings::Way;
+use super::settings::DiscoveryMode;
 use crate::machine::Machine;
 use crate::report::Outcome;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::fmt::Write;
 
-/// How delays are spread.
+/// Statistics of delays.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Spread {
+pub struct DelayStats {
     pub samples: u64,
     pub median_ms: f64,
     pub p99_ms: f64,
     pub worst_ms: f64,
 }
 
-impl Spread {
-    /// From delays in microseconds.
-    pub fn of_us(delays: &Histogram<u64>) -> Spread {
-        let at = |quantile| delays.value_at_quantile(quantile) as f64 / 1e3;
-        Spread {
+impl DelayStats {
+    /// Statistics of a histogram in microseconds.
+    pub fn from_histogram_us(delays: &Histogram<u64>) -> DelayStats {
+        let millis_at = |quantile| delays.value_at_quantile(quantile) as f64 / 1e3;
+        DelayStats {
             samples: delays.len(),
-            median_ms: at(0.5),
-            p99_ms: at(0.99),
-            worst_ms: at(1.0),
+            median_ms: millis_at(0.5),
+            p99_ms: millis_at(0.99),
+            worst_ms: millis_at(1.0),
         }
     }
 }
 
-/// What a step cost. Processor time is that of the threads of discovery and of the mixers; what is a mixer's is the
-/// mean over all of them. Bytes of messages are those of the JSON text, `socket_bytes_per_mixer` all that discovery
-/// wrote.
+/// The cost of a step. Processor times are those of the threads of discovery and of the mixers; values per mixer are
+/// means over all mixers. Message sizes are those of the JSON text; `socket_bytes_per_mixer` counts all bytes that
+/// discovery wrote.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
     pub wall_ms: f64,
@@ -40,20 +40,23 @@
     pub connections: u64,
     pub list_calls: u64,
     pub watch_calls: u64,
-    pub whole_messages: u64,
-    pub bytes_per_whole_message: f64,
+    #[serde(rename = "whole_messages")]
+    pub snapshot_messages: u64,
+    #[serde(rename = "bytes_per_whole_message")]
+    pub bytes_per_snapshot_message: f64,
     pub change_messages: u64,
     pub bytes_per_change_message: f64,
     pub heartbeats: u64,
     pub socket_bytes_per_mixer: f64,
 }
 
-/// A step that ends when the last mixer holds the version that it led to.
+/// A step that ends when the last mixer has the step's last version in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// From when discovery had a version to when a mixer had it in force; one sample for each mixer and version.
-    pub in_force: Spread,
-    /// Mixers that did not have the last version in force by the step's time limit.
+    /// Delay from the publication of a version by discovery until a mixer has it in force; one sample for each mixer
+    /// and version.
+    pub in_force: DelayStats,
+    /// Number of mixers without the last version in force at the step's time limit.
     pub lagging_mixers: u64,
     pub cost: Cost,
 }
@@ -69,89 +72,94 @@
     pub step: Step,
 }
 
-/// The servers of a zone change at once.
+/// A simultaneous change of the servers of a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneStep {
     pub changed_entries: u64,
     pub step: Step,
 }
 
-/// Discovery is gone for a while, changes one entry meanwhile and returns.
+/// An outage of discovery, during which one entry changes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReturnStep {
-    pub absent_ms: f64,
-    /// The most in any 100 ms after the return.
+pub struct OutageStep {
+    #[serde(rename = "absent_ms")]
+    pub outage_ms: f64,
+    /// Largest numbers in a window of 100 ms after the return of discovery.
     pub peak_connections_per_100_ms: u64,
     pub peak_calls_per_100_ms: u64,
-    /// Delays count from the return. The cost holds the time of absence too.
+    /// Delays count from the return of discovery. The cost includes the outage.
     pub step: Step,
 }
 
-/// All that was measured at one size.
+/// The results of one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HollowPoint {
     pub mixers: u64,
     pub entries: u64,
-    pub way: Way,
+    #[serde(rename = "way")]
+    pub mode: DiscoveryMode,
     pub outcome: Outcome,
-    /// Why it was cut, refused or failed; empty for one that was measured.
+    /// Why the point was cut, refused or failed; empty for a measured one.
     pub note: String,
-    /// Resident memory of the process with all mixers at rest, in bytes, discovery included.
+    /// Resident memory of the process with all mixers idle, in bytes, discovery included.
     pub resident_bytes: u64,
-    /// The most that it had held until then, while it read and took the list.
+    /// Peak resident memory until then, which includes reading and applying the endpoint list.
     pub peak_resident_bytes: u64,
-    /// From nothing to the whole list; delays count from each mixer's own start.
+    /// Until all mixers have the endpoint list; delays count from each mixer's own start.
     pub start: Option<Step>,
-    /// Over the rest time, without changes.
-    pub rest: Option<Cost>,
-    /// Changes of one entry, each after the one before is in force everywhere.
+    /// Without changes, over the idle time.
+    #[serde(rename = "rest")]
+    pub idle: Option<Cost>,
+    /// Changes of one entry, each after the previous one is in force at all mixers.
     pub change: Option<Step>,
     pub rates: Vec<RateStep>,
     pub zone: Option<ZoneStep>,
-    pub back: Option<ReturnStep>,
-    /// The same with a discovery that has forgotten its changes, so that each mixer is sent the whole list.
-    pub back_without_history: Option<ReturnStep>,
-    /// All watches fall silent and one entry is changed at that moment.
+    #[serde(rename = "back")]
+    pub outage: Option<OutageStep>,
+    /// An outage after which discovery has lost its change history, so that it sends each mixer a snapshot.
+    #[serde(rename = "back_without_history")]
+    pub outage_without_history: Option<OutageStep>,
+    /// Discovery stops sending on all open watches, and one entry changes at the same time.
     pub silence: Option<Step>,
 }
 
 impl HollowPoint {
-    /// A point at which nothing was measured.
-    pub fn ended(
+    /// A point without measurements.
+    pub fn empty(
         mixers: u64,
         entries: u64,
-        way: Way,
+        mode: DiscoveryMode,
         outcome: Outcome,
         note: String,
     ) -> HollowPoint {
         HollowPoint {
             mixers,
             entries,
-            way,
+            mode,
             outcome,
             note,
             resident_bytes: 0,
             peak_resident_bytes: 0,
             start: None,
-            rest: None,
+            idle: None,
             change: None,
             rates: Vec::new(),
             zone: None,
-            back: None,
-            back_without_history: None,
+            outage: None,
+            outage_without_history: None,
             silence: None,
         }
     }
 }
 
-/// All points of a run.
+/// The results of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HollowReport {
     pub machine: Machine,
-    /// The one-minute load average of the machine at the beginning and the end. Well above 0 at the beginning: other
-    /// work ran.
+    /// One-minute load average of the machine at the start and the end. A value well above 0 at the start means that
+    /// other work was running.
     pub load_average: [f64; 2],
-    /// Bounds in force: memory in bytes, descriptors.
+    /// Limits in force: memory in bytes, and file descriptors.
     pub memory_bound_bytes: u64,
     pub descriptors: u64,
     pub wall_seconds: f64,
@@ -159,9 +167,9 @@
 }
 
 impl HollowReport {
-    /// The last line of a run.
+    /// The last line that a run prints.
     pub fn summary(&self) -> String {
-        let ended = |outcome| {
+        let with_outcome = |outcome| {
             self.points
                 .iter()
                 .filter(|point| point.outcome == outcome)
@@ -174,7 +182,7 @@
             ("refused", Outcome::Refused),
             ("failed", Outcome::Failed),
         ] {
-            let _ = write!(line, ", {name} {}", ended(outcome));
+            let _ = write!(line, ", {name} {}", with_outcome(outcome));
         }
         line
     }
--- a/crates/lab/src/hollow/servers.rs
+++ b/crates/lab/src/hollow/servers.rs
@@ -1,21 +1,22 @@
-//! Hollow leaf servers: an address and an entry in discovery's list, no process.
+//! Hollow leaf servers: entries of the endpoint list without a process.
 
 use serde_json::{json, Value};
 
-/// Zones that the entries name.
+/// Number of zones of the entries.
 const ZONES: u64 = 15;
-/// Cells of the shards; a server holds the shards of one.
+/// Number of cells; a server holds the shards of one cell.
 pub(super) const CELLS: u64 = 69;
-/// A start long ago, in Unix milliseconds: the server is warm.
+/// Start time of the servers in Unix milliseconds; long ago, so that they are not in slow start.
 const STARTED_MS: u64 = 1_700_000_000_000;
 
-/// The names of the zones, as settings and entries have them.
+/// The names of the zones in settings and entries.
 pub(super) fn zones() -> Vec<String> {
     (0..ZONES).map(|zone| format!("zone-{zone:02}")).collect()
 }
 
-/// One entry of the list. Each has the same length in bytes for numbers under a million and starts under ten thousand.
-pub(super) fn entry(number: u64, start: u64, status: &str) -> Value {
+/// An entry of the list. All entries have the same length in bytes while `number` is below one million and
+/// `start_offset_ms` below ten thousand.
+pub(super) fn entry(number: u64, start_offset_ms: u64, status: &str) -> Value {
     let octets = [number / 10_000 % 100, number / 100 % 100, number % 100].map(|octet| 100 + octet);
     json!({
         "name": format!("leaf-{number:06}"),
@@ -23,18 +24,18 @@
         "zone": format!("zone-{:02}", number % ZONES),
         "group": number % CELLS,
         "status": status,
-        "since_ms": STARTED_MS + start,
+        "since_ms": STARTED_MS + start_offset_ms,
     })
 }
 
-/// The whole list.
+/// The complete endpoint list.
 pub(super) fn list(entries: u64) -> Vec<Value> {
     (0..entries).map(|number| entry(number, 0, "up")).collect()
 }
 
-/// The first entries of the list, each of a server that has started again.
-pub(super) fn restarted(entries: u64, start: u64) -> Vec<Value> {
+/// The first entries of the list, with the new start time of a restarted server.
+pub(super) fn restarted(entries: u64, start_offset_ms: u64) -> Vec<Value> {
     (0..entries)
-        .map(|number| entry(number, start, "up"))
+        .map(|number| entry(number, start_offset_ms, "up"))
         .collect()
 }
--- a/crates/lab/src/hollow/steps.rs
+++ b/crates/lab/src/hollow/steps.rs
@@ -1,21 +1,22 @@
-//! The steps at one size, each measured between two readings of what discovery and the mixers have done.
+//! The steps at one size. The cost of a step is the difference of two readings of the counters of discovery and mixers.
 
-use super::fleet::{wait, Fleet};
-use super::report::{Cost, RateStep, ReturnStep, Spread, Step, ZoneStep};
+use super::fleet::{wait_until, Fleet};
+use super::report::{Cost, DelayStats, OutageStep, RateStep, Step, ZoneStep};
 use super::servers::{entry, restarted};
 use super::settings::HollowSettings;
 use cottonhill_standins::discovery::{Traffic, Version};
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Between two looks at whether the last mixer holds a version; does not bear on delays, which each mixer measures.
-const LOOK: Duration = Duration::from_millis(2);
-/// The window in which connections and calls after a return are counted.
-const WINDOW: Duration = Duration::from_millis(100);
-/// Whole lists that each mixer is sent without one of them taking it, after which the list counts as refused.
-const REFUSED_AFTER: u64 = 3;
+/// Interval at which the versions of the mixers are checked. It does not affect the delays, which each mixer measures
+/// itself.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// Window for the peak numbers of connections and calls after an outage.
+const PEAK_WINDOW: Duration = Duration::from_millis(100);
+/// The list counts as refused once discovery has sent this number of snapshots per mixer and no mixer has one in force.
+const REFUSED_AFTER_SNAPSHOTS: u64 = 3;
 
-/// What had been spent when a step began.
+/// The counters at one moment.
 struct Reading {
     at: Instant,
     discovery: Duration,
@@ -24,21 +25,21 @@
 }
 
 impl Reading {
-    fn of(fleet: &Fleet) -> Reading {
+    fn read(fleet: &Fleet) -> Reading {
         Reading {
             at: Instant::now(),
-            discovery: fleet.discovery_time(),
-            mixers: fleet.mixers_time(),
+            discovery: fleet.discovery_processor_time(),
+            mixers: fleet.mixers_processor_time(),
             traffic: fleet.discovery.traffic(),
         }
     }
 
-    /// What was spent since.
+    /// The cost since this reading.
     fn cost(&self, fleet: &Fleet) -> Cost {
-        let now = Reading::of(fleet);
+        let now = Reading::read(fleet);
         let traffic = now.traffic.since(&self.traffic);
         let ms = |time: Duration| time.as_secs_f64() * 1e3;
-        let each = |sum: u64, count: u64| sum as f64 / count.max(1) as f64;
+        let mean = |sum: u64, count: u64| sum as f64 / count.max(1) as f64;
         Cost {
             wall_ms: ms(now.at - self.at),
             discovery_processor_ms: ms(now.discovery.saturating_sub(self.discovery)),
@@ -47,41 +48,49 @@
             connections: traffic.connections,
             list_calls: traffic.list_calls,
             watch_calls: traffic.watch_calls,
-            whole_messages: traffic.whole_messages,
-            bytes_per_whole_message: each(traffic.whole_bytes, traffic.whole_messages),
+            snapshot_messages: traffic.whole_messages,
+            bytes_per_snapshot_message: mean(traffic.whole_bytes, traffic.whole_messages),
             change_messages: traffic.change_messages,
-            bytes_per_change_message: each(traffic.change_bytes, traffic.change_messages),
+            bytes_per_change_message: mean(traffic.change_bytes, traffic.change_messages),
             heartbeats: traffic.heartbeats,
-            socket_bytes_per_mixer: each(traffic.bytes_sent, fleet.mixers),
+            socket_bytes_per_mixer: mean(traffic.bytes_sent, fleet.mixers),
         }
     }
 }
 
-/// Ends a step once all mixers hold `version`, or with the mixers that do not by the time limit.
-async fn finish(fleet: &Fleet, before: &Reading, version: Version, most: Duration) -> Step {
-    wait(most, LOOK, || fleet.progress.lagging(version) == 0).await;
-    settled(fleet, before, version)
+/// Ends a step once all mixers have `version` in force, or at the time limit.
+async fn wait_for_version(
+    fleet: &Fleet,
+    before: &Reading,
+    version: Version,
+    timeout: Duration,
+) -> Step {
+    wait_until(timeout, CHECK_INTERVAL, || {
+        fleet.progress.lagging(version) == 0
+    })
+    .await;
+    step_result(fleet, before, version)
 }
 
-fn settled(fleet: &Fleet, before: &Reading, version: Version) -> Step {
+fn step_result(fleet: &Fleet, before: &Reading, version: Version) -> Step {
     Step {
-        in_force: Spread::of_us(&fleet.progress.take_delays()),
+        in_force: DelayStats::from_histogram_us(&fleet.progress.take_delays()),
         lagging_mixers: fleet.progress.lagging(version) as u64,
         cost: before.cost(fleet),
     }
 }
 
-/// One more change of a single entry, all of the same length.
+/// Publishes a change of a single entry; all such changes have the same length in bytes.
 fn change_one(fleet: &mut Fleet, entries: u64) -> Version {
     let change = fleet.next_change();
     fleet.change(vec![entry(change * 7 % entries, change, "up")])
 }
 
-/// From the start of the mixers until the last one holds the list; whether they all refuse it.
-pub(super) async fn start(fleet: &Fleet, began: Instant, most: Duration) -> (Step, bool) {
+/// From the start of the mixers until the last one has the list in force; also returns whether all mixers refuse it.
+pub(super) async fn start(fleet: &Fleet, started_at: Instant, timeout: Duration) -> (Step, bool) {
     let version = fleet.discovery.version();
     let before = Reading {
-        at: began,
+        at: started_at,
         discovery: Duration::ZERO,
         mixers: Duration::ZERO,
         traffic: Traffic::default(),
@@ -89,35 +98,35 @@
     let all = fleet.mixers as usize;
     let refused = || {
         let sent = fleet.discovery.traffic().whole_messages;
-        fleet.progress.lagging(version) == all && sent >= REFUSED_AFTER * fleet.mixers
+        fleet.progress.lagging(version) == all && sent >= REFUSED_AFTER_SNAPSHOTS * fleet.mixers
     };
-    wait(most, LOOK, || {
+    wait_until(timeout, CHECK_INTERVAL, || {
         fleet.progress.lagging(version) == 0 || refused()
     })
     .await;
     let refused = refused();
-    let watched = || fleet.discovery.traffic().watch_calls >= fleet.mixers;
+    let all_watch = || fleet.discovery.traffic().watch_calls >= fleet.mixers;
     if !refused {
-        // The watch that follows the whole list belongs to the start.
-        wait(most, LOOK, watched).await;
+        // The watch that each mixer opens after its snapshot is part of the start.
+        wait_until(timeout, CHECK_INTERVAL, all_watch).await;
     }
-    (settled(fleet, &before, version), refused)
+    (step_result(fleet, &before, version), refused)
 }
 
-/// What a fleet costs that nothing is told.
-pub(super) async fn rest(fleet: &Fleet, lasting: Duration) -> Cost {
-    let before = Reading::of(fleet);
-    sleep(lasting).await;
+/// The cost of a fleet without changes.
+pub(super) async fn idle(fleet: &Fleet, duration: Duration) -> Cost {
+    let before = Reading::read(fleet);
+    sleep(duration).await;
     before.cost(fleet)
 }
 
-/// Changes of one entry, one after another.
+/// Changes of one entry, each after the previous one is in force at all mixers.
 pub(super) async fn changes(fleet: &mut Fleet, entries: u64, settings: &HollowSettings) -> Step {
-    let before = Reading::of(fleet);
+    let before = Reading::read(fleet);
     let mut version = fleet.discovery.version();
     for _ in 0..settings.changes {
         version = change_one(fleet, entries);
-        if !wait(settings.step_time, LOOK, || {
+        if !wait_until(settings.step_timeout, CHECK_INTERVAL, || {
             fleet.progress.lagging(version) == 0
         })
         .await
@@ -125,7 +134,7 @@
             break;
         }
     }
-    settled(fleet, &before, version)
+    step_result(fleet, &before, version)
 }
 
 /// Changes of one entry at a steady rate.
@@ -135,19 +144,19 @@
     per_second: f64,
     settings: &HollowSettings,
 ) -> RateStep {
-    let (before, first) = (Reading::of(fleet), fleet.discovery.version());
+    let (before, first) = (Reading::read(fleet), fleet.discovery.version());
     let discovery = fleet.discovery.clone();
     let progress = fleet.progress.clone();
     let next = || {
         let change = fleet.next_change();
-        progress.announce(discovery.version() + 1, Instant::now());
+        progress.record_published(discovery.version() + 1, Instant::now());
         vec![entry(change * 7 % entries, change, "up")]
     };
     discovery
-        .tell_steadily(per_second, settings.rate_time, next)
+        .tell_steadily(per_second, settings.rate_duration, next)
         .await;
     let version = discovery.version();
-    let step = finish(fleet, &before, version, settings.step_time).await;
+    let step = wait_for_version(fleet, &before, version, settings.step_timeout).await;
     let seconds = step.cost.wall_ms / 1e3;
     RateStep {
         changes_per_second: per_second,
@@ -159,42 +168,42 @@
     }
 }
 
-/// As many servers as a zone has start again, all in one change.
+/// A restart of the servers of a zone, in a single change.
 pub(super) async fn zone(fleet: &mut Fleet, entries: u64, settings: &HollowSettings) -> ZoneStep {
-    let lines = restarted(entries.min(settings.zone_entries), fleet.next_change());
-    let (before, changed_entries) = (Reading::of(fleet), lines.len() as u64);
-    let version = fleet.change(lines);
+    let changed = restarted(entries.min(settings.zone_entries), fleet.next_change());
+    let (before, changed_entries) = (Reading::read(fleet), changed.len() as u64);
+    let version = fleet.change(changed);
     ZoneStep {
         changed_entries,
-        step: finish(fleet, &before, version, settings.step_time).await,
+        step: wait_for_version(fleet, &before, version, settings.step_timeout).await,
     }
 }
 
-/// Discovery is gone, changes one entry and returns, with or without the changes that led to its list.
-pub(super) async fn back(
+/// An outage of discovery, during which one entry changes; afterwards with or without its change history.
+pub(super) async fn outage(
     fleet: &mut Fleet,
     entries: u64,
     history: bool,
     settings: &HollowSettings,
-) -> ReturnStep {
-    let before = Reading::of(fleet);
+) -> OutageStep {
+    let before = Reading::read(fleet);
     fleet.discovery.set_absent(true);
-    sleep(settings.absent_time).await;
+    sleep(settings.outage_time).await;
     let version = change_one(fleet, entries);
     if !history {
         fleet.discovery.forget_changes();
     }
-    let absent_ms = before.at.elapsed().as_secs_f64() * 1e3;
-    fleet.progress.announce(version, Instant::now());
+    let outage_ms = before.at.elapsed().as_secs_f64() * 1e3;
+    fleet.progress.record_published(version, Instant::now());
     let mut last = fleet.discovery.traffic();
     fleet.discovery.set_absent(false);
     let (mut connections, mut calls) = (0, 0);
-    let until = Instant::now() + settings.step_time;
-    // One window more than it takes, so that the last calls are counted.
-    let mut current = false;
-    while !current && Instant::now() < until {
-        current = fleet.progress.lagging(version) == 0;
-        sleep(WINDOW).await;
+    let deadline = Instant::now() + settings.step_timeout;
+    // Ends one window after the version is in force at all mixers, so that the last calls are counted.
+    let mut in_force = false;
+    while !in_force && Instant::now() < deadline {
+        in_force = fleet.progress.lagging(version) == 0;
+        sleep(PEAK_WINDOW).await;
         let now = fleet.discovery.traffic();
         let window = now.since(&last);
         (connections, calls) = (
@@ -203,18 +212,18 @@
         );
         last = now;
     }
-    ReturnStep {
-        absent_ms,
+    OutageStep {
+        outage_ms,
         peak_connections_per_100_ms: connections,
         peak_calls_per_100_ms: calls,
-        step: settled(fleet, &before, version),
+        step: step_result(fleet, &before, version),
     }
 }
 
-/// All watches fall silent, and one entry changes at that moment.
-pub(super) async fn silence(fleet: &mut Fleet, entries: u64, most: Duration) -> Step {
-    let before = Reading::of(fleet);
+/// Discovery stops sending on all open watches, and one entry changes at the same time.
+pub(super) async fn silence(fleet: &mut Fleet, entries: u64, timeout: Duration) -> Step {
+    let before = Reading::read(fleet);
     fleet.discovery.fall_silent();
     let version = change_one(fleet, entries);
-    finish(fleet, &before, version, most).await
+    wait_for_version(fleet, &before, version, timeout).await
 }
--- a/crates/lab/src/hollow/tables.rs
+++ b/crates/lab/src/hollow/tables.rs
@@ -1,11 +1,11 @@
-//! The report of a run with hollow mixers as Markdown tables.
+//! The report of a hollow-mixer run as Markdown tables.
 
-use super::report::{Cost, HollowPoint, HollowReport, RateStep, ReturnStep, Spread, Step};
-use crate::markdown::{table, NOTHING};
+use super::report::{Cost, DelayStats, HollowPoint, HollowReport, OutageStep, RateStep, Step};
+use crate::markdown::{table, NO_VALUE};
 use crate::report::Outcome;
-use crate::units::grouped;
+use crate::units::format_grouped;
 
-/// Three tables: delays, costs, steady rates.
+/// The tables of delays, costs and steady rates.
 pub fn page(report: &HollowReport) -> String {
     let mut delays = table(DELAYS);
     let mut costs = table(COSTS);
@@ -17,7 +17,7 @@
     }
     let [before, after] = report.load_average;
     format!(
-        "Delays in ms: median / 99th percentile / worst. Load average of the machine {before:.1} at the beginning, \
+        "Delays in ms: median / 99th percentile / worst. Load average of the machine {before:.1} at the start, \
          {after:.1} at the end.\n\n{delays}\n\n{costs}\n\n{rates}\n"
     )
 }
@@ -60,24 +60,24 @@
     "in force",
 ];
 
-fn size(point: &HollowPoint) -> [String; 3] {
+fn size_cells(point: &HollowPoint) -> [String; 3] {
     [
-        grouped(point.mixers as f64),
-        grouped(point.entries as f64),
-        point.way.to_string(),
+        format_grouped(point.mixers as f64),
+        format_grouped(point.entries as f64),
+        point.mode.to_string(),
     ]
 }
 
-fn spread(step: Option<&Step>) -> String {
+fn delays_cell(step: Option<&Step>) -> String {
     let Some(Step {
         in_force,
         lagging_mixers,
         ..
     }) = step
     else {
-        return NOTHING.into();
+        return NO_VALUE.into();
     };
-    let Spread {
+    let DelayStats {
         samples,
         median_ms,
         p99_ms,
@@ -89,31 +89,32 @@
         String::new()
     };
     if *samples == 0 {
-        return format!("{NOTHING}{lagging}");
+        return format!("{NO_VALUE}{lagging}");
     }
     format!("{median_ms:.1} / {p99_ms:.1} / {worst_ms:.1}{lagging}")
 }
 
 fn number(value: Option<f64>) -> String {
-    value.map_or(NOTHING.into(), |value| grouped(value.round()))
+    value.map_or(NO_VALUE.into(), |value| format_grouped(value.round()))
 }
 
 fn delays_row(point: &HollowPoint) -> Vec<String> {
-    let step_of = |back: Option<&ReturnStep>| spread(back.map(|back| &back.step));
+    let outage_delays =
+        |outage: Option<&OutageStep>| delays_cell(outage.map(|outage| &outage.step));
     let outcome = match point.outcome {
         Outcome::Measured => "measured".into(),
         Outcome::Cut | Outcome::Refused | Outcome::Failed => point.note.clone(),
     };
     let steps = [
-        spread(point.start.as_ref()),
-        spread(point.change.as_ref()),
-        spread(point.zone.as_ref().map(|zone| &zone.step)),
-        step_of(point.back.as_ref()),
-        step_of(point.back_without_history.as_ref()),
-        spread(point.silence.as_ref()),
+        delays_cell(point.start.as_ref()),
+        delays_cell(point.change.as_ref()),
+        delays_cell(point.zone.as_ref().map(|zone| &zone.step)),
+        outage_delays(point.outage.as_ref()),
+        outage_delays(point.outage_without_history.as_ref()),
+        delays_cell(point.silence.as_ref()),
         outcome,
     ];
-    size(point).into_iter().chain(steps).collect()
+    size_cells(point).into_iter().chain(steps).collect()
 }
 
 /// Processor time of one change at each mixer, in microseconds.
@@ -127,27 +128,32 @@
     let start = point
         .start
         .map(|step| step.cost)
-        .filter(|cost| cost.whole_messages > 0);
+        .filter(|cost| cost.snapshot_messages > 0);
     let zone = point.zone.map(|zone| zone.step.cost);
     let calls = |cost: Cost| (cost.list_calls + cost.watch_calls) as f64;
-    // Nothing was read of a point that ended before it came to rest.
+    // Memory is 0 for a point that ended before the idle step, where it is read.
     let megabytes = |bytes: u64| (bytes > 0).then_some(bytes as f64 / 1e6);
     let cells = [
-        start.map(|cost| cost.bytes_per_whole_message),
+        start.map(|cost| cost.bytes_per_snapshot_message),
         point.change.map(|step| step.cost.bytes_per_change_message),
         change_us(point),
         zone.map(|cost| cost.socket_bytes_per_mixer),
         zone.map(|cost| cost.processor_us_per_mixer),
-        point.back.map(|back| calls(back.step.cost)),
-        point.back.map(|back| back.peak_calls_per_100_ms as f64),
+        point.outage.map(|outage| calls(outage.step.cost)),
+        point
+            .outage
+            .map(|outage| outage.peak_calls_per_100_ms as f64),
         megabytes(point.resident_bytes),
         megabytes(point.peak_resident_bytes),
     ];
-    size(point).into_iter().chain(cells.map(number)).collect()
+    size_cells(point)
+        .into_iter()
+        .chain(cells.map(number))
+        .collect()
 }
 
 fn rate_row(point: &HollowPoint, rate: &RateStep) -> Vec<String> {
-    let [mixers, entries, _] = size(point);
+    let [mixers, entries, _] = size_cells(point);
     vec![
         mixers,
         entries,
@@ -155,6 +161,6 @@
         number(Some(rate.socket_bytes_per_second_per_mixer)),
         format!("{:.3}", rate.processor_percent_of_a_core_per_mixer),
         format!("{:.1}", rate.discovery_processor_percent_of_a_core),
-        spread(Some(&rate.step)),
+        delays_cell(Some(&rate.step)),
     ]
 }
--- a/crates/lab/src/hollow/thread.rs
+++ b/crates/lab/src/hollow/thread.rs
@@ -1,4 +1,4 @@
-//! Threads with a runtime of their own, whose processor time is read apart.
+//! Threads with a runtime each, whose processor time can be read separately.
 
 use crate::Failure;
 use std::fs;
@@ -10,18 +10,19 @@
 use tokio::sync::oneshot;
 use tokio::task::LocalSet;
 
-/// A thread that runs until it is dropped.
+/// A thread that runs until this handle is dropped.
 pub(super) struct RuntimeThread {
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
-    schedule: PathBuf,
+    schedstat: PathBuf,
 }
 
 impl RuntimeThread {
-    /// Starts a thread, runs `start` on it to its end and hands its result over; what that has spawned goes on.
+    /// Starts a thread, runs `start` on it to completion and returns its result. Tasks that `start` has spawned keep
+    /// running.
     ///
     /// # Errors
-    /// The thread or its runtime can't be started.
+    /// The thread or its runtime cannot be started.
     pub fn start<T, F>(
         start: impl FnOnce() -> F + Send + 'static,
     ) -> Result<(RuntimeThread, T), Failure>
@@ -40,37 +41,37 @@
             };
             LocalSet::new().block_on(&runtime, async move {
                 let result = start().await;
-                if started.send((schedule(), result)).is_ok() {
+                if started.send((schedstat_path(), result)).is_ok() {
                     let _ = stopped.await;
                 }
             });
         });
         let thread = thread.map_err(Failure::running)?;
-        let (schedule, result) = result
+        let (schedstat, result) = result
             .recv()
-            .map_err(|_| Failure::running("a thread did not start"))?;
+            .map_err(|_| Failure::running("a thread ended before its start task completed"))?;
         Ok((
             RuntimeThread {
                 stop: Some(stop),
                 thread: Some(thread),
-                schedule,
+                schedstat,
             },
             result,
         ))
     }
 
-    /// Processor time of this thread; zero where the kernel does not tell it.
+    /// Processor time of this thread; zero if the kernel does not report it.
     pub fn processor_time(&self) -> Duration {
-        let text = fs::read_to_string(&self.schedule).unwrap_or_default();
+        let text = fs::read_to_string(&self.schedstat).unwrap_or_default();
         let nanos = text.split(' ').next().and_then(|nanos| nanos.parse().ok());
         Duration::from_nanos(nanos.unwrap_or_default())
     }
 }
 
-/// Where the kernel tells the processor time of the thread that calls this.
-fn schedule() -> PathBuf {
-    let own = fs::read_link("/proc/thread-self").unwrap_or_default();
-    PathBuf::from("/proc").join(own).join("schedstat")
+/// Path of the kernel's scheduling statistics for the calling thread, which contain its processor time.
+fn schedstat_path() -> PathBuf {
+    let thread = fs::read_link("/proc/thread-self").unwrap_or_default();
+    PathBuf::from("/proc").join(thread).join("schedstat")
 }
 
 impl Drop for RuntimeThread {
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,8 +1,8 @@
-//! Measurements of the mixer against the size it is planned for.
+//! Measurements of the mixer at the fleet size that it is planned for.
 //!
-//! [`scale`] steps one size at a time and fits a slope to what each size costs; [`hollow`] runs mixers without clients
-//! over sockets; [`report`] is what every run writes.
-//! Figures come from one machine and are called so: ratios within one run carry the argument.
+//! [`scale`] varies one size at a time and fits a line to the cost by size; [`hollow`] runs mixers without clients
+//! over sockets; [`report`] defines the report of the scale runs.
+//! All figures come from a single machine, so conclusions rest on ratios within one run, not on absolute times.
 
 pub mod failure;
 pub mod fit;
--- a/crates/lab/src/logs.rs
+++ b/crates/lab/src/logs.rs
@@ -8,7 +8,7 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// The section of the settings that says what is logged.
+/// The section `[log]` of the settings.
 pub const SECTION: Section = Section {
     name: "log",
     named: false,
@@ -18,34 +18,34 @@
             kind: Kind::Choice(&["error", "warn", "info", "debug", "trace"]),
             default: Some("info"),
             reloadable: false,
-            doc: "The least level that is logged.",
+            doc: "Least severe level that is logged.",
         },
         Key {
             name: "format",
             kind: Kind::Choice(&["text", "json"]),
             default: Some("text"),
             reloadable: false,
-            doc: "One line of text, or one JSON object, for each event.",
+            doc: "Format of each event: a line of text or a JSON object.",
         },
     ],
 };
 
-/// Starts logging; once in a process.
+/// Starts logging; may be called once per process.
 ///
 /// # Errors
-/// A logger that runs already.
-pub fn start(settings: &Settings) -> Result<(), Failure> {
+/// Logging is already started, or the level is invalid.
+pub fn init(settings: &Settings) -> Result<(), Failure> {
     let values = settings.section(&SCHEMA, SECTION.name, "");
     let level = values.text("level").unwrap_or("info");
     let filter: Targets = level.parse().map_err(Failure::settings)?;
-    let plain = tracing_subscriber::fmt::layer()
+    let text = tracing_subscriber::fmt::layer()
         .with_ansi(false)
         .with_writer(std::io::stderr);
     let json = values.text("format") == Some("json");
     let layer = if json {
-        plain.json().flatten_event(true).boxed()
+        text.json().flatten_event(true).boxed()
     } else {
-        plain.boxed()
+        text.boxed()
     };
     tracing_subscriber::registry()
         .with(layer.with_filter(filter))
--- a/crates/lab/src/machine.rs
+++ b/crates/lab/src/machine.rs
@@ -1,29 +1,30 @@
-//! The machine and the build that a run was made with.
+//! The machine and the build of a run.
 
 use serde::{Deserialize, Serialize};
 use std::fs;
 use std::process::Command;
 
-/// What figures of one machine have to be read with. No host names and no paths.
+/// The environment that a run's figures depend on. Contains no host names and no paths.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Processors that this process may use.
+    /// Number of processors available to this process.
     pub cores: usize,
     pub memory_bytes: u64,
-    /// Release of the kernel.
+    /// Kernel release.
     pub kernel: String,
-    /// Model of the processor.
+    /// Processor model.
     pub processor: String,
-    /// The commit measured; `unknown` outside a working copy, `+changes` after it where files differ from it.
+    /// The commit measured: `unknown` outside a Git working copy, with the suffix `+changes` if files differ from it.
     pub commit: String,
-    /// When the run began, in UTC, to the second.
-    pub began: String,
+    /// Start of the run in UTC, in seconds precision.
+    #[serde(rename = "began")]
+    pub started: String,
     /// `release` or `debug`.
     pub build: String,
 }
 
 impl Machine {
-    /// Reads it from the kernel and from git.
+    /// Reads the values from the kernel and from Git.
     pub fn read() -> Machine {
         let uname = rustix::system::uname();
         Machine {
@@ -34,7 +35,7 @@
             kernel: uname.release().to_string_lossy().into_owned(),
             processor: value_of("/proc/cpuinfo", "model name").unwrap_or_else(|| "unknown".into()),
             commit: commit(),
-            began: jiff::Timestamp::now()
+            started: jiff::Timestamp::now()
                 .strftime("%Y-%m-%dT%H:%M:%SZ")
                 .to_string(),
             build: if cfg!(debug_assertions) {
@@ -47,7 +48,7 @@
     }
 }
 
-/// The first value of a `key: value` line.
+/// The value of the first `key: value` line with this key.
 fn value_of(file: &str, key: &str) -> Option<String> {
     let text = fs::read_to_string(file).ok()?;
     let mut pairs = text.lines().filter_map(|line| line.split_once(':'));
@@ -56,7 +57,7 @@
         .map(|(_, value)| value.trim().to_string())
 }
 
-/// Bytes of a number with `kB` behind it.
+/// Converts a number with the suffix `kB` to bytes; the kernel's `kB` are KiB.
 fn kib(text: &str) -> Option<u64> {
     text.trim_end_matches("kB")
         .trim()
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,20 +1,20 @@
-//! `cottonhill-lab`: measurements of the mixer against the size it is planned for.
+//! `cottonhill-lab`: measurements of the mixer at the fleet size that it is planned for.
 
 use clap::{Parser, Subcommand};
 use cottonhill_ini::Settings;
 use cottonhill_lab::hollow::{self, HollowSettings, PointSpec};
 use cottonhill_lab::scale;
 use cottonhill_lab::scale::point::{self, Spec};
-use cottonhill_lab::scale::settings::Scale;
+use cottonhill_lab::scale::settings::ScaleSettings;
 use cottonhill_lab::{logs, markdown, output, settings, Failure};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Measures the mixer against the size it is planned for.
+/// Measures the mixer at the fleet size that it is planned for.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
-    /// The lab's settings, in INI; the defaults hold without it
+    /// Settings file, in INI; without it all settings have their defaults
     #[arg(long, global = true, value_name = "FILE")]
     settings: Option<PathBuf>,
     #[command(subcommand)]
@@ -23,30 +23,30 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run series that step one size at a time, without sockets
+    /// Run series that vary one size at a time, without sockets
     Scale {
         /// Folder for scale.json, scale.md, scale.png and machine.txt
         #[arg(long, value_name = "FOLDER", default_value = "docs/capacity")]
         out: PathBuf,
-        /// Print every slope beside that of an earlier report
+        /// Print every slope next to that of an earlier report
         #[arg(long, value_name = "REPORT")]
         against: Option<PathBuf>,
     },
-    /// Run mixers without clients over loopback sockets: delays and costs of lists and their changes
+    /// Run mixers without clients over loopback sockets: delay and cost of endpoint lists and their changes
     Hollow {
-        /// The report, as JSON; its tables are written beside it, with the ending md
+        /// The report, as JSON; its tables are written to the same folder, with the extension md
         #[arg(long, value_name = "FILE", default_value = "docs/capacity/hollow.json")]
         out: PathBuf,
     },
     /// Print every slope, ratio and cost of two reports side by side, as Markdown
     Compare { before: PathBuf, after: PathBuf },
-    /// Measure one point in this process; how `scale` starts itself
+    /// Measure one point in this process; `scale` runs itself with this subcommand
     #[command(hide = true)]
     Point {
         /// The point, as JSON
         spec: String,
     },
-    /// Measure one size in this process; how `hollow` starts itself
+    /// Measure one size in this process; `hollow` runs itself with this subcommand
     #[command(hide = true)]
     HollowPoint {
         /// The size, as JSON
@@ -61,7 +61,7 @@
         _ => {}
     }
     let settings = settings::read(arguments.settings.as_deref())?;
-    logs::start(&settings)?;
+    logs::init(&settings)?;
     match arguments.command {
         Command::Scale { out, against } => scale(&settings, &out, against.as_deref()),
         Command::Compare { before, after } => compare(&before, &after),
@@ -71,18 +71,18 @@
     }
 }
 
-/// One sample on standard output. No logger runs here: logging is not what is measured.
+/// Writes one sample to standard output. Logging is not started, so that its cost is not measured.
 fn point(spec: &str) -> Result<(), Failure> {
-    let spec: Spec =
-        serde_json::from_str(spec).map_err(|e| Failure::Settings(format!("no point: {e}")))?;
+    let spec: Spec = serde_json::from_str(spec)
+        .map_err(|e| Failure::Settings(format!("invalid point specification: {e}")))?;
     let sample = serde_json::to_string(&point::measure(&spec)).map_err(Failure::running)?;
     println!("{sample}");
     Ok(())
 }
 
 fn scale(settings: &Settings, out: &Path, against: Option<&Path>) -> Result<(), Failure> {
-    let scale = Scale::read(settings)?;
-    // Read before the run: a wrong name costs seconds, not minutes.
+    let scale = ScaleSettings::read(settings)?;
+    // Read before the run, so that a wrong file name fails in seconds, not after minutes of measuring.
     let before = against.map(output::read).transpose()?;
     let program = std::env::current_exe().map_err(Failure::running)?;
     let report = scale::run(&program, settings, &scale);
@@ -95,10 +95,10 @@
     Ok(())
 }
 
-/// One size on standard output; no logger runs here either.
+/// Writes the results of one size to standard output, also without logging.
 fn hollow_point(spec: &str) -> Result<(), Failure> {
-    let spec: PointSpec =
-        serde_json::from_str(spec).map_err(|e| Failure::Settings(format!("no point: {e}")))?;
+    let spec: PointSpec = serde_json::from_str(spec)
+        .map_err(|e| Failure::Settings(format!("invalid point specification: {e}")))?;
     let point = serde_json::to_string(&hollow::measure(&spec)?).map_err(Failure::running)?;
     println!("{point}");
     Ok(())
--- a/crates/lab/src/markdown.rs
+++ b/crates/lab/src/markdown.rs
@@ -1,14 +1,14 @@
-//! A report as Markdown tables, and two reports side by side.
+//! A report as Markdown tables, and the comparison of two reports.
 
 use crate::machine::Machine;
 use crate::report::{Measure, Outcome, Point, Ratio, Report, Scope, Series, Slope};
-use crate::units::{digits, grouped, shown};
+use crate::units::{format_digits, format_grouped, format_value};
 use comfy_table::presets::ASCII_MARKDOWN;
 use comfy_table::Table;
 use std::collections::BTreeSet;
 
-/// What stands where there is no value.
-pub(crate) const NOTHING: &str = "-";
+/// Table cell for a missing value.
+pub(crate) const NO_VALUE: &str = "-";
 
 pub(crate) fn table<'a>(header: impl IntoIterator<Item = &'a str>) -> Table {
     let mut table = Table::new();
@@ -16,21 +16,21 @@
     table
 }
 
-/// The whole report.
+/// The page of a report.
 pub fn page(report: &Report) -> String {
     let mut parts = vec![
         "# Scale runs".to_string(),
         format!(
-            "Written by `make scale`; see [CAPACITY.md](../CAPACITY.md). Figures of one machine: {}. The ratios \
-             within the run carry the argument, not the times.",
+            "Written by `make scale`; see [CAPACITY.md](../CAPACITY.md). Figures from one machine: {}. \
+             Conclusions rest on the ratios within the run, not on the absolute times.",
             machine(&report.machine)
         ),
-        format!("`{}`, in {} s.", report.summary(), digits(report.wall_seconds)),
+        format!("`{}`, in {} s.", report.summary(), format_digits(report.wall_seconds)),
         "## Slopes".to_string(),
         slopes(&report.slopes),
-        "The residual is the root mean square of what the line misses, as a share of the mean; two points have \
-         none. Refused sizes enter no fit. Processor times of queries and changes are those of the reducer and its \
-         decisions, the median of the slices that a point is measured in; their counts are of the whole point."
+        "The residual is the root mean square deviation from the line, relative to the mean; a line through two \
+         points has none. Refused sizes are excluded from the fits. Processor times of queries and changes are those of the reducer \
+         and its decisions, each the median over the slices of a point; their counts cover the complete point."
             .to_string(),
         "## Ratios".to_string(),
         ratios(&report.ratios),
@@ -48,12 +48,12 @@
         kernel,
         processor,
         commit,
-        began,
+        started,
         build,
     } = machine;
-    let memory = digits(*memory_bytes as f64 / 1e9);
+    let memory = format_digits(*memory_bytes as f64 / 1e9);
     format!(
-        "{cores} cores of {processor}, {memory} GB, kernel {kernel}; commit {commit}, {build} build, {began}"
+        "{cores} cores of {processor}, {memory} GB, kernel {kernel}; commit {commit}, {build} build, {started}"
     )
 }
 
@@ -63,16 +63,16 @@
     ]);
     for slope in slopes {
         let line = slope.line.map(|line| {
-            let at_zero = shown(line.intercept, slope.measure.unit());
+            let at_zero = format_value(line.intercept, slope.measure.unit());
             [
-                digits(line.slope),
+                format_digits(line.slope),
                 at_zero,
                 percent(line.residual),
                 line.points.to_string(),
             ]
         });
         let [value, at_zero, residual, points] =
-            line.unwrap_or_else(|| [NOTHING; 4].map(String::from));
+            line.unwrap_or_else(|| [NO_VALUE; 4].map(String::from));
         table.add_row([
             &slope.name,
             &value,
@@ -86,31 +86,31 @@
     table.to_string()
 }
 
-fn percent(share: f64) -> String {
-    format!("{} %", digits(share * 100.0))
+fn percent(fraction: f64) -> String {
+    format!("{} %", format_digits(fraction * 100.0))
 }
 
-/// The ratios with their aims, for the page and the terminal.
+/// The table of ratios with their targets, for the page and the terminal.
 pub fn ratios(ratios: &[Ratio]) -> String {
     let mut table = table(["ratio", "value", "aim", "reached"]);
     for ratio in ratios {
         let reached = match ratio.reached() {
-            None => NOTHING,
+            None => NO_VALUE,
             Some(true) => "reached",
             Some(false) => "not reached",
         };
         table.add_row([
             ratio.name.as_str(),
-            &figure(ratio.value),
-            &figure(ratio.aim),
+            &format_optional(ratio.value),
+            &format_optional(ratio.target),
             reached,
         ]);
     }
     table.to_string()
 }
 
-fn figure(value: Option<f64>) -> String {
-    value.map_or(NOTHING.into(), digits)
+fn format_optional(value: Option<f64>) -> String {
+    value.map_or(NO_VALUE.into(), format_digits)
 }
 
 fn series(series: &Series) -> String {
@@ -129,10 +129,12 @@
     for point in &series.points {
         let values = measures.iter().map(|measure| {
             let value = point.values.get(measure);
-            value.map_or(NOTHING.into(), |value| shown(*value, measure.unit()))
+            value.map_or(NO_VALUE.into(), |value| {
+                format_value(*value, measure.unit())
+            })
         });
         table.add_row(
-            std::iter::once(grouped(point.x))
+            std::iter::once(format_grouped(point.x))
                 .chain(values)
                 .chain([outcome(point)]),
         );
@@ -151,44 +153,47 @@
     }
 }
 
-/// Every slope and ratio of two reports side by side.
+/// Slopes, ratios and point costs of two reports side by side.
 pub fn comparison(before: &Report, after: &Report) -> String {
     let mut slopes = table(["slope", "unit", "before", "after", "after / before"]);
     for slope in &after.slopes {
-        let same = |then: &&Slope| then.series == slope.series && then.measure == slope.measure;
-        let then = before.slopes.iter().find(same);
-        let then = then.and_then(|then| then.line).map(|line| line.slope);
+        let same =
+            |earlier: &&Slope| earlier.series == slope.series && earlier.measure == slope.measure;
+        let earlier = before.slopes.iter().find(same);
+        let earlier = earlier
+            .and_then(|earlier| earlier.line)
+            .map(|line| line.slope);
         let now = slope.line.map(|line| line.slope);
         slopes.add_row([
             &slope.name,
             &slope.unit,
-            &figure(then),
-            &figure(now),
-            &share(then, now),
+            &format_optional(earlier),
+            &format_optional(now),
+            &quotient(earlier, now),
         ]);
     }
     let mut ratios = table(["ratio", "aim", "before", "after"]);
     for ratio in &after.ratios {
-        let then = before
+        let earlier = before
             .ratios
             .iter()
-            .find(|then| then.name == ratio.name)
-            .and_then(|then| then.value);
+            .find(|earlier| earlier.name == ratio.name)
+            .and_then(|earlier| earlier.value);
         ratios.add_row([
             &ratio.name,
-            &figure(ratio.aim),
-            &figure(then),
-            &figure(ratio.value),
+            &format_optional(ratio.target),
+            &format_optional(earlier),
+            &format_optional(ratio.value),
         ]);
     }
-    let (then, now) = (machine(&before.machine), machine(&after.machine));
+    let (earlier, now) = (machine(&before.machine), machine(&after.machine));
     format!(
-        "Before: {then}.\nAfter: {now}.\n\n{slopes}\n\n{ratios}\n\n{}\n",
+        "Before: {earlier}.\nAfter: {now}.\n\n{slopes}\n\n{ratios}\n\n{}\n",
         points(before, after)
     )
 }
 
-/// The processor time and memory of each point, where both reports have it.
+/// Processor time and memory of each point of `after`, with the value of `before` for the same series and size.
 fn points(before: &Report, after: &Report) -> String {
     let mut table = table([
         "series",
@@ -199,22 +204,27 @@
         "after / before",
     ]);
     for series in &after.series {
-        let Some(earlier) = before.series(&series.name) else {
+        let Some(earlier_series) = before.series(&series.name) else {
             continue;
         };
         for point in &series.points {
-            let then = earlier.points.iter().find(|then| then.x == point.x);
+            let earlier_point = earlier_series
+                .points
+                .iter()
+                .find(|earlier| earlier.x == point.x);
             for (measure, now) in point.values.iter().filter(|(measure, _)| measure.is_cost()) {
-                let then = then.and_then(|then| then.values.get(measure)).copied();
-                let shown = |value: f64| shown(value, measure.unit());
+                let earlier = earlier_point
+                    .and_then(|point| point.values.get(measure))
+                    .copied();
+                let formatted = |value: f64| format_value(value, measure.unit());
                 let cells = [
-                    then.map_or(NOTHING.into(), shown),
-                    shown(*now),
-                    share(then, Some(*now)),
+                    earlier.map_or(NO_VALUE.into(), formatted),
+                    formatted(*now),
+                    quotient(earlier, Some(*now)),
                 ];
                 let label = measure.label().to_string();
                 table.add_row(
-                    [series.name.clone(), grouped(point.x), label]
+                    [series.name.clone(), format_grouped(point.x), label]
                         .into_iter()
                         .chain(cells),
                 );
@@ -224,10 +234,10 @@
     table.to_string()
 }
 
-fn share(then: Option<f64>, now: Option<f64>) -> String {
-    let share = then
-        .filter(|then| *then != 0.0)
+fn quotient(earlier: Option<f64>, now: Option<f64>) -> String {
+    let quotient = earlier
+        .filter(|earlier| *earlier != 0.0)
         .zip(now)
-        .map(|(then, now)| now / then);
-    figure(share)
+        .map(|(earlier, now)| now / earlier);
+    format_optional(quotient)
 }
--- a/crates/lab/src/meter.rs
+++ b/crates/lab/src/meter.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::time::Duration;
 
-/// Processor time of all threads of this process since it began.
+/// Processor time of all threads of this process since its start.
 pub fn processor_time() -> Duration {
     let time = clock_gettime(ClockId::ProcessCPUTime);
     Duration::new(
@@ -13,7 +13,7 @@
     )
 }
 
-/// Resident memory in bytes; 0 where the kernel does not tell it.
+/// Resident memory in bytes; 0 where the kernel does not report it.
 pub fn resident_bytes() -> u64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = statm
@@ -24,7 +24,7 @@
     pages * rustix::param::page_size() as u64
 }
 
-/// The most resident memory that this process has had, in bytes; 0 where the kernel does not tell it.
+/// Peak resident memory of this process in bytes; 0 where the kernel does not report it.
 pub fn peak_resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
@@ -34,18 +34,17 @@
     kib * 1024
 }
 
-/// Processor time since its start.
+/// Measures the processor time of this process from a start on.
 #[derive(Clone, Copy, Debug)]
-pub struct Stopwatch(Duration);
+pub struct ProcessorTimer(Duration);
 
-impl Stopwatch {
-    /// Starts now.
-    pub fn start() -> Stopwatch {
-        Stopwatch(processor_time())
+impl ProcessorTimer {
+    pub fn start() -> ProcessorTimer {
+        ProcessorTimer(processor_time())
     }
 
-    /// Processor time spent since the start, in nanoseconds.
-    pub fn nanos(self) -> f64 {
+    /// Processor time since the start, in nanoseconds.
+    pub fn elapsed_ns(self) -> f64 {
         processor_time().saturating_sub(self.0).as_nanos() as f64
     }
 }
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -1,7 +1,7 @@
 //! The report's plot: four panels on logarithmic axes.
 
 use crate::report::{Measure, Report, Series};
-use crate::units::shown;
+use crate::units::format_value;
 use crate::Failure;
 use plotters::coord::Shift;
 use plotters::prelude::*;
@@ -17,7 +17,7 @@
     BLACK,
 ];
 
-/// One curve: a series and what of it is drawn.
+/// One curve: a measure of a series.
 struct Curve<'a> {
     series: &'a Series,
     measure: Measure,
@@ -42,9 +42,9 @@
 /// Draws the report into a PNG file.
 ///
 /// # Errors
-/// A file that cannot be written, or a font that cannot be used.
+/// The file cannot be written, or the font cannot be used.
 pub fn draw(report: &Report, path: &Path) -> Result<(), Failure> {
-    // The font comes with the program: nothing of the system's is needed.
+    // The font is compiled into the program, so that no system font is needed.
     plotters::style::register_font(FONT, FontStyle::Normal, epaint_default_fonts::UBUNTU_LIGHT)
         .map_err(|_| Failure::Running("the plot's font cannot be used".into()))?;
     let root = BitMapBackend::new(path, SIZE).into_drawing_area();
@@ -57,30 +57,32 @@
 }
 
 fn panels(report: &Report) -> [Panel<'_>; 4] {
-    let curves = |measure: Measure, fits: &dyn Fn(&str) -> bool| {
-        let series = report.series.iter().filter(|series| fits(&series.name));
+    let curves = |measure: Measure, selects: &dyn Fn(&str) -> bool| {
+        let series = report.series.iter().filter(|series| selects(&series.name));
         series
             .map(|series| Curve { series, measure })
             .collect::<Vec<_>>()
     };
-    let queries = |name: &str| name.starts_with("query-of") && name.contains("by-servers");
-    let open = |name: &str| name.starts_with("query-of") && name.ends_with("by-open-queries");
+    let queries_by_servers =
+        |name: &str| name.starts_with("query-of") && name.contains("by-servers");
+    let queries_by_open =
+        |name: &str| name.starts_with("query-of") && name.ends_with("by-open-queries");
     let changes = |name: &str| name.starts_with("change-of");
     let list = |name: &str| name == crate::scale::plan::name::LIST;
-    let mut whole = curves(Measure::ParseProcessorNs, &list);
-    whole.extend(curves(Measure::TakeProcessorNs, &list));
-    whole.extend(curves(Measure::RetakeProcessorNs, &list));
+    let mut list_curves = curves(Measure::ParseProcessorNs, &list);
+    list_curves.extend(curves(Measure::ApplyProcessorNs, &list));
+    list_curves.extend(curves(Measure::ReapplyProcessorNs, &list));
     let servers = "leaf servers";
     [
         Panel {
             title: "Processor time of a query",
             size: servers,
-            curves: curves(Measure::QueryProcessorNs, &queries),
+            curves: curves(Measure::QueryProcessorNs, &queries_by_servers),
         },
         Panel {
             title: "Processor time of a query",
             size: "open queries",
-            curves: curves(Measure::QueryProcessorNs, &open),
+            curves: curves(Measure::QueryProcessorNs, &queries_by_open),
         },
         Panel {
             title: "Processor time of a change",
@@ -90,12 +92,12 @@
         Panel {
             title: "Processor time of the whole list",
             size: servers,
-            curves: whole,
+            curves: list_curves,
         },
     ]
 }
 
-/// The range of values, with room around them; none where there are none.
+/// The range of the values, extended by a factor of 1.5 at both ends; `None` without values.
 fn range(values: impl Iterator<Item = f64>) -> Option<std::ops::Range<f64>> {
     let (mut least, mut most) = (f64::INFINITY, 0.0_f64);
     for value in values {
@@ -127,8 +129,8 @@
         .configure_mesh()
         .x_desc(panel.size)
         .label_style((FONT, 15))
-        .x_label_formatter(&|x| shown(*x, x_unit))
-        .y_label_formatter(&|y| shown(*y, y_unit))
+        .x_label_formatter(&|x| format_value(*x, x_unit))
+        .y_label_formatter(&|y| format_value(*y, y_unit))
         .x_labels(6)
         .y_labels(6)
         .max_light_lines(4)
@@ -147,9 +149,9 @@
         };
         let line = LineSeries::new(curve.points(), colour.stroke_width(2)).point_size(4);
         let drawn = chart.draw_series(line).map_err(|e| e.to_string())?;
-        let mark =
+        let legend_mark =
             move |(x, y)| PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2));
-        drawn.label(label).legend(mark);
+        drawn.label(label).legend(legend_mark);
     }
     let mut legend = chart.configure_series_labels();
     legend
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,67 +1,72 @@
-//! What a run found: series of points, slopes fitted to them, ratios with their aims.
+//! The report of a scale run: series of points, slopes fitted to them, ratios with their targets.
 
 use crate::fit::Line;
 use crate::machine::Machine;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The form of the report, for readers of older ones.
+/// Version of the report format; readers reject any other.
 pub const FORMAT: u32 = 1;
 
-/// One quantity measured at a point. The name in the report ends in its unit.
+/// A quantity measured at a point. Its name in the report ends in its unit, except for counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Measure {
-    /// Processor time of the reducer and its decisions for one query, all its parts included: the
-    /// median of the slices that a point is measured in.
+    /// Processor time of the reducer and its decisions for one query with all its parts: the median
+    /// over the slices of the point.
     QueryProcessorNs,
-    /// The same divided by the parts of a query.
+    /// [`Measure::QueryProcessorNs`] divided by the parts of a query.
     PartProcessorNs,
-    /// Queries that ended while processor time was measured; the other counts are of the whole point.
+    /// Queries that ended while processor time was measured; the other counts cover the complete point.
     QueriesMeasured,
-    /// Queries that clients put.
-    QueriesAsked,
-    /// Queries that ended in an answer.
+    /// Queries that clients sent.
+    #[serde(rename = "queries_asked")]
+    QueriesSent,
+    /// Queries that ended with an answer.
     QueriesAnswered,
-    /// Queries that ended in a refusal or a failure.
+    /// Queries that ended with a refusal or a failure.
     QueriesRefused,
-    /// Queries that had no reply at the end.
+    /// Queries without a reply at the end of the point.
     QueriesUnanswered,
-    /// Replies to queries that had one already.
-    RepliesTwice,
+    /// Replies to clients without an open query: the query had its reply already.
+    #[serde(rename = "replies_twice")]
+    DuplicateReplies,
     /// Attempts sent to leaf servers.
     Attempts,
-    /// Calls, each with one or more attempts, sent to leaf servers.
+    /// Calls sent to leaf servers, each with one or more attempts.
     Calls,
     /// Connections opened to leaf servers.
     Connections,
-    /// Times that the decisions were asked.
-    Turns,
-    /// Bytes of the whole list as JSON.
+    /// Batches that the reducer processed.
+    #[serde(rename = "turns")]
+    Batches,
+    /// Bytes of the snapshot of the endpoint list, as JSON.
     ListBytes,
-    /// Processor time to frame and parse the whole list.
+    /// Processor time to frame and parse the snapshot.
     ParseProcessorNs,
-    /// Processor time to take a parsed list into the reducer and decide on it.
-    TakeProcessorNs,
-    /// Processor time to take the same list again, with nothing changed.
-    RetakeProcessorNs,
-    /// Messages of changes that were taken.
+    /// Processor time to apply a parsed snapshot to the reducer and process the batch.
+    #[serde(rename = "take_processor_ns")]
+    ApplyProcessorNs,
+    /// Processor time to apply the same entries again, in a newer snapshot.
+    #[serde(rename = "retake_processor_ns")]
+    ReapplyProcessorNs,
+    /// Change messages that were applied.
     ChangeMessages,
-    /// Bytes of one message as JSON.
+    /// Bytes of one change message, as JSON.
     ChangeBytes,
-    /// Processor time of one change message, parsed, taken and decided on: the median of slices.
+    /// Processor time to parse and apply one change message and process the batch: the median over the slices.
     ChangeProcessorNs,
-    /// The same divided by the entries of the message.
+    /// [`Measure::ChangeProcessorNs`] divided by the entries of the message.
     ChangedEntryProcessorNs,
-    /// Resident memory that this point's state added, in bytes.
+    /// Resident memory added by the state that the point measures, in bytes.
     ResidentBytes,
-    /// The most that the process held until the list was taken, its program included, in bytes.
+    /// Peak resident memory of the process until the first snapshot was applied, in bytes, the program included.
     FirstPeakResidentBytes,
-    /// The most that the process held over the whole point, its program included, in bytes.
+    /// Peak resident memory of the process over the complete point, in bytes, the program included.
     PeakResidentBytes,
 }
 
-/// The values of one point.
+/// The measured values of one point.
 pub type Values = BTreeMap<Measure, f64>;
 
 /// How a point ended.
@@ -69,97 +74,98 @@
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     Measured,
-    /// Ended by its time bound; the values are those of what was done by then.
+    /// Stopped by a time limit; the values cover the work done until then.
     Cut,
-    /// The program refuses this size. Values, where there are any, were taken past the bound and enter no fit.
+    /// The size exceeds a bound of the mixer. Any values were measured past the bound and are excluded from fits.
     Refused,
-    /// The measurement itself failed.
+    /// The measurement failed.
     Failed,
 }
 
 /// One size of a series.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The size that the series steps.
+    /// The value of the size that the series varies.
     pub x: f64,
     pub outcome: Outcome,
-    /// Why it was cut, refused or failed; empty for one that was measured.
+    /// Why the point was cut, refused or failed; empty for a measured one.
     pub note: String,
     pub values: Values,
-    /// How long its process ran.
+    /// Run time of the point's process.
     pub wall_seconds: f64,
 }
 
-/// Where a series was measured.
+/// What part of the system a series measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Scope {
-    /// On the reducer with its decisions, without sockets.
+    /// The reducer with its decisions, without sockets.
     InProcess,
-    /// Over loopback sockets.
+    /// The mixer over loopback sockets.
     Sockets,
 }
 
-/// Points that differ in one size.
+/// Points that differ in a single size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Series {
-    /// In small letters with hyphens; unique in a report.
+    /// Lower-case with hyphens; unique in a report.
     pub name: String,
     pub title: String,
     pub scope: Scope,
-    /// The size that is stepped, with what it counts: `leaf servers`.
+    /// What the varied size counts, such as `leaf servers`.
     pub size: String,
     pub points: Vec<Point>,
 }
 
-/// What a slope is over.
+/// The quantity on the x axis of a slope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Against {
-    /// The size that the series steps.
+    /// The size that the series varies.
     Size,
-    /// What was counted at the point.
+    /// A quantity measured at the point.
     Measure(Measure),
 }
 
 /// A line fitted to the points of a series.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
-    /// What a reader looks for: `resident memory an entry`.
+    /// Title for readers, such as `resident memory an entry`.
     pub name: String,
-    /// Unit of the slope: `ns an entry`.
+    /// Unit of the slope, such as `ns an entry`.
     pub unit: String,
     pub series: String,
     pub measure: Measure,
     pub against: Against,
-    /// None where fewer than two points were measured.
+    /// `None` if the usable points have fewer than two distinct sizes.
     pub line: Option<Line>,
 }
 
-/// Two points of one run against each other.
+/// Quotient of a measure at two points of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ratio {
     pub name: String,
-    /// None where one of the two points has no value.
+    /// `None` if a point has no value, or if the series has a single size.
     pub value: Option<f64>,
-    /// The most that it should be; none for a ratio that only explains another.
-    pub aim: Option<f64>,
+    /// The largest acceptable value; `None` for a ratio that only explains another.
+    #[serde(rename = "aim")]
+    pub target: Option<f64>,
 }
 
 impl Ratio {
-    /// Whether the aim is reached; none without an aim. A value that is missing reaches none.
+    /// Whether the target is reached; `None` without a target. A missing value does not reach its target.
     pub fn reached(&self) -> Option<bool> {
-        self.aim
-            .map(|aim| self.value.is_some_and(|value| value <= aim))
+        self.target
+            .map(|target| self.value.is_some_and(|value| value <= target))
     }
 }
 
-/// All that one run found.
+/// The results of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     pub format: u32,
     pub machine: Machine,
-    /// Every setting in force, as `[section] key`.
+    /// Effective value of every setting, by `[section] key`.
     pub settings: BTreeMap<String, String>,
     pub wall_seconds: f64,
     pub series: Vec<Series>,
@@ -167,39 +173,38 @@
     pub ratios: Vec<Ratio>,
 }
 
-/// The counts of a report's last line.
+/// The counts in the last line that a run prints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Summary {
-    /// Series and their points, then the points by how they ended.
+    /// Series and their points, then the points by outcome.
     pub series: usize,
     pub points: usize,
     pub cut: usize,
     pub refused: usize,
     pub failed: usize,
-    /// Ratios that have an aim, and those of them that reach it.
-    pub aims: usize,
+    /// Ratios that have a target, and those that reach it.
+    pub targets: usize,
     pub reached: usize,
 }
 
 impl Report {
-    /// The series of this name.
     pub fn series(&self, name: &str) -> Option<&Series> {
         self.series.iter().find(|series| series.name == name)
     }
 
-    /// Counts what the report holds.
+    /// Counts the series, points and targets of the report.
     pub fn summary(&self) -> Summary {
         let points = || self.series.iter().flat_map(|series| &series.points);
-        let ended = |outcome| points().filter(|point| point.outcome == outcome).count();
-        let aims: Vec<bool> = self.ratios.iter().filter_map(Ratio::reached).collect();
+        let with_outcome = |outcome| points().filter(|point| point.outcome == outcome).count();
+        let targets: Vec<bool> = self.ratios.iter().filter_map(Ratio::reached).collect();
         Summary {
             series: self.series.len(),
             points: points().count(),
-            cut: ended(Outcome::Cut),
-            refused: ended(Outcome::Refused),
-            failed: ended(Outcome::Failed),
-            aims: aims.len(),
-            reached: aims.into_iter().filter(|reached| *reached).count(),
+            cut: with_outcome(Outcome::Cut),
+            refused: with_outcome(Outcome::Refused),
+            failed: with_outcome(Outcome::Failed),
+            targets: targets.len(),
+            reached: targets.into_iter().filter(|reached| *reached).count(),
         }
     }
 }
@@ -212,10 +217,10 @@
             cut,
             refused,
             failed,
-            aims,
+            targets,
             reached,
         } = self;
         write!(f, "SCALE series {series}, points {points}, cut {cut}, refused {refused}, failed {failed}, ")?;
-        write!(f, "aims {reached} of {aims} reached")
+        write!(f, "aims {reached} of {targets} reached")
     }
 }
--- a/crates/lab/src/scale/driver.rs
+++ b/crates/lab/src/scale/driver.rs
@@ -1,7 +1,8 @@
-//! Plays the sockets' part around the reducer: clients that ask, leaf servers that answer, in time of its own.
+//! Simulates the environment of a reducer, without sockets and on a virtual clock: clients that send queries, and
+//! leaf servers that answer.
 
 use super::fleet::Fleet;
-use crate::meter::Stopwatch;
+use crate::meter::ProcessorTimer;
 use bytes::Bytes;
 use cottonhill_mixer::protocol::endpoint_updates::EndpointUpdate;
 use cottonhill_mixer::protocol::leaf_frames::{CallPart, LeafRequest, LeafResponse, PartStatus};
@@ -11,200 +12,209 @@
 use std::collections::VecDeque;
 use std::time::Instant;
 
-const MS: u64 = 1_000_000;
-/// When a run begins in its own time: far from zero, so that nothing counts as just started.
-const BEGIN: u64 = 1_000_000 * MS;
-/// More descriptors than any run needs: no connection is closed for want of one.
-const DESCRIPTORS: usize = 10_000_000;
-/// How long a client waits.
-const CLIENT_TIMEOUT_NS: u64 = 5_000 * MS;
-/// Steps from one query's shards to the next one's; prime, so that all shards come up.
-const STRIDE: u64 = 7919;
+const NANOS_PER_MS: u64 = 1_000_000;
+/// Virtual time at the start of a run; far from zero, so that nothing counts as recently started.
+const START_NS: u64 = 1_000_000 * NANOS_PER_MS;
+/// Descriptor limit above the need of any run, so that no connection is closed for lack of descriptors.
+const MAX_DESCRIPTORS: usize = 10_000_000;
+/// Time-out that clients send with their queries.
+const CLIENT_TIMEOUT_NS: u64 = 5_000 * NANOS_PER_MS;
+/// Distance between the first shards of successive queries; prime, so that queries cover all shards.
+const SHARD_STRIDE: u64 = 7919;
 
-/// The queries of a run.
+/// The query load of a run.
 #[derive(Clone, Copy, Debug, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Workload {
     /// Parts of a query.
     pub parts: u64,
-    /// Queries open at once.
-    pub open: u64,
-    /// How long a leaf server takes for a part, in nanoseconds of the run's own time.
-    pub answer_ns: u64,
-    /// Shards that queries ask, from the first on; all of the fleet where it holds fewer.
+    /// Queries open at the same time.
+    #[serde(rename = "open")]
+    pub open_queries: u64,
+    /// Virtual time that a leaf server takes to answer a part, in nanoseconds.
+    #[serde(rename = "answer_ns")]
+    pub leaf_latency_ns: u64,
+    /// Number of shards, from the first on, that queries are spread over; the fleet's shards if it has fewer.
     pub shards: u64,
 }
 
-/// What has happened so far.
+/// Counts since the start of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Queries that clients put, and those that ended in an answer or in a refusal or failure.
-    pub asked: u64,
+    /// Queries sent by clients, those that ended with an answer, and those that ended with a refusal or failure.
+    pub sent: u64,
     pub answered: u64,
     pub refused: u64,
-    /// Replies to a client that had no query open.
-    pub twice: u64,
-    /// Attempts sent to leaf servers, and the calls that they went in.
+    /// Replies to clients without an open query.
+    pub duplicate_replies: u64,
+    /// Attempts sent to leaf servers, and the calls that contained them.
     pub attempts: u64,
     pub calls: u64,
     /// Connections opened to leaf servers.
     pub connections: u64,
-    /// Times that the decisions were asked.
-    pub turns: u64,
+    /// Batches that the reducer processed.
+    pub batches: u64,
 }
 
 impl Counts {
-    /// Queries that have had their reply.
+    /// Queries that have received their reply.
     pub fn ended(&self) -> u64 {
         self.answered + self.refused
     }
 
-    /// Queries that wait for theirs.
+    /// Queries without a reply.
     pub fn unanswered(&self) -> u64 {
-        self.asked.saturating_sub(self.ended())
+        self.sent.saturating_sub(self.ended())
     }
 }
 
-/// An attempt at a leaf server, until it is answered.
-struct Due {
-    at: u64,
+/// An attempt at a leaf server that has not been answered yet.
+struct PendingAnswer {
+    /// Virtual time of the answer.
+    due_at: u64,
     connection: u64,
     id: String,
 }
 
-/// A reducer with everything around it played.
+/// A reducer with a simulated environment.
 pub struct Driver {
-    state: Reducer,
+    reducer: Reducer,
     now: u64,
     inputs: Vec<Input>,
-    due: VecDeque<Due>,
-    free: Vec<u64>,
-    /// By client: it waits for a reply.
-    waiting: Vec<bool>,
-    answer_ns: u64,
-    /// Leaf servers answer nothing.
-    silent: bool,
+    pending_answers: VecDeque<PendingAnswer>,
+    idle_clients: Vec<u64>,
+    /// By client: whether it has a query open.
+    has_open_query: Vec<bool>,
+    leaf_latency_ns: u64,
+    /// Leaf servers do not answer.
+    unresponsive: bool,
     reducer_ns: f64,
     counts: Counts,
 }
 
 impl Driver {
-    /// A mixer of `fleet` that has no list yet.
+    /// A mixer of `fleet` without an endpoint list.
     ///
     /// # Errors
-    /// Settings that the mixer does not take.
+    /// The mixer refuses the settings.
     pub fn new(fleet: Fleet, seed: u64) -> Result<Driver, String> {
         let text = fleet.mixer_settings();
-        let (site, rules) = (
+        let (mixer_settings, decision_settings) = (
             settings::parse_mixer(&text).map_err(|e| e.to_string())?,
             settings::parse_decisions(&text).map_err(|e| e.to_string())?,
         );
-        let state = Reducer::new(
-            BEGIN,
-            site,
-            rules,
+        let reducer = Reducer::new(
+            START_NS,
+            mixer_settings,
+            decision_settings,
             seed,
             &EndpointUpdate::default(),
-            DESCRIPTORS,
+            MAX_DESCRIPTORS,
         );
         Ok(Driver {
-            state,
-            now: BEGIN,
+            reducer,
+            now: START_NS,
             inputs: Vec::new(),
-            due: VecDeque::new(),
-            free: Vec::new(),
-            waiting: Vec::new(),
-            answer_ns: 0,
-            silent: false,
+            pending_answers: VecDeque::new(),
+            idle_clients: Vec::new(),
+            has_open_query: Vec::new(),
+            leaf_latency_ns: 0,
+            unresponsive: false,
             reducer_ns: 0.0,
             counts: Counts::default(),
         })
     }
 
-    /// What has happened so far.
+    /// Counts since the start of the run.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Processor time of the reducer and its decisions so far, in nanoseconds; what plays the sockets is not in it.
+    /// Processor time of the reducer and its decisions since the start, in nanoseconds, without that of the simulation.
     pub fn reducer_ns(&self) -> f64 {
         self.reducer_ns
     }
 
-    /// Version of the list in force.
+    /// Version of the endpoint list in force.
     pub fn list_version(&self) -> u64 {
-        self.state.endpoint_list_version()
+        self.reducer.endpoint_list_version()
     }
 
-    /// Takes a list or a change into the reducer, and decides.
-    pub fn take(&mut self, listing: EndpointUpdate) {
-        self.inputs.push(Input::EndpointsUpdated(listing));
-        self.turn();
+    /// Applies a snapshot or a change of the endpoint list to the reducer and processes the batch.
+    pub fn apply_update(&mut self, update: EndpointUpdate) {
+        self.inputs.push(Input::EndpointsUpdated(update));
+        self.process_batch();
     }
 
-    /// Opens as many clients as the workload has queries open, and room for all their parts.
+    /// Connects one client for each query that the workload keeps open.
     pub fn connect_clients(&mut self, workload: &Workload) {
-        self.answer_ns = workload.answer_ns;
-        for client in self.waiting.len() as u64..workload.open {
+        self.leaf_latency_ns = workload.leaf_latency_ns;
+        for client in self.has_open_query.len() as u64..workload.open_queries {
             self.inputs.push(Input::ClientOpened { client });
-            self.waiting.push(false);
-            self.free.push(client);
+            self.has_open_query.push(false);
+            self.idle_clients.push(client);
         }
-        self.turn();
+        self.process_batch();
     }
 
-    /// Asks `queries` queries at an even pace that keeps `workload.open` of them open, or fewer where `until` passes
-    /// first; what is open then stays open. Returns whether all were asked.
+    /// Sends `queries` queries at a constant rate that keeps `workload.open_queries` of them open, and stops early once
+    /// `until` has passed. Open queries stay open. Returns whether all were sent.
     pub fn run(&mut self, workload: &Workload, shards: u64, queries: u64, until: Instant) -> bool {
-        let pace = (workload.answer_ns / workload.open).max(1);
-        let last = self.counts.asked + queries;
-        while self.counts.asked < last && Instant::now() < until {
-            self.ask(workload, shards);
-            self.step(pace);
+        let interval = (workload.leaf_latency_ns / workload.open_queries).max(1);
+        let target = self.counts.sent + queries;
+        while self.counts.sent < target && Instant::now() < until {
+            self.send_query(workload, shards);
+            self.step(interval);
         }
-        self.counts.asked == last
+        self.counts.sent == target
     }
 
-    /// From now on leaf servers answer nothing, and nothing is held for them: what memory grows by is the mixer's.
-    pub fn silence(&mut self) {
-        self.silent = true;
+    /// Stops all answers of leaf servers. Attempts are not recorded from then on, so that memory grows by the mixer's
+    /// state alone.
+    pub fn stop_answering(&mut self) {
+        self.unresponsive = true;
     }
 
-    /// Asks on every free client at once, with a turn for each.
-    pub fn open_all(&mut self, workload: &Workload, shards: u64) {
-        while !self.free.is_empty() {
-            self.ask(workload, shards);
-            self.turn();
+    /// Sends a query on every idle client at the same virtual time, with a batch for each.
+    pub fn send_on_all_clients(&mut self, workload: &Workload, shards: u64) {
+        while !self.idle_clients.is_empty() {
+            self.send_query(workload, shards);
+            self.process_batch();
         }
     }
 
-    /// Lets the run's own time pass until nothing is open or `until` has passed.
+    /// Advances the virtual clock until no query is open or `until` has passed.
     pub fn drain(&mut self, until: Instant) {
         while self.counts.unanswered() > 0 && Instant::now() < until {
-            self.step(MS);
+            self.step(NANOS_PER_MS);
         }
     }
 
-    /// One query, if a client is free.
-    fn ask(&mut self, workload: &Workload, shards: u64) {
-        let Some(client) = self.free.pop() else {
+    /// Sends one query if a client is idle.
+    fn send_query(&mut self, workload: &Workload, shards: u64) {
+        let Some(client) = self.idle_clients.pop() else {
             return;
         };
-        self.counts.asked += 1;
-        if let Some(waiting) = self.waiting.get_mut(client as usize) {
-            *waiting = true;
+        self.counts.sent += 1;
+        if let Some(has_open_query) = self.has_open_query.get_mut(client as usize) {
+            *has_open_query = true;
         }
-        let asked = ClientRequest::Query(query(self.counts.asked, workload.parts, shards));
+        let request = ClientRequest::Query(query(self.counts.sent, workload.parts, shards));
         self.inputs.push(Input::RequestReceived {
             client,
             received_at: self.now,
-            request: Ok(asked),
+            request: Ok(request),
         });
     }
 
-    /// Puts in the answers that are due, decides once, and lets `pace` pass.
-    fn step(&mut self, pace: u64) {
-        while self.due.front().is_some_and(|due| due.at <= self.now) {
-            let Some(Due { connection, id, .. }) = self.due.pop_front() else {
+    /// Delivers the answers that are due, processes a batch and advances the virtual clock by `interval`.
+    fn step(&mut self, interval: u64) {
+        while self
+            .pending_answers
+            .front()
+            .is_some_and(|answer| answer.due_at <= self.now)
+        {
+            let Some(PendingAnswer { connection, id, .. }) = self.pending_answers.pop_front()
+            else {
                 break;
             };
             let value = Bytes::from_static(b"doc");
@@ -216,77 +226,78 @@
             };
             self.inputs.push(Input::FrameReceived { connection, frame });
         }
-        self.turn();
-        self.now += pace;
+        self.process_batch();
+        self.now += interval;
     }
 
-    /// Puts in what has come, then the turn that decides; and again what the effects bring back at once.
-    fn turn(&mut self) {
-        self.counts.turns += 1;
+    /// Applies the queued inputs and a batch, and repeats with the inputs that the effects cause immediately.
+    fn process_batch(&mut self) {
+        self.counts.batches += 1;
         self.inputs.push(Input::ProcessBatch);
         while !self.inputs.is_empty() {
             for effect in self.apply() {
-                self.play(effect);
+                self.handle_effect(effect);
             }
         }
     }
 
-    /// Gives the reducer all that is ready. Only this counts as its processor time.
+    /// Applies the queued inputs to the reducer. Only this counts as processor time of the reducer.
     fn apply(&mut self) -> Vec<Effect> {
         let inputs = std::mem::take(&mut self.inputs);
         let mut effects = Vec::with_capacity(inputs.len());
-        let watch = Stopwatch::start();
+        let timer = ProcessorTimer::start();
         for input in inputs {
-            effects.extend(self.state.apply(self.now, input));
+            effects.extend(self.reducer.apply(self.now, input));
         }
-        self.reducer_ns += watch.nanos();
+        self.reducer_ns += timer.elapsed_ns();
         effects
     }
 
-    fn play(&mut self, effect: Effect) {
+    fn handle_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Reply { client, reply, .. } => self.replied(client, &reply),
+            Effect::Reply { client, reply, .. } => self.handle_reply(client, &reply),
             Effect::Connect { connection, .. } => {
                 self.counts.connections += 1;
                 self.inputs.push(Input::ConnectionOpened { connection });
             }
             Effect::WriteFrame { connection, frame } => {
-                self.written(connection, frame);
+                self.handle_frame(connection, frame);
                 self.inputs.push(Input::FrameWritten { connection });
             }
-            // Nothing else of the reducer's concerns clients or leaf servers.
+            // Other effects concern neither clients nor leaf servers.
             _ => {}
         }
     }
 
-    fn replied(&mut self, client: u64, reply: &Reply) {
-        let waiting = self.waiting.get_mut(client as usize);
-        if !waiting.is_some_and(|waiting| std::mem::replace(waiting, false)) {
-            self.counts.twice += 1;
+    fn handle_reply(&mut self, client: u64, reply: &Reply) {
+        let has_open_query = self.has_open_query.get_mut(client as usize);
+        if !has_open_query.is_some_and(|open| std::mem::replace(open, false)) {
+            self.counts.duplicate_replies += 1;
             return;
         }
         match reply {
             Reply::Answer { .. } => self.counts.answered += 1,
             _ => self.counts.refused += 1,
         }
-        self.free.push(client);
+        self.idle_clients.push(client);
     }
 
-    fn written(&mut self, connection: u64, frame: LeafRequest) {
+    fn handle_frame(&mut self, connection: u64, frame: LeafRequest) {
         match frame {
             LeafRequest::Call(parts) => {
                 self.counts.calls += 1;
                 self.counts.attempts += parts.len() as u64;
-                if self.silent {
+                if self.unresponsive {
                     return;
                 }
-                let at = self.now + self.answer_ns;
-                let due = |part: CallPart| Due {
-                    at,
+                let due_at = self.now + self.leaf_latency_ns;
+                let pending_answer = |part: CallPart| PendingAnswer {
+                    due_at,
                     connection,
                     id: part.id.to_string(),
                 };
-                self.due.extend(parts.into_iter().map(due));
+                self.pending_answers
+                    .extend(parts.into_iter().map(pending_answer));
             }
             LeafRequest::Probe | LeafRequest::ProbeLoad => {
                 let frame = LeafResponse::ProbeAnswer {
@@ -295,17 +306,17 @@
                 };
                 self.inputs.push(Input::FrameReceived { connection, frame });
             }
-            // The answer may be on its way already; it comes all the same.
+            // The answer is delivered nevertheless, as if it had been sent before the cancellation arrived.
             LeafRequest::Cancel(_) => {}
         }
     }
 }
 
-/// Query `number`, over different shards of the first `shards`, evenly apart.
+/// Query `number`, whose parts go to evenly spaced shards among the first `shards`.
 fn query(number: u64, parts: u64, shards: u64) -> QueryRequest {
-    let apart = (shards / parts).max(1);
-    let part = |at: u64| PartRequest {
-        shard: ((number * STRIDE + at * apart) % shards) as u32,
+    let distance = (shards / parts).max(1);
+    let part = |index: u64| PartRequest {
+        shard: ((number * SHARD_STRIDE + index * distance) % shards) as u32,
         weight: 1.0 / parts as f64,
         work: None,
     };
--- a/crates/lab/src/scale/findings.rs
+++ b/crates/lab/src/scale/findings.rs
@@ -1,20 +1,20 @@
-//! What follows from the series: slopes and ratios.
+//! Slopes and ratios computed from the series.
 
 use super::plan::name;
-use super::settings::Scale;
+use super::settings::ScaleSettings;
 use crate::fit;
 use crate::report::{Against, Measure, Outcome, Point, Ratio, Series, Slope};
-use crate::units::grouped;
+use crate::units::format_grouped;
 
-/// The most that a part may cost at the largest fleet, against the smallest.
-const AIM_SERVERS: f64 = 1.5;
-/// The most that a part may cost with the most queries open, against the fewest.
-const AIM_OPEN: f64 = 1.5;
-/// The most that one changed entry may cost at the largest fleet, against the smallest.
-const AIM_CHANGE: f64 = 3.0;
+/// Largest acceptable cost of a part at the largest fleet, relative to the smallest.
+const MAX_RATIO_SERVERS: f64 = 1.5;
+/// Largest acceptable cost of a part with the most queries open, relative to the fewest.
+const MAX_RATIO_OPEN_QUERIES: f64 = 1.5;
+/// Largest acceptable cost of one changed entry at the largest fleet, relative to the smallest.
+const MAX_RATIO_CHANGE: f64 = 3.0;
 
-/// A slope that is read from a run.
-struct Wanted<'a> {
+/// Definition of a slope in the report.
+struct SlopeDefinition<'a> {
     name: &'a str,
     unit: &'a str,
     series: &'a str,
@@ -22,8 +22,13 @@
     against: Against,
 }
 
-fn by_size<'a>(name: &'a str, unit: &'a str, series: &'a str, measure: Measure) -> Wanted<'a> {
-    Wanted {
+fn by_size<'a>(
+    name: &'a str,
+    unit: &'a str,
+    series: &'a str,
+    measure: Measure,
+) -> SlopeDefinition<'a> {
+    SlopeDefinition {
         name,
         unit,
         series,
@@ -32,33 +37,33 @@
     }
 }
 
-/// The slopes that are read from a run.
-pub fn slopes(scale: &Scale, series: &[Series]) -> Vec<Slope> {
-    let mut slopes = query_slopes(scale, series);
+/// All slopes of a run.
+pub fn slopes(settings: &ScaleSettings, series: &[Series]) -> Vec<Slope> {
+    let mut slopes = query_slopes(settings, series);
     slopes.extend(change_slopes(series));
     slopes.extend(list_slopes(series));
     slopes.extend(memory_slopes(series));
     slopes
 }
 
-fn query_slopes(scale: &Scale, series: &[Series]) -> Vec<Slope> {
-    const SERVER: &str = "ns a leaf server";
-    let wide = scale.widest();
-    let by_servers = name::query_by_servers(wide);
-    let same_shards = name::query_same_shards(wide);
-    let by_open = name::query_by_open(wide);
+fn query_slopes(settings: &ScaleSettings, series: &[Series]) -> Vec<Slope> {
+    const NS_PER_SERVER: &str = "ns a leaf server";
+    let most_parts = settings.most_parts();
+    let by_servers = name::query_by_servers(most_parts);
+    let same_shards = name::query_same_shards(most_parts);
+    let by_open = name::query_by_open(most_parts);
     let measure = Measure::QueryProcessorNs;
-    let listed = "a query's processor time by leaf servers listed";
-    let listed_open = "a query's processor time by leaf servers listed, connections open";
-    let wanted = [
+    let listed_title = "a query's processor time by leaf servers listed";
+    let connected_title = "a query's processor time by leaf servers listed, connections open";
+    let definitions = [
         by_size(
             "processor time a part",
             "ns a part",
             name::QUERY_BY_PARTS,
             measure,
         ),
-        by_size(listed, SERVER, &by_servers, measure),
-        by_size(listed_open, SERVER, &same_shards, measure),
+        by_size(listed_title, NS_PER_SERVER, &by_servers, measure),
+        by_size(connected_title, NS_PER_SERVER, &same_shards, measure),
         by_size(
             "a query's processor time by queries open",
             "ns an open query",
@@ -66,13 +71,16 @@
             measure,
         ),
     ];
-    wanted.iter().map(|wanted| slope(series, wanted)).collect()
+    definitions
+        .iter()
+        .map(|definition| slope(series, definition))
+        .collect()
 }
 
 fn change_slopes(series: &[Series]) -> Vec<Slope> {
     let (entries, time) = (name::CHANGE_BY_ENTRIES, Measure::ChangeProcessorNs);
-    let listed = "a change's processor time by leaf servers listed";
-    let wanted = [
+    let listed_title = "a change's processor time by leaf servers listed";
+    let definitions = [
         by_size(
             "processor time a changed entry",
             "ns an entry",
@@ -85,56 +93,67 @@
             entries,
             Measure::ChangeBytes,
         ),
-        by_size(listed, "ns a leaf server", name::CHANGE_ONE, time),
+        by_size(listed_title, "ns a leaf server", name::CHANGE_ONE, time),
     ];
-    wanted.iter().map(|wanted| slope(series, wanted)).collect()
+    definitions
+        .iter()
+        .map(|definition| slope(series, definition))
+        .collect()
 }
 
 fn list_slopes(series: &[Series]) -> Vec<Slope> {
-    const TIME: &str = "ns an entry";
-    const BYTES: &str = "bytes an entry";
-    let again = "processor time to take an unchanged entry again";
-    let wanted = [
+    const NS_PER_ENTRY: &str = "ns an entry";
+    const BYTES_PER_ENTRY: &str = "bytes an entry";
+    let reapply_title = "processor time to take an unchanged entry again";
+    let definitions = [
         by_size(
             "bytes an entry of the whole list",
-            BYTES,
+            BYTES_PER_ENTRY,
             name::LIST,
             Measure::ListBytes,
         ),
         by_size(
             "processor time to parse an entry",
-            TIME,
+            NS_PER_ENTRY,
             name::LIST,
             Measure::ParseProcessorNs,
         ),
         by_size(
             "processor time to take an entry",
-            TIME,
+            NS_PER_ENTRY,
             name::LIST,
-            Measure::TakeProcessorNs,
+            Measure::ApplyProcessorNs,
+        ),
+        by_size(
+            reapply_title,
+            NS_PER_ENTRY,
+            name::LIST,
+            Measure::ReapplyProcessorNs,
         ),
-        by_size(again, TIME, name::LIST, Measure::RetakeProcessorNs),
         by_size(
             "resident memory an entry",
-            BYTES,
+            BYTES_PER_ENTRY,
             name::LIST,
             Measure::ResidentBytes,
         ),
     ];
-    wanted.iter().map(|wanted| slope(series, wanted)).collect()
+    definitions
+        .iter()
+        .map(|definition| slope(series, definition))
+        .collect()
 }
 
 fn memory_slopes(series: &[Series]) -> Vec<Slope> {
     let measure = Measure::ResidentBytes;
-    let wanted = [
-        Wanted {
+    let definitions = [
+        SlopeDefinition {
             name: "resident memory a connection",
             unit: "bytes a connection",
             series: name::CONNECTIONS,
             measure,
             against: Against::Measure(Measure::Connections),
         },
-        Wanted {
+        SlopeDefinition {
             name: "resident memory an open query",
             unit: "bytes a query",
             series: name::OPEN_QUERIES,
@@ -142,21 +161,24 @@
             against: Against::Measure(Measure::QueriesUnanswered),
         },
     ];
-    wanted.iter().map(|wanted| slope(series, wanted)).collect()
+    definitions
+        .iter()
+        .map(|definition| slope(series, definition))
+        .collect()
 }
 
-fn slope(all: &[Series], wanted: &Wanted) -> Slope {
-    let Wanted {
+fn slope(all_series: &[Series], definition: &SlopeDefinition) -> Slope {
+    let SlopeDefinition {
         name,
         unit,
         series,
         measure,
         against,
-    } = *wanted;
-    let found = all.iter().find(|found| found.name == series);
+    } = *definition;
+    let found = all_series.iter().find(|found| found.name == series);
     let points = found.map_or(&[][..], |found| &found.points);
-    // A refused size was measured past the bound that refuses it: it is shown, and enters no fit.
-    let usable = points
+    // A refused size was measured past the bound of the mixer: it is shown in the report but excluded from the fit.
+    let fitted = points
         .iter()
         .filter(|point| matches!(point.outcome, Outcome::Measured | Outcome::Cut));
     let pair = |point: &Point| {
@@ -166,7 +188,7 @@
         };
         Some((x, *point.values.get(&measure)?))
     };
-    let pairs: Vec<(f64, f64)> = usable.filter_map(pair).collect();
+    let pairs: Vec<(f64, f64)> = fitted.filter_map(pair).collect();
     let line = fit::line(&pairs);
     Slope {
         name: name.into(),
@@ -178,54 +200,55 @@
     }
 }
 
-/// Last size of each series against its first, with the aims.
-pub fn ratios(scale: &Scale, series: &[Series]) -> Vec<Ratio> {
+/// Cost at the last size of each series divided by that at the first, with the targets.
+pub fn ratios(settings: &ScaleSettings, series: &[Series]) -> Vec<Ratio> {
     let mut ratios = Vec::new();
-    let (wide, narrow) = (scale.widest(), scale.narrowest());
-    let mut add =
-        |what: String, of: &str, measure, aim| ratios.push(ratio(series, what, of, measure, aim));
+    let (most_parts, fewest_parts) = (settings.most_parts(), settings.fewest_parts());
+    let mut add = |title: String, series_name: &str, measure, target| {
+        ratios.push(ratio(series, title, series_name, measure, target))
+    };
     use Measure::*;
     add(
-        format!("a part of {wide}"),
-        &name::query_by_servers(wide),
+        format!("a part of {most_parts}"),
+        &name::query_by_servers(most_parts),
         PartProcessorNs,
-        Some(AIM_SERVERS),
+        Some(MAX_RATIO_SERVERS),
     );
     add(
-        format!("a part of {wide}"),
-        &name::query_by_open(wide),
+        format!("a part of {most_parts}"),
+        &name::query_by_open(most_parts),
         PartProcessorNs,
-        Some(AIM_OPEN),
+        Some(MAX_RATIO_OPEN_QUERIES),
     );
     add(
         "one changed entry".into(),
         name::CHANGE_ONE,
         ChangedEntryProcessorNs,
-        Some(AIM_CHANGE),
+        Some(MAX_RATIO_CHANGE),
     );
     add(
-        format!("a part of {wide}, connections open"),
-        &name::query_same_shards(wide),
+        format!("a part of {most_parts}, connections open"),
+        &name::query_same_shards(most_parts),
         PartProcessorNs,
         None,
     );
-    if narrow != wide {
+    if fewest_parts != most_parts {
         add(
-            format!("a part of {narrow}"),
-            &name::query_by_servers(narrow),
+            format!("a part of {fewest_parts}"),
+            &name::query_by_servers(fewest_parts),
             PartProcessorNs,
             None,
         );
         add(
-            format!("a part of {narrow}"),
-            &name::query_by_open(narrow),
+            format!("a part of {fewest_parts}"),
+            &name::query_by_open(fewest_parts),
             PartProcessorNs,
             None,
         );
     }
-    let many = scale.change_entries;
+    let entries = settings.change_entries;
     add(
-        format!("an entry of a change of {many}"),
+        format!("an entry of a change of {entries}"),
         name::CHANGE_MANY,
         ChangedEntryProcessorNs,
         None,
@@ -233,15 +256,21 @@
     ratios
 }
 
-fn ratio(all: &[Series], what: String, of: &str, measure: Measure, aim: Option<f64>) -> Ratio {
-    let series = all.iter().find(|series| series.name == of);
+fn ratio(
+    all_series: &[Series],
+    title: String,
+    series_name: &str,
+    measure: Measure,
+    target: Option<f64>,
+) -> Ratio {
+    let series = all_series.iter().find(|series| series.name == series_name);
     let ends = series
         .and_then(|series| Some((series.points.first()?, series.points.last()?, &series.size)));
     let Some((first, last, size)) = ends else {
         return Ratio {
-            name: what,
+            name: title,
             value: None,
-            aim,
+            target,
         };
     };
     let cost = |point: &Point| {
@@ -251,13 +280,17 @@
             .copied()
             .filter(|cost| *cost > 0.0)
     };
-    // One size says nothing about growth.
+    // A single size shows no growth.
     let ends = cost(last).zip(cost(first)).filter(|_| first.x < last.x);
     let value = ends.map(|(last, first)| last / first);
     let name = format!(
-        "{what}: {} against {} {size}",
-        grouped(last.x),
-        grouped(first.x)
+        "{title}: {} against {} {size}",
+        format_grouped(last.x),
+        format_grouped(first.x)
     );
-    Ratio { name, value, aim }
+    Ratio {
+        name,
+        value,
+        target,
+    }
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,101 +1,96 @@
-//! The leaf servers of a run as discovery writes them, and the mixer's settings that go with them.
+//! The simulated leaf servers of a run: their entries in the format of discovery, and matching mixer settings.
 
 use std::fmt::Write as _;
 
-/// How large the fleet is, and how it is laid out.
+/// Size and layout of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Fleet {
-    /// Leaf servers listed.
+    /// Leaf servers in the endpoint list.
     pub servers: u64,
-    /// Leaf servers that hold the same shard; neighbours in number, and so in different zones.
-    pub copies: u64,
-    /// Zones that the leaf servers are spread over, one after another.
+    /// Leaf servers that hold the same shard. They have consecutive numbers, and so are in different zones.
+    #[serde(rename = "copies")]
+    pub replicas: u64,
+    /// Zones that the leaf servers are assigned to in turn, by number.
     pub zones: u64,
 }
 
-/// What an entry says of its leaf server.
+/// Status of a leaf server in its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
     Up,
     Draining,
 }
 
-/// Target latency and longest wait of the one class, in nanoseconds: no query of a run comes near them.
+/// Latency objective and query deadline of the only class, in nanoseconds; far above the latency of any query of a run.
 const TARGET_LATENCY_NS: u64 = 2_000_000_000;
-const LONGEST_WAIT_NS: u64 = 6_000_000_000;
-/// Size of the pieces that a whole list comes in, in bytes.
-const PIECE: usize = 64 * 1024;
+const QUERY_DEADLINE_NS: u64 = 6_000_000_000;
+/// Least size of the chunks that a snapshot is written in, except for the last one.
+const CHUNK_BYTES: usize = 64 * 1024;
 
 impl Fleet {
-    /// Shards that the leaf servers hold.
+    /// Number of shards that the leaf servers hold.
     pub fn shards(self) -> u64 {
-        self.servers.div_ceil(self.copies)
+        self.servers.div_ceil(self.replicas)
     }
 
     /// The entry of leaf server `number`, as JSON.
-    pub fn write_entry(self, number: u64, standing: EndpointStatus, out: &mut String) {
-        let status = match standing {
+    pub fn write_entry(self, number: u64, status: EndpointStatus, out: &mut String) {
+        let status_text = match status {
             EndpointStatus::Up => "up",
             EndpointStatus::Draining => "draining",
         };
-        let (zone, group) = (number % self.zones, number / self.copies);
+        let (zone, group) = (number % self.zones, number / self.replicas);
         let [_, high, middle, low] = (number as u32).to_be_bytes();
         let written = write!(
             out,
             "{{\"name\":\"leaf-{number:08x}\",\"address\":\"10.{high}.{middle}.{low}:7070\",\
-             \"zone\":\"zone-{zone}\",\"type\":\"m2\",\"group\":{group},\"status\":\"{status}\",\
+             \"zone\":\"zone-{zone}\",\"type\":\"m2\",\"group\":{group},\"status\":\"{status_text}\",\
              \"weight\":1.0,\"since_ms\":0}}"
         );
-        debug_assert!(written.is_ok(), "a String takes all that is written");
+        debug_assert!(written.is_ok(), "writing to a String does not fail");
     }
 
-    /// The whole list in pieces as a socket gives them, so that it never stands in memory at once.
-    pub fn whole_list(self, version: u64) -> impl Iterator<Item = String> {
+    /// The snapshot in chunks, as read from a socket, so that it is never in memory as a whole.
+    pub fn snapshot(self, version: u64) -> impl Iterator<Item = String> {
         let mut next = 0;
-        let mut ended = false;
+        let mut complete = false;
         std::iter::from_fn(move || {
-            if ended {
+            if complete {
                 return None;
             }
-            let mut piece = String::with_capacity(PIECE + 512);
+            let mut chunk = String::with_capacity(CHUNK_BYTES + 512);
             if next == 0 {
-                piece = format!("{{\"index\":{version},\"snapshot\":true,\"endpoints\":[");
+                chunk = format!("{{\"index\":{version},\"snapshot\":true,\"endpoints\":[");
             }
-            while next < self.servers && piece.len() < PIECE {
+            while next < self.servers && chunk.len() < CHUNK_BYTES {
                 if next > 0 {
-                    piece.push(',');
+                    chunk.push(',');
                 }
-                self.write_entry(next, EndpointStatus::Up, &mut piece);
+                self.write_entry(next, EndpointStatus::Up, &mut chunk);
                 next += 1;
             }
             if next == self.servers {
-                piece.push_str("]}");
-                ended = true;
+                chunk.push_str("]}");
+                complete = true;
             }
-            Some(piece)
+            Some(chunk)
         })
     }
 
-    /// A message that changes `entries` leaf servers from number `first` on.
-    pub fn change(
-        self,
-        version: u64,
-        first: u64,
-        entries: u64,
-        standing: EndpointStatus,
-    ) -> String {
+    /// A message that sets the status of `entries` leaf servers from number `first` on.
+    pub fn change(self, version: u64, first: u64, entries: u64, status: EndpointStatus) -> String {
         let mut text = format!("{{\"index\":{version},\"snapshot\":false,\"endpoints\":[");
-        for at in 0..entries {
-            if at > 0 {
+        for offset in 0..entries {
+            if offset > 0 {
                 text.push(',');
             }
-            self.write_entry((first + at) % self.servers, standing, &mut text);
+            self.write_entry((first + offset) % self.servers, status, &mut text);
         }
         text.push_str("]}");
         text
     }
 
-    /// The mixer's settings: one class of reads that have to be whole.
+    /// The mixer's settings, with a single class of reads that need the answers of all parts.
     pub fn mixer_settings(self) -> String {
         let shards = self.shards();
         let zones: Vec<String> = (0..self.zones).map(|zone| format!("zone-{zone}")).collect();
@@ -103,7 +98,7 @@
             "classes.count=1".to_string(),
             "classes.0.name=lookup".to_string(),
             format!("classes.0.aim_ns={TARGET_LATENCY_NS}"),
-            format!("classes.0.give_up_ns={LONGEST_WAIT_NS}"),
+            format!("classes.0.give_up_ns={QUERY_DEADLINE_NS}"),
             "classes.0.semantics=read_like".to_string(),
             format!("extra.places={shards}"),
             "extra.reach=1".to_string(),
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -1,7 +1,7 @@
-//! `cottonhill-lab scale`: series that step one size at a time, on the reducer and its decisions, without sockets.
+//! `cottonhill-lab scale`: series that vary one size at a time, on the reducer and its decisions, without sockets.
 //!
-//! Time in a run is the run's own: leaf servers answer after a fixed time, and processor time is what is measured:
-//! that of the reducer alone, without that of the [`driver`], which plays the sockets' part.
+//! A run has a virtual clock, on which leaf servers answer after a fixed latency. The processor time measured is that
+//! of the reducer alone, without that of the [`driver`], which simulates the sockets.
 
 pub mod child;
 pub mod driver;
@@ -16,51 +16,56 @@
 use crate::report::{Point, Report, Scope, Series, FORMAT};
 use crate::settings::SCHEMA;
 use cottonhill_ini::Settings;
-use plan::Planned;
+use plan::SeriesPlan;
 use point::Sample;
-use settings::Scale;
+use settings::ScaleSettings;
 use std::path::Path;
 use std::time::Instant;
 
-/// Measures every series, each point in a new process of `program`.
-pub fn run(program: &Path, settings: &Settings, scale: &Scale) -> Report {
-    let began = Instant::now();
+/// Measures all series, each point in a new process of `program`.
+pub fn run(program: &Path, settings: &Settings, scale: &ScaleSettings) -> Report {
+    let started_at = Instant::now();
     let machine = Machine::read();
     let series: Vec<Series> = plan::series(scale)
         .into_iter()
-        .map(|planned| measure(program, scale, planned))
+        .map(|plan| measure(program, scale, plan))
         .collect();
     let slopes = findings::slopes(scale, &series);
     let ratios = findings::ratios(scale, &series);
-    let shown = settings.effective_values(&SCHEMA).into_iter();
+    let effective_settings = settings.effective_values(&SCHEMA).into_iter();
     Report {
         format: FORMAT,
         machine,
-        settings: shown
-            .map(|it| (format!("[{}] {}", it.section, it.key), it.value))
+        settings: effective_settings
+            .map(|setting| {
+                (
+                    format!("[{}] {}", setting.section, setting.key),
+                    setting.value,
+                )
+            })
             .collect(),
-        wall_seconds: began.elapsed().as_secs_f64(),
+        wall_seconds: started_at.elapsed().as_secs_f64(),
         series,
         slopes,
         ratios,
     }
 }
 
-fn measure(program: &Path, scale: &Scale, planned: Planned) -> Series {
-    let Planned {
+fn measure(program: &Path, scale: &ScaleSettings, plan: SeriesPlan) -> Series {
+    let SeriesPlan {
         name,
         title,
         size,
         points,
-    } = planned;
+    } = plan;
     let points = points.into_iter().map(|(x, spec)| {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let Sample {
             outcome,
             note,
             values,
-        } = child::measure(program, &spec, scale.point_limit);
-        let wall_seconds = began.elapsed().as_secs_f64();
+        } = child::measure(program, &spec, scale.process_time_limit);
+        let wall_seconds = started_at.elapsed().as_secs_f64();
         tracing::info!(
             series = name,
             size = x,
--- a/crates/lab/src/scale/plan.rs
+++ b/crates/lab/src/scale/plan.rs
@@ -1,12 +1,12 @@
-//! Which series a run has, and the points of each.
+//! The series of a run, with their points.
 
 use super::driver::Workload;
 use super::fleet::Fleet;
 use super::point::{Spec, Work};
-use super::settings::Scale;
-use crate::units::grouped;
+use super::settings::ScaleSettings;
+use crate::units::format_grouped;
 
-/// Names of the series, for what is fitted to them.
+/// Names of the series.
 pub mod name {
     pub const QUERY_BY_PARTS: &str = "query-by-parts";
     pub const CHANGE_ONE: &str = "change-of-one-entry-by-servers";
@@ -21,7 +21,7 @@
         format!("query-of-{parts}-parts-by-servers")
     }
 
-    /// The queries ask the shards of the smallest fleet alone, so that each size has the same open connections.
+    /// Its queries go to the shards of the smallest fleet only, so that each size has the same open connections.
     pub fn query_same_shards(parts: u64) -> String {
         format!("query-of-{parts}-parts-by-servers-same-shards")
     }
@@ -31,33 +31,33 @@
     }
 }
 
-/// A series that is to be measured.
-pub struct Planned {
+/// A series to be measured.
+pub struct SeriesPlan {
     pub name: String,
     pub title: String,
-    /// What its size counts.
+    /// What the varied size counts.
     pub size: &'static str,
-    /// Each size with what is to be measured there.
+    /// Each size with the specification of its point.
     pub points: Vec<(u64, Spec)>,
 }
 
-/// What the size of most series counts.
+/// What the varied size of most series counts.
 const SERVERS: &str = "leaf servers";
-/// The queries that open the connections of a series ask each shard so often: often enough to meet every copy.
-const ASKED_EACH_SHARD: u64 = 12;
+/// Number of queries to each shard in the series of connections: enough to open a connection to each replica.
+const QUERIES_PER_SHARD: u64 = 12;
 
-/// All series of a run, in the order in which they are measured.
-pub fn series(scale: &Scale) -> Vec<Planned> {
-    let planner = Planner(scale);
+/// All series of a run, in the order of measurement.
+pub fn series(settings: &ScaleSettings) -> Vec<SeriesPlan> {
+    let planner = Planner(settings);
     let mut all = vec![planner.list()];
     all.extend(planner.changes());
-    for parts in &scale.parts {
+    for parts in &settings.parts {
         all.push(planner.query_by_servers(*parts));
     }
-    let widest = scale.widest();
-    all.push(planner.query_same_shards(widest));
+    let most_parts = settings.most_parts();
+    all.push(planner.query_same_shards(most_parts));
     all.push(planner.query_by_parts());
-    for parts in &scale.parts {
+    for parts in &settings.parts {
         all.push(planner.query_by_open(*parts));
     }
     all.push(planner.connections());
@@ -65,34 +65,36 @@
     all
 }
 
-struct Planner<'a>(&'a Scale);
+struct Planner<'a>(&'a ScaleSettings);
 
 impl Planner<'_> {
     fn fleet(&self, servers: u64) -> Fleet {
         Fleet {
             servers,
-            copies: self.0.copies,
+            replicas: self.0.replicas,
             zones: self.0.zones,
         }
     }
 
     fn spec(&self, servers: u64, work: Work) -> Spec {
-        let Scale {
-            seed, point_time, ..
+        let ScaleSettings {
+            seed,
+            work_time_limit,
+            ..
         } = self.0;
         Spec {
             fleet: self.fleet(servers),
             seed: *seed,
             work,
-            time_ms: point_time.as_millis() as u64,
+            time_limit_ms: work_time_limit.as_millis() as u64,
         }
     }
 
-    fn workload(&self, parts: u64, open: u64) -> Workload {
+    fn workload(&self, parts: u64, open_queries: u64) -> Workload {
         Workload {
             parts,
-            open,
-            answer_ns: self.0.answer.as_nanos() as u64,
+            open_queries,
+            leaf_latency_ns: self.0.leaf_latency.as_nanos() as u64,
             shards: u64::MAX,
         }
     }
@@ -100,15 +102,15 @@
     fn queries(&self, workload: Workload) -> Work {
         Work::Queries {
             workload,
-            warm: self.0.warm_queries,
+            warm_up: self.0.warm_up_queries,
             queries: self.0.queries,
         }
     }
 
-    /// One point for each number of leaf servers.
-    fn by_servers(&self, name: String, title: String, work: impl Fn(u64) -> Work) -> Planned {
+    /// A series with a point for each number of leaf servers.
+    fn by_servers(&self, name: String, title: String, work: impl Fn(u64) -> Work) -> SeriesPlan {
         let point = |servers: &u64| (*servers, self.spec(*servers, work(*servers)));
-        Planned {
+        SeriesPlan {
             name,
             title,
             size: SERVERS,
@@ -116,17 +118,22 @@
         }
     }
 
-    fn list(&self) -> Planned {
+    fn list(&self) -> SeriesPlan {
         let title = "Whole list: parsed, taken, taken again unchanged";
         self.by_servers(name::LIST.into(), title.into(), |_| Work::List)
     }
 
-    fn changes(&self) -> Vec<Planned> {
+    fn changes(&self) -> Vec<SeriesPlan> {
         let messages = self.0.change_messages;
         let work = |entries| Work::Changes { entries, messages };
-        let many = self.0.change_entries;
+        let change_entries = self.0.change_entries;
         let largest = self.0.largest();
-        let mut entries = vec![1, many, many * 10, self.zone(largest)];
+        let mut entries = vec![
+            1,
+            change_entries,
+            change_entries * 10,
+            self.zone_entries(largest),
+        ];
         entries.retain(|entries| *entries <= largest);
         entries.sort_unstable();
         entries.dedup();
@@ -141,19 +148,19 @@
             ),
             self.by_servers(
                 name::CHANGE_MANY.into(),
-                format!("Change of {many} entries in one message"),
-                |servers| work(many.min(servers)),
+                format!("Change of {change_entries} entries in one message"),
+                |servers| work(change_entries.min(servers)),
             ),
             self.by_servers(
                 name::CHANGE_ZONE.into(),
                 "Change of all entries of a zone in one message".into(),
-                |servers| work(self.zone(servers)),
+                |servers| work(self.zone_entries(servers)),
             ),
-            Planned {
+            SeriesPlan {
                 name: name::CHANGE_BY_ENTRIES.into(),
                 title: format!(
                     "Change by its entries, {} leaf servers",
-                    grouped(largest as f64)
+                    format_grouped(largest as f64)
                 ),
                 size: "entries",
                 points: by_entries.collect(),
@@ -161,24 +168,24 @@
         ]
     }
 
-    /// Entries of one zone.
-    fn zone(&self, servers: u64) -> u64 {
+    /// Number of entries of one zone.
+    fn zone_entries(&self, servers: u64) -> u64 {
         (servers / self.0.zones).max(1)
     }
 
-    fn query_by_servers(&self, parts: u64) -> Planned {
-        let workload = self.workload(parts, self.0.base_open);
+    fn query_by_servers(&self, parts: u64) -> SeriesPlan {
+        let workload = self.workload(parts, self.0.base_open_queries);
         let title = format!("Query of {parts} parts, over all shards");
         self.by_servers(name::query_by_servers(parts), title, |_| {
             self.queries(workload)
         })
     }
 
-    fn query_same_shards(&self, parts: u64) -> Planned {
+    fn query_same_shards(&self, parts: u64) -> SeriesPlan {
         let shards = self.fleet(self.0.smallest()).shards();
         let workload = Workload {
             shards,
-            ..self.workload(parts, self.0.base_open)
+            ..self.workload(parts, self.0.base_open_queries)
         };
         let title = format!("Query of {parts} parts, over the same {shards} shards");
         self.by_servers(name::query_same_shards(parts), title, |_| {
@@ -186,85 +193,85 @@
         })
     }
 
-    fn query_by_parts(&self) -> Planned {
+    fn query_by_parts(&self) -> SeriesPlan {
         let servers = self.0.base_servers;
         let point = |parts: &u64| {
-            let work = self.queries(self.workload(*parts, self.0.base_open));
+            let work = self.queries(self.workload(*parts, self.0.base_open_queries));
             (*parts, self.spec(servers, work))
         };
-        Planned {
+        SeriesPlan {
             name: name::QUERY_BY_PARTS.into(),
             title: format!(
                 "Query by its parts, {} leaf servers",
-                grouped(servers as f64)
+                format_grouped(servers as f64)
             ),
             size: "parts",
             points: self.0.part_steps.iter().map(point).collect(),
         }
     }
 
-    fn query_by_open(&self, parts: u64) -> Planned {
+    fn query_by_open(&self, parts: u64) -> SeriesPlan {
         let servers = self.0.base_servers;
-        let point = |open: &u64| {
+        let point = |open_queries: &u64| {
             (
-                *open,
-                self.spec(servers, self.queries(self.workload(parts, *open))),
+                *open_queries,
+                self.spec(servers, self.queries(self.workload(parts, *open_queries))),
             )
         };
-        Planned {
+        SeriesPlan {
             name: name::query_by_open(parts),
             title: format!(
                 "Query of {parts} parts by queries open, {} leaf servers",
-                grouped(servers as f64)
+                format_grouped(servers as f64)
             ),
             size: "open queries",
-            points: self.0.open.iter().map(point).collect(),
+            points: self.0.open_queries.iter().map(point).collect(),
         }
     }
 
-    fn connections(&self) -> Planned {
+    fn connections(&self) -> SeriesPlan {
         let servers = self.0.base_servers;
-        let parts = self.0.narrowest();
+        let parts = self.0.fewest_parts();
         let point = |connections: &u64| {
-            let shards = (connections / self.0.copies).max(parts);
+            let shards = (connections / self.0.replicas).max(parts);
             let workload = Workload {
                 shards,
-                ..self.workload(parts, self.0.base_open)
+                ..self.workload(parts, self.0.base_open_queries)
             };
-            let queries = ASKED_EACH_SHARD * shards.div_ceil(parts);
+            let queries = QUERIES_PER_SHARD * shards.div_ceil(parts);
             (
                 *connections,
                 self.spec(servers, Work::Connections { workload, queries }),
             )
         };
-        Planned {
+        SeriesPlan {
             name: name::CONNECTIONS.into(),
             title: format!(
                 "Memory of connections to leaf servers, {} listed",
-                grouped(servers as f64)
+                format_grouped(servers as f64)
             ),
             size: "connections wanted",
-            points: self.0.links.iter().map(point).collect(),
+            points: self.0.connections.iter().map(point).collect(),
         }
     }
 
-    fn open_queries(&self) -> Planned {
-        let (servers, parts) = (self.0.base_servers, self.0.widest());
-        let point = |open: &u64| {
+    fn open_queries(&self) -> SeriesPlan {
+        let (servers, parts) = (self.0.base_servers, self.0.most_parts());
+        let point = |open_queries: &u64| {
             let work = Work::OpenQueries {
-                workload: self.workload(parts, *open),
-                warm: self.0.warm_queries,
+                workload: self.workload(parts, *open_queries),
+                warm_up: self.0.warm_up_queries,
             };
-            (*open, self.spec(servers, work))
+            (*open_queries, self.spec(servers, work))
         };
-        Planned {
+        SeriesPlan {
             name: name::OPEN_QUERIES.into(),
             title: format!(
                 "Memory of open queries of {parts} parts, {} leaf servers",
-                grouped(servers as f64)
+                format_grouped(servers as f64)
             ),
             size: "open queries",
-            points: self.0.open.iter().map(point).collect(),
+            points: self.0.open_queries.iter().map(point).collect(),
         }
     }
 }
--- a/crates/lab/src/scale/settings.rs
+++ b/crates/lab/src/scale/settings.rs
@@ -15,7 +15,7 @@
     }
 }
 
-/// Sizes, bounds and time limits of the scale runs.
+/// The keys of `[scale]`: sizes, bounds and time limits of the scale runs.
 pub const SCALE: Section = Section {
     name: "scale",
     named: false,
@@ -24,190 +24,193 @@
             "seed",
             Kind::Integer(0, u64::MAX),
             "1",
-            "Seed of the mixer's decisions; the workload is the same for each.",
+            "Seed of the mixer's decisions; the workload does not depend on it.",
         ),
         key(
             "servers",
             Kind::Text,
             "300, 3000, 30000, 110000",
-            "Leaf servers that are stepped, smallest first.",
+            "Numbers of leaf servers to measure, in ascending order.",
         ),
         key(
             "parts",
             Kind::Text,
             "12, 69",
-            "Parts of a query that are stepped, smallest first.",
+            "Numbers of parts of a query to measure, in ascending order.",
         ),
         key(
             "part_steps",
             Kind::Text,
             "1, 12, 35, 69",
-            "Parts of the series that steps them alone, smallest first.",
+            "Numbers of parts in the series by parts, in ascending order.",
         ),
         key(
             "open",
             Kind::Text,
             "8, 32, 128, 512",
-            "Queries open at once that are stepped, smallest first.",
+            "Numbers of queries open at the same time to measure, in ascending order.",
         ),
         key(
             "links",
             Kind::Text,
             "300, 1000, 3000",
-            "Connections to leaf servers that are stepped, for their memory.",
+            "Numbers of connections to leaf servers whose memory is measured, in ascending order.",
         ),
         key(
             "copies",
             Kind::Integer(1, 64),
             "3",
-            "Leaf servers that hold the same shard.",
+            "Replicas: leaf servers that hold the same shard.",
         ),
         key(
             "zones",
             Kind::Integer(1, 64),
             "15",
-            "Zones that the leaf servers are spread over.",
+            "Number of zones that the leaf servers are spread over.",
         ),
         key(
             "base_servers",
             Kind::Integer(1, 1_000_000),
             "3000",
-            "Leaf servers where another size is stepped.",
+            "Number of leaf servers in series that vary another size.",
         ),
         key(
             "base_open",
             Kind::Integer(1, 100_000),
             "32",
-            "Queries open at once where another size is stepped.",
+            "Queries open at the same time in series that vary another size.",
         ),
         key(
             "answer",
             Kind::Duration,
             "60ms",
-            "How long a leaf server takes for a part, in the run's own time.",
+            "Latency of a leaf server's answer to a part, in virtual time.",
         ),
         key(
             "queries",
             Kind::Integer(1, 1_000_000),
             "2000",
-            "Queries of one point, at most.",
+            "Largest number of measured queries of a point.",
         ),
         key(
             "warm_queries",
             Kind::Integer(0, 1_000_000),
             "200",
-            "Queries before the measured ones, at most.",
+            "Largest number of warm-up queries, which are not measured.",
         ),
         key(
             "change_messages",
             Kind::Integer(1, 100_000),
             "50",
-            "Messages of changes of one point, at most.",
+            "Largest number of change messages of a point.",
         ),
         key(
             "change_entries",
             Kind::Integer(1, 10_000),
             "50",
-            "Entries of a message in the series of larger changes.",
+            "Entries of each message in the series of changes of many entries.",
         ),
         key(
             "point_time",
             Kind::Duration,
             "10s",
-            "Time after which the work of one point is cut.",
+            "Time limit after which the work of a point is cut.",
         ),
         key(
             "point_limit",
             Kind::Duration,
             "60s",
-            "Time after which the process of one point is ended; it counts as failed.",
+            "Time limit after which the process of a point is killed; the point counts as failed.",
         ),
     ],
 };
 
 /// The values of `[scale]`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Scale {
+pub struct ScaleSettings {
     /// Seed of the mixer's decisions.
     pub seed: u64,
-    /// Leaf servers, parts, open queries and connections that are stepped, smallest first.
+    /// Numbers of leaf servers, in ascending order like all lists of sizes.
     pub servers: Vec<u64>,
+    /// Numbers of parts of a query in the series by leaf servers and by open queries.
     pub parts: Vec<u64>,
+    /// Numbers of parts of a query in the series by parts.
     pub part_steps: Vec<u64>,
-    pub open: Vec<u64>,
-    pub links: Vec<u64>,
+    pub open_queries: Vec<u64>,
+    pub connections: Vec<u64>,
     /// Leaf servers that hold the same shard.
-    pub copies: u64,
+    pub replicas: u64,
     pub zones: u64,
-    /// What holds where another size is stepped.
+    /// Leaf servers and open queries in series that vary another size.
     pub base_servers: u64,
-    pub base_open: u64,
-    /// How long a leaf server takes for a part, in the run's own time.
-    pub answer: Duration,
-    /// The most queries of a point, and of those before them that are not measured.
+    pub base_open_queries: u64,
+    /// Latency of a leaf server's answer to a part, in virtual time.
+    pub leaf_latency: Duration,
+    /// Largest numbers of measured queries and of warm-up queries of a point.
     pub queries: u64,
-    pub warm_queries: u64,
-    /// The most messages of changes of a point, and the entries of one in the series of larger changes.
+    pub warm_up_queries: u64,
+    /// Largest number of change messages of a point, and the entries of one in the series of changes of many entries.
     pub change_messages: u64,
     pub change_entries: u64,
-    /// After so long the work of a point is cut, and its process ended.
-    pub point_time: Duration,
-    pub point_limit: Duration,
+    /// Time limits after which the work of a point is cut and its process is killed.
+    pub work_time_limit: Duration,
+    pub process_time_limit: Duration,
 }
 
-/// The largest size that a list of sizes may hold.
-const MOST: u64 = 1_000_000;
-/// Shards that an entry of discovery's list can name.
-const MOST_SHARDS: u64 = 1 << 16;
+/// Upper limit of the values in a list of sizes.
+const MAX_SIZE: u64 = 1_000_000;
+/// Number of shards that an entry of the endpoint list can name.
+const MAX_SHARDS: u64 = 1 << 16;
 
-impl Scale {
+impl ScaleSettings {
     /// # Errors
-    /// A list that is not of rising whole numbers, named with its line.
-    pub fn read(settings: &Settings) -> Result<Scale, Failure> {
+    /// A list of sizes is invalid or exceeds another setting; the message names the key and its line.
+    pub fn read(settings: &Settings) -> Result<ScaleSettings, Failure> {
         let values = settings.section(&SCHEMA, SCALE.name, "");
         let count = |key: &str| values.integer(key).unwrap_or_default();
-        let time = |key: &str| values.duration(key).unwrap_or_default();
+        let duration = |key: &str| values.duration(key).unwrap_or_default();
         let sizes = |key: &'static str| {
             let text = values.text(key).unwrap_or_default();
-            rising(text)
-                .map_err(|why| Failure::settings(settings.value_error(SCALE.name, "", key, why)))
+            ascending_sizes(text).map_err(|reason| {
+                Failure::settings(settings.value_error(SCALE.name, "", key, reason))
+            })
         };
-        let scale = Scale {
+        let scale = ScaleSettings {
             seed: count("seed"),
             servers: sizes("servers")?,
             parts: sizes("parts")?,
             part_steps: sizes("part_steps")?,
-            open: sizes("open")?,
-            links: sizes("links")?,
-            copies: count("copies"),
+            open_queries: sizes("open")?,
+            connections: sizes("links")?,
+            replicas: count("copies"),
             zones: count("zones"),
             base_servers: count("base_servers"),
-            base_open: count("base_open"),
-            answer: time("answer"),
+            base_open_queries: count("base_open"),
+            leaf_latency: duration("answer"),
             queries: count("queries"),
-            warm_queries: count("warm_queries"),
+            warm_up_queries: count("warm_queries"),
             change_messages: count("change_messages"),
             change_entries: count("change_entries"),
-            point_time: time("point_time"),
-            point_limit: time("point_limit"),
+            work_time_limit: duration("point_time"),
+            process_time_limit: duration("point_limit"),
         };
-        let wrong = |key, why: &str| {
+        let invalid = |key, reason: &str| {
             Err(Failure::settings(
-                settings.value_error(SCALE.name, "", key, why),
+                settings.value_error(SCALE.name, "", key, reason),
             ))
         };
-        let most_parts = scale.widest().max(last(&scale.part_steps));
-        if scale.smallest().min(scale.base_servers) / scale.copies < most_parts {
-            let why = format!(
+        let most_parts = scale.most_parts().max(last(&scale.part_steps));
+        if scale.smallest().min(scale.base_servers) / scale.replicas < most_parts {
+            let reason = format!(
                 "the smallest fleet has fewer shards than a query of {most_parts} parts needs"
             );
-            return wrong("servers", &why);
+            return invalid("servers", &reason);
         }
-        if scale.largest().div_ceil(scale.copies) > MOST_SHARDS {
-            return wrong("servers", "the largest fleet has more than 65536 shards");
+        if scale.largest().div_ceil(scale.replicas) > MAX_SHARDS {
+            return invalid("servers", "the largest fleet has more than 65536 shards");
         }
-        if last(&scale.links) > scale.base_servers {
-            return wrong(
+        if last(&scale.connections) > scale.base_servers {
+            return invalid(
                 "links",
                 "more connections than base_servers has leaf servers",
             );
@@ -215,21 +218,23 @@
         Ok(scale)
     }
 
-    /// The smallest and the largest fleet that are stepped, in leaf servers.
+    /// Leaf servers of the smallest fleet.
     pub fn smallest(&self) -> u64 {
         first(&self.servers)
     }
 
+    /// Leaf servers of the largest fleet.
     pub fn largest(&self) -> u64 {
         last(&self.servers)
     }
 
-    /// The fewest and the most parts that the series by servers have.
-    pub fn narrowest(&self) -> u64 {
+    /// The fewest parts of a query in the series by leaf servers.
+    pub fn fewest_parts(&self) -> u64 {
         first(&self.parts)
     }
 
-    pub fn widest(&self) -> u64 {
+    /// The most parts of a query in the series by leaf servers.
+    pub fn most_parts(&self) -> u64 {
         last(&self.parts)
     }
 }
@@ -242,20 +247,20 @@
     sizes.last().copied().unwrap_or(1)
 }
 
-/// A list of whole numbers, each larger than the one before.
-fn rising(text: &str) -> Result<Vec<u64>, &'static str> {
-    const WHY: &str =
+/// Parses a comma-separated list of ascending integers.
+fn ascending_sizes(text: &str) -> Result<Vec<u64>, &'static str> {
+    const EXPECTED: &str =
         "has to be whole numbers from 1 to 1000000, each larger than the one before, as in 300, 3000";
     let sizes: Vec<u64> = text
         .split(',')
         .map(|size| size.trim().parse())
         .collect::<Result<_, _>>()
-        .map_err(|_| WHY)?;
-    let fits = sizes.iter().all(|size| (1..=MOST).contains(size))
+        .map_err(|_| EXPECTED)?;
+    let valid = sizes.iter().all(|size| (1..=MAX_SIZE).contains(size))
         && sizes.windows(2).all(|pair| pair[0] < pair[1]);
-    if fits && !sizes.is_empty() {
+    if valid && !sizes.is_empty() {
         Ok(sizes)
     } else {
-        Err(WHY)
+        Err(EXPECTED)
     }
 }
--- a/crates/lab/src/units.rs
+++ b/crates/lab/src/units.rs
@@ -1,8 +1,8 @@
-//! Figures for people to read.
+//! Units of measures, and number formats for tables and plots.
 
 use crate::report::Measure;
 
-/// What a measure counts.
+/// The unit of a measure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unit {
     Nanoseconds,
@@ -11,15 +11,14 @@
 }
 
 impl Measure {
-    /// What it counts.
     pub fn unit(self) -> Unit {
         use Measure::*;
         match self {
             QueryProcessorNs
             | PartProcessorNs
             | ParseProcessorNs
-            | TakeProcessorNs
-            | RetakeProcessorNs
+            | ApplyProcessorNs
+            | ReapplyProcessorNs
             | ChangeProcessorNs
             | ChangedEntryProcessorNs => Unit::Nanoseconds,
             ListBytes
@@ -27,13 +26,13 @@
             | ResidentBytes
             | FirstPeakResidentBytes
             | PeakResidentBytes => Unit::Bytes,
-            QueriesMeasured | QueriesAsked | QueriesAnswered | QueriesRefused
-            | QueriesUnanswered | RepliesTwice | Attempts | Calls | Connections | Turns
+            QueriesMeasured | QueriesSent | QueriesAnswered | QueriesRefused
+            | QueriesUnanswered | DuplicateReplies | Attempts | Calls | Connections | Batches
             | ChangeMessages => Unit::Count,
         }
     }
 
-    /// Whether it is processor time or memory; the rest is counted.
+    /// Whether the measure is processor time or resident memory, as opposed to a count or a message size.
     pub fn is_cost(self) -> bool {
         use Measure::*;
         let memory = matches!(
@@ -43,26 +42,26 @@
         memory || self.unit() == Unit::Nanoseconds
     }
 
-    /// The head of its column.
+    /// Title of the measure's table column.
     pub fn label(self) -> &'static str {
         use Measure::*;
         match self {
             QueryProcessorNs => "processor, a query",
             PartProcessorNs => "processor, a part",
             QueriesMeasured => "measured",
-            QueriesAsked => "asked",
+            QueriesSent => "asked",
             QueriesAnswered => "answered",
             QueriesRefused => "refused",
             QueriesUnanswered => "unanswered",
-            RepliesTwice => "replied twice",
+            DuplicateReplies => "replied twice",
             Attempts => "attempts",
             Calls => "calls",
             Connections => "connections",
-            Turns => "turns",
+            Batches => "turns",
             ListBytes => "list",
             ParseProcessorNs => "processor, parse",
-            TakeProcessorNs => "processor, take",
-            RetakeProcessorNs => "processor, take again",
+            ApplyProcessorNs => "processor, take",
+            ReapplyProcessorNs => "processor, take again",
             ChangeMessages => "messages",
             ChangeBytes => "a message",
             ChangeProcessorNs => "processor, a message",
@@ -74,47 +73,48 @@
     }
 }
 
-/// A figure with its unit, to three digits: `88.2 us`, `14.6 MB`; counts whole, as `110,000`.
-pub fn shown(value: f64, unit: Unit) -> String {
+/// Formats a value with its unit and three digits, as in `88.2 us` and `14.6 MB`; counts without a fraction, as in
+/// `110,000`.
+pub fn format_value(value: f64, unit: Unit) -> String {
     match unit {
         Unit::Nanoseconds => scaled(value, &[("ns", 1.0), ("us", 1e3), ("ms", 1e6), ("s", 1e9)]),
         Unit::Bytes => scaled(value, &[("B", 1.0), ("kB", 1e3), ("MB", 1e6), ("GB", 1e9)]),
-        Unit::Count => grouped(value),
+        Unit::Count => format_grouped(value),
     }
 }
 
 fn scaled(value: f64, units: &[(&str, f64)]) -> String {
-    let fitting = units
+    let largest_fitting = units
         .iter()
         .rev()
         .find(|(_, factor)| value.abs() >= *factor)
         .or(units.first());
-    let (name, factor) = fitting.copied().unwrap_or(("", 1.0));
-    format!("{} {name}", digits(value / factor))
+    let (name, factor) = largest_fitting.copied().unwrap_or(("", 1.0));
+    format!("{} {name}", format_digits(value / factor))
 }
 
-/// Three digits, and whole from 100 on.
-pub fn digits(value: f64) -> String {
+/// Three significant digits, or three decimal places below 1; no fraction from 100 on.
+pub fn format_digits(value: f64) -> String {
     let places = match value.abs() {
-        size if size >= 99.95 || size == 0.0 => return grouped(value),
-        size if size >= 9.995 => 1,
-        size if size >= 0.9995 => 2,
+        magnitude if magnitude >= 99.95 || magnitude == 0.0 => return format_grouped(value),
+        magnitude if magnitude >= 9.995 => 1,
+        magnitude if magnitude >= 0.9995 => 2,
         _ => 3,
     };
     format!("{value:.places$}")
 }
 
-/// A whole number with a comma at each thousand.
-pub fn grouped(value: f64) -> String {
-    let plain = format!("{:.0}", value.abs());
+/// Rounds to an integer with commas between groups of three digits.
+pub fn format_grouped(value: f64) -> String {
+    let digits = format!("{:.0}", value.abs());
     let mut out = String::new();
-    for (at, digit) in plain.chars().enumerate() {
-        if at > 0 && (plain.len() - at) % 3 == 0 {
+    for (index, digit) in digits.chars().enumerate() {
+        if index > 0 && (digits.len() - index) % 3 == 0 {
             out.push(',');
         }
         out.push(digit);
     }
-    if value < 0.0 && plain != "0" {
+    if value < 0.0 && digits != "0" {
         format!("-{out}")
     } else {
         out
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -1,15 +1,17 @@
-//! Hollow mixers at small sizes, on loopback. Verdicts are on counts; no test looks at how long anything took.
+//! Hollow mixers at small sizes, over loopback. Assertions are on counts and message sizes, never on times.
 
-use cottonhill_lab::hollow::{measure, HollowPoint, HollowReport, HollowSettings, PointSpec, Way};
+use cottonhill_lab::hollow::{
+    measure, DiscoveryMode, HollowPoint, HollowReport, HollowSettings, PointSpec,
+};
 use cottonhill_lab::report::Outcome;
 use cottonhill_lab::settings::SCHEMA;
 use cottonhill_lab::Failure;
 use std::process::Command;
 
 const MIXERS: u64 = 20;
-/// The version in a message has one digit more where the list is ten times as long.
-const DIGITS: f64 = 1.0;
-/// After a return each mixer asks once; as many again is room for one that was cut off while it asked.
+/// Difference in message size, in bytes: the version has one more digit if the list is ten times as long.
+const VERSION_DIGITS: f64 = 1.0;
+/// Each mixer sends one call after an outage, and a second one if its first was interrupted.
 const CALLS_PER_MIXER: u64 = 2;
 
 const SMALL: &str =
@@ -22,40 +24,40 @@
     HollowSettings::read(&settings)
 }
 
-fn point(entries: u64, way: Way) -> HollowPoint {
+fn point(entries: u64, mode: DiscoveryMode) -> HollowPoint {
     let settings = read(SMALL).unwrap();
     measure(&PointSpec {
         mixers: MIXERS,
         entries,
-        way,
+        mode,
         settings,
     })
     .unwrap()
 }
 
-/// What holds at every size.
+/// Checks the counts that are the same at every size.
 fn check(point: &HollowPoint) {
     assert_eq!(
         (point.outcome, point.note.as_str()),
         (Outcome::Measured, ""),
-        "every mixer held every version"
+        "every mixer has every version in force"
     );
     let start = point.start.unwrap();
+    assert_eq!(start.in_force.samples, MIXERS, "one first list per mixer");
     assert_eq!(
-        start.in_force.samples, MIXERS,
-        "each mixer's first list counts once"
+        start.cost.snapshot_messages, MIXERS,
+        "one snapshot per mixer"
     );
-    assert_eq!(start.cost.whole_messages, MIXERS, "one whole list a mixer");
     assert_eq!(
         (start.cost.list_calls, start.cost.watch_calls),
         (MIXERS, MIXERS)
     );
 
-    let rest = point.rest.unwrap();
+    let idle = point.idle.unwrap();
     assert_eq!(
-        (rest.connections, rest.list_calls, rest.watch_calls),
+        (idle.connections, idle.list_calls, idle.watch_calls),
         (0, 0, 0),
-        "a fleet at rest asks nothing"
+        "an idle fleet sends no calls"
     );
     let change = point.change.unwrap();
     assert_eq!(
@@ -63,9 +65,9 @@
         (4 * MIXERS, 4 * MIXERS)
     );
     assert_eq!(
-        (change.cost.connections, change.cost.whole_messages),
+        (change.cost.connections, change.cost.snapshot_messages),
         (0, 0),
-        "on the open watch"
+        "changes are sent on the open watch"
     );
 
     let rate = &point.rates[0];
@@ -75,34 +77,37 @@
     assert_eq!(
         (
             zone.step.cost.change_messages,
-            zone.step.cost.whole_messages
+            zone.step.cost.snapshot_messages
         ),
         (MIXERS, 0)
     );
 
-    let back = point.back.unwrap();
-    assert_eq!(back.step.lagging_mixers, 0);
+    let outage = point.outage.unwrap();
+    assert_eq!(outage.step.lagging_mixers, 0);
     assert_eq!(
-        back.step.in_force.samples, MIXERS,
-        "each holds the version that was made meanwhile"
+        outage.step.in_force.samples, MIXERS,
+        "each mixer has the version of the outage in force"
     );
-    let calls = back.step.cost.list_calls + back.step.cost.watch_calls;
+    let calls = outage.step.cost.list_calls + outage.step.cost.watch_calls;
     assert!(
         (MIXERS..=CALLS_PER_MIXER * MIXERS).contains(&calls),
-        "{calls} calls after the return"
+        "{calls} calls after the outage"
     );
     assert_eq!(
-        back.step.cost.whole_messages, 0,
-        "changes are enough for who holds a version"
+        outage.step.cost.snapshot_messages, 0,
+        "a mixer that has a version is sent only the changes"
     );
-    let forgetful = point.back_without_history.unwrap().step;
+    let without_history = point.outage_without_history.unwrap().step;
     assert_eq!(
-        (forgetful.in_force.samples, forgetful.lagging_mixers),
+        (
+            without_history.in_force.samples,
+            without_history.lagging_mixers
+        ),
         (MIXERS, 0)
     );
     assert!(
-        (MIXERS..=CALLS_PER_MIXER * MIXERS).contains(&forgetful.cost.whole_messages),
-        "{forgetful:?}"
+        (MIXERS..=CALLS_PER_MIXER * MIXERS).contains(&without_history.cost.snapshot_messages),
+        "{without_history:?}"
     );
 
     let silence = point.silence.unwrap();
@@ -110,39 +115,39 @@
         (silence.in_force.samples, silence.lagging_mixers),
         (MIXERS, 0)
     );
-    assert_eq!(silence.cost.connections, MIXERS, "one new watch each");
+    assert_eq!(silence.cost.connections, MIXERS, "one new watch per mixer");
 }
 
 #[test]
-fn each_mixer_holds_the_last_version_and_a_change_costs_the_same_whatever_the_list() {
+fn all_mixers_reach_the_last_version_and_change_size_does_not_depend_on_list_size() {
     let (small, large) = std::thread::scope(|scope| {
-        let large = scope.spawn(|| point(3_000, Way::Asked));
-        (point(300, Way::Asked), large.join().unwrap())
+        let large = scope.spawn(|| point(3_000, DiscoveryMode::Polled));
+        (point(300, DiscoveryMode::Polled), large.join().unwrap())
     });
     [&small, &large].into_iter().for_each(check);
-    let bytes = |point: &HollowPoint| point.change.unwrap().cost.bytes_per_change_message;
+    let change_bytes = |point: &HollowPoint| point.change.unwrap().cost.bytes_per_change_message;
     assert!(
-        (bytes(&large) - bytes(&small)).abs() <= DIGITS,
+        (change_bytes(&large) - change_bytes(&small)).abs() <= VERSION_DIGITS,
         "{} and {}",
-        bytes(&small),
-        bytes(&large)
+        change_bytes(&small),
+        change_bytes(&large)
     );
-    let whole = |point: &HollowPoint| point.start.unwrap().cost.bytes_per_whole_message;
+    let snapshot_bytes = |point: &HollowPoint| point.start.unwrap().cost.bytes_per_snapshot_message;
     assert!(
-        whole(&large) > 9.0 * whole(&small),
-        "a whole list does grow"
+        snapshot_bytes(&large) > 9.0 * snapshot_bytes(&small),
+        "the snapshot grows with the list"
     );
 }
 
 #[test]
-fn a_list_of_each_way_is_followed_over_one_connection_a_mixer() {
-    check(&point(300, Way::Pushed));
+fn pushed_mode_has_the_same_counts_as_polled_mode() {
+    check(&point(300, DiscoveryMode::Pushed));
 }
 
 #[test]
-fn wrong_settings_are_named_with_file_line_key_and_the_nearest_name() {
-    let wrong = |text: &str| read(text).unwrap_err().to_string();
-    let unknown = wrong("[hollow]\nmixer = 10\n");
+fn invalid_settings_are_reported_with_file_line_key_and_nearest_key() {
+    let message_for = |text: &str| read(text).unwrap_err().to_string();
+    let unknown = message_for("[hollow]\nmixer = 10\n");
     assert!(
         unknown.contains("lab.ini:2") && unknown.contains("'mixer'"),
         "{unknown}"
@@ -155,17 +160,17 @@
         "rates = 0",
         "ways = asked, told",
     ] {
-        let why = wrong(&format!("[hollow]\n\n{line}\n"));
+        let message = message_for(&format!("[hollow]\n\n{line}\n"));
         let key = line.split_once(' ').unwrap().0;
         assert!(
-            why.contains("lab.ini:3") && why.contains(key),
-            "{line}: {why}"
+            message.contains("lab.ini:3") && message.contains(key),
+            "{line}: {message}"
         );
     }
 }
 
 #[test]
-fn the_command_writes_a_report_that_reads_back_and_a_summary_last() {
+fn the_command_writes_a_readable_report_and_prints_the_summary_last() {
     let folder = tempfile::tempdir().unwrap();
     let (settings, out) = (
         folder.path().join("lab.ini"),
--- a/crates/lab/tests/reports.rs
+++ b/crates/lab/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Fits, figures and the comparison of two reports, on known data.
+//! Fits, number formats and the comparison of two reports, on known data.
 
 use cottonhill_lab::fit::{line, median, Line};
 use cottonhill_lab::machine::Machine;
@@ -7,12 +7,12 @@
     Against, Measure, Outcome, Point, Ratio, Report, Scope, Series, Slope, Values, FORMAT,
 };
 use cottonhill_lab::scale::findings;
-use cottonhill_lab::scale::settings::Scale;
-use cottonhill_lab::units::{digits, grouped, shown, Unit};
+use cottonhill_lab::scale::settings::ScaleSettings;
+use cottonhill_lab::units::{format_digits, format_grouped, format_value, Unit};
 use cottonhill_lab::{output, Failure};
 
-fn scale() -> Scale {
-    Scale::read(&cottonhill_ini::Settings::defaults()).expect("the defaults do")
+fn default_settings() -> ScaleSettings {
+    ScaleSettings::read(&cottonhill_ini::Settings::defaults()).expect("the defaults are valid")
 }
 
 fn point(x: f64, outcome: Outcome, values: Values) -> Point {
@@ -35,7 +35,7 @@
     }
 }
 
-fn a_report(slope: f64) -> Report {
+fn sample_report(slope: f64) -> Report {
     let line = Line {
         slope,
         intercept: 1_000.0,
@@ -43,7 +43,7 @@
         points: 3,
     };
     let values = Values::from([
-        (Measure::TakeProcessorNs, slope * 1e6),
+        (Measure::ApplyProcessorNs, slope * 1e6),
         (Measure::ListBytes, 4e6),
     ]);
     Report {
@@ -63,7 +63,7 @@
             name: "processor time to take an entry".into(),
             unit: "ns an entry".into(),
             series: "whole-list-by-servers".into(),
-            measure: Measure::TakeProcessorNs,
+            measure: Measure::ApplyProcessorNs,
             against: Against::Size,
             line: Some(line),
         }],
@@ -71,24 +71,24 @@
             Ratio {
                 name: "one changed entry".into(),
                 value: Some(slope / 10.0),
-                aim: Some(3.0),
+                target: Some(3.0),
             },
             Ratio {
                 name: "a part".into(),
                 value: None,
-                aim: Some(1.5),
+                target: Some(1.5),
             },
             Ratio {
                 name: "explains".into(),
                 value: Some(9.0),
-                aim: None,
+                target: None,
             },
         ],
     }
 }
 
 #[test]
-fn a_line_through_points_on_it_is_found_exactly() {
+fn collinear_points_are_fitted_exactly() {
     let points: Vec<(f64, f64)> = (1..6)
         .map(|x| (f64::from(x), 7.0 + 2.5 * f64::from(x)))
         .collect();
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn what_a_line_misses_is_its_residual() {
-    // Least squares by hand: slope 1, intercept 0, misses of 1, 1, 1 and 1 around a mean of 2.5.
+fn the_residual_is_the_relative_root_mean_square_error() {
+    // Computed by hand: slope 1, intercept 0, residuals of magnitude 1 at all four points, mean 2.5.
     let fitted = line(&[(1.0, 2.0), (2.0, 1.0), (3.0, 2.0), (4.0, 5.0)]).expect("a line");
     assert!(
         (fitted.slope - 1.0).abs() < 1e-12 && fitted.intercept.abs() < 1e-12,
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn there_is_no_line_through_less_than_two_sizes() {
+fn no_line_is_fitted_to_fewer_than_two_distinct_sizes() {
     assert_eq!(line(&[]), None);
     assert_eq!(line(&[(1.0, 2.0)]), None);
     assert_eq!(line(&[(1.0, 2.0), (1.0, 3.0)]), None);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_middle_is_not_moved_by_what_lies_far_out() {
+fn the_median_is_not_affected_by_outliers() {
     assert_eq!(median(vec![]), None);
     assert_eq!(median(vec![3.0]), Some(3.0));
     assert_eq!(median(vec![900.0, 2.0, 1.0]), Some(2.0));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_refused_size_is_shown_and_enters_no_fit() {
+fn a_refused_size_is_shown_but_excluded_from_the_fit() {
     let values = |x: f64| Values::from([(Measure::ResidentBytes, 1_000.0 * x)]);
     let series = [list_series(vec![
         point(300.0, Outcome::Measured, values(300.0)),
@@ -140,7 +140,7 @@
         point(30_000.0, Outcome::Failed, Values::new()),
         point(110_000.0, Outcome::Refused, values(1.0)),
     ])];
-    let slopes = findings::slopes(&scale(), &series);
+    let slopes = findings::slopes(&default_settings(), &series);
     let memory = slopes
         .iter()
         .find(|slope| slope.name == "resident memory an entry")
@@ -151,7 +151,7 @@
     let report = Report {
         series: series.to_vec(),
         slopes,
-        ..a_report(1.0)
+        ..sample_report(1.0)
     };
     let page = page(&report);
     assert!(
@@ -163,14 +163,14 @@
 }
 
 #[test]
-fn an_aim_without_a_value_is_not_reached() {
-    let summary = a_report(10.0).summary();
-    assert_eq!((summary.aims, summary.reached), (2, 1));
+fn a_target_without_a_value_is_not_reached() {
+    let summary = sample_report(10.0).summary();
+    assert_eq!((summary.targets, summary.reached), (2, 1));
     assert_eq!(
         summary.to_string(),
         "SCALE series 1, points 2, cut 0, refused 1, failed 0, aims 1 of 2 reached"
     );
-    let missing = findings::ratios(&scale(), &[]);
+    let missing = findings::ratios(&default_settings(), &[]);
     assert_eq!(
         missing
             .iter()
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_series_of_one_size_reaches_no_aim() {
+fn a_series_of_one_size_does_not_reach_its_target() {
     let change = |servers: &[f64]| {
         let cost = |x: f64| Values::from([(Measure::ChangedEntryProcessorNs, 10.0 * x)]);
         let points = servers
@@ -192,7 +192,7 @@
             name: "change-of-one-entry-by-servers".into(),
             ..list_series(points)
         };
-        let ratios = findings::ratios(&scale(), &[series]);
+        let ratios = findings::ratios(&default_settings(), &[series]);
         let one = ratios
             .into_iter()
             .find(|ratio| ratio.name.starts_with("one changed entry"));
@@ -204,8 +204,8 @@
 }
 
 #[test]
-fn two_reports_stand_side_by_side() {
-    let text = comparison(&a_report(100.0), &a_report(20.0));
+fn the_comparison_shows_both_reports_side_by_side() {
+    let text = comparison(&sample_report(100.0), &sample_report(20.0));
     let row = |name: &str| {
         text.lines()
             .find(|line| line.contains(name))
@@ -241,9 +241,9 @@
 }
 
 #[test]
-fn a_report_comes_back_as_it_was_written() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let report = a_report(3.0);
+fn a_written_report_is_read_back_unchanged() {
+    let folder = tempfile::tempdir().expect("a temporary folder");
+    let report = sample_report(3.0);
     output::write(&report, folder.path()).expect("written");
     assert_eq!(
         output::read(&folder.path().join("scale.json")).expect("a report"),
@@ -251,25 +251,33 @@
     );
     let missing = output::read(&folder.path().join("other.json")).expect_err("no such file");
     assert!(
-        matches!(&missing, Failure::Settings(why) if why.contains("other.json")),
+        matches!(&missing, Failure::Settings(message) if message.contains("other.json")),
         "{missing}"
     );
 }
 
 #[test]
 fn figures_have_three_digits_and_a_unit() {
-    assert_eq!(shown(87_960.0, Unit::Nanoseconds), "88.0 us");
-    assert_eq!(shown(312_400_000.0, Unit::Nanoseconds), "312 ms");
-    assert_eq!(shown(14_969_756.0, Unit::Bytes), "15.0 MB");
-    assert_eq!(shown(110_000.0, Unit::Count), "110,000");
-    assert_eq!(shown(0.0, Unit::Bytes), "0 B");
-    assert_eq!(shown(999.96, Unit::Nanoseconds), "1,000 ns");
+    assert_eq!(format_value(87_960.0, Unit::Nanoseconds), "88.0 us");
+    assert_eq!(format_value(312_400_000.0, Unit::Nanoseconds), "312 ms");
+    assert_eq!(format_value(14_969_756.0, Unit::Bytes), "15.0 MB");
+    assert_eq!(format_value(110_000.0, Unit::Count), "110,000");
+    assert_eq!(format_value(0.0, Unit::Bytes), "0 B");
+    assert_eq!(format_value(999.96, Unit::Nanoseconds), "1,000 ns");
     assert_eq!(
-        (digits(0.0123), digits(-4.567), digits(99.96)),
+        (
+            format_digits(0.0123),
+            format_digits(-4.567),
+            format_digits(99.96)
+        ),
         ("0.012".into(), "-4.57".into(), "100".into())
     );
     assert_eq!(
-        (grouped(-1_234_567.0), grouped(12.0), grouped(-0.2)),
+        (
+            format_grouped(-1_234_567.0),
+            format_grouped(12.0),
+            format_grouped(-0.2)
+        ),
         ("-1,234,567".into(), "12".into(), "0".into())
     );
 }
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -1,11 +1,11 @@
-//! The scale runs at small sizes: verdicts on counts and on ratios of operations, never on times.
+//! The scale runs at small sizes. Assertions are on counts and on ratios of operations, never on times.
 
 use cottonhill_ini::Settings;
 use cottonhill_lab::report::{Measure, Outcome, Point, Report, Values};
 use cottonhill_lab::scale::driver::{Driver, Workload};
 use cottonhill_lab::scale::fleet::{EndpointStatus, Fleet};
 use cottonhill_lab::scale::point::{measure, Spec, Work};
-use cottonhill_lab::scale::settings::Scale;
+use cottonhill_lab::scale::settings::ScaleSettings;
 use cottonhill_lab::scale::{child, watch};
 use cottonhill_lab::settings::SCHEMA;
 use cottonhill_lab::{machine, output, Failure};
@@ -47,11 +47,11 @@
     "memory-by-connections",
     OPEN_QUERIES,
 ];
-/// The one series whose queries are left open.
+/// The only series whose queries stay open.
 const OPEN_QUERIES: &str = "memory-by-open-queries";
 
 fn lab(settings: &str, arguments: &[&str]) -> (tempfile::TempDir, Output) {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder");
     let file = folder.path().join("scale.ini");
     std::fs::write(&file, settings).expect("settings written");
     let out = folder.path().join("out");
@@ -78,16 +78,16 @@
 fn fleet(servers: u64) -> Fleet {
     Fleet {
         servers,
-        copies: 3,
+        replicas: 3,
         zones: 15,
     }
 }
 
-fn workload(parts: u64, open: u64) -> Workload {
+fn workload(parts: u64, open_queries: u64) -> Workload {
     Workload {
         parts,
-        open,
-        answer_ns: 60_000_000,
+        open_queries,
+        leaf_latency_ns: 60_000_000,
         shards: u64::MAX,
     }
 }
@@ -97,7 +97,7 @@
         fleet: fleet(servers),
         seed: 7,
         work,
-        time_ms: 20_000,
+        time_limit_ms: 20_000,
     }
 }
 
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_run_has_every_series_and_answers_every_query_once() {
+fn a_run_measures_all_series_and_answers_each_query_once() {
     let (folder, output) = lab(SMALL, &["scale"]);
     let errors = String::from_utf8_lossy(&output.stderr);
     assert!(output.status.success(), "{errors}");
@@ -129,7 +129,7 @@
             if !point.values.contains_key(&Measure::QueriesAnswered) {
                 continue;
             }
-            assert_eq!(value(point, Measure::RepliesTwice), 0.0, "{at}");
+            assert_eq!(value(point, Measure::DuplicateReplies), 0.0, "{at}");
             assert_eq!(value(point, Measure::QueriesRefused), 0.0, "{at}");
             if series.name == OPEN_QUERIES {
                 assert_eq!(value(point, Measure::QueriesUnanswered), point.x, "{at}");
@@ -137,13 +137,13 @@
                 assert_eq!(value(point, Measure::QueriesUnanswered), 0.0, "{at}");
                 assert_eq!(
                     value(point, Measure::QueriesAnswered),
-                    value(point, Measure::QueriesAsked),
+                    value(point, Measure::QueriesSent),
                     "{at}"
                 );
             }
             if series.name.starts_with("query") {
-                let asked = value(point, Measure::QueriesAsked);
-                assert!((70.0..=78.0).contains(&asked), "{asked} asked, {at}");
+                let sent = value(point, Measure::QueriesSent);
+                assert!((70.0..=78.0).contains(&sent), "{sent} sent, {at}");
                 let measured = value(point, Measure::QueriesMeasured);
                 assert!(
                     (50.0..=60.0).contains(&measured),
@@ -162,8 +162,12 @@
         "{:?}",
         report.ratios
     );
-    let aims: Vec<f64> = report.ratios.iter().filter_map(|ratio| ratio.aim).collect();
-    assert_eq!(aims, [1.5, 1.5, 3.0]);
+    let targets: Vec<f64> = report
+        .ratios
+        .iter()
+        .filter_map(|ratio| ratio.target)
+        .collect();
+    assert_eq!(targets, [1.5, 1.5, 3.0]);
     let written = String::from_utf8_lossy(&output.stdout);
     let last = written.lines().last().unwrap_or_default();
     assert_eq!(last, report.summary().to_string());
@@ -178,11 +182,11 @@
         assert!(length > 100, "{file}: {length} bytes");
     }
     let page = std::fs::read_to_string(folder.path().join("out/scale.md")).expect("the page");
-    for shown in names
+    for text in names
         .into_iter()
         .chain(["in process, without sockets", "resident memory an entry"])
     {
-        assert!(page.contains(shown), "{shown} is not on the page");
+        assert!(page.contains(text), "{text} is not on the page");
     }
     assert!(
         report.ratios.iter().all(|ratio| page.contains(&ratio.name)),
@@ -194,7 +198,7 @@
 fn the_same_seed_gives_the_same_counts() {
     let work = Work::Queries {
         workload: workload(12, 8),
-        warm: 20,
+        warm_up: 20,
         queries: 200,
     };
     let first = measure(&spec(300, work.clone()));
@@ -204,19 +208,19 @@
 }
 
 #[test]
-fn a_query_costs_the_same_operations_in_a_fleet_ten_times_as_large() {
-    let few_shards = Workload {
+fn a_query_needs_the_same_operations_in_a_fleet_ten_times_as_large() {
+    let same_shards = Workload {
         shards: 100,
         ..workload(12, 8)
     };
     let work = Work::Queries {
-        workload: few_shards,
-        warm: 200,
+        workload: same_shards,
+        warm_up: 200,
         queries: 200,
     };
     let sample = |servers| measure(&spec(servers, work.clone())).values;
     let (small, large) = (sample(300), sample(3_000));
-    for measure in [Measure::Attempts, Measure::Calls, Measure::Turns] {
+    for measure in [Measure::Attempts, Measure::Calls, Measure::Batches] {
         let ratio = large[&measure] / small[&measure];
         assert!(
             (0.95..=1.05).contains(&ratio),
@@ -225,10 +229,10 @@
             large[&measure]
         );
     }
-    let parts = 12.0 * large[&Measure::QueriesAsked];
+    let parts = 12.0 * large[&Measure::QueriesSent];
     assert!(
         large[&Measure::Attempts] <= 1.05 * parts,
-        "{} attempts of {parts} parts",
+        "{} attempts for {parts} parts",
         large[&Measure::Attempts]
     );
 }
@@ -253,17 +257,20 @@
 }
 
 #[test]
-fn the_list_that_a_fleet_writes_is_what_the_watch_reads() {
-    let whole = watch::read_whole(fleet(1_000), 9).expect("a list");
-    assert_eq!((whole.listing.version, whole.listing.snapshot), (9, true));
-    let pieces: String = fleet(1_000).whole_list(9).collect();
-    assert_eq!(pieces.len(), whole.bytes);
+fn the_watch_reads_the_snapshot_and_changes_that_a_fleet_writes() {
+    let snapshot = watch::read_snapshot(fleet(1_000), 9).expect("a list");
+    assert_eq!(
+        (snapshot.update.version, snapshot.update.snapshot),
+        (9, true)
+    );
+    let chunks: String = fleet(1_000).snapshot(9).collect();
+    assert_eq!(chunks.len(), snapshot.bytes);
     assert_eq!(
-        endpoint_updates::parse(pieces.as_bytes()),
-        Ok(Some(whole.listing.clone()))
+        endpoint_updates::parse(chunks.as_bytes()),
+        Ok(Some(snapshot.update.clone()))
     );
-    let groups: Vec<u16> = whole
-        .listing
+    let groups: Vec<u16> = snapshot
+        .update
         .entries
         .iter()
         .map(|entry| entry.cell)
@@ -277,7 +284,7 @@
             .change(10, 998, 4, EndpointStatus::Draining)
             .as_bytes(),
     );
-    let change = change.expect("a change").expect("one that says something");
+    let change = change.expect("a change").expect("a change with entries");
     let names: Vec<&str> = change.entries.iter().map(|entry| &*entry.name).collect();
     assert_eq!(
         names,
@@ -291,19 +298,19 @@
 }
 
 #[test]
-fn a_list_over_the_watchs_bound_is_reported_as_refused_with_its_figures() {
-    const LEAST_ENTRY: u64 = 120;
-    let servers = MAX_UPDATE_BYTES as u64 / LEAST_ENTRY + 1;
+fn a_snapshot_over_the_watch_size_limit_is_reported_as_refused_with_its_size() {
+    const MIN_ENTRY_BYTES: u64 = 120;
+    let servers = MAX_UPDATE_BYTES as u64 / MIN_ENTRY_BYTES + 1;
     let fleet = Fleet {
         servers,
-        copies: 64,
+        replicas: 64,
         zones: 15,
     };
     let sample = measure(&Spec {
         fleet,
         seed: 7,
         work: Work::List,
-        time_ms: 60_000,
+        time_limit_ms: 60_000,
     });
     assert_eq!(sample.outcome, Outcome::Refused, "{}", sample.note);
     assert!(
@@ -315,52 +322,52 @@
 }
 
 #[test]
-fn a_point_past_its_time_is_cut_and_says_so() {
+fn a_point_past_its_time_limit_is_cut_and_its_note_says_so() {
     let work = Work::Queries {
         workload: workload(12, 8),
-        warm: 0,
+        warm_up: 0,
         queries: 1_000_000,
     };
     let sample = measure(&Spec {
-        time_ms: 1_000,
+        time_limit_ms: 1_000,
         ..spec(300, work)
     });
     assert_eq!(sample.outcome, Outcome::Cut);
-    let done = sample.values[&Measure::QueriesMeasured];
-    assert!(done > 0.0 && done < 1e6);
-    assert_eq!(sample.note, format!("cut after {done} queries"));
+    let measured = sample.values[&Measure::QueriesMeasured];
+    assert!(measured > 0.0 && measured < 1e6);
+    assert_eq!(sample.note, format!("cut after {measured} queries"));
 }
 
 #[test]
-fn a_process_that_outlasts_its_limit_or_fails_is_a_point_that_failed() {
+fn a_process_that_exceeds_its_time_limit_or_fails_gives_a_failed_point() {
     let work = Work::Queries {
         workload: workload(12, 8),
-        warm: 0,
+        warm_up: 0,
         queries: 1_000_000,
     };
     let endless = Spec {
-        time_ms: 60_000,
+        time_limit_ms: 60_000,
         ..spec(300, work)
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let sample = child::measure(Path::new(LAB), &endless, Duration::from_millis(200));
     assert_eq!(sample.outcome, Outcome::Failed);
     assert_eq!(sample.note, "ended after its limit of 0.2 s");
-    assert!(began.elapsed() < Duration::from_secs(30));
-    let none = child::measure(
+    assert!(started_at.elapsed() < Duration::from_secs(30));
+    let not_started = child::measure(
         Path::new("/nowhere/cottonhill-lab"),
         &endless,
         Duration::from_secs(1),
     );
-    assert_eq!(none.outcome, Outcome::Failed);
-    let narrow = spec(
+    assert_eq!(not_started.outcome, Outcome::Failed);
+    let quick = spec(
         30,
         Work::Changes {
             entries: 1,
             messages: 1,
         },
     );
-    let sample = child::measure(Path::new(LAB), &narrow, Duration::from_secs(20));
+    let sample = child::measure(Path::new(LAB), &quick, Duration::from_secs(20));
     assert_eq!(
         (sample.outcome, sample.note.as_str()),
         (Outcome::Measured, "")
@@ -368,12 +375,12 @@
 }
 
 #[test]
-fn queries_that_are_opened_stay_open_and_are_answered_once_when_time_goes_on() {
-    let load = workload(12, 40);
+fn open_queries_are_answered_once_after_the_virtual_clock_advances() {
+    let workload_40_open = workload(12, 40);
     let mut driver = Driver::new(fleet(300), 7).expect("a mixer");
-    driver.take(watch::read_whole(fleet(300), 1).expect("a list").listing);
-    driver.connect_clients(&load);
-    driver.open_all(&load, 100);
+    driver.apply_update(watch::read_snapshot(fleet(300), 1).expect("a list").update);
+    driver.connect_clients(&workload_40_open);
+    driver.send_on_all_clients(&workload_40_open, 100);
     assert_eq!(
         (driver.counts().unanswered(), driver.counts().attempts),
         (40, 480)
@@ -384,24 +391,24 @@
         (
             counts.answered,
             counts.refused,
-            counts.twice,
+            counts.duplicate_replies,
             counts.unanswered()
         ),
         (40, 0, 0, 0)
     );
 }
 
-fn refused(settings: &str) -> String {
+fn settings_error(settings: &str) -> String {
     let read = Settings::parse(&SCHEMA, "scale.ini", settings).map_err(Failure::settings);
     let failure = read
-        .and_then(|settings| Scale::read(&settings))
-        .expect_err("settings that do not do");
+        .and_then(|settings| ScaleSettings::read(&settings))
+        .expect_err("invalid settings");
     assert_eq!(failure.code(), 3);
     failure.to_string()
 }
 
 #[test]
-fn bad_settings_are_named_with_their_line_and_the_nearest_key() {
+fn invalid_settings_are_reported_with_their_line_and_the_nearest_key() {
     let cases = [
         (
             "[scale]\nservres = 300\n",
@@ -448,39 +455,39 @@
             "scale.ini:2: [log] format = jsn: the nearest is 'json'",
         ),
     ];
-    for (settings, wanted) in cases {
-        let said = refused(settings);
-        assert!(said.starts_with(wanted), "{settings}: {said}");
+    for (settings, expected) in cases {
+        let message = settings_error(settings);
+        assert!(message.starts_with(expected), "{settings}: {message}");
     }
 }
 
 #[test]
-fn the_command_line_reports_bad_settings_with_its_exit_code() {
+fn the_command_line_reports_invalid_settings_with_exit_code_3() {
     let (_folder, output) = lab("[scale]\nqueriess = 1\n", &["scale"]);
     assert_eq!(output.status.code(), Some(3));
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert!(said.contains("the nearest is 'queries'"), "{said}");
+    let message = String::from_utf8_lossy(&output.stderr);
+    assert!(message.contains("the nearest is 'queries'"), "{message}");
 }
 
 #[test]
-fn the_settings_that_are_committed_are_the_defaults() {
+fn the_committed_settings_file_writes_out_all_defaults() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab/scale.ini");
-    let text = std::fs::read_to_string(path).expect("the settings");
-    let committed = Settings::parse(&SCHEMA, "lab/scale.ini", &text).expect("good settings");
-    let scale = |settings: &Settings| Scale::read(settings).expect("good settings");
+    let text = std::fs::read_to_string(path).expect("the settings file");
+    let committed = Settings::parse(&SCHEMA, "lab/scale.ini", &text).expect("valid settings");
+    let scale = |settings: &Settings| ScaleSettings::read(settings).expect("valid settings");
     assert_eq!(scale(&committed), scale(&Settings::defaults()));
-    for shown in committed.effective_values(&SCHEMA) {
+    for setting in committed.effective_values(&SCHEMA) {
         assert_ne!(
-            shown.origin,
+            setting.origin,
             cottonhill_ini::Origin::Default,
-            "{} is not written out",
-            shown.key
+            "{} is missing from the file",
+            setting.key
         );
     }
 }
 
 #[test]
-fn what_is_written_about_the_machine_names_no_host() {
+fn the_machine_record_contains_no_host_name() {
     let written = format!("{:?}", machine::Machine::read());
     let host = std::fs::read_to_string("/proc/sys/kernel/hostname").unwrap_or_default();
     assert!(
