--- a/crates/cottonhill/src/mixer/fronts.rs
+++ b/crates/cottonhill/src/mixer/fronts.rs
@@ -5,17 +5,17 @@
 use crate::log_targets::FRONTS;
 use crate::schema::SCHEMA;
 use cottonhill_ini::Settings;
-use cottonhill_mixer::transport::StartFront;
+use cottonhill_mixer::transport::FrontendStarter;
 use cottonhill_opensearch::front;
-use cottonhill_opensearch::index::Front;
-use cottonhill_opensearch::tls::{Files, Tls};
+use cottonhill_opensearch::index::FrontSettings;
+use cottonhill_opensearch::tls::{Tls, TlsFiles};
 use std::rc::Rc;
 
 /// The fronts that are on.
 #[derive(Default)]
 pub struct Fronts {
     /// Starts each of them once the transport runs.
-    pub start: Vec<StartFront>,
+    pub start: Vec<FrontendStarter>,
     /// Certificate and key, which a reload reads again.
     pub tls: Option<Rc<Tls>>,
 }
@@ -25,7 +25,7 @@
 /// # Errors
 /// Settings or a certificate that can't be used, or an address that can't be bound.
 pub async fn open(settings: &Settings) -> Result<Fronts, CommandError> {
-    let Some(opensearch) = Front::read(settings, &SCHEMA)? else {
+    let Some(opensearch) = FrontSettings::read(settings, &SCHEMA)? else {
         return Ok(Fronts::default());
     };
     let tls = opensearch.tls.clone().map(load_tls).transpose()?;
@@ -39,7 +39,7 @@
         "OpenSearch-style front listening"
     );
     let front_tls = tls.clone();
-    let start: StartFront =
+    let start: FrontendStarter =
         Box::new(move |queries| front::start(opensearch, front_tls, listener, queries));
     Ok(Fronts {
         start: vec![start],
@@ -47,7 +47,7 @@
     })
 }
 
-fn load_tls(files: Files) -> Result<Rc<Tls>, ConfigurationError> {
+fn load_tls(files: TlsFiles) -> Result<Rc<Tls>, ConfigurationError> {
     Tls::load(files)
         .map(Rc::new)
         .map_err(|error| ConfigurationError::InvalidCertificate(error.to_string()))
--- a/crates/cottonhill/src/mixer/mod.rs
+++ b/crates/cottonhill/src/mixer/mod.rs
@@ -45,7 +45,7 @@
     let listener = listener::bind(config.listen).await?;
     let integrations = transport::Integrations {
         recorder: writer.map(|writer| Box::new(UsageLogRecorder(writer)) as _),
-        fronts: fronts.start,
+        frontends: fronts.start,
     };
     transport::serve(
         reducer,
@@ -107,7 +107,7 @@
         reducer.limit_memory(memory_limit);
     }
     if let Some(usage_log) = usage_log {
-        reducer.record_usage(usage_log.watermark_interval.as_nanos() as u64);
+        reducer.enable_usage_recording(usage_log.watermark_interval.as_nanos() as u64);
     }
     reducer
 }
