--- a/crates/lab/src/hollow/mod.rs
+++ b/crates/lab/src/hollow/mod.rs
@@ -304,7 +304,7 @@
         .map(|step| ("single changes", step))
         .into_iter()
         .chain(rates);
-    let steps = steps.chain(point.zone.map(|zone| ("a zone at once", zone.step)));
+    let steps = steps.chain(point.zone.map(|zone| ("the change of a zone", zone.step)));
     let steps = steps.chain(
         point
             .outage
