--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -42,7 +42,7 @@
         let started = RuntimeThread::start(|| Discovery::start(Ipv4Addr::LOCALHOST.into()))?;
         let (discovery_thread, discovery) = started;
         let discovery = Arc::new(discovery.map_err(Failure::running)?);
-        discovery.tell(list);
+        discovery.update(list);
         let config = Arc::new(configuration(discovery.address, mixers, mode)?);
         let progress = Arc::new(Progress::new(mixers as usize));
         let start_thread = |first: usize| {
@@ -78,7 +78,7 @@
     pub fn change(&self, entries: Vec<Value>) -> Version {
         let version = self.discovery.version() + entries.len() as Version;
         self.progress.record_published(version, Instant::now());
-        self.discovery.tell(entries);
+        self.discovery.update(entries);
         version
     }
 
--- a/crates/lab/src/hollow/steps.rs
+++ b/crates/lab/src/hollow/steps.rs
@@ -46,12 +46,12 @@
             processor_us_per_mixer: ms(now.mixers.saturating_sub(self.mixers)) * 1e3
                 / fleet.mixers as f64,
             connections: traffic.connections,
-            list_calls: traffic.list_calls,
-            watch_calls: traffic.watch_calls,
-            snapshot_messages: traffic.whole_messages,
-            bytes_per_snapshot_message: mean(traffic.whole_bytes, traffic.whole_messages),
-            change_messages: traffic.change_messages,
-            bytes_per_change_message: mean(traffic.change_bytes, traffic.change_messages),
+            list_calls: traffic.list_requests,
+            watch_calls: traffic.watch_requests,
+            snapshot_messages: traffic.snapshot_messages,
+            bytes_per_snapshot_message: mean(traffic.snapshot_bytes, traffic.snapshot_messages),
+            change_messages: traffic.delta_messages,
+            bytes_per_change_message: mean(traffic.delta_bytes, traffic.delta_messages),
             heartbeats: traffic.heartbeats,
             socket_bytes_per_mixer: mean(traffic.bytes_sent, fleet.mixers),
         }
@@ -97,7 +97,7 @@
     };
     let all = fleet.mixers as usize;
     let refused = || {
-        let sent = fleet.discovery.traffic().whole_messages;
+        let sent = fleet.discovery.traffic().snapshot_messages;
         fleet.progress.lagging(version) == all && sent >= REFUSED_AFTER_SNAPSHOTS * fleet.mixers
     };
     wait_until(timeout, CHECK_INTERVAL, || {
@@ -105,7 +105,7 @@
     })
     .await;
     let refused = refused();
-    let all_watch = || fleet.discovery.traffic().watch_calls >= fleet.mixers;
+    let all_watch = || fleet.discovery.traffic().watch_requests >= fleet.mixers;
     if !refused {
         // The watch that each mixer opens after its snapshot is part of the start.
         wait_until(timeout, CHECK_INTERVAL, all_watch).await;
@@ -153,7 +153,7 @@
         vec![entry(change * 7 % entries, change, "up")]
     };
     discovery
-        .tell_steadily(per_second, settings.rate_duration, next)
+        .update_periodically(per_second, settings.rate_duration, next)
         .await;
     let version = discovery.version();
     let step = wait_for_version(fleet, &before, version, settings.step_timeout).await;
@@ -187,16 +187,16 @@
     settings: &HollowSettings,
 ) -> OutageStep {
     let before = Reading::read(fleet);
-    fleet.discovery.set_absent(true);
+    fleet.discovery.set_offline(true);
     sleep(settings.outage_time).await;
     let version = change_one(fleet, entries);
     if !history {
-        fleet.discovery.forget_changes();
+        fleet.discovery.clear_history();
     }
     let outage_ms = before.at.elapsed().as_secs_f64() * 1e3;
     fleet.progress.record_published(version, Instant::now());
     let mut last = fleet.discovery.traffic();
-    fleet.discovery.set_absent(false);
+    fleet.discovery.set_offline(false);
     let (mut connections, mut calls) = (0, 0);
     let deadline = Instant::now() + settings.step_timeout;
     // Ends one window after the version is in force at all mixers, so that the last calls are counted.
@@ -208,7 +208,7 @@
         let window = now.since(&last);
         (connections, calls) = (
             window.connections.max(connections),
-            window.calls().max(calls),
+            window.requests().max(calls),
         );
         last = now;
     }
@@ -223,7 +223,7 @@
 /// Discovery stops sending on all open watches, and one entry changes at the same time.
 pub(super) async fn silence(fleet: &mut Fleet, entries: u64, timeout: Duration) -> Step {
     let before = Reading::read(fleet);
-    fleet.discovery.fall_silent();
+    fleet.discovery.silence_watches();
     let version = change_one(fleet, entries);
     wait_for_version(fleet, &before, version, timeout).await
 }
