--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -7,7 +7,7 @@
 pub struct Fleet {
     /// Leaf servers in the endpoint list.
     pub servers: u64,
-    /// Leaf servers that hold the same shard. They have consecutive numbers, and so are in different zones.
+    /// Leaf servers that hold the same shard. Their numbers are consecutive, which places them in different zones.
     #[serde(rename = "copies")]
     pub replicas: u64,
     /// Zones that the leaf servers are assigned to in turn, by number.
