--- a/crates/standins/src/bin/cottonhill-demo.rs
+++ b/crates/standins/src/bin/cottonhill-demo.rs
@@ -131,7 +131,7 @@
     ));
     let program = cottonhill_standins::process::sibling_program("cottonhill")?;
     print_line("\nPrint the usage statement by tenant, in periods of 10 s:");
-    let settings = cluster.ledger_settings.display();
+    let settings = cluster.ledger_settings_file.display();
     print_line(&format!(
         "  {} ledger statement --settings {settings}",
         program.display()
--- a/crates/standins/src/bin/cottonhill-prove-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-prove-ledger.rs
@@ -159,8 +159,7 @@
 
 type Class = (&'static str, u64, u64, f64);
 
-/// Sends one query in as many attempts as it needs, until it is answered, its timeout expires or the attempts are used
-/// up.
+/// Sends one query in up to [`MAX_ATTEMPTS`] attempts, until it has an outcome or less than 60 ms of its timeout remain.
 async fn run_query(
     shared: &SharedState,
     connection: &mut Connection,
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -112,7 +112,7 @@
     pub discovery: Discovery,
     leaf_slots: Vec<LeafSlot>,
     pub mixers: Vec<Mixer>,
-    pub ledger_settings: PathBuf,
+    pub ledger_settings_file: PathBuf,
     pub settlement: Option<Process>,
     mixer_program: PathBuf,
 }
@@ -209,7 +209,7 @@
             discovery,
             leaf_slots,
             mixers: Vec::new(),
-            ledger_settings: directory.join("ledger.ini"),
+            ledger_settings_file: directory.join("ledger.ini"),
             settlement: None,
             mixer_program,
             config,
@@ -282,7 +282,7 @@
             store.display(),
             cluster.config.ledger_settings
         );
-        fs::write(&cluster.ledger_settings, ledger_settings)?;
+        fs::write(&cluster.ledger_settings_file, ledger_settings)?;
         Ok(cluster)
     }
 
@@ -466,7 +466,7 @@
             .arg("ledger")
             .args(arguments)
             .arg("--settings")
-            .arg(&self.ledger_settings);
+            .arg(&self.ledger_settings_file);
         command.env_remove("COTTONHILL_LOG");
         command
     }
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -192,8 +192,8 @@
     counters: Arc<Counters>,
 }
 
-/// Waits until the server is to be online or offline.
-async fn wait_until_online(online_changes: &mut watch::Receiver<bool>, online: bool) {
+/// Waits until the requested state is online, or offline if `online` is false.
+async fn wait_for_online_state(online_changes: &mut watch::Receiver<bool>, online: bool) {
     if online_changes
         .wait_for(|current| *current == online)
         .await
@@ -205,7 +205,7 @@
 }
 
 /// Listens at the address that the server used before, retrying while it is in use.
-async fn relisten(address: SocketAddr) -> TcpListener {
+async fn rebind(address: SocketAddr) -> TcpListener {
     loop {
         match TcpListener::bind(address).await {
             Ok(listener) => return listener,
@@ -215,6 +215,7 @@
 }
 
 impl Service {
+    /// Accepts connections until the listener fails, and follows resets and changes of the online state.
     async fn serve(
         self,
         mut listener: TcpListener,
@@ -225,11 +226,11 @@
         let mut connections = JoinSet::new();
         loop {
             tokio::select! {
-                () = wait_until_online(&mut online_changes, false) => {
+                () = wait_for_online_state(&mut online_changes, false) => {
                     drop(listener);
                     connections.shutdown().await;
-                    wait_until_online(&mut online_changes, true).await;
-                    listener = relisten(address).await;
+                    wait_for_online_state(&mut online_changes, true).await;
+                    listener = rebind(address).await;
                 }
                 _ = reset_events.changed() => connections.abort_all(),
                 accepted = listener.accept() => match accepted {
@@ -273,6 +274,7 @@
         }
     }
 
+    /// Body of the answer to a request on connection `number`: the complete list, or a watch that never ends.
     async fn body(
         &self,
         request: &Request<Incoming>,
