--- a/crates/decisions/src/actions.rs
+++ b/crates/decisions/src/actions.rs
@@ -47,12 +47,13 @@
         /// Delay from the time of the batch, ns.
         delay: Nanos,
     },
-    /// Starts or ends the subscription to endpoint updates.
+    /// Requests the endpoint list. Emitted once for each poll with [`crate::DiscoveryMode::Poll`], and never with
+    /// [`crate::DiscoveryMode::Push`].
     SubscribeEndpoints {
-        /// Whether to start the subscription rather than end it.
+        /// Always true: the coordinator does not end a subscription.
         enabled: bool,
     },
-    /// Requests a single snapshot of the endpoint list.
+    /// Requests a single snapshot of the endpoint list. The coordinator does not emit it.
     FetchEndpoints,
     /// Probes a replica.
     Probe {
--- a/crates/decisions/src/admission.rs
+++ b/crates/decisions/src/admission.rs
@@ -9,7 +9,9 @@
 use crate::timing::phase_count;
 use crate::Class;
 
-/// Maximum expected latency of a part as a fraction of the remaining time per phase, for the query to be admitted.
+/// Maximum queueing delay of a part, as a fraction of the remaining time per phase. Parts above it are skipped if a
+/// partial answer without them is sufficient. The query is rejected if the other parts are not sufficient for any
+/// answer.
 const MAX_LATENCY_FRACTION: f64 = 0.5;
 /// Bounds of the factor by which a query's priority weight per part scales that fraction.
 const MIN_PRIORITY_FACTOR: f64 = 0.7;
--- a/crates/decisions/src/client_timeouts.rs
+++ b/crates/decisions/src/client_timeouts.rs
@@ -20,8 +20,11 @@
 }
 
 impl ClientTimeouts {
-    /// How long the client had waited for earlier requests when it sent this query, ns; 0 for a first request. The
-    /// timeout of a client's retry is assumed to be the remainder of the class's deadline after the earlier requests.
+    /// Estimates how long the client had waited for earlier requests of the same query when it sent this one, ns.
+    ///
+    /// A client is assumed to wait for the class's deadline in total and to send each retry with the remaining time as
+    /// its timeout. The estimate is 0 for a first request, for a query with the typical timeout of first requests, and
+    /// while that typical timeout is not known.
     pub fn elapsed_client_time(
         &mut self,
         batch: &Batch,
--- a/crates/decisions/src/completion.rs
+++ b/crates/decisions/src/completion.rs
@@ -177,10 +177,10 @@
     if batch.class(query).idempotency == Idempotency::NonIdempotent && may_have_executed {
         return Action::Fail { query: query.id };
     }
-    let max_retry_after = batch.settings.max_retry_after;
+    let retry_after = batch.settings.retry_after;
     Action::Reject {
         query: query.id,
-        retry_after: (max_retry_after > 0).then_some(max_retry_after),
+        retry_after: (retry_after > 0).then_some(retry_after),
     }
 }
 
--- a/crates/decisions/src/connection_loss.rs
+++ b/crates/decisions/src/connection_loss.rs
@@ -18,7 +18,7 @@
 /// Two loss rates count as similar if the lower is more than this fraction of the higher.
 const SIMILAR_LOSS_RATIO: f64 = 0.7;
 /// Duration of one period of reopening connections, in multiples of the shortest latency objective.
-const REOPENING_OBJECTIVES: f64 = 15.0;
+const REOPENING_PERIOD_IN_OBJECTIVES: f64 = 15.0;
 
 /// Loss rates of attempts by kind of connection, and whether idle connections are reopened.
 #[derive(Debug, Default)]
@@ -64,7 +64,7 @@
     /// again: before that, the replica may have failed rather than the connection.
     pub fn record_attempt(&mut self, batch: &mut Batch, connection: ConnectionKind, lost: bool) {
         self.loss_rates.record(connection, lost);
-        let reopening_time = REOPENING_OBJECTIVES * batch.timing.shortest_objective;
+        let reopening_time = REOPENING_PERIOD_IN_OBJECTIVES * batch.timing.shortest_objective;
         let reopening_end = batch.now + reopening_time as Nanos;
         if batch.now < self.reopening_until && self.loss_rates.reopening_fails() {
             self.reopening_allowed_at = reopening_end;
--- a/crates/decisions/src/coordinator/event_handling.rs
+++ b/crates/decisions/src/coordinator/event_handling.rs
@@ -99,7 +99,7 @@
             connect_failure_is_overload,
         );
         if outcome == Outcome::Rejected && number > 0 {
-            self.load_shedding.record_repeated_rejection();
+            self.load_shedding.record_extra_attempt_rejected();
         } else if succeeded {
             self.load_shedding.record_answer();
         }
--- a/crates/decisions/src/events.rs
+++ b/crates/decisions/src/events.rs
@@ -19,11 +19,11 @@
 pub struct Endpoint {
     /// The replica that the entry describes.
     pub replica: ReplicaId,
-    /// The cell whose shards the replica holds; see [`crate::Settings::cells`].
+    /// The cell that the replica belongs to, which determines its shards; see [`crate::Settings::cells`].
     pub cell: u16,
     /// The zone that the replica is in.
     pub zone: u16,
-    /// Time of the replica's last start; 0 if it started long ago.
+    /// Time of the replica's last start, on the same clock as all other timestamps; 0 if it started long ago.
     pub started_at: Nanos,
     /// Whether the replica may receive requests.
     pub status: EndpointStatus,
@@ -74,7 +74,8 @@
     }
 }
 
-/// The load that a replica reports about itself: values in the order configured in the operator's settings.
+/// The load that a replica reports about itself: values in the order configured in the operator's settings. The
+/// coordinator does not read it.
 pub type LoadReport = Vec<f32>;
 
 /// An event that the caller of a coordinator has observed.
@@ -99,7 +100,7 @@
         tenant: u32,
         /// Remaining time that the client waits for the answer, ns.
         client_timeout: Nanos,
-        /// Time that the query was in transit from the client plus the expected transit time of the answer, ns.
+        /// Part of the client's timeout that is already spent or reserved outside the coordinator, ns.
         network_delay: Nanos,
         /// The client's estimate of the query's work, ns.
         work: Option<Nanos>,
@@ -160,7 +161,7 @@
         /// The replica's load report; empty if it sent none.
         report: LoadReport,
     },
-    /// A datagram from another coordinator arrived.
+    /// A datagram from another coordinator arrived. The coordinator does not read it.
     DatagramReceived {
         /// The sender.
         from: u32,
--- a/crates/decisions/src/health_check.rs
+++ b/crates/decisions/src/health_check.rs
@@ -17,10 +17,13 @@
 }
 
 impl HealthCheck {
-    /// Records the ejection of a replica.
+    /// Records the ejection of a replica. Only the first ejection since the last check for probes is logged.
     pub fn record_ejection(&mut self, batch: &mut Batch, replica: ReplicaId) {
         if !self.newly_ejected {
-            let line = format!("replica {:x} suspected and ejected: no response", replica.0);
+            let line = format!(
+                "replica {:x} suspected and ejected: attempt or probe overdue, or its connection failed",
+                replica.0
+            );
             batch.log_lines.push(line);
         }
         self.newly_ejected = true;
--- a/crates/decisions/src/hedging.rs
+++ b/crates/decisions/src/hedging.rs
@@ -12,8 +12,8 @@
 /// time for the hedged request.
 pub const MIN_HEDGE_DELAY_FRACTION: f64 = 0.125;
 const MAX_HEDGE_DELAY_FRACTION: f64 = 0.4;
-/// Minimum of the limit on recent extra attempts (retries and hedged requests) at which hedging stops.
-/// [`RetryBudgetUsage`] defines the retention time of recent attempts.
+/// Number of recent extra attempts (retries and hedged requests) below which hedging is always allowed: the minimum of
+/// the limit in [`Hedging::allows_hedge`]. [`RetryBudgetUsage`] defines the retention time of recent attempts.
 const MIN_EXTRA_ATTEMPT_LIMIT: f64 = 3.0;
 /// Increase of that limit for each recent query or part.
 const EXTRA_ATTEMPT_LIMIT_PER_PART: f64 = 0.15;
--- a/crates/decisions/src/ids.rs
+++ b/crates/decisions/src/ids.rs
@@ -1,6 +1,7 @@
 //! Identifiers and the unit of time that are common to settings, events and actions.
 
-/// Nanoseconds: a timestamp of the caller's clock, or a duration. The clock is monotonic and has an arbitrary origin.
+/// Nanoseconds: a timestamp of the caller's clock, or a duration. The clock is monotonic and its origin is arbitrary,
+/// but all timestamps, including [`crate::Endpoint::started_at`], must be on the same clock.
 pub type Nanos = u64;
 
 /// Identifies a query or a part. Ids are never reused.
--- a/crates/decisions/src/load_shedding.rs
+++ b/crates/decisions/src/load_shedding.rs
@@ -1,13 +1,14 @@
-//! Load shedding: rejects a fraction of all queries while replicas reject parts.
+//! Load shedding: rejects a fraction of all queries while replicas reject retries and hedged requests, or while queries
+//! end without an answer after they have used capacity of replicas.
 //!
 //! An admitted query uses capacity until its parts have run, even if it is never answered. If all replicas of a shard
 //! reject parts, an additional query displaces parts of other queries and is itself not answered. These rejections are
 //! the only sign that a coordinator has of the load from other coordinators. Each coordinator therefore starts to shed
 //! load immediately, and sheds less with each answer.
 
-/// Weight of a part's repeated rejection in the fraction of queries shed.
-const REPEATED_REJECTION_WEIGHT: f64 = 0.25;
-/// Weight of a query that ended without an answer although replicas had executed parts of it.
+/// Weight of the rejection of a retry or hedged request in the fraction of queries shed.
+const EXTRA_ATTEMPT_REJECTED_WEIGHT: f64 = 0.25;
+/// Weight of a query that ended without an answer although replicas had executed parts of it or were executing them.
 const WASTED_QUERY_WEIGHT: f64 = 0.6;
 /// Relative decrease of the fraction of queries shed with each answered part.
 const RECOVERY_PER_ANSWER: f64 = 0.03;
@@ -27,11 +28,12 @@
     }
 
     /// Records that a replica rejected a retry or hedged request.
-    pub fn record_repeated_rejection(&mut self) {
-        self.increase(REPEATED_REJECTION_WEIGHT);
+    pub fn record_extra_attempt_rejected(&mut self) {
+        self.increase(EXTRA_ATTEMPT_REJECTED_WEIGHT);
     }
 
-    /// Records that a query ended without an answer although replicas had executed parts of it.
+    /// Records that a query ended without an answer although replicas had executed parts of it or may still be
+    /// executing them.
     pub fn record_wasted_query(&mut self) {
         self.increase(WASTED_QUERY_WEIGHT);
     }
--- a/crates/decisions/src/outlier_detection.rs
+++ b/crates/decisions/src/outlier_detection.rs
@@ -17,9 +17,9 @@
 
 /// Duration of the first ejection, in multiples of the shortest latency objective. It doubles with each further
 /// consecutive ejection.
-const BASE_EJECTION_OBJECTIVES: f64 = 0.5;
+const BASE_EJECTION_TIME_IN_OBJECTIVES: f64 = 0.5;
 /// Maximum duration of an ejection, in multiples of the shortest latency objective.
-const MAX_EJECTION_OBJECTIVES: f64 = 4.0;
+const MAX_EJECTION_TIME_IN_OBJECTIVES: f64 = 4.0;
 /// Maximum number of doublings of the ejection time, to avoid overflow.
 const MAX_DOUBLINGS: u32 = 16;
 /// Duration for which a replica is assumed to be at capacity after it rejected a part, in multiples of the shortest
@@ -75,8 +75,8 @@
         return false;
     }
     let doublings = stats.consecutive_ejections.min(MAX_DOUBLINGS);
-    let ejection_time = BASE_EJECTION_OBJECTIVES * objective * f64::from(1u32 << doublings);
-    let max_ejection_time = MAX_EJECTION_OBJECTIVES * objective;
+    let ejection_time = BASE_EJECTION_TIME_IN_OBJECTIVES * objective * f64::from(1u32 << doublings);
+    let max_ejection_time = MAX_EJECTION_TIME_IN_OBJECTIVES * objective;
     stats.consecutive_ejections += 1;
     stats.ejected_until = batch.now + ejection_time.min(max_ejection_time) as Nanos;
     table.set_suspected(slot, true);
--- a/crates/decisions/src/query_arrival.rs
+++ b/crates/decisions/src/query_arrival.rs
@@ -17,7 +17,7 @@
     pub tenant: u32,
     /// Remaining time that the client waits for the answer, ns.
     pub client_timeout: Nanos,
-    /// Time that the query was in transit from the client plus the expected transit time of the answer, ns.
+    /// Part of the client's timeout that is already spent or reserved outside the coordinator, ns.
     pub network_delay: Nanos,
     /// The client's estimate of the query's work, ns.
     pub work: Option<Nanos>,
--- a/crates/decisions/src/replica_choice.rs
+++ b/crates/decisions/src/replica_choice.rs
@@ -9,7 +9,7 @@
 
 /// Penalty on the expected delay of a replica in another zone at a cross-zone cost of 1, in multiples of the shortest
 /// latency objective.
-const CROSS_ZONE_OBJECTIVES: f64 = 4.0;
+const CROSS_ZONE_PENALTY_IN_OBJECTIVES: f64 = 4.0;
 
 /// Sort key of the candidate replicas for a part, compared field by field. The replica with the lowest key is chosen.
 #[derive(Clone, Copy, PartialEq, PartialOrd)]
@@ -67,5 +67,5 @@
     let cross_zone_cost = batch.settings.cross_zone_cost * f64::from(u8::from(in_other_zone));
     let calls = table.calls_in_flight(replica, batch.now) + 1;
     let queueing = latencies.latency(batch, replica) * f64::from(calls);
-    queueing + CROSS_ZONE_OBJECTIVES * cross_zone_cost * batch.timing.shortest_objective
+    queueing + CROSS_ZONE_PENALTY_IN_OBJECTIVES * cross_zone_cost * batch.timing.shortest_objective
 }
--- a/crates/decisions/src/settings.rs
+++ b/crates/decisions/src/settings.rs
@@ -16,9 +16,17 @@
 }
 
 /// The settings of one class of queries.
+///
+/// The priority weight that an answer earns depends on when it is sent and on its coverage, which is the weight of the
+/// answered parts as a fraction of the phase's weight:
+///
+/// - A complete answer within the latency objective earns `priority_weight`.
+/// - A complete answer after the latency objective earns `priority_weight * late_weight_fraction`.
+/// - A partial answer within the latency objective earns
+///   `priority_weight * partial_answer_value * coverage / completeness_threshold`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Class {
-    /// Time within which an answer earns the full priority weight, ns.
+    /// Time within which a complete answer earns the full priority weight, ns.
     pub latency_objective: Nanos,
     /// Multiple of the query's expected work that is added to the latency objective; nothing is added if `None`.
     pub objective_per_expected_work: Option<f64>,
@@ -30,7 +38,7 @@
     pub idempotency_window: Nanos,
     /// Value of a complete answer within the latency objective, relative to other classes; 1 if `None`.
     pub priority_weight: Option<f64>,
-    /// Fraction of the priority weight earned by an answer after the latency objective.
+    /// Fraction of the priority weight earned by a complete answer after the latency objective.
     pub late_weight_fraction: f64,
     /// Minimum coverage of the first phase for an answer to count as complete, as a fraction of the phase's weight.
     pub completeness_threshold: f64,
@@ -39,7 +47,8 @@
     /// Fraction of the priority weight earned by a partial answer, before it is multiplied by the ratio of the answer's
     /// coverage to `completeness_threshold`.
     pub partial_answer_value: f64,
-    /// Maximum number of parts in the second phase; 0 if the class has a single phase.
+    /// Number of parts in the second phase; 0 if the class has a single phase. The coordinator only distinguishes zero
+    /// from non-zero.
     pub second_phase_parts: u32,
 }
 
@@ -70,8 +79,8 @@
 pub struct Settings {
     /// The classes; [`crate::Event::QueryReceived`] refers to them by index.
     pub classes: Vec<Class>,
-    /// Number of cells. Shard `s` is held by the replicas of the cells `s` to `s + replication_factor - 1`, modulo
-    /// `cells`.
+    /// Number of cells. A cell is a group of replicas that hold the same shards. Shard `s` is held by
+    /// `replication_factor` consecutive cells: `s` to `s + replication_factor - 1`, modulo `cells`.
     pub cells: u32,
     /// Number of cells that hold each shard.
     pub replication_factor: u32,
@@ -83,7 +92,8 @@
     pub max_parts_per_call: Option<u32>,
     /// Number of coordinators in the fleet, including this one.
     pub fleet_size: u32,
-    /// Minimum time between two batches of events, ns.
+    /// Expected interval between two batches of events, ns. It determines the minimum interval between timer events;
+    /// the coordinator does not enforce it.
     pub batch_interval: Nanos,
     /// Maximum number of attempts of one part.
     pub max_attempts: Option<u32>,
@@ -95,8 +105,8 @@
     pub hedging_enabled: bool,
     /// Whether replicas may be probed.
     pub probing_enabled: bool,
-    /// Maximum `Retry-After` sent with the rejection of a query, ns; 0 to send none.
-    pub max_retry_after: Nanos,
+    /// `Retry-After` sent with every rejection of a query, ns; 0 to send none.
+    pub retry_after: Nanos,
     /// Capacity of a replica that has just started, as a fraction of its full capacity, which it reaches after
     /// `slow_start_duration`.
     pub slow_start_initial_capacity: Option<f64>,
@@ -115,7 +125,7 @@
     pub connection_idle_timeout: Nanos,
     /// How the coordinator receives endpoint updates.
     pub discovery_mode: DiscoveryMode,
-    /// With [`DiscoveryMode::Poll`], the staleness assumed for the endpoint list of a coordinator that has not polled
-    /// for this time or longer, ns.
+    /// With [`DiscoveryMode::Poll`], the allowed age of the endpoint list, ns: after this time without a poll, all
+    /// changes count as announced to the coordinator. The delay before a failed poll is repeated scales with it.
     pub max_list_staleness: Nanos,
 }
--- a/crates/decisions/src/slow_start.rs
+++ b/crates/decisions/src/slow_start.rs
@@ -12,7 +12,7 @@
 use crate::{Nanos, Settings};
 
 /// Time constant of the count of answers, in slow-start durations.
-const ANSWER_TIME_CONSTANT_DURATIONS: f64 = 4.0;
+const ANSWER_TIME_CONSTANT_IN_SLOW_STARTS: f64 = 4.0;
 /// Fraction of the load derived from the rate limit that a replica receives until it answers promptly.
 const INITIAL_LOAD_FRACTION: f64 = 0.7;
 /// Fraction of the shortest latency objective below which a replica's answers count as prompt.
@@ -186,5 +186,5 @@
 
 /// Time constant of the count of answers, ns.
 fn answer_time_constant(settings: &Settings) -> f64 {
-    ANSWER_TIME_CONSTANT_DURATIONS * settings.slow_start_duration.max(1) as f64
+    ANSWER_TIME_CONSTANT_IN_SLOW_STARTS * settings.slow_start_duration.max(1) as f64
 }
--- a/crates/decisions/src/tables/query_table.rs
+++ b/crates/decisions/src/tables/query_table.rs
@@ -95,7 +95,8 @@
     }
 }
 
-/// A query that has neither been answered completely nor rejected nor failed.
+/// An open query: its last phase has not been answered, it has been neither rejected nor failed, and its client has not
+/// disconnected.
 #[derive(Debug, Default)]
 pub struct Query {
     /// The query's id.
--- a/crates/decisions/src/tables/replica.rs
+++ b/crates/decisions/src/tables/replica.rs
@@ -154,7 +154,8 @@
         self.status == EndpointStatus::Ready
     }
 
-    /// Whether the replica failed to respond in time and has not responded since.
+    /// Whether an attempt or probe at the replica was overdue or timed out, or its connection was refused or reset, and
+    /// the replica has not responded since.
     pub fn suspected(&self) -> bool {
         self.suspected
     }
--- a/crates/decisions/src/tables/replica_table.rs
+++ b/crates/decisions/src/tables/replica_table.rs
@@ -32,8 +32,8 @@
     visited: Cell<u64>,
 }
 
-/// Creates a table in which no shard has holders.
 impl Default for ReplicaTable {
+    /// Creates a table in which no shard has holders.
     fn default() -> Self {
         ReplicaTable::new(1, 0, 1)
     }
--- a/crates/decisions/src/timing.rs
+++ b/crates/decisions/src/timing.rs
@@ -11,10 +11,10 @@
 /// Number of timer intervals within the shortest latency objective.
 const TIMER_INTERVALS_PER_OBJECTIVE: Nanos = 200;
 /// Minimum timer interval, in batch intervals.
-const MIN_TIMER_INTERVAL_BATCHES: Nanos = 2;
+const MIN_TIMER_INTERVAL_IN_BATCHES: Nanos = 2;
 /// Time constant with which estimates of a replica decay to the mean of all replicas, in multiples of the shortest
 /// latency objective.
-const DECAY_TIME_OBJECTIVES: f64 = 5.0;
+const DECAY_TIME_IN_OBJECTIVES: f64 = 5.0;
 
 /// Durations derived from the settings of all classes.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
             .map(|class| class.latency_objective)
             .min()
             .unwrap_or(DEFAULT_OBJECTIVE_NS);
-        let timer_interval = (MIN_TIMER_INTERVAL_BATCHES * settings.batch_interval)
+        let timer_interval = (MIN_TIMER_INTERVAL_IN_BATCHES * settings.batch_interval)
             .max(shortest / TIMER_INTERVALS_PER_OBJECTIVE)
             .max(1);
         Timing {
@@ -43,10 +43,11 @@
         }
     }
 
-    /// Time constant with which estimates of a replica decay to the mean of all replicas, ns. Older observations count
-    /// as outdated.
+    /// Time constant with which estimates of a replica decay to the mean of all replicas, ns. It also limits the age at
+    /// which a replica's response counts as recent, and determines the interval between probes of idle replicas and the
+    /// retention time of removed replicas.
     pub fn decay_time(&self) -> f64 {
-        DECAY_TIME_OBJECTIVES * self.shortest_objective
+        DECAY_TIME_IN_OBJECTIVES * self.shortest_objective
     }
 }
 
--- a/crates/decisions/src/weight_cutoff.rs
+++ b/crates/decisions/src/weight_cutoff.rs
@@ -102,9 +102,9 @@
         self.changed_at = batch.now;
     }
 
-    /// Marks parts with a weight below the cutoff as skipped, in ascending order of weight. The weight of the remaining
-    /// parts stays at or above the class's minimum coverage, and the fraction of the weight above that minimum that may
-    /// be skipped is proportional to the cutoff.
+    /// Marks parts with a weight below the cutoff as skipped, in ascending order of weight, up to a limit on their
+    /// total weight. At the maximum cutoff, the limit is the weight above the class's minimum coverage; at a lower
+    /// cutoff, it is proportionally lower.
     pub fn skip_light_parts(&self, batch: &Batch, query: &mut Query) {
         let minimum_coverage = batch.class(query).minimum_coverage;
         if self.cutoff <= 0.0 || minimum_coverage >= 1.0 {
--- a/crates/decisions/tests/fleet_simulation/mod.rs
+++ b/crates/decisions/tests/fleet_simulation/mod.rs
@@ -59,7 +59,7 @@
             max_attempts: Some(4),
             cancellation_enabled: true,
             hedging_enabled: true,
-            max_retry_after: 500 * MS,
+            retry_after: 500 * MS,
             slow_start_initial_capacity: Some(INITIAL_CAPACITY),
             slow_start_duration: 6000 * MS,
             overload_multiple: Some(OVERLOAD_MULTIPLE),
--- a/crates/decisions/tests/random_events/mod.rs
+++ b/crates/decisions/tests/random_events/mod.rs
@@ -29,7 +29,7 @@
         client_retries_marked: random.bool(),
         hedging_enabled: random.u32(..4) > 0,
         probing_enabled: random.bool(),
-        max_retry_after: *pick(random, &[0, 500 * MS]),
+        retry_after: *pick(random, &[0, 500 * MS]),
         slow_start_initial_capacity: slow_start.then_some(0.25),
         slow_start_duration: if slow_start { 3000 * MS } else { 0 },
         overload_multiple: slow_start.then_some(2.0),
--- a/crates/decisions/tests/support/mod.rs
+++ b/crates/decisions/tests/support/mod.rs
@@ -42,7 +42,7 @@
         max_attempts: Some(4),
         cancellation_enabled: true,
         hedging_enabled: true,
-        max_retry_after: 1000 * MS,
+        retry_after: 1000 * MS,
         ..Settings::default()
     }
 }
--- a/crates/mixer/src/config/settings/mixer_settings.rs
+++ b/crates/mixer/src/config/settings/mixer_settings.rs
@@ -50,7 +50,7 @@
     pub connection_idle_timeout: Nanos,
     /// `Retry-After` of a query that is rejected before the coordinator decides on it, ns. It is sent even if it is 0,
     /// whereas a query that the coordinator rejects then gets no `Retry-After`.
-    pub max_retry_after: Nanos,
+    pub retry_after: Nanos,
     /// Maximum delay between the announcement that a replica is draining or removed and the start of the last attempt
     /// there, ns. The mixer starts no new attempt once it has received the announcement; the grace period limits the
     /// interval between requests to an agent, and how long a call may wait in its socket.
@@ -96,7 +96,7 @@
         connection_idle_timeout: values
             .optional(wire::CONNECTION_IDLE_TIMEOUT)?
             .unwrap_or(DEFAULT_CONNECTION_IDLE_TIMEOUT_NS),
-        max_retry_after: values.or_default(wire::MAX_RETRY_AFTER)?,
+        retry_after: values.or_default(wire::RETRY_AFTER)?,
         drain_grace: values
             .optional(wire::DRAIN_GRACE)?
             .unwrap_or(DEFAULT_DRAIN_GRACE_NS),
--- a/crates/mixer/src/reducer/client_requests.rs
+++ b/crates/mixer/src/reducer/client_requests.rs
@@ -169,7 +169,7 @@
         request: &QueryRequest,
     ) {
         self.record_rejected_request(received_at, request);
-        let retry_after = Some(self.settings.max_retry_after);
+        let retry_after = Some(self.settings.retry_after);
         self.send_reply(now, client, Reply::Rejected { retry_after });
     }
 
