--- a/crates/cottonhill/tests/reload.rs
+++ b/crates/cottonhill/tests/reload.rs
@@ -150,7 +150,10 @@
     program.signal("-HUP", "configuration reloaded").await;
     let _third = answer_with_empty_list(&old.0, 43).await;
     program
-        .signal("-TERM", "shutdown complete, all accepted requests answered")
+        .signal(
+            "-TERM",
+            "shutdown complete, every accepted request answered or failed",
+        )
         .await;
     assert!(program.child.wait().unwrap().success());
 }
--- a/crates/mixer/src/config/settings/mixer_settings.rs
+++ b/crates/mixer/src/config/settings/mixer_settings.rs
@@ -48,12 +48,12 @@
     pub connect_timeout: Nanos,
     /// Idle connections to leaf servers are closed after this duration, ns.
     pub connection_idle_timeout: Nanos,
-    /// `Retry-After` of a query that is rejected before the coordinator decides on it, ns. It is sent even if it is 0,
-    /// whereas a query that the coordinator rejects then gets no `Retry-After`.
+    /// `Retry-After` of a query that is rejected before the coordinator decides on it, ns. If it is 0, such a query
+    /// gets a `Retry-After` of 0, and a query that the coordinator rejects gets none.
     pub retry_after: Nanos,
     /// Maximum delay between the announcement that a replica is draining or removed and the start of the last attempt
     /// there, ns. The mixer starts no new attempt once it has received the announcement; the grace period limits the
-    /// interval between requests to an agent, and how long a call may wait in its socket.
+    /// interval between requests to an agent, and how long a call may wait until its socket accepts it.
     pub drain_grace: Nanos,
     /// Whether datagrams are exchanged with the other mixers.
     pub peer_messages_enabled: bool,
--- a/crates/mixer/src/config/settings/wire_names.rs
+++ b/crates/mixer/src/config/settings/wire_names.rs
@@ -5,7 +5,7 @@
 pub const ZONE: &str = "my_zone";
 /// Zone names, by zone number: `MixerSettings::zones`.
 pub const ZONES: &str = "localities";
-/// Cost of a call to another zone: `Settings::cross_zone_cost`.
+/// Cost of sending all parts to other zones, as a fraction of the total priority weight: `Settings::cross_zone_cost`.
 pub const CROSS_ZONE_COST: &str = "tariffs.cross_zone";
 /// Number of mixers: `Settings::fleet_size`.
 pub const FLEET_SIZE: &str = "replicas_of_me";
@@ -18,7 +18,7 @@
 
 /// Number of cells: `Settings::cells`.
 pub const CELLS: &str = "extra.places";
-/// Number of replicas per cell: `Settings::replication_factor`.
+/// Number of cells that hold each shard: `Settings::replication_factor`.
 pub const REPLICATION_FACTOR: &str = "extra.reach";
 /// Number of shards: `MixerSettings::shards`.
 pub const SHARDS: &str = "extra.ranges";
--- a/crates/mixer/src/protocol/endpoint_updates/message.rs
+++ b/crates/mixer/src/protocol/endpoint_updates/message.rs
@@ -205,7 +205,7 @@
             tracing::warn!(
                 target: log_targets::ENDPOINT_UPDATES, version,
                 unlogged,
-                "further invalid entries in endpoint update"
+                "further invalid entries in endpoint update not logged"
             );
         }
     }
--- a/crates/mixer/src/protocol/leaf_frames/codec.rs
+++ b/crates/mixer/src/protocol/leaf_frames/codec.rs
@@ -10,7 +10,7 @@
 /// Maximum length of an answer: its line, and a value that fits in the body of a reply to a client.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 + 512;
 /// Maximum length of a frame of any other kind.
-const MAX_REPORT_BYTES: usize = 1024;
+const MAX_OTHER_FRAME_BYTES: usize = 1024;
 
 /// Kind bytes of the frames to a leaf server.
 mod request_kind {
@@ -119,7 +119,7 @@
             response_kind::PROBE_ANSWER
             | response_kind::LOAD_ANSWER
             | response_kind::PROTOCOL_ERROR,
-        ) => (1..=MAX_REPORT_BYTES).contains(&length),
+        ) => (1..=MAX_OTHER_FRAME_BYTES).contains(&length),
         Some(_) => false,
     }
 }
--- a/crates/mixer/src/protocol/leaf_frames/mod.rs
+++ b/crates/mixer/src/protocol/leaf_frames/mod.rs
@@ -11,7 +11,7 @@
 /// One part of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallPart {
-    /// Id of the part at the leaf server.
+    /// The part's wire id: its id in frames to and from leaf servers.
     pub id: Rc<str>,
     /// The shard to search.
     pub shard: u32,
@@ -26,7 +26,7 @@
 pub enum LeafRequest {
     /// Executes parts.
     Call(Vec<CallPart>),
-    /// Cancels the part with this id.
+    /// Cancels the part with this wire id.
     Cancel(Rc<str>),
     /// Checks whether the leaf server is serving.
     Probe,
@@ -50,7 +50,7 @@
 pub enum LeafResponse {
     /// The answer to one part.
     Answer {
-        /// Id of the part in the call.
+        /// The part's wire id.
         id: String,
         /// Outcome of the part.
         status: PartStatus,
@@ -68,7 +68,7 @@
     },
     /// The leaf server rejected the last frame for this reason; it closes the connection.
     ProtocolError(String),
-    /// A malformed frame, with the id of its part if that can be parsed. The connection is no longer usable, since the
-    /// start of the next frame is unknown.
+    /// A malformed frame, with the wire id of its part if that can be parsed. The connection is no longer usable, since
+    /// the start of the next frame is unknown.
     Malformed(Option<String>),
 }
--- a/crates/mixer/src/protocol/query_json/mod.rs
+++ b/crates/mixer/src/protocol/query_json/mod.rs
@@ -89,9 +89,9 @@
         /// One hit per answered part.
         hits: Vec<Hit>,
     },
-    /// The query was rejected because of overload.
+    /// The query was rejected because of overload, or because there was no time left for an answer.
     Rejected {
-        /// `Retry-After` in nanoseconds, if the client may retry.
+        /// `Retry-After` in nanoseconds; `None` if none is configured.
         retry_after: Option<Nanos>,
     },
     /// The query failed.
--- a/crates/mixer/src/reducer/attempt_results.rs
+++ b/crates/mixer/src/reducer/attempt_results.rs
@@ -73,9 +73,10 @@
         }
     }
 
-    /// Handles an answer that can't be parsed or matches no attempt. The server is alive and has run the attempt that
-    /// it answered, so that attempt fails. The answers to the other attempts can't be read either: these attempts are
-    /// cancelled, and the connection is closed.
+    /// Handles an answer that can't be parsed or whose id matches no attempt. It is attributed to the attempt with its
+    /// id or, if there is none, to the one that has been in flight for longest. That attempt fails, since the server is
+    /// assumed to have run it. The answers to the other attempts can't be read either: these attempts are cancelled,
+    /// and the connection is closed.
     fn on_malformed_answer(&mut self, now: Nanos, id: ConnectionId, wire_id: Option<&str>) {
         let (Some(connection), Some(replica)) =
             (self.connections.get(id), self.connections.replica(id))
@@ -87,7 +88,7 @@
             target: log_targets::CONNECTIONS, connection = id,
             replica = replica.0,
             id = wire_id,
-            "malformed answer, connection closed"
+            "answer malformed or with an unknown id, connection closed"
         );
         let failed = connection.attempt_for_malformed_answer(wire_id);
         let in_flight = connection.written_attempts();
--- a/crates/mixer/src/reducer/backoff.rs
+++ b/crates/mixer/src/reducer/backoff.rs
@@ -18,7 +18,7 @@
     next_bound: Duration,
     /// The upper bound of every delay, regardless of the number of failures.
     max_delay: Duration,
-    /// The previous operation failed.
+    /// Whether the previous operation failed.
     previous_failed: bool,
     random: Rng,
 }
@@ -39,9 +39,9 @@
         }
     }
 
-    /// The delay between the end of the operation and its retry, at most `limit`. `succeeded`: the operation succeeded
-    /// before it ended, so its end counts as a first failure. `retry_after`: the minimum delay that the service
-    /// requested.
+    /// The delay between the end of the operation and its retry, at most `limit`. `succeeded` is whether the operation
+    /// had succeeded before it ended, so that its end counts as a first failure. `retry_after` is the minimum delay
+    /// that the service requested.
     ///
     /// The first delay is drawn from the full range down to zero, which spreads the retries of mixers that failed at
     /// the same time. Later delays are at least half of their upper bound, so that the retry rate decreases. Mixers
--- a/crates/mixer/src/reducer/clients.rs
+++ b/crates/mixer/src/reducer/clients.rs
@@ -18,9 +18,9 @@
     pub(super) open_query: Option<RequestId>,
     /// When the last reply was sent; before that, when the client connected.
     last_active_at: Nanos,
-    /// It has sent a query that was accepted.
+    /// Whether it has sent a query that was accepted.
     sent_accepted_query: bool,
-    /// The transport has been requested to close it.
+    /// Whether the transport has been requested to close it.
     close_requested: bool,
 }
 
@@ -90,10 +90,13 @@
             .map(|(id, _)| *id)
     }
 
-    /// Selects the clients to close after `newest` has connected, and marks them as closing: first those that have
-    /// never sent an accepted query, then those that have been idle for longest. While there are no more than `limit`
-    /// clients, only those are selected that have sent an accepted query and were idle for [`MIN_IDLE_TIME`]. A client
-    /// is selected only once, since many may connect before it has disconnected.
+    /// Selects up to [`MAX_CLOSED_PER_CONNECT`] clients to close after `newest` has connected, and marks them as
+    /// closing.
+    ///
+    /// Above `limit` clients, every client without an open query is a candidate: first those that have never sent an
+    /// accepted query, then those that have been idle for longest. Up to `limit` clients, the candidates are those that
+    /// have sent an accepted query and were idle for [`MIN_IDLE_TIME`]. A client is selected only once, since many may
+    /// connect before it has disconnected.
     pub(super) fn select_for_closing(
         &mut self,
         now: Nanos,
--- a/crates/mixer/src/reducer/counters.rs
+++ b/crates/mixer/src/reducer/counters.rs
@@ -52,7 +52,7 @@
     pub usage_records_by_class: BTreeMap<String, u64>,
     /// Configuration reloads.
     pub reloads: ReloadCounters,
-    /// Violated invariants; each is logged with its cause.
+    /// Violated invariants; each is logged with its cause, except for datagrams that are not allowed.
     pub faults: FaultCounters,
 }
 
@@ -207,14 +207,15 @@
     pub startup_timeouts: u64,
 }
 
-/// Faults in endpoint updates; each is logged with its place in the update. A rejected update does not change the
-/// endpoint list; a snapshot is requested instead.
+/// Faults in endpoint updates. They are logged with their place in the update; of the entries with faults, only a
+/// limited number for each update is logged. A rejected update does not change the endpoint list; a snapshot is
+/// requested instead.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct UpdateFaultCounters {
     /// Updates rejected because they exceed the size limit.
     #[serde(rename = "over_bound")]
     pub too_large: u64,
-    /// Updates rejected because they can't be parsed, or an entry has no endpoint name.
+    /// Updates rejected because they can't be parsed, and deltas rejected because an entry has no valid endpoint name.
     #[serde(rename = "unreadable")]
     pub malformed: u64,
     /// Deltas rejected because their version is lower than that of the current list.
@@ -229,7 +230,7 @@
     /// Entries for a name that occurs earlier in the same update; the last entry applies.
     #[serde(rename = "repeated")]
     pub duplicate_entries: u64,
-    /// Entries that remove a server that is not listed.
+    /// Entries that announce an unlisted server as removed or, in a delta, as draining.
     #[serde(rename = "unknown")]
     pub unlisted_removals: u64,
 }
--- a/crates/mixer/src/reducer/entry_resolver.rs
+++ b/crates/mixer/src/reducer/entry_resolver.rs
@@ -29,7 +29,7 @@
 pub(super) struct EntryResolver {
     /// The names of the zones, in the order of the settings.
     zones: Vec<String>,
-    /// Until this time, updates may come from a discovery that lags behind the previous one.
+    /// Until this time, updates may come from a discovery service that lags behind the previous one.
     lagging_until: Nanos,
 }
 
@@ -98,8 +98,8 @@
     }
 }
 
-/// Whether an entry only announces that a server is draining or removed, which has no effect if the server is unlisted.
-/// A draining entry of a snapshot lists its server.
+/// Whether an entry announces a server as draining or removed without listing it; such an entry has no effect on an
+/// unlisted server. In a snapshot, a draining entry does list its server.
 pub(super) fn is_removal(entry: &EndpointEntry, snapshot: bool) -> bool {
     match entry.status {
         Status::Up => false,
--- a/crates/mixer/src/reducer/input.rs
+++ b/crates/mixer/src/reducer/input.rs
@@ -22,7 +22,7 @@
     Heartbeat,
     /// The watch ended.
     Ended {
-        /// It timed out: no connection was established, or no update or heartbeat was received, in time.
+        /// Whether it timed out: no connection was established, or no update or heartbeat was received, in time.
         timed_out: bool,
     },
     /// An update was rejected: the endpoint list is unchanged and a snapshot is requested.
@@ -36,7 +36,7 @@
 pub enum UpdateFault {
     /// It exceeds the size limit.
     TooLarge,
-    /// It can't be parsed, or an entry has no endpoint name.
+    /// It can't be parsed, or it is a delta and an entry has no valid endpoint name.
     Malformed,
     /// It is a delta with a lower version than the current list.
     VersionRegressed,
--- a/crates/mixer/src/reducer/leaf_connection/mod.rs
+++ b/crates/mixer/src/reducer/leaf_connection/mod.rs
@@ -27,7 +27,7 @@
 pub struct CallAttempt {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The id of its part in the frame.
+    /// The wire id of its part.
     pub wire_id: Rc<str>,
 }
 
@@ -143,8 +143,9 @@
         self.unresponsive
     }
 
-    /// Whether the connection is unresponsive and has no open attempt that might still be answered. Queued
-    /// cancellations are implied by closing the connection, and a frame that the socket can't write would wait forever.
+    /// Whether the connection is unresponsive and has no open attempt that might still be answered. Such a
+    /// connection may be closed although frames are queued: closing it also cancels its attempts at the leaf server,
+    /// and its socket might never accept the frames.
     pub fn is_unusable(&self) -> bool {
         self.unresponsive && self.attempts.is_empty()
     }
--- a/crates/mixer/src/reducer/leaf_connection/open_attempts.rs
+++ b/crates/mixer/src/reducer/leaf_connection/open_attempts.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// The number of ids of finished attempts that are retained, since a delayed answer may still name them: more than a
-/// leaf server has answers in flight.
+/// The number of finished attempts whose wire ids are retained to recognize delayed answers. It is higher than the
+/// number of answers that a leaf server has in flight.
 const MAX_FINISHED_IDS: usize = 64;
 
 /// An attempt that has neither ended nor been cancelled: queued or in flight.
@@ -15,13 +15,13 @@
     attempt: AttemptId,
     /// When its frame was passed to the socket; `None` while it is queued.
     write_started_at: Option<Nanos>,
-    /// The socket has accepted the last byte of its frame.
+    /// Whether the socket has accepted the last byte of its frame.
     written: bool,
 }
 
 /// An attempt that was removed.
 pub(super) struct RemovedAttempt {
-    /// Its wire id.
+    /// The wire id of its part.
     pub(super) wire_id: Rc<str>,
     /// When its frame was passed to the socket; `None` if it is still queued.
     pub(super) write_started_at: Option<Nanos>,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Retains the id of a finished attempt, since a delayed answer may still name it.
+    /// Retains the wire id of a finished attempt, since a delayed answer may still contain it.
     pub(super) fn retain_finished_id(&mut self, wire_id: Rc<str>) {
         if self.finished.len() == MAX_FINISHED_IDS {
             self.finished.pop_front();
--- a/crates/mixer/src/reducer/lifecycle.rs
+++ b/crates/mixer/src/reducer/lifecycle.rs
@@ -3,11 +3,11 @@
 use super::NANOS_PER_MS;
 use cottonhill_decisions::Nanos;
 
-/// How long the mixer continues to serve normally after a shutdown request: clients still open connections, and use the
-/// existing ones for another 0.7 s.
+/// How long the mixer continues to serve normally after a shutdown request. On the platform, clients still open
+/// connections after it, and use the existing ones for another 0.7 s.
 const GRACE_PERIOD: Nanos = 750 * NANOS_PER_MS;
-/// The process is not killed before this delay plus the longest query deadline has passed since the shutdown request.
-/// The deadline counts as at most [`MAX_COUNTED_DEADLINE`].
+/// The platform guarantees that it does not kill the process before this delay plus the longest query deadline has
+/// passed since the shutdown request. The deadline counts as at most [`MAX_COUNTED_DEADLINE`].
 const KILL_DELAY: Nanos = 700 * NANOS_PER_MS;
 const MAX_COUNTED_DEADLINE: Nanos = 3_000 * NANOS_PER_MS;
 /// How long before the earliest kill the last replies are sent.
--- a/crates/mixer/src/reducer/mod.rs
+++ b/crates/mixer/src/reducer/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! [`Reducer`] owns one table for each concern (`queries`, `attempts`, `probes`, `leaf_connections`, `clients`,
 //! `replicas`, `timers`, `lifecycle`, ...). Tables do not depend on each other. Changes that involve several tables are
-//! methods of the reducer, in a module for each kind of input: `client_requests`, `query_completion`, `dispatch`,
+//! methods of the reducer, in one module for each subject: `client_requests`, `query_completion`, `dispatch`,
 //! `attempt_results`, `connection_handling`, `discovery`, `batch` and `shutdown`. The [`Coordinator`] makes the
 //! decisions about queries; it receives all events of a batch in one call.
 
@@ -145,7 +145,8 @@
         self.descriptor_budget.max_clients_with_closing()
     }
 
-    /// When [`Input::ProcessBatch`] is due if there is no earlier input; 0 if it is due now.
+    /// When [`Input::ProcessBatch`] is due if there is no earlier input; 0 if it is due now, `None` if nothing is
+    /// scheduled.
     pub fn next_due(&self) -> Option<Nanos> {
         if !self.events.is_empty() && !self.lifecycle.is_awaiting_discovery() {
             return Some(0);
--- a/crates/mixer/src/reducer/queries.rs
+++ b/crates/mixer/src/reducer/queries.rs
@@ -39,7 +39,7 @@
     pub(super) shard: u32,
     /// Its fraction of the query's total weight.
     pub(super) weight: f64,
-    /// Its id in frames to and from leaf servers.
+    /// Its wire id: the id in frames to and from leaf servers.
     pub(super) wire_id: Rc<str>,
     /// The text of the query.
     pub(super) text: Bytes,
--- a/crates/mixer/src/reducer/query_completion.rs
+++ b/crates/mixer/src/reducer/query_completion.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Removes a query and its parts, and cancels its attempts that have not been passed to a socket, even if attempts
-    /// that were sent may not be cancelled. The latter end independently.
+    /// Removes a query and its parts. Cancels its attempts that have not been passed to a socket, even if the
+    /// cancellation of sent attempts is disabled. Sent attempts end independently of the query.
     pub(super) fn end_query(&mut self, now: Nanos, id: RequestId) -> Option<EndedQuery> {
         let ended = self.queries.remove(id)?;
         for part in &ended.query.parts {
--- a/crates/mixer/src/reducer/replicas.rs
+++ b/crates/mixer/src/reducer/replicas.rs
@@ -33,12 +33,12 @@
     pub stale_connections: Vec<ConnectionId>,
     /// Number of entries for a name that occurs earlier in the same update; the last entry applies.
     pub duplicate_entries: u64,
-    /// Number of entries that remove a server that is not listed.
+    /// Number of entries that announce an unlisted server as removed or, in a delta, as draining.
     pub unlisted_removals: u64,
 }
 
-/// The listed replicas, and the removed ones that still have connections or that an update may mention which lags
-/// behind. A replica keeps its id as long as its record exists; ids are not reused.
+/// The listed replicas, and the removed replicas whose records are still needed: they have connections, or an update
+/// that lags behind may mention them. A replica keeps its id as long as its record exists; ids are not reused.
 #[derive(Debug, Default)]
 pub struct Replicas {
     table: ReplicaTable,
@@ -237,7 +237,7 @@
             status = ?entry.status,
             current_version = self.version,
             known_replicas = self.table.len(),
-            "endpoint update removes an unlisted server"
+            "endpoint update announces an unlisted server as draining or removed"
         );
     }
 
@@ -353,7 +353,7 @@
         }
     }
 
-    /// Marks the replicas as removed that a snapshot does not list.
+    /// Marks the replicas that a snapshot does not list as removed.
     fn mark_unlisted_as_removed(
         &mut self,
         now: Nanos,
--- a/crates/mixer/src/reducer/usage.rs
+++ b/crates/mixer/src/reducer/usage.rs
@@ -54,7 +54,7 @@
     Complete,
     /// Answered from parts with this fraction of the weight, in millionths.
     Partial(u32),
-    /// Rejected, with a Retry-After if one is known.
+    /// Rejected, with a `Retry-After` if one is configured.
     Rejected,
     /// Neither answered nor rejected in time.
     Failed,
--- a/crates/mixer/src/reducer/watch_policy.rs
+++ b/crates/mixer/src/reducer/watch_policy.rs
@@ -1,9 +1,13 @@
-//! The schedule and the timeouts of requests for the endpoint list, which keep the list current. There is one rule for
-//! each [`WatchMode`]:
+//! The schedule and the timeouts of requests for the endpoint list, which keep the list current.
 //!
-//! - Push: an agent on the mixer's own machine. Requests to it are cheap, and its list is in force whether or not it is
-//!   watched. During a delay the mixer misses changes that are in force, so delays are a small fraction of the drain
-//!   grace, regardless of the size of the fleet and of the number of failures.
+//! A change of the list *counts as announced* to a mixer from a defined time, whether or not the mixer has received it.
+//! For a replica that is draining or removed, the drain grace starts at that time: after the drain grace, no attempt
+//! may start there. There is one rule for each [`WatchMode`]:
+//!
+//! - Push: an agent on the mixer's own machine. Requests to it are cheap, and a change counts as announced as soon as
+//!   the agent has it, even if the mixer is not connected to the agent. During a delay the mixer misses such changes,
+//!   so delays are a small fraction of the drain grace, regardless of the size of the fleet and of the number of
+//!   failures.
 //! - Poll: one service for all mixers, which serves one request at a time. Failed requests are repeated after a backoff
 //!   with jitter (`Backoff`), limited by the staleness bound and by the maximum staleness of the settings.
 
@@ -16,8 +20,8 @@
 /// versions are valid at another address of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchMode {
-    /// An agent on the mixer's own machine, whose list is in force at once. Requests have a short, constant minimum
-    /// interval; the agent's `Retry-After` is ignored.
+    /// An agent on the mixer's own machine, whose changes count as announced at once. Requests have a short, constant
+    /// minimum interval; the agent's `Retry-After` is ignored.
     Push {
         /// No attempt may start at a replica later than this after it was announced as draining or removed.
         drain_grace: Duration,
@@ -36,9 +40,9 @@
 pub struct WatchEnd {
     /// Its duration, from the start of the connect.
     pub duration: Duration,
-    /// An update or a heartbeat was received on it.
+    /// Whether an update or a heartbeat was received on it.
     pub received_any: bool,
-    /// It timed out: no connection was established, or no update or heartbeat was received, in time.
+    /// Whether it timed out: no connection was established, or no update or heartbeat was received, in time.
     pub timed_out: bool,
     /// The service's `Retry-After`.
     pub retry_after: Option<Duration>,
@@ -136,7 +140,7 @@
     pub fn next_delay(&mut self, ended: WatchEnd) -> Duration {
         let retry_interval = max_retry_interval(self.mode);
         match self.mode {
-            // The agent's list is in force at once, so its Retry-After is ignored.
+            // The agent's changes count as announced at once, so its Retry-After is ignored.
             WatchMode::Push { .. } => retry_interval.saturating_sub(ended.duration),
             WatchMode::Poll { .. } => {
                 let limit = max_poll_delay(retry_interval, ended).min(retry_interval);
--- a/crates/mixer/src/transport/discovery_watch.rs
+++ b/crates/mixer/src/transport/discovery_watch.rs
@@ -18,9 +18,9 @@
 
 type WatchConnection = Framed<TcpStream, WatchCodec>;
 
-/// Watches the endpoint list like a serving mixer, with a separate buffer pool, and sends the updates and events as
-/// inputs for the reducer. It requests the changes after version `from_version`, or a snapshot if that is `None`. Never
-/// returns.
+/// Watches the endpoint list in the same way as the driver, but without a reducer and with a separate buffer pool:
+/// sends the updates and events as [`Input`]s to `updates`. It requests the changes after version `from_version`, or a
+/// snapshot if that is `None`. Never returns.
 pub async fn watch_endpoints(
     updates: mpsc::Sender<Input>,
     policy: WatchPolicy,
--- a/crates/mixer/src/transport/driver.rs
+++ b/crates/mixer/src/transport/driver.rs
@@ -182,7 +182,7 @@
             Control::Terminate => Input::ShutdownRequested,
             Control::Reload(addresses) => {
                 self.effects.reload_peers(addresses.as_ref());
-                // The reducer keeps the address of discovery in its state.
+                // The reducer requests the restart of the watch on discovery as an effect.
                 Input::ConfigReloaded {
                     discovery: addresses.map(|addresses| addresses.discovery),
                 }
--- a/crates/mixer/src/transport/effects.rs
+++ b/crates/mixer/src/transport/effects.rs
@@ -162,7 +162,7 @@
     fn command_client(&self, client: ClientId, command: ClientCommand) {
         // The queue is full only if the client does not read, which blocks the task; this client loses its reply.
         if self.shared.command_client(client, command).is_err() {
-            tracing::debug!(target: log_targets::TRANSPORT, client, "command to client dropped, connection closed or blocked");
+            tracing::debug!(target: log_targets::TRANSPORT, client, "command to client dropped: connection closed or command queue full");
         }
     }
 
@@ -192,7 +192,7 @@
 
     fn exit(&mut self, counters: &Counters) {
         let counters = serde_json::to_string(counters).unwrap_or_default();
-        tracing::info!(target: log_targets::TRANSPORT, counters, "shutdown complete, all accepted requests answered");
+        tracing::info!(target: log_targets::TRANSPORT, counters, "shutdown complete, every accepted request answered or failed");
         self.exited = true;
     }
 
--- a/crates/mixer/src/transport/pending_replies.rs
+++ b/crates/mixer/src/transport/pending_replies.rs
@@ -13,7 +13,8 @@
     fn record(&mut self, usage: UsageRecord) -> bool;
     /// Queues a watermark.
     fn record_watermark(&mut self, watermark: Watermark);
-    /// The sequence number up to which records have been written to the operating system.
+    /// The sequence number up to which records have been written to the operating system or, after a failed write,
+    /// dropped.
     fn written_sequence(&self) -> watch::Receiver<u64>;
     /// Maximum time that a reply waits for its record to be written.
     fn max_write_delay(&self) -> Duration;
--- a/crates/mixer/tests/endpoint_updates.rs
+++ b/crates/mixer/tests/endpoint_updates.rs
@@ -207,7 +207,7 @@
         &[
             " version=43",
             "unlogged=24",
-            "further invalid entries in endpoint update",
+            "further invalid entries in endpoint update not logged",
         ],
     );
     let mut harness = Harness::new(1);
@@ -300,7 +300,7 @@
                 " version=2",
                 "s-9",
                 "current_version=1",
-                "removes an unlisted server",
+                "announces an unlisted server as draining or removed",
             ],
         );
     }
