--- a/crates/opensearch/src/dsl/check.rs
+++ b/crates/opensearch/src/dsl/check.rs
@@ -6,17 +6,17 @@
 use super::{duration_ms, SearchError};
 use serde_json::Value;
 
-/// The deepest nesting of query clauses.
+/// Maximum nesting depth of query clauses.
 pub const MAX_DEPTH: usize = 20;
-/// The most query clauses of a search, and the most values of one clause.
+/// Maximum number of query clauses in a search, and of values in one clause.
 pub const MAX_CLAUSES: usize = 1024;
-/// The largest sum of `from` and `size`.
+/// Maximum sum of `from` and `size`.
 pub const MAX_RESULT_WINDOW: u64 = 10_000;
-/// The most aggregations of a search.
+/// Maximum number of aggregations in a search.
 pub const MAX_AGGREGATIONS: usize = 64;
-/// The most buckets that an aggregation may request.
+/// Maximum number of buckets that an aggregation may request.
 pub const MAX_BUCKETS: u64 = 10_000;
-/// The most sort keys of a search.
+/// Maximum number of sort keys in a search.
 const MAX_SORT_KEYS: usize = 16;
 
 impl Search {
--- a/crates/opensearch/src/dsl/mod.rs
+++ b/crates/opensearch/src/dsl/mod.rs
@@ -1,5 +1,5 @@
-//! The query language, parsed once into a typed tree. Unknown fields are rejected with their path. Depth, clause counts
-//! and sizes are bounded, so that the cost of a search is bounded by the size of its body.
+//! The query language, parsed once into a typed tree. Unknown fields are rejected with their path. Nesting depth,
+//! clause counts and sizes are limited, which limits the cost of a search.
 
 mod aggregation;
 mod check;
--- a/crates/opensearch/src/dsl/search.rs
+++ b/crates/opensearch/src/dsl/search.rs
@@ -115,7 +115,7 @@
         self.from.unwrap_or(0)
     }
 
-    /// The most hits of the page.
+    /// The maximum number of hits on the page.
     pub fn size(&self) -> u64 {
         self.size.unwrap_or(DEFAULT_SIZE)
     }
--- a/crates/opensearch/src/front/mod.rs
+++ b/crates/opensearch/src/front/mod.rs
@@ -26,9 +26,10 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// A connection is closed if its TLS handshake takes longer.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The size of a connection's read buffer, and so of the largest request head.
+/// The size of a connection's read buffer, which is also the maximum size of a request head.
 const MAX_BUFFER_BYTES: usize = 64 * 1024;
 
+/// The state that all connections of the front share.
 struct Context {
     front: FrontSettings,
     queries: QueryClient,
@@ -140,6 +141,6 @@
         }
     };
     if let Err(e) = result {
-        tracing::debug!(error = %e, "search connection failed");
+        tracing::debug!(address = %peer.address, error = %e, "search connection failed");
     }
 }
--- a/crates/opensearch/src/front/multi.rs
+++ b/crates/opensearch/src/front/multi.rs
@@ -12,13 +12,13 @@
 use std::time::Instant;
 use tokio::task::JoinSet;
 
-/// The most searches of one `_msearch`.
+/// Maximum number of searches in one `_msearch`.
 const MAX_SEARCHES: usize = 256;
-/// The most searches of one `_msearch` that run at the same time.
+/// Maximum number of searches of one `_msearch` that run at the same time.
 const MAX_CONCURRENT_SEARCHES: usize = 8;
 
-/// The header line before the body of each search of an `_msearch`. The error text that clients receive names the struct
-/// `Line`.
+/// The header line before the body of each search of an `_msearch`. The error text that clients receive names the
+/// struct `Line`.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default, expecting = "struct Line")]
 struct SearchHeader {
@@ -29,8 +29,8 @@
     search_type: Option<String>,
 }
 
-/// Runs the searches of an `_msearch`, up to [`MAX_CONCURRENT_SEARCHES`] at the same time, and returns their responses in
-/// the order of the searches. An invalid search has an error as its response; the others run regardless.
+/// Runs the searches of an `_msearch`, up to [`MAX_CONCURRENT_SEARCHES`] at the same time, and returns their responses
+/// in the order of the searches. An invalid search has an error as its response; the others run regardless.
 pub(super) async fn msearch(
     context: &Rc<Context>,
     received_at: u64,
--- a/crates/opensearch/src/front/parameters.rs
+++ b/crates/opensearch/src/front/parameters.rs
@@ -3,7 +3,9 @@
 use crate::dsl::{duration_ms, TrackTotalHits};
 use crate::response::{self, RestResponse};
 
-/// The URL parameters of a search. All but the timeout take precedence over the body.
+/// The URL parameters of a search. Of those that a body may contain, too, all but the timeout take precedence over it.
+/// In an `_msearch`, the header line of a search takes precedence over the URL for `preferred_shards` and
+/// `allow_partial_results`.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Parameters {
     pub(super) from: Option<u64>,
--- a/crates/opensearch/src/front/route.rs
+++ b/crates/opensearch/src/front/route.rs
@@ -13,10 +13,10 @@
 use serde_json::{json, Value};
 use std::rc::Rc;
 
-/// Routes a request to its operation.
+/// Routes a request to its operation. Returns the body of the response if its status is 200.
 ///
 /// # Errors
-/// The response if its status is not 200; the body of a response with status 200 is the value.
+/// The response if its status is not 200.
 pub(super) async fn route(
     context: &Rc<Context>,
     received_at: u64,
--- a/crates/opensearch/src/front/search.rs
+++ b/crates/opensearch/src/front/search.rs
@@ -172,7 +172,7 @@
     };
     check_answer_size(front, &hits)?;
     let (shards, answers, coverage) = parse_answers(&selected, &hits, search);
-    // Shards that answered with an error do not count towards the coverage, like those that did not answer.
+    // Neither shards that answered with an error nor shards that did not answer count towards the coverage.
     let min_coverage = schema.minimum_coverages.get(class).copied().unwrap_or(1.0);
     if coverage + COVERAGE_TOLERANCE < min_coverage {
         let reason = format!(
@@ -348,7 +348,8 @@
     Err(answer)
 }
 
-/// The status of the shards, the answers of the successful ones, and their coverage: the fraction of the weight.
+/// The status of the shards, the answers of the successful ones, and their coverage: their fraction of the total weight
+/// of the selected shards.
 fn parse_answers(
     selected: &[(u32, f64)],
     hits: &[Hit],
--- a/crates/opensearch/src/gzip.rs
+++ b/crates/opensearch/src/gzip.rs
@@ -5,11 +5,11 @@
 use flate2::Compression;
 use std::io::{Read, Write};
 
-/// Shorter responses are sent uncompressed.
+/// Minimum size of a response that is compressed; a shorter one is sent uncompressed.
 pub const MIN_COMPRESSED_BYTES: usize = 1024;
 
-/// Decompresses a body of up to `max_bytes`. No more than that and one byte is ever decompressed, so a small body cannot
-/// exhaust the memory.
+/// Decompresses a body of up to `max_bytes`. Decompression stops one byte after that, so a small body cannot exhaust
+/// the memory.
 ///
 /// # Errors
 /// The body is not valid gzip, or its decompressed size exceeds the limit.
@@ -25,7 +25,7 @@
     Ok(decompressed)
 }
 
-/// Compresses a response; `None` if writing fails, which writing to memory does not.
+/// Compresses a response; `None` if writing the output fails, which does not happen in memory.
 pub fn compress(body: &[u8]) -> Option<Vec<u8>> {
     let mut encoder = GzEncoder::new(Vec::with_capacity(body.len() / 4), Compression::fast());
     encoder.write_all(body).ok()?;
--- a/crates/opensearch/src/index.rs
+++ b/crates/opensearch/src/index.rs
@@ -1,5 +1,5 @@
-//! The settings of the front: its listener, its indices with their classes, shards and weights, and the networks of
-//! tenants.
+//! All settings of the front, which are those of its listener, of its indices (class, shards and weights), and of the
+//! networks of tenants.
 
 use crate::tenant::{parse_networks, NetworkSet, TenantTable};
 use crate::tls::TlsFiles;
@@ -18,14 +18,14 @@
             "connections",
             Kind::Integer(1, 100_000),
             Some("64"),
-            "Most open connections; further ones are not accepted until one closes.",
+            "Maximum number of open connections; further ones are not accepted until one closes.",
         ),
-        key("body", Kind::Bytes, Some("64KiB"), "Longest request body."),
+        key("body", Kind::Bytes, Some("64KiB"), "Maximum size of a request body."),
         key(
             "answer",
             Kind::Bytes,
             Some("8MiB"),
-            "Most bytes that the shards' answers to one search may have together.",
+            "Maximum total size of the shards' answers to one search.",
         ),
         key("idle", Kind::Duration, Some("60s"), "A connection without a request for this time is closed."),
         key("cluster", Kind::Text, Some("cottonhill"), "The cluster name in responses."),
@@ -182,8 +182,8 @@
     !name.starts_with(['_', '-']) && name.bytes().all(is_valid)
 }
 
-/// Reads the networks of the tenants. They are added from the shortest prefix to the longest, in whichever order the file
-/// lists them.
+/// Reads the networks of the tenants. They are added in ascending order of prefix length, regardless of their order in
+/// the file.
 fn tenant_table(
     settings: &Settings,
     schema: &Schema,
@@ -252,7 +252,7 @@
             if !is_valid_index_name(name) {
                 return Err(error(
                     "class",
-                    "the name of an index may have lower-case letters, digits, '-', '_' and '.', and not start with '_' or '-'",
+                    "the section has an invalid index name: only lower-case letters, digits, '-', '_' and '.' are allowed, and the first character must not be '_' or '-'",
                 ));
             }
             let class = index
--- a/crates/opensearch/src/merge.rs
+++ b/crates/opensearch/src/merge.rs
@@ -1,8 +1,9 @@
 //! The reduce step: merges the answers of the shards into one. Pure functions.
 //!
-//! Hits are ordered by the search's sort keys (without any: by descending score), then by shard, then by id, so that the
-//! order is deterministic. Within a key, numbers sort before strings, strings before booleans, and missing values last,
-//! in ascending and descending order alike. Totals are added up; the sum is a lower bound if the total of any shard is.
+//! Hits are ordered by the sort keys of the search, or by descending score if it has none. Hits with equal keys are
+//! ordered by shard and then by id, so that the order is deterministic. For one key, numbers come before strings,
+//! strings before booleans, and missing values last, both in ascending and in descending order. Totals are added up;
+//! the sum is a lower bound if the total of at least one shard is a lower bound.
 
 use crate::dsl::{Aggregation, Hit, Order, Search};
 use serde::{Deserialize, Serialize};
@@ -127,7 +128,7 @@
     pub aggregations: Map<String, Value>,
 }
 
-/// The rank of a sort value's type. Missing values are null and rank last.
+/// The rank of the type of a sort value. A missing value is represented by null, which ranks last.
 fn type_rank(value: &Value) -> u8 {
     match value {
         Value::Number(_) => 0,
@@ -228,19 +229,19 @@
     merged
 }
 
-/// A finite number of a shard's aggregation.
+/// The number at `key` of a shard's aggregation; `None` if it is missing or not finite.
 fn finite_number(part: &Value, key: &str) -> Option<f64> {
     part.get(key)
         .and_then(Value::as_f64)
         .filter(|number| number.is_finite())
 }
 
-/// A count of a shard's aggregation; 0 if it is missing.
+/// The count at `key` of a shard's aggregation; 0 if it is missing.
 fn count_of(part: &Value, key: &str) -> u64 {
     part.get(key).and_then(Value::as_u64).unwrap_or(0)
 }
 
-/// Reduces one aggregation of all shards; `parts` are the shards' results.
+/// Merges one aggregation over all shards; `parts` are the shards' results.
 fn reduce(aggregation: &Aggregation, parts: &[Value]) -> Value {
     let values = |key: &'static str| {
         parts
@@ -299,8 +300,8 @@
     all
 }
 
-/// Reduces a terms aggregation to the `size` most frequent terms. A shard that omitted terms may have counted each of them
-/// up to as often as its least frequent returned term: the error bound is the sum of these counts.
+/// Reduces a terms aggregation to the `size` most frequent terms. A shard that omitted terms may have counted each of
+/// them up to as often as its least frequent returned term: the error bound is the sum of these counts.
 fn reduce_terms(size: usize, parts: &[Value]) -> Value {
     let mut error_bound = 0;
     let mut other_count = 0;
--- a/crates/opensearch/src/response.rs
+++ b/crates/opensearch/src/response.rs
@@ -62,8 +62,8 @@
     response
 }
 
-/// The response to a search that was rejected because it could not be answered in time. A retry is safe; `retry_after` is
-/// the recommended delay before it.
+/// The response to a search that was rejected because it could not be answered in time, or by load shedding. A retry is
+/// safe; `retry_after` is the recommended delay before it.
 pub fn rejected(retry_after: Option<Duration>) -> RestResponse {
     let delay_text = retry_after.map_or(String::new(), |delay| {
         format!("; come back in {} ms", delay.as_millis())
@@ -144,6 +144,10 @@
     hit: &'a crate::dsl::Hit,
 }
 
+/// Maximum exact total of a response if the search does not set `track_total_hits`; a higher total is reported as a
+/// lower bound.
+const DEFAULT_TRACKED_TOTAL: u64 = 10_000;
+
 /// The total of a response, as `track_total_hits` requests it: none, exact or a lower bound.
 fn tracked_total(search: &Search, total: Option<Total>) -> Option<Total> {
     let total = total?;
@@ -154,8 +158,8 @@
             value: limit,
             relation: Relation::Gte,
         }),
-        None if total.value > 10_000 => Some(Total {
-            value: 10_000,
+        None if total.value > DEFAULT_TRACKED_TOTAL => Some(Total {
+            value: DEFAULT_TRACKED_TOTAL,
             relation: Relation::Gte,
         }),
         _ => Some(total),
--- a/crates/opensearch/src/tenant.rs
+++ b/crates/opensearch/src/tenant.rs
@@ -1,8 +1,8 @@
 //! The tenant of a search by the network of its client. Pure functions.
 //!
 //! The longest matching prefix decides. If a client connects through trusted proxies, its address is the last one in
-//! `X-Forwarded-For` that does not belong to a trusted proxy. The header is ignored on connections of any other peer, which
-//! could forge it.
+//! `X-Forwarded-For` that does not belong to a trusted proxy. The header is ignored on connections of any other peer,
+//! which could forge it.
 
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
 use prefix_trie::{PrefixMap, PrefixSet};
@@ -135,9 +135,9 @@
         .collect()
 }
 
-/// The address of the client: the peer address of the connection or, if that is a trusted proxy's, the last forwarded
-/// address that is not. An address that cannot be parsed is skipped together with all before it: the result is then the
-/// proxy that forwarded it.
+/// The address of the client: the peer address of the connection, unless the peer is a trusted proxy. In that case the
+/// forwarded addresses are examined from the last to the first, up to the first one that is not a trusted proxy; that
+/// is the client. An address that cannot be parsed ends the search: the result is then the proxy that forwarded it.
 pub fn client_address(peer: IpAddr, forwarded: &[&str], proxies: &NetworkSet) -> IpAddr {
     let mut client = peer;
     let forwarded_addresses = forwarded
