--- a/crates/standins/src/bin/cottonhill-bench-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-bench-ledger.rs
@@ -44,8 +44,8 @@
     latency: Histogram<u64>,
 }
 
-/// Load levels, with the minimum and maximum pause between the queries of a client in milliseconds: light load is a tenth
-/// of what a mixer can serve, heavy load most of it.
+/// Load levels, with the minimum and maximum pause between the queries of a client in milliseconds: light load is a
+/// tenth of what a mixer can serve, heavy load most of it.
 const LOAD_LEVELS: [(&str, u64, u64); 2] = [("light", 20, 40), ("heavy", 0, 3)];
 
 /// Sends queries until `deadline` and returns the latencies of the answers in microseconds.
--- a/crates/standins/src/bin/cottonhill-prove-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-prove-ledger.rs
@@ -30,8 +30,8 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Runs the end-to-end test of the ledger on loopback. The last line is a summary; the exit code is 0 only if all checks
-/// pass
+/// Runs the end-to-end test of the ledger on loopback. The last line is a summary; the exit code is 0 only if all
+/// checks pass
 #[derive(Parser)]
 struct Arguments {
     /// Seed of the random numbers
@@ -159,7 +159,8 @@
 
 type Class = (&'static str, u64, u64, f64);
 
-/// Sends one query in up to [`MAX_ATTEMPTS`] attempts, until it has an outcome or less than 60 ms of its timeout remain.
+/// Sends one query in up to [`MAX_ATTEMPTS`] attempts, until it has an outcome or less than 60 ms of its
+/// timeout remain.
 async fn run_query(
     shared: &SharedState,
     connection: &mut Connection,
--- a/crates/standins/src/bin/cottonhill-prove-opensearch.rs
+++ b/crates/standins/src/bin/cottonhill-prove-opensearch.rs
@@ -1,8 +1,9 @@
-//! `cottonhill-prove-opensearch`: end-to-end test that the OpenSearch-style front returns correct results, and
-//! answers about as many searches as the native front does of the same queries.
+//! `cottonhill-prove-opensearch`: end-to-end test that the OpenSearch-style frontend returns correct results, and
+//! answers about as many searches as the native frontend does of the same queries.
 //!
-//! The same random searches are sent through both fronts to the same leaf servers, while a zone is killed and restored
-//! cold. Every page is compared with the one computed from the documents of the shards that it reports as successful.
+//! The same random searches are sent through both frontends to the same leaf servers, while a zone is killed and
+//! restored cold. Every page is compared with the one computed from the documents of the shards that it reports as
+//! successful.
 
 use bytes::Bytes;
 use clap::Parser;
@@ -28,14 +29,14 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Runs the end-to-end test of the OpenSearch-style front on loopback. The last line is a summary; the exit code is 0
-/// only if all checks pass
+/// Runs the end-to-end test of the OpenSearch-style frontend on loopback. The last line is a summary; the exit code is
+/// 0 only if all checks pass
 #[derive(Parser)]
 struct Arguments {
     /// Seed of the random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Searches, each sent through both fronts
+    /// Searches, each sent through both frontends
     #[arg(long, default_value_t = 5000)]
     queries: u64,
     /// Concurrent clients
@@ -223,7 +224,7 @@
     None
 }
 
-/// Sends random searches through both fronts of one mixer.
+/// Sends random searches through both frontends of one mixer.
 async fn run_client(
     number: u64,
     arguments: Arc<Arguments>,
@@ -265,11 +266,11 @@
                 .map_or(1.0, |class| class.3),
         );
         let native_first = random.random_bool(0.5);
-        // Outcomes at the native and at the OpenSearch-style front.
+        // Outcomes at the native and at the OpenSearch-style frontend.
         let mut outcome = ("", "");
         for use_native in [native_first, !native_first] {
             if use_native && fault.is_some() {
-                // The native front passes a faulty response on unchanged.
+                // The native frontend passes a faulty response on unchanged.
                 continue;
             }
             if use_native {
@@ -343,7 +344,9 @@
                         if body["status"] != status
                             || body["error"]["type"] != "search_phase_execution_exception"
                         {
-                            tally.errors.push(format!("an error response with a wrong status or error type: {status} {body}"));
+                            tally.errors.push(format!(
+                                "an error response with a wrong status or error type: {status} {body}"
+                            ));
                         }
                         "failed"
                     }
@@ -743,7 +746,7 @@
         .filter(|(key, _)| key.1 == "partial")
         .map(|entry| entry.1)
         .sum();
-    // The two fronts are queried one after the other, so the killed zone may affect only one of the two searches.
+    // The two frontends are queried one after the other, so the killed zone may affect only one of the two searches.
     let similar = native.abs_diff(opensearch) * 100 <= 3 * sent.0;
     let passed = tally.errors.is_empty()
         && tally.unanswered == 0
@@ -755,7 +758,7 @@
         && request_errors.is_empty()
         && opensearch * 10 >= sent.1 * 9;
     println!(
-        "{}: {} searches through each front, {opensearch} answered by the OpenSearch-style one and {native} by the \
+        "{}: {} searches through each frontend, {opensearch} answered by the OpenSearch-style one and {native} by the \
          native one, {} correct pages, {faulty} searches with an injected fault, {} errors, {} unanswered, {} answers \
          after the timeout, 1 zone killed, seed {}, {:.0} s",
         if passed { "proved" } else { "NOT PROVED" },
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -41,14 +41,14 @@
     pub leaf_concurrency: usize,
     /// Whether mixers write a usage log.
     pub usage_log: bool,
-    /// Whether mixers also serve the OpenSearch-style front.
+    /// Whether mixers also serve the OpenSearch-style frontend.
     pub opensearch: bool,
     /// Sections of the settlement's settings other than its store and members.
     pub ledger_settings: String,
 }
 
 impl Default for ClusterConfig {
-    /// A small cluster without a usage log that serves only the native front.
+    /// A small cluster without a usage log that serves only the native frontend.
     fn default() -> ClusterConfig {
         let (service_time, ledger_settings) = (Duration::from_millis(5), String::new());
         ClusterConfig {
@@ -86,7 +86,7 @@
 pub struct Mixer {
     pub name: String,
     pub address: SocketAddr,
-    /// Address of the OpenSearch-style front, if it is enabled.
+    /// Address of the OpenSearch-style frontend, if it is enabled.
     pub search_address: SocketAddr,
     pub usage_directory: PathBuf,
     config_file: PathBuf,
@@ -160,8 +160,8 @@
         config.descriptor_limit,
     );
     let class = |(name, objective, timeout, _): &(&str, u64, u64, f64)| {
-        json!({"name": name, "aim_ns": objective * NS_PER_MS, "give_up_ns": timeout * NS_PER_MS, "semantics": "read_like",
-            "importance": 1.0, "late_value": 0.3})
+        json!({"name": name, "aim_ns": objective * NS_PER_MS, "give_up_ns": timeout * NS_PER_MS,
+            "semantics": "read_like", "importance": 1.0, "late_value": 0.3})
     };
     json!({
         "name": name, "listen": listen, "discovery": discovery, "seed": format!("{seed:016x}"),
--- a/crates/standins/src/search.rs
+++ b/crates/standins/src/search.rs
@@ -1,5 +1,6 @@
 //! Documents of the test index, the searches that leaf servers run on them, and the expected results over any set of
-//! shards. It shares no code with the mixer's OpenSearch-style front, so that the front can be checked against it.
+//! shards. It shares no code with the mixer's OpenSearch-style frontend, so that the frontend can be checked against
+//! it.
 
 use serde_json::{json, Map, Value};
 use std::cmp::Ordering;
--- a/crates/standins/tests/programs.rs
+++ b/crates/standins/tests/programs.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_end_to_end_test_of_the_opensearch_front_passes_on_a_small_run() {
+fn the_end_to_end_test_of_the_opensearch_frontend_passes_on_a_small_run() {
     let arguments = ["--queries", "600", "--clients", "6", "--seed", "5"];
     let (proved, output) = run(
         env!("CARGO_BIN_EXE_cottonhill-prove-opensearch"),
