--- a/crates/cottonhill/src/commands/ledger/context.rs
+++ b/crates/cottonhill/src/commands/ledger/context.rs
@@ -5,7 +5,7 @@
 use crate::schema::SCHEMA;
 use cottonhill_ledger::period::Period;
 use cottonhill_ledger::settings::LedgerSettings;
-use cottonhill_ledger::settle::Bounds;
+use cottonhill_ledger::settle::JoinLimits;
 use cottonhill_ledger::store::Store;
 use std::path::PathBuf;
 
@@ -47,8 +47,8 @@
     }
 
     /// How late a retry may arrive, and how far clocks may be apart.
-    pub fn bounds(&self) -> Bounds {
-        Bounds {
+    pub fn bounds(&self) -> JoinLimits {
+        JoinLimits {
             horizon_ms: self.settings.horizon_ms,
             skew_ms: self.settings.skew_ms,
         }
--- a/crates/ledger/src/collect.rs
+++ b/crates/ledger/src/collect.rs
@@ -93,17 +93,22 @@
             sequence,
         } = request.into_inner();
         let directory = self.directory.clone();
-        let settled = Position {
+        let acknowledged = Position {
             incarnation,
             sequence,
         };
         let removal = tokio::task::spawn_blocking(move || {
-            writer::remove_settled_segments(&directory, settled)
+            writer::remove_acknowledged_segments(&directory, acknowledged)
         })
         .await;
         match removal {
             Ok(Ok(removed)) => {
-                tracing::debug!(removed, incarnation, sequence, "settled segments removed");
+                tracing::debug!(
+                    removed,
+                    incarnation,
+                    sequence,
+                    "acknowledged segments removed"
+                );
                 Ok(Response::new(AcknowledgeReply {}))
             }
             Ok(Err(e)) => Err(Status::unavailable(format!(
@@ -138,7 +143,7 @@
                     .map_err(|e| e.to_string())
             });
             if let Err(e) = result {
-                tracing::error!(error = e, "usage collection server failed");
+                tracing::error!(%address, error = e, "usage collection server failed");
             }
         })?;
     Ok(())
--- a/crates/ledger/src/join.rs
+++ b/crates/ledger/src/join.rs
@@ -1,11 +1,13 @@
 //! Deduplication of client retries: joins the attempts of one client query into one use.
 //!
-//! Pure: attempts are pushed in the order of their arrival, and complete uses are emitted. An attempt that is not
-//! marked as a retry starts a use. A retry joins the use of an earlier attempt, at most one retry for each attempt:
-//! - With a key that the client sent, it joins the use of that key, whatever the outcomes of the earlier attempts.
-//! - Otherwise it joins a use of the same tenant, class and request content whose first attempt is within the class's
-//!   give-up time: the one whose last attempt has been unanswered for longest. An attempt whose answer may not have
-//!   been delivered, because its mixer crashed right afterwards, counts as unanswered but is considered last.
+//! Pure: attempts are pushed in the order of their arrival, and complete uses are emitted. These rules apply:
+//! - An attempt with a key that the client sent joins the use of that key, whether or not it is marked as a retry and
+//!   whatever the outcomes of the earlier attempts. The first attempt with the key starts the use.
+//! - An attempt without such a key that is not marked as a retry starts a use.
+//! - A retry without such a key joins a use of the same tenant, class and request content whose first attempt is within
+//!   the class's give-up time: the one whose last attempt has been unanswered for longest. Only the last attempt of a
+//!   use counts, so that each attempt is repeated by at most one retry. An attempt whose answer may not have been
+//!   delivered, because its mixer crashed right afterwards, counts as unanswered but is considered last.
 //!
 //! A retry without a matching use starts one: its first attempt reached no mixer, or the record was lost in a crash.
 //! The clocks of mixers may differ, so a retry may seem to arrive up to the clock skew before the attempt that it
@@ -66,6 +68,7 @@
 pub struct ClientAttempt {
     /// Arrival in Unix milliseconds, by its mixer's clock.
     pub arrived_ms: i64,
+    /// The id of the member in the store.
     pub member: u32,
     /// The run of the member.
     pub incarnation: u64,
@@ -78,14 +81,15 @@
     pub part_attempts: u32,
     /// Attempts at parts in another zone.
     pub cross_zone_attempts: u32,
-    /// The client marked it as a retry.
+    /// Whether the client marked it as a retry.
     pub client_retry: bool,
     /// Hash of the client's idempotency key, or of the request content without one.
     pub key: u64,
+    /// Whether the client sent the key.
     pub key_from_client: bool,
     /// The class's give-up time in milliseconds.
     pub retry_window_ms: i64,
-    /// The mixer crashed before a watermark confirmed this record: the answer may not have been delivered.
+    /// Whether the mixer crashed before a watermark confirmed this record: the answer may not have been delivered.
     pub delivery_uncertain: bool,
 }
 
@@ -131,7 +135,7 @@
         }
     }
 
-    /// The first attempt, or the earliest known.
+    /// The first attempt whose record is known.
     pub fn first(&self) -> &ClientAttempt {
         &self.attempts[0]
     }
@@ -162,26 +166,29 @@
     open_uses: HashMap<DeduplicationKey, Vec<Use>>,
     /// Keys of open uses, by the time after which the use accepts no retry and by its first attempt.
     expiry: BTreeMap<(i64, RecordId), DeduplicationKey>,
-    /// Retries that are retained until every attempt that they may repeat has been pushed.
-    retries: VecDeque<ClientAttempt>,
+    /// Retries, and all attempts with a client's key, that are retained until every attempt that they may repeat has
+    /// been pushed.
+    pending: VecDeque<ClientAttempt>,
     /// Retries that the previous period has found to be ambiguous.
     ambiguous_retries: BTreeSet<RecordId>,
 }
 
 impl Joiner {
+    /// Creates a joiner for mixers whose clocks differ by at most `skew_ms`. A use with a client's key accepts retries
+    /// for `horizon_ms` after its first attempt.
     pub fn new(skew_ms: i64, horizon_ms: i64) -> Joiner {
-        let (open_uses, expiry, retries, ambiguous_retries) = Default::default();
+        let (open_uses, expiry, pending, ambiguous_retries) = Default::default();
         Joiner {
             skew_ms,
             horizon_ms,
             open_uses,
             expiry,
-            retries,
+            pending,
             ambiguous_retries,
         }
     }
 
-    /// As [`Joiner::new`], with retries already known to be ambiguous.
+    /// Creates a joiner like [`Joiner::new`], with the retries that are already known to be ambiguous.
     pub fn with_ambiguous_retries(
         skew_ms: i64,
         horizon_ms: i64,
@@ -215,7 +222,7 @@
     pub fn push(&mut self, attempt: ClientAttempt, emit: &mut impl FnMut(Use)) {
         self.advance(attempt.arrived_ms, emit);
         if attempt.client_retry || attempt.key_from_client {
-            self.retries.push_back(attempt);
+            self.pending.push_back(attempt);
         } else {
             self.start_use(attempt, false);
         }
@@ -239,18 +246,18 @@
             .push(Use::new(first, ambiguous));
     }
 
-    /// Joins the retries and emits the uses that are final once all attempts that arrived before `now` have been
-    /// pushed.
+    /// Joins the pending attempts and emits the uses that are final once all attempts that arrived before `now` have
+    /// been pushed.
     fn advance(&mut self, now: i64, emit: &mut impl FnMut(Use)) {
-        while let Some(retry) = self.retries.front().copied() {
+        while let Some(retry) = self.pending.front().copied() {
             if retry.arrived_ms.saturating_add(self.skew_ms) >= now {
                 break;
             }
-            self.retries.pop_front();
+            self.pending.pop_front();
             self.emit_expired(retry.arrived_ms, emit);
             self.join_retry(retry);
         }
-        let joined_until = self.retries.front().map_or(now, |retry| retry.arrived_ms);
+        let joined_until = self.pending.front().map_or(now, |retry| retry.arrived_ms);
         self.emit_expired(joined_until, emit);
     }
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,9 +1,9 @@
 //! Usage accounting by tenant: the usage log of each mixer, its collection, deduplication of client retries, billing
 //! periods, statements, corrections and export.
 //!
-//! A *usage record* describes one client attempt that a mixer has finished. A *use* is one client query: it is counted
-//! once, however many attempts the client made. A *member* is a mixer whose log the settlement collects, a *run* is one
-//! execution of a mixer, identified by its incarnation.
+//! A *usage record* describes one client attempt that a mixer has finished. A *use* is a client query as it is
+//! billed: it is counted once, regardless of the number of attempts that the client made. A *member* is a mixer whose
+//! log the settlement collects, a *run* is one execution of a mixer, identified by its incarnation.
 //!
 //! [`join`], [`rate`], [`settle`] and [`period`] are pure: no I/O and no clock. [`log`], [`writer`] and [`collect`] run
 //! in the mixer; [`store`], [`settlement`] and [`export`] run in the settlement.
--- a/crates/ledger/src/log/follow.rs
+++ b/crates/ledger/src/log/follow.rs
@@ -29,6 +29,8 @@
 pub struct Follower {
     directory: PathBuf,
     after: Position,
+    /// The segment that is being read, its header (or that of another segment of the run), and the offset of the next
+    /// frame in bytes.
     open: Option<(Segment, Option<Header>, u64)>,
 }
 
@@ -41,7 +43,7 @@
         }
     }
 
-    /// The next batch: at most `max_items` entries of one run; none if there is no new entry yet.
+    /// The next batch: at most `max_items` entries of one run; `None` if there is no new entry yet.
     ///
     /// # Errors
     /// The log cannot be read.
@@ -122,6 +124,8 @@
         Ok(())
     }
 
+    /// Reads up to `max_items` entries of `segment` from the byte offset `at`. Returns the batch, the offset after it,
+    /// and the number of bytes read beyond that offset.
     fn read_batch(
         &mut self,
         segment: &Segment,
--- a/crates/ledger/src/log/mod.rs
+++ b/crates/ledger/src/log/mod.rs
@@ -179,12 +179,12 @@
     Ok(segments)
 }
 
-/// Truncates an incomplete frame, which a crash during a write leaves at the end of a segment. Returns the number of
-/// bytes removed.
+/// Removes the invalid bytes at the end of a segment, such as the incomplete frame that a crash during a write leaves.
+/// A segment without a valid header and without entries is deleted. Returns the number of bytes removed.
 ///
 /// # Errors
-/// The file cannot be read or truncated.
-pub fn truncate_torn_tail(segment: &Segment) -> io::Result<u64> {
+/// The file cannot be read, truncated or deleted.
+pub fn truncate_invalid_tail(segment: &Segment) -> io::Result<u64> {
     let bytes = fs::read(&segment.path)?;
     let Some((_, at)) = read_header(&bytes) else {
         // Without a complete header and without entries the segment is empty and is removed. A segment with a damaged
@@ -198,12 +198,12 @@
         return Ok(bytes.len() as u64);
     };
     let end = read_entries(&bytes, at, usize::MAX).end;
-    let torn = (bytes.len() - end) as u64;
-    if torn > 0 {
+    let invalid = (bytes.len() - end) as u64;
+    if invalid > 0 {
         fs::OpenOptions::new()
             .write(true)
             .open(&segment.path)?
             .set_len(end as u64)?;
     }
-    Ok(torn)
+    Ok(invalid)
 }
--- a/crates/ledger/src/period.rs
+++ b/crates/ledger/src/period.rs
@@ -91,7 +91,7 @@
     }
 }
 
-/// Stands in for periods outside the range of the calendar.
+/// The period returned for times outside the range of the calendar.
 const UNBOUNDED: Period = Period {
     start: i64::MIN,
     end: i64::MAX,
--- a/crates/ledger/src/rate.rs
+++ b/crates/ledger/src/rate.rs
@@ -1,8 +1,9 @@
 //! Rating: the amount that uses cost. Pure; amounts are integers, in micro-units.
 //!
-//! A line counts the uses of one tenant and class in one period. Complete answers cost their price each. Partial
-//! answers cost their price times the sum of their coverage, rounded **once a line**, half a micro-unit up. Uses that
-//! were rejected, failed or lost their client are counted and free.
+//! A line counts the uses of one tenant and class in one period. Each complete answer costs the
+//! price of the class. Partial answers cost that price times the sum of their coverages, rounded **once for each line**
+//! to the nearest micro-unit, halves up. Uses that were rejected, that failed or whose client disconnected are counted,
+//! but are free.
 
 use crate::join::{Outcome, Use};
 use crate::settings::ClassPrice;
--- a/crates/ledger/src/reconcile.rs
+++ b/crates/ledger/src/reconcile.rs
@@ -2,7 +2,7 @@
 
 use crate::join::{Joiner, Use};
 use crate::period::{format_timestamp, Calendar};
-use crate::settle::Bounds;
+use crate::settle::JoinLimits;
 use crate::store::{Error, Store};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -76,7 +76,7 @@
 pub fn compare_with_clients(
     store: &Store,
     calendar: &Calendar,
-    bounds: Bounds,
+    bounds: JoinLimits,
     (from, until): (i64, i64),
     clients: &[ClientUse],
 ) -> Result<Reconciliation, Error> {
--- a/crates/ledger/src/settings.rs
+++ b/crates/ledger/src/settings.rs
@@ -77,7 +77,7 @@
             "stall",
             Kind::Duration,
             Some("5ms"),
-            "How long an answer waits until its record is written; after that it is sent without.",
+            "Maximum time that an answer waits for its record to be written; it is then sent all the same.",
         ),
         restart_key(
             "mark",
@@ -243,7 +243,7 @@
 }
 
 impl UsageLogSettings {
-    /// Reads the `[usage]` section; none if no directory is set.
+    /// Reads the `[usage]` section; `None` if no directory is set.
     ///
     /// # Errors
     /// Values that contradict each other.
--- a/crates/ledger/src/settle.rs
+++ b/crates/ledger/src/settle.rs
@@ -7,14 +7,14 @@
 
 /// Limits of joining, in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct JoinLimits {
     /// The longest time after a first attempt that a retry may arrive.
     pub horizon_ms: i64,
     /// The largest difference between the clocks of two mixers.
     pub skew_ms: i64,
 }
 
-impl Bounds {
+impl JoinLimits {
     /// The arrivals that settling a period needs: start inclusive, end exclusive.
     pub fn arrival_range(&self, period: Period) -> (i64, i64) {
         (
@@ -35,8 +35,8 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberProgress {
     pub member: String,
-    /// All records of arrivals before this time (Unix milliseconds) are in the store; none if no batch of the member
-    /// has been collected.
+    /// All records of arrivals before this time (Unix milliseconds) are in the store; `None` if no batch of the
+    /// member has been collected.
     pub watermark_ms: Option<i64>,
 }
 
@@ -54,7 +54,7 @@
 /// Whether `period` may close at `now_ms` (Unix milliseconds), given its members.
 pub fn close_decision(
     period: Period,
-    bounds: Bounds,
+    bounds: JoinLimits,
     grace_ms: i64,
     now_ms: i64,
     members: &[MemberProgress],
@@ -88,9 +88,10 @@
 /// State that settling a period passes to the next period.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CarryForward {
-    /// Attempts near or after the period's end that are already counted in its uses.
+    /// Attempts that are counted in this period's uses but arrived late enough to be in the next period's range, too:
+    /// at or after this period's end less the clock skew.
     pub joined_attempts: BTreeSet<RecordId>,
-    /// Retries of later uses that could have been joined to uses of this period.
+    /// Ambiguous retries in uses that start after this period, although they may repeat attempts of this period.
     pub ambiguous_retries: BTreeSet<RecordId>,
 }
 
@@ -103,12 +104,12 @@
     pub ambiguous: Vec<RecordId>,
 }
 
-/// Settles one period from the attempts in its [`Bounds::arrival_range`], pushed in the order of [`ClientAttempt::id`].
-/// Skips attempts that the previous period has counted.
+/// Settles one period from the attempts in its [`JoinLimits::arrival_range`], pushed in the order of
+/// [`ClientAttempt::id`]. Skips attempts that the previous period has counted.
 pub struct PeriodSettler {
     period: Period,
-    /// The time from which an attempt may belong to the next period, and the time up to which a retry may belong to
-    /// this one (Unix milliseconds).
+    /// Two times in Unix milliseconds: from the first on, an attempt may belong to the next period; up to the second, a
+    /// retry may belong to this period.
     boundary: (i64, i64),
     /// Attempts that the previous period has counted.
     joined_earlier: BTreeSet<RecordId>,
@@ -117,9 +118,10 @@
 }
 
 impl PeriodSettler {
-    pub fn new(period: Period, bounds: Bounds, before: CarryForward) -> PeriodSettler {
-        let near = period.end.saturating_sub(bounds.skew_ms);
-        let far = period
+    /// Creates a settler for `period`; `before` is the state that the previous period passes on.
+    pub fn new(period: Period, bounds: JoinLimits, before: CarryForward) -> PeriodSettler {
+        let next_period_from = period.end.saturating_sub(bounds.skew_ms);
+        let retries_until = period
             .end
             .saturating_add(bounds.horizon_ms)
             .saturating_add(bounds.skew_ms);
@@ -130,13 +132,14 @@
         );
         PeriodSettler {
             period,
-            boundary: (near, far),
+            boundary: (next_period_from, retries_until),
             joined_earlier: before.joined_attempts,
             joiner,
             settled: SettledPeriod::default(),
         }
     }
 
+    /// Adds the next attempt.
     pub fn push(&mut self, attempt: ClientAttempt) {
         if !self.joined_earlier.contains(&attempt.id()) {
             let PeriodSettler {
@@ -152,6 +155,7 @@
         }
     }
 
+    /// Returns the result; all attempts of the range have to be pushed before.
     pub fn finish(mut self) -> SettledPeriod {
         let PeriodSettler {
             joiner,
@@ -166,12 +170,17 @@
 }
 
 impl SettledPeriod {
-    fn count(&mut self, period: Period, (near, far): (i64, i64), billed: &Use) {
+    fn count(
+        &mut self,
+        period: Period,
+        (next_period_from, retries_until): (i64, i64),
+        billed: &Use,
+    ) {
         let first = billed.first();
         if first.arrived_ms >= period.end {
             self.carry_forward
                 .ambiguous_retries
-                .extend(billed.ambiguous.iter().filter(|id| id.0 <= far));
+                .extend(billed.ambiguous.iter().filter(|id| id.0 <= retries_until));
             return;
         }
         self.lines
@@ -182,7 +191,7 @@
             billed
                 .attempts
                 .iter()
-                .filter(|attempt| attempt.arrived_ms >= near)
+                .filter(|attempt| attempt.arrived_ms >= next_period_from)
                 .map(ClientAttempt::id),
         );
         if !billed.ambiguous.is_empty() {
--- a/crates/ledger/src/settlement.rs
+++ b/crates/ledger/src/settlement.rs
@@ -4,7 +4,7 @@
 use crate::log::Position;
 use crate::period::Period;
 use crate::settings::LedgerSettings;
-use crate::settle::{close_decision, Bounds, CloseDecision, MemberProgress};
+use crate::settle::{close_decision, CloseDecision, JoinLimits, MemberProgress};
 use crate::store::{CloseParameters, Error, Statement, Store};
 use crate::wire::usage_log_client::UsageLogClient;
 use crate::wire::{AcknowledgeRequest, Batch, FollowRequest};
@@ -69,8 +69,8 @@
         }
     }
 
-    pub fn bounds(&self) -> Bounds {
-        Bounds {
+    pub fn bounds(&self) -> JoinLimits {
+        JoinLimits {
             horizon_ms: self.settings.horizon_ms,
             skew_ms: self.settings.skew_ms,
         }
@@ -89,7 +89,7 @@
             tracing::warn!(
                 member,
                 late = ingested.late,
-                "records arrived after their period closed; the next statement will contain adjustments"
+                "records that may change closed periods arrived; those periods are settled again"
             );
         }
         self.store.position(member)
@@ -142,7 +142,7 @@
                 return Ok(None);
             }
         };
-        let terms = CloseParameters {
+        let parameters = CloseParameters {
             bounds,
             prices: &self.settings.prices,
             allowances: &self.settings.allowances,
@@ -150,7 +150,7 @@
             missing: &missing,
             now,
         };
-        let statement = self.store.close(period, &terms)?;
+        let statement = self.store.close(period, &parameters)?;
         let (lines, total) = (statement.lines.len(), statement.total);
         let missing = missing.join(" ");
         tracing::info!(
@@ -187,7 +187,7 @@
         let delay =
             current.retry_delay * 2u32.pow(failures.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS));
         if failures <= 1 {
-            tracing::info!(member, %address, error = result.err(), "collection from member ended; retrying");
+            tracing::info!(member, %address, error = result.err(), "collection from member ended; retrying without further messages until it succeeds");
         }
         tokio::time::sleep(delay).await;
     }
--- a/crates/ledger/src/store/closing.rs
+++ b/crates/ledger/src/store/closing.rs
@@ -10,14 +10,14 @@
 use crate::period::{format_timestamp, Calendar, Period};
 use crate::rate::{amount, Counts};
 use crate::settings::ClassPrice;
-use crate::settle::{adjustments, Bounds};
+use crate::settle::{adjustments, JoinLimits};
 use rusqlite::{params, Connection, OptionalExtension};
 use std::collections::{BTreeMap, HashMap};
 
 /// Parameters of closing a period.
 #[derive(Clone, Debug)]
 pub struct CloseParameters<'a> {
-    pub bounds: Bounds,
+    pub bounds: JoinLimits,
     pub prices: &'a BTreeMap<String, ClassPrice>,
     pub allowances: &'a BTreeMap<String, u64>,
     /// The members of the period.
@@ -48,7 +48,7 @@
 }
 
 impl Store {
-    /// The next period to close; none before the first record.
+    /// The next period to close; `None` before the first record.
     pub fn next_period(&self, calendar: &Calendar) -> Result<Option<Period>> {
         let last = "SELECT max(end) FROM period WHERE start IN (SELECT period FROM statement)";
         let last: Option<i64> = self.db.query_row(last, [], |row| row.get(0))?;
@@ -122,7 +122,7 @@
         .collect()
     }
 
-    /// The closed periods, and whether each has to be settled again for late records.
+    /// The periods in the store, and whether each has to be settled again because of late records.
     pub fn periods(&self) -> Result<Vec<(Period, bool)>> {
         let mut rows = self
             .db
@@ -201,7 +201,7 @@
 fn settle_earlier(
     db: &Connection,
     closing: Period,
-    bounds: Bounds,
+    bounds: JoinLimits,
     names: &Names,
 ) -> Result<Vec<LineWithIds>> {
     let mut lines = Vec::new();
--- a/crates/ledger/src/store/ingest.rs
+++ b/crates/ledger/src/store/ingest.rs
@@ -3,7 +3,7 @@
 use super::records::{unconfirmed_runs, RunId, UnconfirmedRun};
 use super::{Result, Store};
 use crate::period::Calendar;
-use crate::settle::Bounds;
+use crate::settle::JoinLimits;
 use crate::wire::{entry::What, Batch, Damage, Header, Mark, Record};
 use rusqlite::{params, Connection, OptionalExtension, Statement};
 use std::collections::{BTreeSet, HashMap};
@@ -14,7 +14,7 @@
     pub new: u64,
     /// Records that the store had already.
     pub duplicates: u64,
-    /// New records that a closed period should have included.
+    /// New records that may change a closed period.
     pub late: u64,
 }
 
@@ -87,7 +87,8 @@
         Ok(())
     }
 
-    /// Counts a new record: it either leaves a gap of missing records before it, or fills part of an earlier gap.
+    /// Counts a new record. It follows the last one directly, leaves a gap of missing records before it, or fills part
+    /// of an earlier gap.
     fn apply_record(&mut self, sequence: i64) {
         let expected = self.sequence + 1;
         self.lost_records += if sequence >= expected {
@@ -118,7 +119,7 @@
         member: &str,
         batch: &Batch,
         calendar: &Calendar,
-        bounds: Bounds,
+        bounds: JoinLimits,
     ) -> Result<Ingested> {
         let Some(header) = &batch.header else {
             return Ok(Ingested::default());
@@ -245,7 +246,7 @@
     arrived_ms: i64,
     closed: bool,
     calendar: &Calendar,
-    bounds: Bounds,
+    bounds: JoinLimits,
 ) -> Result<()> {
     db.prepare_cached("UPDATE period SET dirty = 1 WHERE start - ?2 <= ?1 AND end + ?3 > ?1")?
         .execute([arrived_ms, bounds.skew_ms, bounds.lookahead_ms()])?;
@@ -275,7 +276,7 @@
     db: &Connection,
     before: &HashMap<RunId, UnconfirmedRun>,
     after: &HashMap<RunId, UnconfirmedRun>,
-    bounds: Bounds,
+    bounds: JoinLimits,
 ) -> Result<()> {
     let runs: BTreeSet<_> = before.keys().chain(after.keys()).copied().collect();
     for run in runs
@@ -283,37 +284,37 @@
         .filter(|run| before.get(run) != after.get(run))
     {
         let states = [before.get(&run), after.get(&run)];
-        let past = states
+        let confirmed_sequence = states
             .iter()
             .flatten()
             .map(|run| run.confirmed_sequence)
             .min()
             .unwrap_or_default();
-        let since = states
+        let watermark_ms = states
             .iter()
             .flatten()
             .map(|run| run.watermark_ms)
             .min()
             .unwrap_or_default();
-        mark_periods_of_run(db, run, past, since, bounds)?;
+        mark_periods_of_run(db, run, confirmed_sequence, watermark_ms, bounds)?;
     }
     Ok(())
 }
 
 /// Marks the closed periods with attempts whose delivery has become uncertain, or certain: their retries may now be
-/// joined differently. These are the attempts of `run` after the sequence `past`, which arrived at `since` (Unix
-/// milliseconds) or later.
+/// joined differently. These are the attempts of `run` with a sequence above `confirmed_sequence`; all of them arrived
+/// at or after `watermark_ms` (Unix milliseconds).
 fn mark_periods_of_run(
     db: &Connection,
     run: RunId,
-    past: u64,
-    since: i64,
-    bounds: Bounds,
+    confirmed_sequence: u64,
+    watermark_ms: i64,
+    bounds: JoinLimits,
 ) -> Result<()> {
     db.execute(
         "UPDATE period SET dirty = 1 WHERE end + ?6 > ?4 AND EXISTS (SELECT 1 FROM record
            WHERE at >= max(start - ?5, ?4) AND at < end + ?6 AND member = ?1 AND incarnation = ?2 AND sequence > ?3)",
-        params![run.0, run.1 as i64, past as i64, since, bounds.skew_ms, bounds.lookahead_ms()],
+        params![run.0, run.1 as i64, confirmed_sequence as i64, watermark_ms, bounds.skew_ms, bounds.lookahead_ms()],
     )?;
     Ok(())
 }
--- a/crates/ledger/src/store/members.rs
+++ b/crates/ledger/src/store/members.rs
@@ -12,8 +12,9 @@
     pub position: Position,
     /// All records of arrivals before this time (Unix milliseconds) are in the store.
     pub watermark_ms: i64,
-    /// The latest run has ended in order.
+    /// Whether the latest run was shut down gracefully.
     pub ended: bool,
+    /// Records in the store.
     pub records: i64,
     /// Records missing in the sequence.
     pub lost_records: i64,
--- a/crates/ledger/src/store/settling.rs
+++ b/crates/ledger/src/store/settling.rs
@@ -6,7 +6,7 @@
 use crate::period::Period;
 use crate::rate::Counts;
 use crate::settings::ClassPrice;
-use crate::settle::{Bounds, Lines, PeriodSettler};
+use crate::settle::{JoinLimits, Lines, PeriodSettler};
 use rusqlite::{Connection, OptionalExtension, Row};
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
 
 /// Settles a period from its records and stores its carry-forward. Returns the lines, and whether the carry-forward has
 /// changed.
-pub(super) fn settle(db: &Connection, period: Period, bounds: Bounds) -> Result<(Lines, bool)> {
+pub(super) fn settle(db: &Connection, period: Period, bounds: JoinLimits) -> Result<(Lines, bool)> {
     let (from, until) = bounds.arrival_range(period);
     let mut settler = PeriodSettler::new(
         period,
--- a/crates/ledger/src/store/statement.rs
+++ b/crates/ledger/src/store/statement.rs
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberState {
     pub member: String,
-    /// The watermark: records are complete up to this time; none if the member was never collected.
+    /// The watermark: records are complete up to this time; `None` if the member was never collected.
     pub complete: Option<String>,
     /// The records of the period were incomplete.
     pub missing: bool,
--- a/crates/ledger/src/store/verify.rs
+++ b/crates/ledger/src/store/verify.rs
@@ -4,7 +4,7 @@
 use super::records::for_each_attempt;
 use super::settling::billed_totals;
 use super::{digest, Result, Statement, Store};
-use crate::settle::{adjustments, Bounds, PeriodSettler};
+use crate::settle::{adjustments, JoinLimits, PeriodSettler};
 
 impl Store {
     /// Checks the chain of statements, the sums of lines, the hashes of documents, and that all statements together
@@ -12,7 +12,7 @@
     ///
     /// # Errors
     /// The store cannot be read.
-    pub fn verify(&self, bounds: Bounds) -> Result<(u64, Vec<String>)> {
+    pub fn verify(&self, bounds: JoinLimits) -> Result<(u64, Vec<String>)> {
         let mut problems = Vec::new();
         let check: String = self
             .db
@@ -66,7 +66,7 @@
     }
 
     /// Compares the billed counts of settled periods with the records; returns the number of periods.
-    fn verify_periods(&self, bounds: Bounds, problems: &mut Vec<String>) -> Result<u64> {
+    fn verify_periods(&self, bounds: JoinLimits, problems: &mut Vec<String>) -> Result<u64> {
         let mut checked = 0;
         let names = self.names()?;
         for (period, dirty) in self.periods()? {
@@ -85,7 +85,7 @@
             for ((tenant, class), counts) in adjustments(&current, &billed) {
                 let (tenant, class) = (names.get(&tenant), names.get(&class));
                 problems.push(format!(
-                    "period {}: {tenant:?} {class:?}: statements differ from the records by {} uses",
+                    "period {}: {tenant:?} {class:?}: the counts in the statements differ from the records by {} uses (other counts may differ, too)",
                     period.name(),
                     counts.uses
                 ));
@@ -104,7 +104,7 @@
     (lines + corrections != statement.total || tenants != statement.total).then(|| {
         let Statement { period, total, .. } = statement;
         format!(
-            "statement {period}: the sum of its lines is {}, its total is {total}",
+            "statement {period}: the sum of its lines and corrections ({}), the sum of its tenants ({tenants}) and its total ({total}) are not equal",
             lines + corrections
         )
     })
--- a/crates/ledger/src/writer.rs
+++ b/crates/ledger/src/writer.rs
@@ -2,7 +2,7 @@
 //! answers without bound.
 
 use crate::log::{
-    append_frame, list_segments, truncate_torn_tail, Position, Segment, MAGIC, VERSION,
+    append_frame, list_segments, truncate_invalid_tail, Position, Segment, MAGIC, VERSION,
 };
 use crate::settings::UsageLogSettings;
 use crate::wire::{entry::What, Class, Entry, Header, Mark, Outcome, Record};
@@ -29,6 +29,7 @@
 /// Counters of usage records and replies.
 #[derive(Debug, Default)]
 pub struct WriterCounters {
+    /// Records that were written to the log.
     pub written: AtomicU64,
     /// Records that were never written: the queue was full, or writing failed.
     pub lost: AtomicU64,
@@ -109,12 +110,12 @@
     }
     let existing = list_segments(directory).map_err(with_path)?;
     if let Some(last) = existing.last() {
-        let torn = truncate_torn_tail(last).map_err(with_path)?;
-        if torn > 0 {
+        let removed = truncate_invalid_tail(last).map_err(with_path)?;
+        if removed > 0 {
             tracing::warn!(
                 segment = last.name(),
-                bytes = torn,
-                "truncated an incomplete record at the end of the usage log"
+                bytes = removed,
+                "removed invalid bytes from the end of the usage log"
             );
         }
     }
@@ -282,6 +283,7 @@
                 Err(e) => {
                     if self.failed_at.replace(Instant::now()).is_none() {
                         tracing::error!(
+                            directory = %self.directory.display(),
                             error = %e,
                             "cannot write the usage log; records are dropped until writing succeeds"
                         );
@@ -359,25 +361,25 @@
     }
 }
 
-/// Removes segments that hold no record after `settled_up_to`, except for the last segment.
-/// Returns the number of removed segments.
+/// Removes the segments whose records the settlement has stored, which it acknowledges up to and including
+/// `acknowledged`; never removes the last segment. Returns the number of removed segments.
 ///
 /// # Errors
 /// The folder cannot be read, or a segment cannot be removed.
-pub fn remove_settled_segments(directory: &Path, settled_up_to: Position) -> io::Result<usize> {
+pub fn remove_acknowledged_segments(directory: &Path, acknowledged: Position) -> io::Result<usize> {
     let all = list_segments(directory)?;
     let mut removed = 0;
     for pair in all.windows(2) {
         let [segment, next] = pair else { continue };
         let same_run = next.incarnation == segment.incarnation;
-        let settled = Position {
+        let segment_end = Position {
             incarnation: segment.incarnation,
             sequence: next.first_sequence.saturating_sub(1),
         };
         if if same_run {
-            settled_up_to >= settled
+            acknowledged >= segment_end
         } else {
-            settled_up_to.incarnation > segment.incarnation
+            acknowledged.incarnation > segment.incarnation
         } {
             fs::remove_file(&segment.path)?;
             removed += 1;
--- a/crates/ledger/tests/joining.rs
+++ b/crates/ledger/tests/joining.rs
@@ -4,7 +4,7 @@
 use cottonhill_ledger::period::Period;
 use cottonhill_ledger::rate::Counts;
 use cottonhill_ledger::settle::{
-    adjustments, close_decision, Bounds, CarryForward, CloseDecision, Lines, MemberProgress,
+    adjustments, close_decision, CarryForward, CloseDecision, JoinLimits, Lines, MemberProgress,
     PeriodSettler,
 };
 use proptest::prelude::*;
@@ -14,7 +14,7 @@
 const WINDOW: i64 = 100;
 const HORIZON: i64 = 150;
 const PERIOD: i64 = 400;
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: JoinLimits = JoinLimits {
     horizon_ms: HORIZON,
     skew_ms: SKEW,
 };
--- a/crates/ledger/tests/log.rs
+++ b/crates/ledger/tests/log.rs
@@ -235,10 +235,10 @@
         incarnation: all[120].0,
         sequence: all[120].1,
     };
-    let removed = writer::remove_settled_segments(folder.path(), upto).unwrap();
+    let removed = writer::remove_acknowledged_segments(folder.path(), upto).unwrap();
     assert!(removed > 0 && log::list_segments(folder.path()).unwrap().len() == before - removed);
     assert_eq!(read_all(folder.path(), upto, 50).0, all[121..]);
-    writer::remove_settled_segments(
+    writer::remove_acknowledged_segments(
         folder.path(),
         Position {
             incarnation: u64::MAX,
@@ -358,7 +358,7 @@
         "{lost} lost, {size} bytes"
     );
     // Once the segments are settled, records are written again.
-    writer::remove_settled_segments(
+    writer::remove_acknowledged_segments(
         folder.path(),
         Position {
             incarnation: u64::MAX,
--- a/crates/ledger/tests/recorded_store.rs
+++ b/crates/ledger/tests/recorded_store.rs
@@ -1,13 +1,13 @@
 //! A store and usage logs that an earlier version wrote (`tests/data`) must verify and give the same statements.
 
 use cottonhill_ledger::log::{self, Item};
-use cottonhill_ledger::settle::Bounds;
+use cottonhill_ledger::settle::JoinLimits;
 use cottonhill_ledger::store::Store;
 use std::fs;
 use std::path::{Path, PathBuf};
 
 /// The values of `tests/data/ledger.ini`.
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: JoinLimits = JoinLimits {
     horizon_ms: 2000,
     skew_ms: 100,
 };
--- a/crates/ledger/tests/store.rs
+++ b/crates/ledger/tests/store.rs
@@ -5,7 +5,7 @@
 use cottonhill_ledger::period::{Calendar, Period, PeriodLength};
 use cottonhill_ledger::rate::Counts;
 use cottonhill_ledger::settings::{ClassPrice, ExportSettings};
-use cottonhill_ledger::settle::Bounds;
+use cottonhill_ledger::settle::JoinLimits;
 use cottonhill_ledger::store::{CloseParameters, CorrectionLine, Statement, Store};
 use cottonhill_ledger::wire::{entry::What, Batch, Class, Entry, Header, Mark, Outcome, Record};
 use cottonhill_ledger::writer;
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: JoinLimits = JoinLimits {
     horizon_ms: 150,
     skew_ms: 20,
 };
--- a/crates/standins/src/bin/cottonhill-bench-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-bench-ledger.rs
@@ -4,7 +4,7 @@
 use cottonhill_ledger::log::append_frame;
 use cottonhill_ledger::period::{Calendar, Period, PeriodLength};
 use cottonhill_ledger::settings::ClassPrice;
-use cottonhill_ledger::settle::Bounds;
+use cottonhill_ledger::settle::JoinLimits;
 use cottonhill_ledger::store::{CloseParameters, Store};
 use cottonhill_ledger::wire::{entry::What, Batch, Class, Entry, Header, Outcome, Record};
 use cottonhill_standins::client::{spread, Attempt, Connection, Got, Question};
@@ -225,7 +225,7 @@
     // As long a period as it takes at 1,000 a second.
     let length = records as i64;
     let calendar = Calendar(PeriodLength::FixedMs(86_400_000));
-    let bounds = Bounds {
+    let bounds = JoinLimits {
         horizon_ms: 2000,
         skew_ms: 100,
     };
