--- a/crates/cottonhill/src/commands/ledger/serve.rs
+++ b/crates/cottonhill/src/commands/ledger/serve.rs
@@ -67,7 +67,10 @@
     while hangups.recv().await.is_some() {
         match reload.read() {
             Ok((settings, ledger)) => {
-                let restart = reload.settings.needs_restart(&settings, &SCHEMA).join(", ");
+                let restart = reload
+                    .settings
+                    .changes_requiring_restart(&settings, &SCHEMA)
+                    .join(", ");
                 tracing::info!(target: COMMANDS, restart, "settings reloaded");
                 let _ = controls.send(Control::Reload(Box::new(ledger))).await;
             }
--- a/crates/cottonhill/src/mixer/reload.rs
+++ b/crates/cottonhill/src/mixer/reload.rs
@@ -38,7 +38,10 @@
     fn reload_settings(&self) {
         match self.apply_settings() {
             Ok(settings) => {
-                let restart = self.settings.needs_restart(&settings, &SCHEMA).join(", ");
+                let restart = self
+                    .settings
+                    .changes_requiring_restart(&settings, &SCHEMA)
+                    .join(", ");
                 if !restart.is_empty() {
                     tracing::warn!(
                         target: PROGRAM,
--- a/crates/ini/src/lib.rs
+++ b/crates/ini/src/lib.rs
@@ -1,8 +1,9 @@
 //! Settings from INI files that are validated against a schema.
 //!
 //! A program declares its sections and keys as a [`Schema`]: the kind, unit and default of each value, and whether a
-//! running program applies a change of it. [`Settings::parse`] validates a file against the schema and reports all of
-//! its errors at once, each with file, line, key and the nearest valid name. The parsed settings keep the origin of
+//! running program applies a change of it. [`Settings::parse`] validates a file against the schema and reports all
+//! violations at once, each with file, line, key and the most similar valid name; a syntax error is reported alone. The
+//! parsed settings keep the origin of
 //! each value, so that a program can print it.
 
 mod value;
@@ -17,6 +18,7 @@
 /// One key of a section.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
+    /// The key as it is written in the file.
     pub name: &'static str,
     pub kind: Kind,
     /// The value of a key that the file does not set; `None` if the key then has no value.
@@ -27,10 +29,12 @@
     pub doc: &'static str,
 }
 
-/// One section. A named section may occur several times, as `[kind NAME]`.
+/// One section. A named section may occur several times, as `[section NAME]`.
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
+    /// The first word of the section's header.
     pub name: &'static str,
+    /// Whether the header has the form `[section NAME]` instead of `[section]`.
     pub named: bool,
     pub keys: &'static [Key],
 }
@@ -85,17 +89,22 @@
     file: String,
     /// The values of the file by section, section name (empty for a section without one) and key.
     configured: BTreeMap<(&'static str, String, &'static str), ConfiguredValue>,
-    /// The names of the named sections of each kind, with the lines of their headers.
+    /// By named section: the names in the file, with the lines of their headers.
     section_names: BTreeMap<&'static str, BTreeMap<String, usize>>,
 }
 
 /// One effective value, as text for display.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveValue {
+    /// The section's header without brackets.
     pub section: String,
+    /// The key.
     pub key: &'static str,
+    /// The text of the value; `(not set)` if there is none.
     pub value: String,
+    /// Where the value comes from.
     pub origin: Origin,
+    /// Whether a running program applies a change on SIGHUP; otherwise a change needs a restart.
     pub reloadable: bool,
 }
 
@@ -146,7 +155,7 @@
     }
 }
 
-/// The valid name that is most similar to `name`, if any is similar enough.
+/// The valid name that is most similar to `name`; `None` if none is similar.
 fn nearest<'a>(name: &str, valid: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let similarities = valid.map(|valid| (strsim::jaro_winkler(name, valid), valid));
     similarities
@@ -164,7 +173,7 @@
 }
 
 impl Settings {
-    /// The settings without a file: the defaults.
+    /// The default settings, without a file. Errors in them name `no file` as the file.
     pub fn defaults() -> Settings {
         Settings {
             file: "no file".into(),
@@ -176,7 +185,7 @@
     /// Parses `text`, the contents of `file`, and validates it against `schema`.
     ///
     /// # Errors
-    /// Everything that violates the schema.
+    /// A syntax error, or all violations of the schema.
     pub fn parse(schema: &Schema, file: &str, text: &str) -> Result<Settings, SettingsErrors> {
         let error = |line: Option<usize>, message: String| SettingsError {
             file: file.into(),
@@ -283,8 +292,8 @@
         Err(SettingsErrors(errors))
     }
 
-    /// An error in one value that the schema cannot find, only the code that uses the value. Its line is that of the
-    /// value, or that of the section's header if the file does not set the value.
+    /// Creates an error in one value that only the code that uses the value can find, not the schema. Its line is that
+    /// of the value, or that of the section's header if the file does not set the value.
     pub fn value_error(
         &self,
         section: &str,
@@ -314,7 +323,7 @@
         }])
     }
 
-    /// The names of all sections of this kind, as in `[section NAME]`.
+    /// All names with which the named section occurs, as in `[section NAME]`.
     pub fn section_names(&self, section: &str) -> Vec<&str> {
         let names = self
             .section_names
@@ -362,8 +371,8 @@
         effective
     }
 
-    /// The settings that differ in `next` and need a restart, as `[section] key`.
-    pub fn needs_restart(&self, next: &Settings, schema: &Schema) -> Vec<String> {
+    /// The settings whose values differ in `next` and that take effect only after a restart, as `[section] key`.
+    pub fn changes_requiring_restart(&self, next: &Settings, schema: &Schema) -> Vec<String> {
         let entry =
             |value: EffectiveValue| ((value.section, value.key, value.reloadable), value.value);
         let before: BTreeMap<_, _> = self
@@ -400,8 +409,8 @@
     }
 }
 
-/// The values of one section. [`Settings::parse`] has validated them, so a getter returns `None` only for a key without
-/// a value or of another kind.
+/// The values of one section. [`Settings::parse`] has validated them, so a getter returns `None` only if the key has no
+/// value, or a value of another kind.
 #[derive(Clone, Copy)]
 pub struct Values<'a> {
     settings: &'a Settings,
--- a/crates/ini/src/value.rs
+++ b/crates/ini/src/value.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The kind of a value, which decides the texts that are valid for it.
+/// The kind of a value, which determines the valid texts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Kind {
     Text,
@@ -17,6 +17,7 @@
     Bytes,
     /// `ADDRESS:PORT` with a numeric IP address.
     Address,
+    /// One of these words.
     Choice(&'static [&'static str]),
     /// A duration, or one of these words.
     DurationOr(&'static [&'static str]),
@@ -26,7 +27,7 @@
     /// Checks that `text` is a valid value of this kind.
     ///
     /// # Errors
-    /// The reason for which it is not, for a message that starts with the key.
+    /// The reason why it is not valid, as the predicate of a message that starts with the key.
     pub fn check(&self, text: &str) -> Result<(), String> {
         let text = text.trim();
         match self {
@@ -46,10 +47,10 @@
                 Err(_) => Err("has to be ADDRESS:PORT with a numeric IP address".into()),
             },
             Kind::Choice(words) if words.contains(&text) => Ok(()),
-            Kind::Choice(words) => {
-                // The suggestion without its leading "; ".
-                Err(crate::suggestion(text, words.iter().copied())[2..].to_string())
-            }
+            Kind::Choice(words) => Err(format!(
+                "is not a valid value{}",
+                crate::suggestion(text, words.iter().copied())
+            )),
             Kind::DurationOr(words) if words.contains(&text) => Ok(()),
             Kind::DurationOr(words) => parse_duration(text)
                 .map(drop)
--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -445,7 +445,7 @@
         ),
         (
             "[log]\nformat = jsn\n",
-            "scale.ini:2: [log] format = jsn: the nearest is 'json'",
+            "scale.ini:2: [log] format = jsn: is not a valid value; the nearest is 'json'",
         ),
     ];
     for (settings, wanted) in cases {
