--- a/crates/lab/tests/scale.rs
+++ b/crates/lab/tests/scale.rs
@@ -452,7 +452,7 @@
         ),
         (
             "[log]\nformat = jsn\n",
-            "scale.ini:2: [log] format = jsn: the nearest is 'json'",
+            "scale.ini:2: [log] format = jsn: is not a valid value; the nearest is 'json'",
         ),
     ];
     for (settings, expected) in cases {
