--- a/crates/cottonhill/src/commands/check.rs
+++ b/crates/cottonhill/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `cottonhill check`: the effective values and the origin of each.
+//! `cottonhill check`: prints each value of the configuration and the settings, and where it comes from.
 
 use crate::error::{CommandError, CommandResult};
 use crate::files::{self, InputFiles};
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-/// The values of the configuration under the platform's names, and when a change takes effect.
+/// The values of the configuration under their names in the file, and when a change takes effect.
 fn configuration_values(config: &Config) -> [(&'static str, String, TakesEffect); 11] {
     use TakesEffect::{AtStart, OnReload};
     let (addresses, mixer) = (&config.addresses, &config.mixer_settings);
--- a/crates/cottonhill/src/commands/ledger/statement.rs
+++ b/crates/cottonhill/src/commands/ledger/statement.rs
@@ -131,7 +131,7 @@
 
 fn member_line(member: &MemberState) -> String {
     format!(
-        "member {}: {}complete up to {}, {} records lost, {} runs crashed, {} damaged ranges\n",
+        "member {}: {}complete up to {}, {} records lost, {} runs died, {} damaged stretches\n",
         member.member,
         if member.missing { "MISSING, " } else { "" },
         member.complete.as_deref().unwrap_or("never"),
--- a/crates/cottonhill/src/error.rs
+++ b/crates/cottonhill/src/error.rs
@@ -51,7 +51,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
     /// The start of a period is not a timestamp.
-    #[error("'{0}' is not a timestamp such as 2026-12-01T00:00:00Z")]
+    #[error("period '{0}' is not a timestamp such as 2026-12-01T00:00:00Z")]
     InvalidTimestamp(String),
     /// A timestamp at which no period starts.
     #[error("no period starts at {requested}; the one that contains it starts at {start}")]
@@ -73,7 +73,7 @@
     #[error("nothing to reconcile with: give --clients FILE or --counters NAME=FILE")]
     NothingToReconcile,
     /// The value of `--counters` contains no `=`.
-    #[error("'{0}' is not NAME=FILE")]
+    #[error("--counters '{0}' is not NAME=FILE")]
     InvalidCounters(String),
 }
 
@@ -92,7 +92,7 @@
         source: io::Error,
     },
     /// The configuration is malformed.
-    #[error("{}: {reason}", .path.display())]
+    #[error("invalid configuration {}: {reason}", .path.display())]
     InvalidConfiguration {
         /// The file.
         path: PathBuf,
@@ -125,19 +125,19 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
     /// Standard output can't be written.
-    #[error("standard output: {0}")]
+    #[error("cannot write standard output: {0}")]
     StandardOutput(io::Error),
     /// A table can't be formatted as CSV.
-    #[error(transparent)]
+    #[error("cannot format the table as CSV: {0}")]
     FormatCsv(csv::Error),
     /// A statement can't be formatted as JSON.
-    #[error(transparent)]
+    #[error("cannot format the statement as JSON: {0}")]
     FormatJson(serde_json::Error),
     /// Logging can't be started.
-    #[error(transparent)]
+    #[error("cannot start logging: {0}")]
     StartLogging(TryInitError),
     /// The levels of the running logger can't be changed.
-    #[error(transparent)]
+    #[error("cannot change the log levels: {0}")]
     ReloadLogging(tracing_subscriber::reload::Error),
     /// The mixer's asynchronous runtime can't be started.
     #[error("cannot start the asynchronous runtime: {0}")]
@@ -166,7 +166,7 @@
     #[error("there is no store at {}: 'cottonhill ledger serve' creates it", .0.display())]
     MissingStore(PathBuf),
     /// The store can't be opened.
-    #[error("{}: {source}", .path.display())]
+    #[error("cannot open the store {}: {source}", .path.display())]
     OpenStore {
         /// The store's file.
         path: PathBuf,
@@ -177,10 +177,10 @@
     #[error(transparent)]
     Store(store::Error),
     /// There is no statement of the requested period, or no statement at all.
-    #[error("there is no such statement: 'cottonhill ledger periods' lists the closed periods")]
+    #[error("there is no statement of the requested period, or no statement at all: 'cottonhill ledger periods' lists the closed periods")]
     NoSuchStatement,
     /// A file or directory can't be read.
-    #[error("{}: {source}", .path.display())]
+    #[error("cannot read {}: {source}", .path.display())]
     ReadFile {
         /// The file or directory.
         path: PathBuf,
@@ -188,7 +188,7 @@
         source: io::Error,
     },
     /// A CSV file can't be read.
-    #[error("{}: {source}", .path.display())]
+    #[error("cannot read the CSV file {}: {source}", .path.display())]
     ReadCsv {
         /// The file.
         path: PathBuf,
@@ -196,7 +196,7 @@
         source: csv::Error,
     },
     /// A JSON file can't be parsed.
-    #[error("{}: {source}", .path.display())]
+    #[error("cannot parse the JSON file {}: {source}", .path.display())]
     ReadJson {
         /// The file.
         path: PathBuf,
@@ -212,9 +212,9 @@
         reason: String,
     },
     /// The number of differences between the ledger and the client records or counters.
-    #[error("{0} differences")]
+    #[error("{0} differences between the ledger and the client records or counters")]
     Differences(usize),
     /// The number of inconsistencies in the store or the usage logs.
-    #[error("{0} inconsistencies found")]
+    #[error("{0} inconsistencies found in the store or the usage logs")]
     Inconsistencies(usize),
 }
--- a/crates/cottonhill/src/files.rs
+++ b/crates/cottonhill/src/files.rs
@@ -1,4 +1,5 @@
-//! The two input files of the commands: the platform's configuration of a mixer, and the settings.
+//! The two input files of the commands: the configuration of a mixer, a JSON file that the platform on which the mixer
+//! is deployed provides, and the settings, an INI file that the operator writes.
 
 use crate::error::{CommandError, ConfigurationError};
 use crate::schema::SCHEMA;
@@ -40,7 +41,7 @@
     }
 }
 
-/// Reads the platform's configuration of a mixer.
+/// Reads the configuration of a mixer, a JSON file.
 ///
 /// # Errors
 /// The file can't be read, or is malformed.
--- a/crates/cottonhill/src/logging.rs
+++ b/crates/cottonhill/src/logging.rs
@@ -25,7 +25,7 @@
     /// Starts logging. A process can do so once.
     ///
     /// # Errors
-    /// The targets of the settings can't be parsed, or a logger is already installed.
+    /// The level or the targets can't be parsed, or a logger is already installed.
     pub fn start(settings: &Settings) -> Result<Logging, CommandError> {
         let (filter, handle) = reload::Layer::new(parse_filter(settings)?);
         let lines = tracing_subscriber::fmt::layer()
@@ -46,7 +46,7 @@
     /// Applies the levels of changed settings.
     ///
     /// # Errors
-    /// The targets of the settings can't be parsed; the levels are then unchanged.
+    /// The level or the targets can't be parsed; the levels are then unchanged.
     pub fn reload(&self, settings: &Settings) -> Result<(), CommandError> {
         let filter = parse_filter(settings)?;
         self.filter
@@ -75,7 +75,7 @@
         None => level.to_string(),
     };
     directives.parse().map_err(|error| {
-        let reason = format!("'{directives}' is not a valid filter: {error}");
+        let reason = format!("'{directives}' (from {LEVEL_VARIABLE} or 'level', and 'targets') is not a valid filter: {error}");
         settings.value_error(LOG.name, "", "targets", &reason)
     })
 }
--- a/crates/cottonhill/src/main.rs
+++ b/crates/cottonhill/src/main.rs
@@ -1,7 +1,7 @@
 //! `cottonhill`: the command line program of the mixer and its ledger.
 //!
 //! [`commands`] has one module for each subcommand, [`mixer`] runs the mixer's process, and [`files`] reads the two
-//! input files: the platform's configuration, and the settings, which it validates against [`schema`].
+//! input files: the mixer's configuration (JSON), and the settings (INI), which it validates against [`schema`].
 
 mod commands;
 mod error;
--- a/crates/cottonhill/src/mixer/frontends.rs
+++ b/crates/cottonhill/src/mixer/frontends.rs
@@ -1,4 +1,5 @@
-//! The frontends that the settings enable. A frontend serves queries over another protocol than the mixer's own.
+//! The frontends that the settings enable. A frontend serves queries over another protocol than the
+//! mixer's own; the only one is the OpenSearch front.
 
 use super::listener;
 use crate::error::{CommandError, ConfigurationError};
@@ -16,7 +17,7 @@
 pub struct Frontends {
     /// Functions that start them once the transport runs.
     pub start: Vec<FrontendStarter>,
-    /// Certificate and key of the search front, which a reload reads again; `None` if it serves plain HTTP.
+    /// Certificate and key of the OpenSearch front, which a reload reads again; `None` if it serves plain HTTP.
     pub tls: Option<Rc<Tls>>,
 }
 
@@ -36,7 +37,7 @@
         %address,
         indices = opensearch.indices.len(),
         tls = tls.is_some(),
-        "OpenSearch-style search front listening"
+        "OpenSearch front listening"
     );
     let front_tls = tls.clone();
     let start: FrontendStarter =
--- a/crates/cottonhill/src/mixer/mod.rs
+++ b/crates/cottonhill/src/mixer/mod.rs
@@ -20,7 +20,7 @@
 use tokio::sync::mpsc;
 use usage_recorder::UsageLogRecorder;
 
-/// Serves queries until a signal ends the mixer. Must be called inside a `LocalSet`.
+/// Serves queries until SIGTERM or SIGINT ends the mixer. Must be called inside a `LocalSet`.
 ///
 /// # Errors
 /// A socket, signal handler, frontend or the usage log can't be opened.
--- a/crates/cottonhill/src/mixer/reload.rs
+++ b/crates/cottonhill/src/mixer/reload.rs
@@ -1,4 +1,4 @@
-//! Reload on SIGHUP of both files and of the certificate.
+//! Reload of the configuration, the settings and the TLS certificate on SIGHUP.
 
 use crate::error::CommandError;
 use crate::files::{self, InputFiles};
@@ -22,13 +22,14 @@
     pub settings: Settings,
     /// The running logger.
     pub logging: Logging,
-    /// Certificate and key of the search front; `None` if it is off or serves plain HTTP.
+    /// Certificate and key of the OpenSearch front; `None` if it is off or serves plain HTTP.
     pub tls: Option<Rc<Tls>>,
 }
 
 impl MixerContext {
-    /// Reads all files again and returns the addresses of the new configuration. No part of an invalid file is applied,
-    /// its previous values stay in force; returns `None` if the configuration is invalid.
+    /// Reads all files again and returns the addresses of the new configuration, or `None` if the configuration is
+    /// invalid or none is named. A file that does not parse is not applied and its previous values stay in force. Of the
+    /// settings only the schema and the log filter are checked, unlike by `cottonhill check`.
     pub fn reload(&self) -> Option<Addresses> {
         self.reload_settings();
         self.reload_certificate();
--- a/crates/cottonhill/src/mixer/signals.rs
+++ b/crates/cottonhill/src/mixer/signals.rs
@@ -37,7 +37,7 @@
         let control = if kind == SignalKind::hangup() {
             Control::Reload(context.reload())
         } else {
-            tracing::info!(target: PROGRAM, "shutdown requested");
+            tracing::info!(target: PROGRAM, "shutdown requested by SIGTERM or SIGINT");
             Control::Terminate
         };
         // Sending fails if the transport has ended; the signal then has no effect.
--- a/crates/cottonhill/src/schema.rs
+++ b/crates/cottonhill/src/schema.rs
@@ -1,5 +1,4 @@
-//! The schema of the settings file: one INI file for logging, the usage log, the ledger and the OpenSearch-style
-//! search front.
+//! The schema of the settings file: one INI file for logging, the usage log, the ledger and the OpenSearch front.
 
 use cottonhill_ini::{Key, Kind, Schema, Section};
 use cottonhill_ledger::settings as ledger;
--- a/crates/cottonhill/tests/http.rs
+++ b/crates/cottonhill/tests/http.rs
@@ -15,7 +15,7 @@
 /// Fails the test if the program hangs.
 const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-const WEIGHTS: &str = r#"{"shards":[{"shard":0,"weight":1.0}],"q":"c41e77d0"}"#;
+const QUERY_BODY: &str = r#"{"shards":[{"shard":0,"weight":1.0}],"q":"c41e77d0"}"#;
 
 /// A loopback address that only this process uses, so that no other process binds a port between its choice and its use.
 fn own_ip() -> Ipv4Addr {
@@ -224,34 +224,40 @@
     let class_line = "POST /chart-ranking";
     add(
         "unknown class",
-        &mixer.query("POST /charts", headers, WEIGHTS),
+        &mixer.query("POST /charts", headers, QUERY_BODY),
     );
     let without_id = "X-Tenant-Id: alpha\r\n";
     add(
         "no request id",
-        &mixer.query(class_line, without_id, WEIGHTS),
+        &mixer.query(class_line, without_id, QUERY_BODY),
     );
     let tenant = headers.replace("alpha", "omega");
-    add("unknown tenant", &mixer.query(class_line, &tenant, WEIGHTS));
+    add(
+        "unknown tenant",
+        &mixer.query(class_line, &tenant, QUERY_BODY),
+    );
     let timeout = headers.replace("900m", "soon");
-    add("bad timeout", &mixer.query(class_line, &timeout, WEIGHTS));
-    let shard = WEIGHTS.replace("\"shard\":0", "\"shard\":99");
+    add(
+        "bad timeout",
+        &mixer.query(class_line, &timeout, QUERY_BODY),
+    );
+    let shard = QUERY_BODY.replace("\"shard\":0", "\"shard\":99");
     add("unknown shard", &mixer.query(class_line, headers, &shard));
-    let weight = WEIGHTS.replace("1.0", "0.4");
+    let weight = QUERY_BODY.replace("1.0", "0.4");
     add(
         "weights that miss 1",
         &mixer.query(class_line, headers, &weight),
     );
     add("not JSON", &mixer.query(class_line, headers, "{"));
     let both = format!("{headers}Transfer-Encoding: chunked\r\n");
-    add("two lengths", &mixer.query(class_line, &both, WEIGHTS));
+    add("two lengths", &mixer.query(class_line, &both, QUERY_BODY));
     let large = "x".repeat(65 * 1024);
     add("large body", &mixer.query(class_line, headers, &large));
     let head = format!("{headers}X-Filler: {}\r\n", "x".repeat(9 * 1024));
-    add("large head", &mixer.query(class_line, &head, WEIGHTS));
+    add("large head", &mixer.query(class_line, &head, QUERY_BODY));
     add(
         "no replica answers",
-        &mixer.query(class_line, headers, WEIGHTS),
+        &mixer.query(class_line, headers, QUERY_BODY),
     );
     assert_golden("http_answers.txt", &text);
 }
@@ -274,7 +280,7 @@
     let mut mixer = Mixer::start();
     mixer.announce_replica(start_resetting_replica());
     let headers = "X-Request-ID: q-1\r\nX-Tenant-Id: alpha\r\nX-Timeout: 900m\r\n";
-    let answer = mixer.query("POST /preview-lookup", headers, WEIGHTS);
+    let answer = mixer.query("POST /preview-lookup", headers, QUERY_BODY);
     assert_golden("http_failed_query.txt", &mask_numbers(&answer));
 }
 
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -6,13 +6,13 @@
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// The input ended within a batch's header.
-    #[error("batch header truncated after {received} bytes")]
+    #[error("batch header truncated: got {received} of 20 bytes")]
     TruncatedHeader {
         /// Received bytes of the header.
         received: usize,
     },
     /// The header of a batch can't be read.
-    #[error("cannot read a batch: {0}")]
+    #[error("cannot read a batch header: {0}")]
     ReadHeader(io::Error),
     /// The number of records in the header needs more bytes than the length in the header.
     #[error("batch {batch}: {count} records do not fit in {length} bytes")]
@@ -25,7 +25,7 @@
         length: usize,
     },
     /// Records or tail of a batch can't be read.
-    #[error("batch {batch}: {source}")]
+    #[error("batch {batch}: cannot read records and tail: {source}")]
     ReadBody {
         /// Number of the batch.
         batch: u32,
@@ -53,7 +53,7 @@
         source: RecordError,
     },
     /// The settings of an instance are invalid; the text names the setting.
-    #[error("{0}")]
+    #[error("invalid settings of an instance: {0}")]
     Settings(String),
     /// A reply can't be written.
     #[error("cannot write a reply: {0}")]
@@ -66,20 +66,20 @@
     /// No event has this code.
     #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    /// No outcome of an attempt has this code.
-    #[error("unknown outcome {0}")]
+    /// No outcome of an attempt or a probe has this code.
+    #[error("unknown outcome code {0}")]
     UnknownOutcome(u16),
     /// No status of an endpoint has this code.
-    #[error("unknown endpoint status {0}")]
+    #[error("unknown endpoint status code {0}")]
     UnknownEndpointStatus(u8),
     /// No kind of endpoint update has this code.
-    #[error("unknown kind {0} of an endpoint update")]
+    #[error("unknown code {0} for the kind of an endpoint update")]
     UnknownUpdateKind(u8),
     /// An update refers to an endpoint list that was not received before it.
     #[error("endpoint list {0} was not received before its use")]
     UnknownEndpointList(u32),
-    /// A record refers to bytes past the end of the batch's tail.
-    #[error("{length} bytes at offset {offset} lie past the tail of {tail_length} bytes")]
+    /// A record refers to bytes past the end of the batch's tail, the data of variable size after the records.
+    #[error("{length} bytes at offset {offset} lie past the tail of the batch ({tail_length} bytes of variable-size data)")]
     PastTail {
         /// Number of bytes.
         length: usize,
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,7 +1,8 @@
 //! Adapter between the decision module and the simulator's wire format: it reads batches of events and writes replies
 //! with actions. It only translates; all decisions are made in `cottonhill_decisions`.
 //!
-//! [`wire`] decodes events and encodes actions, [`session`] holds the instances of the decision module.
+//! [`wire`] decodes events and encodes actions, [`session`] holds the instances of the decision module, one
+//! for each simulated mixer.
 
 #![warn(missing_docs)]
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -4,7 +4,8 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // The session reports panics of the decision module to the simulator, so nothing is printed on standard error.
+    // The session reports panics of the decision module to the simulator, so no panic message is printed on standard
+    // error. Panics outside the decision module are silent, too.
     std::panic::set_hook(Box::new(|_| {}));
     let mut input = BufReader::new(io::stdin().lock());
     let mut output = BufWriter::new(io::stdout().lock());
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,5 @@
-//! The instances of the decision module in this process, which process one batch of events at a time.
+//! The instances in this process, which process one batch of events at a time. An instance is the decision module
+//! (a [`Coordinator`]) of one simulated mixer.
 
 use crate::error::AdapterError;
 use crate::wire::{decode_batch, Batch, EndpointLists, Input, InstanceId, Reply};
@@ -77,7 +78,9 @@
         Ok(())
     }
 
-    /// Drops the events of an instance that is not running.
+    /// Passes events to an instance and appends its actions to the reply; drops the events if the instance is not running.
+    /// If the decision module panics, the reply has a crash record in place of the actions. The instance then stays in
+    /// use in the state that the panic left; `AssertUnwindSafe` accepts that.
     fn process_events(
         &mut self,
         instance: InstanceId,
@@ -107,6 +110,6 @@
     }
     match payload.downcast_ref::<&str>() {
         Some(message) => message.to_string(),
-        None => "the decision module broke".into(),
+        None => "the decision module panicked without a text message".into(),
     }
 }
--- a/crates/simulator-adapter/src/wire/events.rs
+++ b/crates/simulator-adapter/src/wire/events.rs
@@ -140,7 +140,8 @@
     Ok(Event::EndpointsUpdated { kind, endpoints })
 }
 
-/// Decodes a query, or a part of one if the record has a shard.
+/// Decodes a part of a query if the shard is not negative, otherwise a query. Group and shard are integers that the
+/// simulator sends as f32, so they are exact up to 2^24.
 fn decode_request(record: &Fields) -> Event {
     let id = record.u64(request_received::ID);
     let group = record.f32(request_received::GROUP) as u32;
@@ -154,15 +155,16 @@
         };
     }
     let flags = record.u8(request_received::FLAGS);
-    let has_work = flags & request_received::HAS_WORK != 0;
+    let has_work = flags & request_received::HAS_EXPECTED_SERVICE_TIME != 0;
     Event::QueryReceived {
         id,
         group,
         class: record.u16(request_received::CLASS),
         tenant: record.u32(request_received::TENANT),
         client_timeout: record.u64(request_received::CLIENT_TIMEOUT),
+        // The simulator does not report it.
         network_delay: 0,
-        work: has_work.then(|| record.u64(request_received::WORK)),
+        work: has_work.then(|| record.u64(request_received::EXPECTED_SERVICE_TIME)),
         client_retry: flags & request_received::CLIENT_RETRY != 0,
     }
 }
--- a/crates/simulator-adapter/src/wire/fields.rs
+++ b/crates/simulator-adapter/src/wire/fields.rs
@@ -23,22 +23,22 @@
         self.0[position]
     }
 
-    /// Two bytes.
+    /// An unsigned integer of two bytes.
     pub fn u16(&self, position: usize) -> u16 {
         u16::from_le_bytes(self.bytes(position))
     }
 
-    /// Four bytes.
+    /// An unsigned integer of four bytes.
     pub fn u32(&self, position: usize) -> u32 {
         u32::from_le_bytes(self.bytes(position))
     }
 
-    /// Eight bytes.
+    /// An unsigned integer of eight bytes.
     pub fn u64(&self, position: usize) -> u64 {
         u64::from_le_bytes(self.bytes(position))
     }
 
-    /// Four bytes of a floating-point number.
+    /// A floating-point number of four bytes.
     pub fn f32(&self, position: usize) -> f32 {
         f32::from_le_bytes(self.bytes(position))
     }
@@ -49,7 +49,8 @@
         ReplicaId(u64::from(address) | u64::from(port) << 32)
     }
 
-    /// One byte with the number of values, and the values.
+    /// One byte with the number of values, and the values of the load report. There are at most [`MAX_REPORT_VALUES`]; a
+    /// larger number is read as that.
     pub fn load_report(&self, position: usize) -> LoadReport {
         let count = usize::from(self.u8(position).min(MAX_REPORT_VALUES));
         (0..count)
--- a/crates/simulator-adapter/src/wire/layout.rs
+++ b/crates/simulator-adapter/src/wire/layout.rs
@@ -85,7 +85,7 @@
     Answer = 13,
 }
 
-/// `state_code`
+/// The outcome with this code (`state_code`); `None` if the code is unknown.
 pub fn outcome(code: u16) -> Option<Outcome> {
     Some(match code {
         0 => Outcome::Ok,
@@ -100,7 +100,7 @@
     })
 }
 
-/// `availability`
+/// The status of an endpoint with this code (`availability`); `None` if the code is unknown.
 pub fn endpoint_status(code: u8) -> Option<EndpointStatus> {
     Some(match code {
         0 => EndpointStatus::Removed,
@@ -110,7 +110,7 @@
     })
 }
 
-/// `scope`
+/// The kind of an endpoint update with this code (`scope`); `None` if the code is unknown.
 pub fn endpoint_update_kind(code: u8) -> Option<EndpointUpdateKind> {
     Some(match code {
         0 => EndpointUpdateKind::Delta,
@@ -154,7 +154,7 @@
 pub mod endpoint {
     /// Bytes of an entry.
     pub const SIZE: usize = 25;
-    /// `slot_no`
+    /// `slot_no`; the replicas of a cell hold the same shards
     pub const CELL: usize = 0;
     /// `replica`
     pub const REPLICA: usize = 2;
@@ -194,8 +194,8 @@
     pub const SHARD: usize = 11;
     /// `patience_left_ns`
     pub const CLIENT_TIMEOUT: usize = 15;
-    /// `size_hint_ns`
-    pub const WORK: usize = 23;
+    /// `size_hint_ns`, the client's estimate of the query's work
+    pub const EXPECTED_SERVICE_TIME: usize = 23;
     /// `class`
     pub const CLASS: usize = 31;
     /// `group_no`
@@ -206,8 +206,8 @@
     pub const FLAGS: usize = 49;
     /// `heft`
     pub const WEIGHT: usize = 50;
-    /// Bit of [`FLAGS`]: [`WORK`] is valid.
-    pub const HAS_WORK: u8 = 1;
+    /// Bit of [`FLAGS`]: [`EXPECTED_SERVICE_TIME`] is valid.
+    pub const HAS_EXPECTED_SERVICE_TIME: u8 = 1;
     /// Bit of [`FLAGS`]: a retry by the client.
     pub const CLIENT_RETRY: u8 = 2;
 }
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,7 +1,8 @@
-//! The simulator's wire format: binary frames, little-endian, without padding between fields.
+//! The simulator's wire format: binary frames (a batch, or the reply to one), little-endian, without padding between
+//! fields.
 //!
 //! A frame has a header, records of a fixed size, and a tail with the data of variable size, to which records refer by
-//! offset and length. `batch` reads frames, `events` decodes their records, `reply` encodes actions, and `layout` maps
+//! offset and length. `batch` reads batches, `events` decodes their records, `reply` encodes actions, and `layout` maps
 //! the codes and field positions of the wire to the terms of the decision module.
 
 mod batch;
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -5,15 +5,15 @@
 use cottonhill_decisions::{Action, ReplicaId};
 
 /// Bytes of a reply's header: number of the batch, number of records, length of records and tail, each a u32.
-const HEADER: usize = 12;
+const HEADER_SIZE: usize = 12;
 /// Bytes of an action record.
-const RECORD: usize = 32;
+const RECORD_SIZE: usize = 32;
 /// Bytes of a replica's address and port.
-const REPLICA: usize = 6;
+const REPLICA_SIZE: usize = 6;
 /// Bytes of a tail range: an offset and a length, each a u32.
-const TAIL_RANGE: usize = 8;
+const TAIL_RANGE_SIZE: usize = 8;
 
-/// Builder of a reply.
+/// A reply under construction.
 #[derive(Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -25,7 +25,7 @@
     /// The frame of the reply to the batch with this number.
     pub fn to_bytes(&self, batch: u32) -> Vec<u8> {
         let length = (self.records.len() + self.tail.len()) as u32;
-        let mut frame = Vec::with_capacity(HEADER + length as usize);
+        let mut frame = Vec::with_capacity(HEADER_SIZE + length as usize);
         for field in [batch, self.count, length] {
             frame.extend(field.to_le_bytes());
         }
@@ -34,7 +34,7 @@
         frame
     }
 
-    /// Appends the report that the decision module of an instance panicked.
+    /// Appends a crash record: the decision module of an instance panicked with this message.
     pub fn push_crash(&mut self, instance: InstanceId, message: &str) {
         let message = self.append_tail(message.as_bytes());
         self.push_record(ActionCode::Crash, instance, &[&message]);
@@ -57,6 +57,7 @@
                 ],
             ),
             Action::Reject { query, retry_after } => {
+                // 0 on the wire: no retry hint.
                 let retry_after = retry_after.unwrap_or(0);
                 push(
                     ActionCode::Reject,
@@ -109,13 +110,13 @@
         for field in fields {
             self.records.extend(*field);
         }
-        self.records.resize(start + RECORD, 0);
+        self.records.resize(start + RECORD_SIZE, 0);
         self.count += 1;
     }
 
     /// Appends bytes to the tail and returns the record field with their range.
-    fn append_tail(&mut self, bytes: &[u8]) -> [u8; TAIL_RANGE] {
-        let mut range = [0; TAIL_RANGE];
+    fn append_tail(&mut self, bytes: &[u8]) -> [u8; TAIL_RANGE_SIZE] {
+        let mut range = [0; TAIL_RANGE_SIZE];
         range[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
         range[4..].copy_from_slice(&(bytes.len() as u32).to_le_bytes());
         self.tail.extend(bytes);
@@ -124,8 +125,8 @@
 }
 
 /// Address and port in the byte order in which they were received.
-fn replica_bytes(replica: ReplicaId) -> [u8; REPLICA] {
-    let mut bytes = [0; REPLICA];
-    bytes.copy_from_slice(&replica.0.to_le_bytes()[..REPLICA]);
+fn replica_bytes(replica: ReplicaId) -> [u8; REPLICA_SIZE] {
+    let mut bytes = [0; REPLICA_SIZE];
+    bytes.copy_from_slice(&replica.0.to_le_bytes()[..REPLICA_SIZE]);
     bytes
 }
--- a/crates/simulator-adapter/tests/recording/simulation.rs
+++ b/crates/simulator-adapter/tests/recording/simulation.rs
@@ -51,14 +51,16 @@
 pub struct Simulation {
     random: fastrand::Rng,
     now: u64,
-    /// Numbers of queries, parts and endpoint lists.
+    /// Last id given to a query, part, endpoint list or pending event.
     last_id: u64,
     pending: BTreeMap<(u64, u64), (u16, Pending)>,
     /// Number of attempts by instance and part.
     attempts: BTreeMap<(u16, u64), u8>,
     ended: BTreeSet<(u16, u64, u8)>,
     open: Vec<(u16, u64)>,
-    silent: BTreeSet<u8>,
+    /// Replicas whose attempts time out and whose probes fail.
+    unresponsive: BTreeSet<u8>,
+    /// Replicas whose attempts and probes fail.
     failing: BTreeSet<u8>,
     /// Time of the last attempt by instance and replica.
     last_use: BTreeMap<(u16, u8), u64>,
@@ -78,7 +80,7 @@
             attempts: BTreeMap::new(),
             ended: BTreeSet::new(),
             open: Vec::new(),
-            silent: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
             failing: BTreeSet::new(),
             last_use: BTreeMap::new(),
         }
@@ -148,8 +150,8 @@
             &offset.to_le_bytes(),
             &(settings.len() as u32).to_le_bytes(),
         ]);
-        let lines: Vec<(u8, u8)> = (0..REPLICAS).map(|replica| (replica, 1)).collect();
-        self.push_endpoint_list(batch, instance, &lines, 1);
+        let entries: Vec<(u8, u8)> = (0..REPLICAS).map(|replica| (replica, 1)).collect();
+        self.push_endpoint_list(batch, instance, &entries, 1);
     }
 
     fn restart_instance(&mut self, batch: &mut Batch) {
@@ -165,12 +167,12 @@
         &mut self,
         batch: &mut Batch,
         instance: u16,
-        lines: &[(u8, u8)],
+        list: &[(u8, u8)],
         kind: u8,
     ) {
         let number = self.next_id() as u32;
         let mut entries = Vec::new();
-        for (replica, status) in lines {
+        for (replica, status) in list {
             entries.extend(u16::from(replica % 2).to_le_bytes());
             entries.extend(address(*replica));
             entries.extend(u16::from(replica / 4).to_le_bytes());
@@ -188,7 +190,7 @@
             &[3],
             &number.to_le_bytes(),
             &offset.to_le_bytes(),
-            &(lines.len() as u32).to_le_bytes(),
+            &(list.len() as u32).to_le_bytes(),
         ]);
         batch.push(&[
             &[8],
@@ -211,18 +213,18 @@
             ),
             2 => self.push_endpoint_list(batch, instance, &[(4, 1), (6, 1), (7, 1)], 2),
             _ => {
-                let line = (self.random.u8(..REPLICAS), self.random.u8(..3));
-                self.push_endpoint_list(batch, instance, &[line], 0);
+                let entry = (self.random.u8(..REPLICAS), self.random.u8(..3));
+                self.push_endpoint_list(batch, instance, &[entry], 0);
             }
         }
     }
 
     fn change_replica_behaviour(&mut self) {
         let replica = self.random.u8(..REPLICAS);
-        self.silent.remove(&replica);
+        self.unresponsive.remove(&replica);
         self.failing.remove(&replica);
         match self.random.u32(..3) {
-            0 => self.silent.insert(replica),
+            0 => self.unresponsive.insert(replica),
             1 => self.failing.insert(replica),
             _ => false,
         };
@@ -363,7 +365,7 @@
         let delay = self.random.u64(1..30) * MS;
         let last_use = self.last_use.insert((instance, replica), self.now);
         let idle = self.now - last_use.unwrap_or(self.now);
-        if self.silent.contains(&replica) {
+        if self.unresponsive.contains(&replica) {
             (TIMED_OUT, expires_at.saturating_sub(self.now))
         } else if idle > IDLE_LOSS_AFTER && self.random.u32(..4) > 0 {
             (CONNECTION_RESET, delay)
@@ -377,12 +379,13 @@
     }
 
     fn apply_cancel(&mut self, instance: u16, part: u64, attempt: u8) {
+        // The replica of the attempt is not recorded; replica 0 stands for it.
         let event = Pending::AttemptEnded(part, attempt, address(0), CANCELLED);
         self.schedule(instance, MS, event);
     }
 
     fn apply_probe(&mut self, instance: u16, replica: ReplicaAddress) {
-        let failed = self.failing.contains(&replica[3]) || self.silent.contains(&replica[3]);
+        let failed = self.failing.contains(&replica[3]) || self.unresponsive.contains(&replica[3]);
         let outcome = if failed { FAILURES[0] } else { OK };
         let latency = self.random.u64(1..10) * MS;
         self.schedule(
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/wire.rs
@@ -239,7 +239,7 @@
     assert!(error_message(&frame(1, &[past_tail], &[])).contains("past the tail"));
     assert!(error_message(&frame(1, &[endpoints_updated_record(0, 3)], &[])).contains("list 3"));
     let outcome = record(&[&[6], &[0; 17], &77u16.to_le_bytes()]);
-    assert!(error_message(&frame(1, &[outcome], &[])).contains("unknown outcome 77"));
+    assert!(error_message(&frame(1, &[outcome], &[])).contains("unknown outcome code 77"));
 }
 
 #[test]
--- a/crates/standins/src/bin/cottonhill-bench-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-bench-ledger.rs
@@ -76,7 +76,7 @@
             id: &id,
             retry: false,
             timeout: Duration::from_millis(1200),
-            grace: Duration::ZERO,
+            extra_wait: Duration::ZERO,
         };
         let started = Instant::now();
         if let AttemptOutcome::Answer(..) = connection.send_query(&query, &attempt).await {
--- a/crates/standins/src/bin/cottonhill-demo.rs
+++ b/crates/standins/src/bin/cottonhill-demo.rs
@@ -69,12 +69,12 @@
             key: None,
         };
         let id = format!("demo-{n}");
-        let (timeout, grace) = (Duration::from_millis(class.2), Duration::ZERO);
+        let (timeout, extra_wait) = (Duration::from_millis(class.2), Duration::ZERO);
         let attempt = Attempt {
             id: &id,
             retry: false,
             timeout,
-            grace,
+            extra_wait,
         };
         let index = random.random_range(0..connections.len());
         let counter = match connections[index].send_query(&query, &attempt).await {
--- a/crates/standins/src/bin/cottonhill-prove-ledger.rs
+++ b/crates/standins/src/bin/cottonhill-prove-ledger.rs
@@ -1,8 +1,9 @@
 //! `cottonhill-prove-ledger`: end-to-end test that the ledger counts exactly the queries that clients sent, despite
-//! failures of every component.
+//! failures of a mixer, a zone, the settlement and the receiver of exported documents.
 //!
 //! Three mixers, 12 leaf servers in three zones, and clients that retry within and across mixers. One mixer is killed
-//! in the middle of a period, started, killed again during recovery, and started; a zone is killed across the end of a
+//! in the middle of a period, started, killed again 15 ms after its start (while it probably reads its
+//! usage log), and started; a zone is killed across the end of a
 //! period and restored cold; the settlement is killed twice; the receiver of exported documents stores them and then
 //! drops the connection, answers 500 or hangs, and is restarted; a correction is made after its statement has been
 //! exported. At the end the clients' own records are compared with the statements and the documents, by code that is
@@ -76,8 +77,9 @@
     abandoned: AtomicU64,
     connections_lost: AtomicU64,
     refused: AtomicU64,
+    /// Attempts that ended after their timeout.
     late: AtomicU64,
-    /// Attempts without any answer from a mixer that was running.
+    /// Attempts that timed out, or lost the connection to a mixer that has never been killed.
     unanswered: AtomicU64,
     /// Answers that differ from the leaf servers' values or lack coverage.
     wrong: AtomicU64,
@@ -205,7 +207,7 @@
         // Some clients abandon an attempt before its answer and retry at another mixer. Only a query with an
         // idempotency key is then certain to be counted once, because the first answer may already be on its way.
         let abandons = query.key.is_some() && !retry && random.random_bool(0.01);
-        let (attempt_timeout, grace) = match abandons {
+        let (attempt_timeout, extra_wait) = match abandons {
             true => (remaining, Duration::ZERO),
             false => (remaining, Duration::from_secs(3)),
         };
@@ -214,7 +216,7 @@
             id: &id,
             retry,
             timeout: attempt_timeout,
-            grace,
+            extra_wait,
         };
         let outcome = if abandons {
             let abandon_after = Duration::from_millis(random.random_range(1..12));
@@ -592,11 +594,11 @@
         count(&tally.wrong),
     );
     checks.check(
-        "every query got one final answer",
+        "no query stayed unanswered and no answer was wrong",
         unanswered == 0 && wrong == 0,
         format!(
-            "{attempts} attempts, {} connections lost with the killed mixer, {unanswered} unanswered, \
-             {wrong} wrong answers, {} answers after the timeout",
+            "{attempts} attempts, {} connections lost, {unanswered} unanswered, \
+             {wrong} wrong answers, {} attempts ended after the timeout",
             count(&tally.connections_lost),
             count(&tally.late)
         ),
@@ -645,7 +647,7 @@
         })
         .collect();
     checks.check(
-        "each document is received exactly once, unchanged",
+        "each document is stored once, unchanged, although some are delivered repeatedly",
         exported == received_ids
             && exported == files
             && received.mismatches == 0
@@ -778,7 +780,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
-            println!("NOT PROVED: {e}");
+            println!("NOT PROVED: the test could not be completed: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/standins/src/bin/cottonhill-prove-opensearch.rs
+++ b/crates/standins/src/bin/cottonhill-prove-opensearch.rs
@@ -165,7 +165,8 @@
     }
 }
 
-/// Describes the first error of a page, if there is one.
+/// Describes the first error of a page; `None` if there is none, or if the counts of `_shards` are right and
+/// `hits.hits` is missing.
 fn page_error(search: &Value, body: &Value) -> Option<String> {
     let failed: Vec<u32> = body["_shards"]["failures"]
         .as_array()
@@ -255,7 +256,7 @@
             id: &id,
             retry: false,
             timeout,
-            grace: Duration::from_secs(3),
+            extra_wait: Duration::from_secs(3),
         };
         let (fault, minimum_coverage) = (
             injected_fault(&search),
@@ -774,7 +775,7 @@
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
-            println!("NOT PROVED: {e}");
+            println!("NOT PROVED: the test could not be completed: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/standins/src/client.rs
+++ b/crates/standins/src/client.rs
@@ -39,7 +39,7 @@
     /// Timeout that is sent to the mixer.
     pub timeout: Duration,
     /// Additional time that the client waits for a late answer.
-    pub grace: Duration,
+    pub extra_wait: Duration,
 }
 
 /// Outcome of an attempt for its client.
@@ -53,7 +53,7 @@
     Failed(u16),
     /// No answer: the connection broke or could not be opened.
     ConnectionLost,
-    /// No answer within the timeout and the grace.
+    /// No answer within the timeout and the additional wait.
     TimedOut,
 }
 
@@ -99,7 +99,7 @@
     /// Makes one attempt. A connection that the mixer has closed meanwhile is reopened first.
     pub async fn send_query(&mut self, query: &Query, attempt: &Attempt<'_>) -> AttemptOutcome {
         match timeout(
-            attempt.timeout + attempt.grace,
+            attempt.timeout + attempt.extra_wait,
             self.exchange(query, attempt),
         )
         .await
--- a/crates/standins/src/cluster.rs
+++ b/crates/standins/src/cluster.rs
@@ -1,4 +1,5 @@
-//! Local cluster on loopback: discovery, leaf servers in three zones, real mixer processes, and their settlement.
+//! Local cluster on loopback: discovery, leaf servers in three zones, real mixer processes, and the
+//! settlement: the process of `cottonhill ledger serve`, which collects their usage logs and bills them.
 
 use crate::discovery::Discovery;
 use crate::leaf::{LeafServer, LeafStats};
@@ -23,7 +24,7 @@
 pub const TENANTS: [&str; 4] = ["alpha", "beta", "gamma", "delta"];
 pub const SHARDS: u32 = 16;
 /// Time after which a mixer that has been notified of a draining leaf server sends it no more parts.
-pub const DRAIN_GRACE: Duration = Duration::from_millis(250);
+pub const STOP_SENDING_WITHIN: Duration = Duration::from_millis(250);
 const CELLS_PER_ZONE: usize = 4;
 const NS_PER_MS: u64 = 1_000_000;
 
@@ -31,7 +32,7 @@
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
     pub seed: u64,
-    /// Number of mixers in the fleet according to the settings. Three of them run.
+    /// Number of mixers in the fleet that each mixer's settings state (`replicas_of_me`). Always three processes run.
     pub fleet_size: u32,
     /// Maximum number of open file descriptors of each mixer.
     pub descriptor_limit: usize,
@@ -179,7 +180,7 @@
                 "connect_timeout_ns": 250 * NS_PER_MS, "conn_idle_ns": 30_000 * NS_PER_MS, "open_cap": 4096,
                 "max_retry_after_ns": 300 * NS_PER_MS},
             "discovery": "pushed",
-            "guarantees": {"stop_sending_within_ns": DRAIN_GRACE.as_nanos() as u64,
+            "guarantees": {"stop_sending_within_ns": STOP_SENDING_WITHIN.as_nanos() as u64,
                 "cold_from": 0.5, "cold_ns": 1000 * NS_PER_MS, "fall_multiple": 6.0, "fall_ns": 2000 * NS_PER_MS},
         }
     })
@@ -355,7 +356,7 @@
     /// server would receive no more updates.
     ///
     /// # Errors
-    /// No port is available, or a configuration can't be rewritten.
+    /// No port is available, a configuration can't be rewritten, or a mixer's process has exited.
     pub async fn move_discovery(&mut self) -> io::Result<()> {
         let new_discovery = Discovery::start(self.ip).await?;
         new_discovery.update(
@@ -433,6 +434,7 @@
             )
             .await?;
             if slot.start_count > 1 {
+                // The entry has the address of the new server, since discovery removes a server by its name.
                 entries.push(slot.entry(index, slot.start_count - 1, "removed", server.address));
             }
             slot.started_ms = if cold { now_ms() } else { 0 };
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -36,8 +36,8 @@
 #[derive(Default)]
 struct State {
     table: EndpointTable,
-    /// Connections with lower numbers receive nothing more.
-    silent_below: u64,
+    /// Connections with lower numbers stay open but receive nothing more.
+    first_served_connection: u64,
     /// Whether all answers and messages are withheld.
     unresponsive: bool,
 }
@@ -133,10 +133,10 @@
         self.resets.send_replace(());
     }
 
-    /// Silences all open watches: their connections stay open, but receive nothing more.
+    /// Stops sending on all open watches. Their connections stay open; new connections are served.
     pub fn silence_watches(&self) {
         let accepted = self.accepted_connections();
-        self.change_state(|state| state.silent_below = accepted);
+        self.change_state(|state| state.first_served_connection = accepted);
     }
 
     /// Sets whether the server withholds all answers and messages. Updates made meanwhile are not sent; pending
@@ -266,7 +266,7 @@
         loop {
             {
                 let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-                if !state.unresponsive && number >= state.silent_below {
+                if !state.unresponsive && number >= state.first_served_connection {
                     return read(&mut state);
                 }
             }
--- a/crates/standins/src/process.rs
+++ b/crates/standins/src/process.rs
@@ -1,4 +1,4 @@
-//! Child processes. Dropping one kills it by its process id.
+//! Child processes. Dropping a [`Process`] kills it.
 
 use std::fs::File;
 use std::io;
@@ -31,7 +31,10 @@
         .map(|directory| directory.join(name))
         .find(|path| path.is_file());
     found.ok_or_else(|| {
-        io::Error::other(format!("{name} has not been built: run cargo build first"))
+        io::Error::other(format!(
+            "{name} is neither in the directory of {} nor in its parent: run cargo build",
+            current.display()
+        ))
     })
 }
 
--- a/crates/standins/src/search.rs
+++ b/crates/standins/src/search.rs
@@ -10,7 +10,8 @@
 ];
 pub const GENRES: [&str; 5] = ["baila", "film", "folk", "jazz", "pop"];
 
-/// Number of documents of a shard. It decreases with the shard number and is 1 or 2 in the last two shards.
+/// Number of documents of a shard. It decreases with the shard number, down to 14 in shard 13; shards 14 and 15
+/// have 1 and 2.
 pub fn document_count(shard: u32) -> u64 {
     u64::from(if shard >= 14 {
         shard - 13
@@ -389,7 +390,8 @@
 
 /// Response text of one shard to a search, with the injected fault if the search requests one.
 pub fn response_text(shard: u32, search: &Value) -> String {
-    let cause = json!({"root_cause": [], "type": "query_shard_exception", "reason": "on cue"});
+    let cause =
+        json!({"root_cause": [], "type": "query_shard_exception", "reason": "injected fault"});
     let error = json!({"error": cause, "status": 400});
     let mut response = shard_response(shard, search);
     match injected_fault(search) {
--- a/crates/standins/tests/descriptors.rs
+++ b/crates/standins/tests/descriptors.rs
@@ -4,7 +4,7 @@
 
 mod load;
 
-use cottonhill_standins::cluster::{ClusterConfig, LocalCluster, DRAIN_GRACE};
+use cottonhill_standins::cluster::{ClusterConfig, LocalCluster, STOP_SENDING_WITHIN};
 use load::Load;
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -14,7 +14,7 @@
 use tokio::time::{sleep, timeout};
 
 const DESCRIPTOR_LIMIT: usize = 64;
-/// Allowed in addition to the grace for delays of the mixers on a busy machine.
+/// Allowed in addition to `STOP_SENDING_WITHIN` for delays of the mixers on a busy machine.
 const SCHEDULING_SLACK: Duration = Duration::from_millis(1_500);
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
@@ -66,7 +66,7 @@
     }
     let draining = cluster.drain_zone(0);
     cluster.discovery.set_unresponsive(false);
-    sleep(DRAIN_GRACE + SCHEDULING_SLACK).await;
+    sleep(STOP_SENDING_WITHIN + SCHEDULING_SLACK).await;
     let parts = || -> u64 {
         draining
             .iter()
--- a/crates/standins/tests/draining.rs
+++ b/crates/standins/tests/draining.rs
@@ -1,10 +1,10 @@
-//! Draining of leaf servers during failures of discovery, with real processes: after the drain grace, counted from the
+//! Draining of leaf servers during failures of discovery, with real processes: after `STOP_SENDING_WITHIN`, counted from the
 //! time at which a mixer is notified or at the latest has to notice the failure, draining servers receive no new parts,
 //! and every query receives its one final answer.
 
 mod load;
 
-use cottonhill_standins::cluster::{ClusterConfig, LocalCluster, DRAIN_GRACE};
+use cottonhill_standins::cluster::{ClusterConfig, LocalCluster, STOP_SENDING_WITHIN};
 use cottonhill_standins::leaf::LeafStats;
 use load::Load;
 use serde_json::json;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Allowed in addition to the grace for delays of the mixers on a busy machine.
+/// Allowed in addition to `STOP_SENDING_WITHIN` for delays of the mixers on a busy machine.
 const SCHEDULING_SLACK: Duration = Duration::from_millis(1_500);
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
@@ -24,7 +24,7 @@
         .sum()
 }
 
-/// Asserts that the draining servers receive no parts once the grace after `notified` is over while the others do, then
+/// Asserts that the draining servers receive no parts once `STOP_SENDING_WITHIN` after `notified` is over while the others do, then
 /// restores their zone.
 async fn check_drained(
     case: &str,
@@ -33,7 +33,7 @@
     draining: &[Arc<LeafStats>],
     notified: Instant,
 ) {
-    sleep_until(notified + DRAIN_GRACE + SCHEDULING_SLACK).await;
+    sleep_until(notified + STOP_SENDING_WITHIN + SCHEDULING_SLACK).await;
     let (before, all) = (parts_received(draining), cluster.parts_received());
     sleep(MS(800)).await;
     assert_eq!(
--- a/crates/standins/tests/load/mod.rs
+++ b/crates/standins/tests/load/mod.rs
@@ -48,7 +48,7 @@
             id: &id,
             retry: false,
             timeout: Duration::from_millis(class.2),
-            grace: Duration::from_millis(1_000),
+            extra_wait: Duration::from_millis(1_000),
         };
         // Each attempt has its own connection, so that none is written to while the mixer closes it.
         let outcome = Connection::new(mixers[index])
