--- a/crates/mixer/src/config/settings/wire_names.rs
+++ b/crates/mixer/src/config/settings/wire_names.rs
@@ -5,7 +5,7 @@
 pub const ZONE: &str = "my_zone";
 /// Zone names, by zone number: `MixerSettings::zones`.
 pub const ZONES: &str = "localities";
-/// Cost of a call to another zone: `Settings::cross_zone_cost`.
+/// Cost of sending all parts to other zones, as a fraction of the total priority weight: `Settings::cross_zone_cost`.
 pub const CROSS_ZONE_COST: &str = "tariffs.cross_zone";
 /// Number of mixers: `Settings::fleet_size`.
 pub const FLEET_SIZE: &str = "replicas_of_me";
@@ -18,7 +18,7 @@
 
 /// Number of cells: `Settings::cells`.
 pub const CELLS: &str = "extra.places";
-/// Number of replicas per cell: `Settings::replication_factor`.
+/// Number of cells that hold each shard: `Settings::replication_factor`.
 pub const REPLICATION_FACTOR: &str = "extra.reach";
 /// Number of shards: `MixerSettings::shards`.
 pub const SHARDS: &str = "extra.ranges";
@@ -41,10 +41,10 @@
 pub const HEDGING_ENABLED: &str = "limits.may_duplicate";
 /// `Settings::probing_enabled`, `MixerSettings::probing_enabled`.
 pub const PROBING_ENABLED: &str = "limits.may_probe";
-/// `Settings::max_retry_after`, `MixerSettings::max_retry_after`, in nanoseconds. If it is 0 or missing, a query that
+/// `Settings::retry_after`, `MixerSettings::retry_after`, in nanoseconds. If it is 0 or missing, a query that
 /// the coordinator rejects gets no `Retry-After`, and a query that is rejected before it reaches the coordinator gets a
 /// `Retry-After` of 0. The setting `limits.retry_after` is ignored.
-pub const MAX_RETRY_AFTER: &str = "limits.max_retry_after_ns";
+pub const RETRY_AFTER: &str = "limits.max_retry_after_ns";
 /// `Settings::connection_idle_timeout`, `MixerSettings::connection_idle_timeout`, in nanoseconds.
 pub const CONNECTION_IDLE_TIMEOUT: &str = "limits.conn_idle_ns";
 /// `MixerSettings::connect_timeout`, in nanoseconds.
