--- a/crates/simulator-adapter/tests/recording/simulation.rs
+++ b/crates/simulator-adapter/tests/recording/simulation.rs
@@ -51,7 +51,7 @@
 pub struct Simulation {
     random: fastrand::Rng,
     now: u64,
-    /// Numbers of queries, parts and endpoint lists.
+    /// Last id given to a query, part, endpoint list or pending event.
     last_id: u64,
     /// Events with their instances, by due time and id.
     pending: BTreeMap<(u64, u64), (u16, Pending)>,
@@ -61,8 +61,9 @@
     ended: BTreeSet<(u16, u64, u8)>,
     /// Open queries by instance and id.
     open: Vec<(u16, u64)>,
-    /// Replicas that do not respond.
-    silent: BTreeSet<u8>,
+    /// Replicas whose attempts time out and whose probes fail.
+    unresponsive: BTreeSet<u8>,
+    /// Replicas whose attempts and probes fail.
     failing: BTreeSet<u8>,
     /// Time of the last attempt by instance and replica.
     last_use: BTreeMap<(u16, u8), u64>,
@@ -82,7 +83,7 @@
             attempts: BTreeMap::new(),
             ended: BTreeSet::new(),
             open: Vec::new(),
-            silent: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
             failing: BTreeSet::new(),
             last_use: BTreeMap::new(),
         }
@@ -223,10 +224,10 @@
 
     fn change_replica_behaviour(&mut self) {
         let replica = self.random.u8(..REPLICAS);
-        self.silent.remove(&replica);
+        self.unresponsive.remove(&replica);
         self.failing.remove(&replica);
         match self.random.u32(..3) {
-            0 => self.silent.insert(replica),
+            0 => self.unresponsive.insert(replica),
             1 => self.failing.insert(replica),
             _ => false,
         };
@@ -367,7 +368,7 @@
         let delay = self.random.u64(1..30) * MS;
         let last_use = self.last_use.insert((instance, replica), self.now);
         let idle = self.now - last_use.unwrap_or(self.now);
-        if self.silent.contains(&replica) {
+        if self.unresponsive.contains(&replica) {
             (TIMED_OUT, expires_at.saturating_sub(self.now))
         } else if idle > IDLE_LOSS_AFTER && self.random.u32(..4) > 0 {
             (CONNECTION_RESET, delay)
@@ -381,12 +382,13 @@
     }
 
     fn apply_cancel(&mut self, instance: u16, part: u64, attempt: u8) {
+        // The replica of the attempt is not recorded; replica 0 stands for it.
         let event = Pending::AttemptEnded(part, attempt, address(0), CANCELLED);
         self.schedule(instance, MS, event);
     }
 
     fn apply_probe(&mut self, instance: u16, replica: ReplicaAddress) {
-        let failed = self.failing.contains(&replica[3]) || self.silent.contains(&replica[3]);
+        let failed = self.failing.contains(&replica[3]) || self.unresponsive.contains(&replica[3]);
         let outcome = if failed { FAILURES[0] } else { OK };
         let latency = self.random.u64(1..10) * MS;
         self.schedule(
