--- a/docs/capacity/arithmetic.py
+++ b/docs/capacity/arithmetic.py
@@ -56,7 +56,7 @@
     ("crates/mixer/src", r'"settings",\s+self\.mixer_settings != next\.mixer_settings', "settings wait for a restart"),
     ("crates/mixer/src", r"DEFAULT_MAX_OPEN_REQUESTS: usize = 4096", "4,096 queries and parts may be open"),
     ("crates/mixer/src", r"BUFFER_BYTES: usize = 16 \* 1024", "a connection holds two of 16 KiB"),
-    ("crates/decisions/src", r"DECAY_TIME_OBJECTIVES: f64 = 5\.0", "estimates fade over five targets"),
+    ("crates/decisions/src", r"DECAY_TIME_IN_OBJECTIVES: f64 = 5\.0", "estimates fade over five targets"),
     ("crates/decisions/src", r"SAFETY_MARGIN_INTERVALS: Nanos = 2", "two timer intervals are kept free before the target"),
     ("crates/decisions/src", r"MIN_HEDGE_DELAY_FRACTION: f64 = 0\.125;\nconst MAX_HEDGE_DELAY_FRACTION: f64 = 0\.4", "bounds of the hedging delay"),
     ("crates/decisions/src", r"EXTRA_ATTEMPT_LIMIT_PER_PART: f64 = 0\.15", "15% of the parts may get a hedged request"),
