--- a/crates/mixer/src/reducer/lifecycle.rs
+++ b/crates/mixer/src/reducer/lifecycle.rs
@@ -3,8 +3,8 @@
 use super::NANOS_PER_MS;
 use cottonhill_decisions::Nanos;
 
-/// How long the mixer continues to serve normally after a shutdown request. On the platform, clients still open
-/// connections after it, and use the existing ones for another 0.7 s.
+/// How long the mixer continues to serve normally after a shutdown request. Within this time new connections still
+/// arrive, and clients continue to use the existing ones for 0.7 s after the request.
 const GRACE_PERIOD: Nanos = 750 * NANOS_PER_MS;
 /// The platform guarantees that it does not kill the process before this delay plus the longest query deadline has
 /// passed since the shutdown request. The deadline counts as at most [`MAX_COUNTED_DEADLINE`].
