--- a/crates/mixer/src/config/settings/decision_settings.rs
+++ b/crates/mixer/src/config/settings/decision_settings.rs
@@ -31,7 +31,7 @@
         client_retries_marked: values.or_default(wire::CLIENT_RETRIES_MARKED)?,
         hedging_enabled: values.or_default(wire::HEDGING_ENABLED)?,
         probing_enabled: values.or_default(wire::PROBING_ENABLED)?,
-        retry_after: values.or_default(wire::RETRY_AFTER)?,
+        retry_after: values.or_default(wire::MAX_RETRY_AFTER)?,
         slow_start_initial_capacity: values.non_negative(wire::SLOW_START_INITIAL_CAPACITY)?,
         slow_start_duration: values.or_default(wire::SLOW_START_DURATION)?,
         overload_multiple: values.non_negative(wire::OVERLOAD_MULTIPLE)?,
--- a/crates/mixer/src/config/settings/mixer_settings.rs
+++ b/crates/mixer/src/config/settings/mixer_settings.rs
@@ -96,7 +96,7 @@
         connection_idle_timeout: values
             .optional(wire::CONNECTION_IDLE_TIMEOUT)?
             .unwrap_or(DEFAULT_CONNECTION_IDLE_TIMEOUT_NS),
-        retry_after: values.or_default(wire::RETRY_AFTER)?,
+        retry_after: values.or_default(wire::MAX_RETRY_AFTER)?,
         drain_grace: values
             .optional(wire::DRAIN_GRACE)?
             .unwrap_or(DEFAULT_DRAIN_GRACE_NS),
--- a/crates/mixer/src/config/settings/wire_names.rs
+++ b/crates/mixer/src/config/settings/wire_names.rs
@@ -44,7 +44,7 @@
 /// `Settings::retry_after`, `MixerSettings::retry_after`, in nanoseconds. If it is 0 or missing, a query that
 /// the coordinator rejects gets no `Retry-After`, and a query that is rejected before it reaches the coordinator gets a
 /// `Retry-After` of 0. The setting `limits.retry_after` is ignored.
-pub const RETRY_AFTER: &str = "limits.max_retry_after_ns";
+pub const MAX_RETRY_AFTER: &str = "limits.max_retry_after_ns";
 /// `Settings::connection_idle_timeout`, `MixerSettings::connection_idle_timeout`, in nanoseconds.
 pub const CONNECTION_IDLE_TIMEOUT: &str = "limits.conn_idle_ns";
 /// `MixerSettings::connect_timeout`, in nanoseconds.
